--- a/door/core.go
+++ b/door/core.go
@@ -67,6 +67,12 @@
 	Strays                                                           uint64 // steps that the table of states dropped
 }
 
+// Counts are the figures in a fixed order, for digests of what happened.
+func (s *Stats) Counts() []uint64 {
+	return []uint64{s.Arrived, s.Served, s.RefusedQuota, s.RefusedRoom, s.Failed, s.Left, s.Broken, s.Attempts, s.Dials,
+		s.Probes, s.KeeperCalls, s.KeeperLate, s.KeeperMalformed, s.Strays}
+}
+
 // Step is an event that was handed to the decision module, and the actions it took.
 type Step struct {
 	At      time.Duration
--- a/internal/virtual/asker.go
+++ b/internal/virtual/asker.go
@@ -174,6 +174,7 @@
 	s.tries = append(s.tries, &t.Try)
 	s.check.Asked(t.Try)
 	s.note("ask " + t.ID)
+	s.digest(requestSent, nil, t.ID)
 	end := time.Duration(s.script.Seconds * float64(time.Second))
 	t.tail = s.now >= s.lastCalm+recovery && s.now < end
 	c.waiting = append(c.waiting, t)
@@ -224,6 +225,7 @@
 	}
 	t.over = true
 	s.note(fmt.Sprintf("end %s %d", t.ID, e))
+	s.digest(requestEnded, []uint64{uint64(e)}, t.ID)
 	s.reach([...]string{"try served", "try refused", "try failed", "try cut", "try no door", "try gave up", "try left"}[e])
 	end := audit.End{ID: t.ID, Ending: e, At: s.now, Answers: answers}
 	s.ends[t.ID] = end
--- a/internal/virtual/peers.go
+++ b/internal/virtual/peers.go
@@ -89,6 +89,7 @@
 func (b *vbox) fact(f standin.Fact) {
 	s := b.s
 	s.note(string(f.Kind) + " " + f.ID + " " + f.Box)
+	s.digest(backendFact, nil, string(f.Kind), f.ID, f.Box)
 	switch f.Kind {
 	case standin.Received:
 		s.check.Received(audit.Receipt{ID: f.ID, Box: f.Box, At: s.now, Door: s.receiving, Sent: s.sent})
--- a/internal/virtual/sim.go
+++ b/internal/virtual/sim.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"math/rand/v2"
 	"runtime/debug"
 	"slices"
@@ -35,6 +36,11 @@
 	RuleCrash = "nothing crashes"
 )
 
+// ruleNumber is a rule's position among the five and then those above.
+func ruleNumber(rule string) int {
+	return slices.Index(append(RuleNames(), RuleLeak, RuleBack, RuleWhose, RuleCrash), rule)
+}
+
 // Finding is a broken rule.
 type Finding struct {
 	At   time.Duration
@@ -158,7 +164,7 @@
 	o := Outcome{Findings: s.findings, Events: s.events, Virtual: s.now, Reached: s.reached, Tries: len(s.tries)}
 	for _, d := range s.doors { // what the machines know is part of what happened
 		if d.core != nil {
-			s.note(fmt.Sprintf("%+v", d.core.Stats))
+			s.digest(instanceStats, d.core.Stats.Counts())
 		}
 	}
 	o.Digest = s.sum.Sum64()
@@ -203,6 +209,7 @@
 
 func (s *Sim) find(rule, what string) {
 	s.note("BROKEN " + rule + ": " + what)
+	s.digest(ruleBroken, []uint64{uint64(ruleNumber(rule))})
 	if len(s.findings) < mostFindings {
 		s.findings = append(s.findings, Finding{s.now, rule, what})
 	}
@@ -304,11 +311,13 @@
 // trouble begins a trouble of the script, and plans its end.
 func (s *Sim) trouble(e trouble.Event) {
 	s.note(fmt.Sprintf("trouble %s %s %g", e.Verb, e.Target, e.Value))
+	s.digest(faultBegun, []uint64{math.Float64bits(e.Value)}, string(e.Verb), e.Target)
 	s.reach("trouble " + string(e.Verb))
 	end := func(do func()) {
 		if e.For > 0 {
 			s.after(e.For, func() {
 				s.note(fmt.Sprintf("over %s %s", e.Verb, e.Target))
+				s.digest(faultOver, nil, string(e.Verb), e.Target)
 				do()
 			})
 		}
