--- /dev/null
+++ b/trace/recorded_test.go
@@ -0,0 +1,204 @@
+package trace
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+)
+
+var recordGolden = flag.Bool("record-golden", false, "write what is told of the recorded trace anew, for a change of behaviour that is meant")
+
+const (
+	recordedTrace = "testdata/recorded-before-renaming.trace"
+	recordedTold  = "testdata/recorded-before-renaming.golden"
+)
+
+// each calls f with the items of the recorded trace, and checks that it is read whole.
+func eachRecorded(t *testing.T, f func(Head, Item)) {
+	t.Helper()
+	b, err := os.ReadFile(recordedTrace)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cut, err := Each(b, nil, func(h Head, it Item) error { f(h, it); return nil })
+	if err != nil || cut != 0 {
+		t.Fatalf("cut at %d, %v", cut, err)
+	}
+}
+
+// TestRecordedTraceIsToldAlike: a trace of core 4a62adf9f07493b3 (commit 0a5d9aa, 68 s of a front door on sockets with slow,
+// silent, failing, cold and draining servers, changes of the list, and a counter that was silent and late) is read whole, and
+// what is told of its requests is what it was: the counts, every 40th request with its explanation, and a digest of all.
+func TestRecordedTraceIsToldAlike(t *testing.T) {
+	var head Head
+	s, states := NewStories(), 0
+	kinds := map[string]int{}
+	eachRecorded(t, func(h Head, it Item) {
+		head = h
+		s.Add(it)
+		if it.State != nil {
+			states++
+		}
+		if e := it.Event.Choice(); e != nil {
+			kinds["event"]++
+		}
+		kinds["action"] += len(it.Actions)
+	})
+	if states != 3 || s.Steps != 9303 || s.Dropped != 0 || len(s.All) != 2603 {
+		t.Errorf("%d states, %d steps, %d dropped, %d requests; recorded were 3, 9303, 0 and 2603", states, s.Steps, s.Dropped, len(s.All))
+	}
+	outcomes, attempts, calls := map[Outcome]int{}, map[int]int{}, 0
+	var some strings.Builder
+	all := sha256.New()
+	for i, st := range s.All {
+		b, err := json.Marshal(st)
+		if err != nil {
+			t.Fatal(err)
+		}
+		told := fmt.Sprintf("%s\n%s\n", b, s.Explain(head, st))
+		all.Write([]byte(told))
+		if i%40 == 0 {
+			some.WriteString(told)
+		}
+		outcomes[st.Outcome]++
+		attempts[len(st.Attempts)]++
+		if st.Call != nil {
+			calls++
+		}
+	}
+	counts, err := json.Marshal(map[string]any{"outcomes": outcomes, "requests by attempts": attempts, "calls waited for": calls, "in all": kinds, "servers": s.Names})
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := fmt.Sprintf("%s\nsha256 of all: %x\n%s", counts, all.Sum(nil), &some)
+	if *recordGolden {
+		if err := os.WriteFile(recordedTold, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	b, err := os.ReadFile(recordedTold)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := string(b); got != want {
+		a, b := strings.Split(got, "\n"), strings.Split(want, "\n")
+		for i := range min(len(a), len(b)) {
+			if a[i] != b[i] {
+				t.Fatalf("line %d is\n%s\nrecorded was\n%s", i+1, a[i], b[i])
+			}
+		}
+		t.Fatalf("%d lines, recorded were %d", len(a), len(b))
+	}
+}
+
+// TestRecordedTraceReplays: this build's module decides each step of the recorded trace as it was decided, and comes to the
+// recorded states; so it does where it begins from each of the states. The core's identity, which tools compare, is not.
+func TestRecordedTraceReplays(t *testing.T) {
+	const steps, states = 9303, 3
+	for from := 0; from <= states; from++ { // 0: from the first step; else from the state of this number
+		var r *Replay
+		seen := 0
+		eachRecorded(t, func(h Head, it Item) {
+			if from > 0 {
+				h.Part = 1 // as if in a later part, which begins at a state
+			}
+			if r == nil {
+				var err error
+				if r, err = NewReplay(h); err != nil {
+					t.Fatal(err)
+				}
+			}
+			if it.State != nil {
+				seen++
+			}
+			if from > 0 && (it.First || it.State != nil && seen < from) {
+				return
+			}
+			if err := r.Step(h, it); err != nil {
+				t.Fatal(err)
+			}
+		})
+		b, err := json.Marshal(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var got struct {
+			Steps, Differ, Dropped, Uncertain, Skipped, States int
+			First                                              string
+		}
+		if err := json.Unmarshal(b, &got); err != nil {
+			t.Fatal(err)
+		}
+		all, left := got.Steps+got.Skipped, states
+		if from > 0 {
+			all, left = all+1, states-from+1 // the first step has no part in it
+		}
+		if all != steps || got.States != left || got.Steps < 500 || from == 0 && got.Skipped != 0 {
+			t.Errorf("from state %d: %s", from, b)
+		}
+		if got.Differ != 0 || got.Dropped != 0 || got.Uncertain != 0 || got.First != "" {
+			t.Errorf("from state %d: %s", from, b)
+		}
+		t.Logf("from state %d: %s", from, b)
+	}
+}
+
+// TestRecordedTraceIsWrittenAlike: what is read of the recorded trace is written as the same bytes: the names and numbers
+// within the format, those of the module's settings, events, actions and states among them, are what they were.
+func TestRecordedTraceIsWrittenAlike(t *testing.T) {
+	file, err := os.ReadFile(recordedTrace)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := NewReader(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Close()
+	head, err := modes.enc.Marshal(r.Head)
+	if err != nil {
+		t.Fatal(err)
+	}
+	frames, size := 0, 0
+	for again := head; ; frames++ {
+		if frames == 0 {
+			r.at = len(Format)
+		}
+		b, err := r.frame()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if frames > 0 {
+			var items []Item
+			if err := modes.dec.Unmarshal(b, &items); err != nil {
+				t.Fatal(err)
+			}
+			if again, err = modes.enc.Marshal(items); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if !bytes.Equal(b, again) {
+			t.Fatalf("frame %d is written as other bytes:\n%q\nrecorded was\n%q", frames, clip(again, b), clip(b, again))
+		}
+		size += len(b)
+		if r.at == len(file) {
+			break
+		}
+	}
+	t.Logf("%d frames, %d bytes", frames+1, size)
+}
+
+// clip is a, from a little before it differs from b.
+func clip(a, b []byte) []byte {
+	n := 0
+	for n < len(a) && n < len(b) && a[n] == b[n] {
+		n++
+	}
+	return a[max(0, n-40):min(len(a), n+120)]
+}
