--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -7,8 +7,8 @@
 	"os"
 	"slices"
 
-	"sandyard/choice"
-	"sandyard/internal/wire"
+	"sandyard/decision"
+	"sandyard/internal/simwire"
 )
 
 func main() {
@@ -21,12 +21,12 @@
 // reply is what an instance does in answer to one event; it is void if the instance stops in the same batch.
 type reply struct {
 	instance string
-	actions  []choice.Action
+	actions  []decision.Action
 }
 
 func run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), wire.NewWriter(out)
-	gateways := map[string]*choice.Gateway{}
+	r, w := simwire.NewReader(in), simwire.NewWriter(out)
+	gateways := map[string]*decision.Gateway{}
 	for {
 		b, err := r.Next()
 		if err == io.EOF {
@@ -37,18 +37,18 @@
 		}
 		var replies []reply
 		for _, it := range b.Items {
-			var actions []choice.Action
+			var actions []decision.Action
 			switch it.Kind {
-			case wire.Start:
-				g, first, err := choice.New(it.Settings, it.Seed, b.Now)
+			case simwire.Start:
+				g, first, err := decision.New(it.Settings, it.Seed, b.Now)
 				if err != nil {
 					return fmt.Errorf("init of %s: %w", it.Instance, err)
 				}
 				gateways[it.Instance], actions = g, first
-			case wire.Stop:
+			case simwire.Stop:
 				delete(gateways, it.Instance)
 				replies = slices.DeleteFunc(replies, func(r reply) bool { return r.instance == it.Instance })
-			case wire.Event:
+			case simwire.Event:
 				if g := gateways[it.Instance]; g != nil && it.Event != nil {
 					actions = g.Handle(it.Event, b.Now)
 				}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"sandyard/choice"
-	"sandyard/internal/strict"
+	"sandyard/decision"
+	"sandyard/internal/strictyaml"
 )
 
 const example = "../examples/kilns/gateway.yaml"
@@ -19,11 +19,11 @@
 		t.Fatal(err)
 	}
 	s := c.Settings
-	if len(s.Classes) != 3 || s.Classes[1].Repeat != choice.Keyed || s.Classes[1].KeyTTL != 6*time.Second ||
-		s.Plans[2].CeilingRate != 32 || s.MaxAttempts != 3 || s.ColdShare != 0.22 || !s.Counter || s.DrainGrace != 2*time.Second {
+	if len(s.Classes) != 3 || s.Classes[1].Idempotency != decision.IdempotentByKey || s.Classes[1].KeyTTL != 6*time.Second ||
+		s.Plans[2].CeilingRate != 32 || s.MaxAttempts != 3 || s.SlowStartShare != 0.22 || !s.Counter || s.DrainGrace != 2*time.Second {
 		t.Errorf("%+v", s)
 	}
-	if cu := c.Customer("key-hill-school"); cu == nil || cu.Name != "hill-school" || c.Customer("key-hill-schoo") != nil {
+	if cu := c.CustomerByKey("key-hill-school"); cu == nil || cu.Name != "hill-school" || c.CustomerByKey("key-hill-schoo") != nil {
 		t.Error("keys are not found")
 	}
 }
@@ -67,8 +67,8 @@
 }
 
 func TestUnits(t *testing.T) {
-	var r strict.Rate
-	var z strict.Size
+	var r strictyaml.Rate
+	var z strictyaml.Size
 	for s, want := range map[string]float64{"12/s": 12, "30/min": 0.5, "0.5/s": 0.5, "12": -1, "-1/s": -1, "x/s": -1, "1/day": -1, "Inf/s": -1} {
 		if err := r.FromText(s); (err == nil) != (want >= 0) || err == nil && float64(r) != want {
 			t.Errorf("%s: %v %v", s, r, err)
--- a/identity/identity.go
+++ b/coreid/coreid.go
@@ -1,6 +1,6 @@
-// Package identity names the core that a program was built with: a digest of everything that can change a verdict.
+// Package coreid names the core that a program was built with: a digest of everything that can change a verdict.
 // Programs with the same identity reach the same answers from the same input; others say so and don't answer.
-package identity
+package coreid
 
 import (
 	"crypto/sha256"
@@ -9,14 +9,14 @@
 	"runtime"
 	"sync"
 
-	"sandyard/choice"
 	"sandyard/config"
+	"sandyard/decision"
 	"sandyard/routes"
 	"sandyard/trace"
 )
 
 // other is part of the digest in tests, which build two cores from one source:
-// go build -ldflags '-X sandyard/identity.other=x'
+// go build -ldflags '-X sandyard/coreid.other=x'
 var other string
 
 // Core is this build's identity: 16 hexadecimal digits. What goes in: the text of the decision module with all its
@@ -24,7 +24,7 @@
 // between them, the processor architecture.
 var Core = sync.OnceValue(func() string {
 	h := sha256.New()
-	for _, s := range []string{choice.Text(), routes.Text(), config.Text(), trace.Format, runtime.GOARCH, other} {
+	for _, s := range []string{decision.Text(), routes.Text(), config.Text(), trace.Format, runtime.GOARCH, other} {
 		io.WriteString(h, s)
 		h.Write([]byte{0})
 	}
--- a/choice/cold_test.go
+++ b/decision/cold_test.go
@@ -1,4 +1,4 @@
-package choice_test
+package decision_test
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"sandyard/choice"
+	"sandyard/decision"
 )
 
 // coldDay is a fleet under whose traffic some servers come back cold at once, as a burst begins.
@@ -28,9 +28,9 @@
 type attemptEnd struct {
 	at time.Duration
 	b  *bench
-	id choice.RequestID
-	s  choice.ServerID
-	o  choice.Outcome
+	id decision.RequestID
+	s  decision.BackendID
+	o  decision.Outcome
 }
 
 type attemptEnds []attemptEnd
@@ -57,13 +57,13 @@
 // the mean of what cold servers got, against the same without the slack for chance.
 func (d coldDay) play(t *testing.T) (worst, used float64) {
 	set := basic()
-	set.ColdShare, set.ColdTime, set.OverloadFactor, set.OverloadTime = d.coldFrom, d.coldTime, d.factor, d.window
+	set.SlowStartShare, set.SlowStartTime, set.OverloadFactor, set.OverloadTime = d.coldFrom, d.coldTime, d.factor, d.window
 	const begin = time.Hour
 	back := begin + 6*time.Second // when servers return, and the burst begins
 	end := back + 10*time.Second
-	ids := make([]choice.ServerID, d.servers)
+	ids := make([]decision.BackendID, d.servers)
 	for i := range ids {
-		ids[i] = choice.ServerID(i + 1)
+		ids[i] = decision.BackendID(i + 1)
 	}
 	all := up(ids...)
 	gates := fleet(t, d.gates, set, begin, counter{}.call, all[d.returning:]...)
@@ -89,7 +89,7 @@
 		return d.coldFrom + (1-d.coldFrom)*min(1, by)
 	}
 	windows := 0.0
-	send := func(b *bench, id choice.RequestID, s choice.ServerID) {
+	send := func(b *bench, id decision.RequestID, s decision.BackendID) {
 		m, now := &models[s], b.now
 		work := rng.ExpFloat64()
 		w := warmth(m, now)
@@ -103,7 +103,7 @@
 			worst = max(worst, m.sum/(n+2*math.Sqrt(n)+2))
 		}
 		if m.held >= d.holds {
-			heap.Push(&ends, attemptEnd{now + 2*time.Millisecond, b, id, s, choice.Full})
+			heap.Push(&ends, attemptEnd{now + 2*time.Millisecond, b, id, s, decision.Rejected})
 			return
 		}
 		m.held++
@@ -113,19 +113,19 @@
 		}
 		m.free[core] = max(now, m.free[core]) + time.Duration(work*float64(d.work)/w)
 		m.done += work
-		heap.Push(&ends, attemptEnd{m.free[core] + 2*time.Millisecond, b, id, s, choice.OK})
+		heap.Push(&ends, attemptEnd{m.free[core] + 2*time.Millisecond, b, id, s, decision.OK})
 	}
-	took := func(b *bench, actions []choice.Action) {
+	took := func(b *bench, actions []decision.Action) {
 		for _, a := range actions {
-			if a, ok := a.(choice.Send); ok {
-				send(b, a.Request, a.Server)
+			if a, ok := a.(decision.SendAttempt); ok {
+				send(b, a.Request, a.Backend)
 			}
 		}
 	}
 	until := func(at time.Duration) {
 		for len(ends) > 0 && ends[0].at <= at {
 			e := heap.Pop(&ends).(attemptEnd)
-			if e.o == choice.OK {
+			if e.o == decision.OK {
 				models[e.s].held--
 			}
 			e.b.until(max(e.b.now, e.at))
@@ -151,7 +151,7 @@
 			}
 			for _, b := range gates {
 				b.until(now)
-				b.tell(choice.ServersChanged{Full: true, Entries: all[:d.servers-d.leaving]})
+				b.tell(decision.EndpointsChanged{Full: true, Endpoints: all[:d.servers-d.leaving]})
 			}
 		}
 		x, g := rng.Float64()*sum, 0
--- a/choice/choice.go
+++ b/decision/gateway.go
@@ -1,7 +1,7 @@
 // The interface of this package, its settings, events and actions, is api.go.
 
-// Package choice makes every decision of a gateway that keeps each customer of a shared back end to its plan.
-package choice
+// Package decision makes every decision of a gateway that keeps each customer of a shared back end to its plan.
+package decision
 
 import (
 	"cmp"
@@ -82,22 +82,22 @@
 	if err := check(set); err != nil {
 		return nil, nil, err
 	}
-	if !(set.ColdShare > 0) || set.ColdShare > 1 {
-		set.ColdShare = 1 // no cold start is described
+	if !(set.SlowStartShare > 0) || set.SlowStartShare > 1 {
+		set.SlowStartShare = 1 // no cold start is described
 	}
-	set.MaxAttempts, set.Gateways = max(1, set.MaxAttempts), max(1, set.Gateways)
-	set.MostUnits = max(1, set.MostUnits)
-	set.Plans = append(slices.Clone(set.Plans), Plan{Price: 1}) // for plans that were not described
+	set.MaxAttempts, set.Instances = max(1, set.MaxAttempts), max(1, set.Instances)
+	set.MaxUnits = max(1, set.MaxUnits)
+	set.Plans = append(slices.Clone(set.Plans), Plan{WeightFactor: 1}) // for plans that were not described
 	random := rand.NewPCG(seed, 0)
 	g := &Gateway{set: set, random: random, rng: rand.New(random), now: now,
 		asking: 1, customers: map[string]*customer{}, calls: map[string][]call{},
-		servers: map[ServerID]*server{}, requests: map[RequestID]*request{}}
+		servers: map[BackendID]*server{}, requests: map[RequestID]*request{}}
 	few := average{least: fewest, window: window.Seconds(), fade: linger.Seconds(), at: now}
 	many := few
 	many.least *= slower
 	for _, c := range set.Classes {
 		g.failing = append(g.failing, many)
-		first := c.Aim.Seconds() * firstShare
+		first := c.LatencyObjective.Seconds() * firstShare
 		g.latency = append(g.latency, latency{mean: first, dev: first})
 	}
 	g.sensor = sensor{sampled: now, line: few, use: few, bad: few, took: many, place: many}
@@ -106,11 +106,11 @@
 	g.told, g.borne, g.able, g.picked, g.tried = many, few, few, few, few
 	g.told.add(1, now)
 	// until more is known, all gateways together send a server one after the other
-	g.pace = 1 / (max(tick, set.Classes[0].Aim).Seconds() * firstShare * float64(set.Gateways))
+	g.pace = 1 / (max(tick, set.Classes[0].LatencyObjective).Seconds() * firstShare * float64(set.Instances))
 	g.borne.add(g.pace, now)
 	g.able.add(1, now)
 	for _, p := range g.set.Plans {
-		g.dear = max(g.dear, p.Price)
+		g.dear = max(g.dear, p.WeightFactor)
 		g.quotas, g.lets = append(g.quotas, g.quotaOf(p)), append(g.lets, many)
 	}
 	g.rankClasses()
@@ -123,9 +123,9 @@
 func (g *Gateway) Handle(e Event, now time.Duration) []Action {
 	g.now, g.out = max(g.now, now), nil
 	switch e := e.(type) {
-	case Arrived:
+	case RequestArrived:
 		g.arrived(e)
-	case ClientLeft:
+	case ClientDisconnected:
 		if r := g.requests[e.Request]; r != nil && !r.ended {
 			g.end(r, false)
 		}
@@ -136,12 +136,12 @@
 			r.streaming = true
 		}
 	case ProbeEnded:
-		if g.servers[e.Server] != nil && e.Outcome == OK {
+		if g.servers[e.Backend] != nil && e.Outcome == OK {
 			g.report(e.Load)
 		}
-	case Counted:
+	case CounterReplied:
 		g.counted(e)
-	case ServersChanged:
+	case EndpointsChanged:
 		g.serversChanged(e)
 	case TimerFired:
 		switch e.Timer.Kind {
@@ -166,12 +166,12 @@
 	g.control()
 	if g.subscribe { // not at once after a failure: many gateways hear of it together
 		g.subscribe = false
-		g.do(Subscribe{})
+		g.do(WatchEndpoints{})
 	}
 	// one probe at a time, so that each server is heard of within a report's life
-	if n := len(g.list); n > 0 && g.set.Probes && g.set.LoadByProbe && g.set.ProbePrice < probeDear {
+	if n := len(g.list); n > 0 && g.set.Probes && g.set.LoadByProbe && g.set.ProbeCost < probeDear {
 		g.turn++
-		g.do(Probe{Server: g.list[g.turn%n].Server})
+		g.do(Probe{Backend: g.list[g.turn%n].Backend})
 	}
 }
 
@@ -196,7 +196,7 @@
 // out, taken as its share. That is known at once but says little where it is few.
 func (g *Gateway) inLine() float64 {
 	told, out := g.sensor.line.now(g.now), float64(g.open)
-	own := out * float64(g.set.Gateways) / float64(max(1, len(g.list)))
+	own := out * float64(g.set.Instances) / float64(max(1, len(g.list)))
 	return told + (own-told)*out/(out+ownFew)
 }
 
@@ -210,7 +210,7 @@
 // lineAt is the number of requests in work at one server: the mean, and what this gateway has there. What a
 // server reported of itself is not used: many would go where the line was short.
 func (g *Gateway) lineAt(s *server) float64 {
-	n := float64(g.set.Gateways)
+	n := float64(g.set.Instances)
 	others := g.inLine()
 	others += (float64(s.open)*n - others) / n
 	return others*(n-1)/n + float64(s.open)
@@ -240,7 +240,7 @@
 	var worths []float64
 	for _, c := range g.set.Classes {
 		for _, p := range g.set.Plans {
-			worths = append(worths, -c.Worth*p.Price)
+			worths = append(worths, -c.PriorityWeight*p.WeightFactor)
 		}
 	}
 	slices.Sort(worths)
@@ -249,7 +249,7 @@
 	for _, c := range g.set.Classes {
 		var row []int
 		for _, p := range g.set.Plans {
-			row = append(row, slices.Index(worths, -c.Worth*p.Price))
+			row = append(row, slices.Index(worths, -c.PriorityWeight*p.WeightFactor))
 		}
 		g.rank = append(g.rank, row)
 	}
@@ -293,12 +293,12 @@
 
 // customer finds or makes the record. A new one gets the split of its burst, and of a ceiling the split of
 // its slack: it may have been drawn on until a moment ago.
-func (g *Gateway) customer(e Arrived) *customer {
+func (g *Gateway) customer(e RequestArrived) *customer {
 	c := g.customers[e.Customer]
 	if c == nil {
 		c = &customer{id: e.Customer, hash: hash(e.Customer), at: g.now, plan: g.planIndex(e.Plan)}
 		c.quota = &g.quotas[c.plan]
-		c.spread = float64(min(max(1, e.Spread), g.set.Gateways))
+		c.spread = float64(min(max(1, e.Spread), g.set.Instances))
 		c.asks = g.set.Counter && c.spread > 1 && c.quota.most > 0
 		c.level, c.ceiling = c.quota.burst/c.spread, g.set.Plans[c.plan].CeilingSlack/c.spread
 		g.customers[e.Customer] = c
@@ -319,9 +319,9 @@
 	}
 	q.most = q.burst
 	if q.rate == 0 {
-		q.most = float64(p.Open)
+		q.most = float64(p.MaxInFlight)
 		for _, c := range g.set.Classes {
-			q.fade += openFade * max(c.Aim, tick).Seconds() / float64(len(g.set.Classes))
+			q.fade += openFade * max(c.LatencyObjective, tick).Seconds() / float64(len(g.set.Classes))
 		}
 		return q
 	}
@@ -336,7 +336,7 @@
 	if c.asks {
 		part -= askedPart
 	}
-	c.level = min(max(c.quota.burst/c.spread, g.set.MostUnits), c.level+c.quota.rate/c.spread*dt)
+	c.level = min(max(c.quota.burst/c.spread, g.set.MaxUnits), c.level+c.quota.rate/c.spread*dt)
 	c.ceiling = min(part*p.CeilingBurst/c.spread, c.ceiling+part*p.CeilingRate/c.spread*dt)
 	c.seen *= math.Exp(-dt / memory.Seconds())
 	c.at = g.now
@@ -363,7 +363,7 @@
 		r.name, r.weight = name, w
 	}
 	g.calls[name] = append(g.calls[name], call{c: c, r: r, weight: w, units: rest, at: g.now})
-	g.do(Count{Name: name, Amount: (units + rest) * w, TTL: nameLife})
+	g.do(AddToCounter{Name: name, Amount: (units + rest) * w, TTL: nameLife})
 }
 
 // takeBack undoes what was added for a request: refused in the end, or an attempt that is no longer out.
@@ -371,7 +371,7 @@
 	r.told = false
 	k := call{c: r.customer, weight: r.weight, units: -r.units, at: g.now}
 	g.calls[r.name] = append(g.calls[r.name], k)
-	g.do(Count{Name: r.name, Amount: -r.units * r.weight, TTL: nameLife})
+	g.do(AddToCounter{Name: r.name, Amount: -r.units * r.weight, TTL: nameLife})
 }
 
 // mayCall spends calls by chance when the counter is crowded: refused and slow answers lower the chance.
@@ -385,10 +385,10 @@
 	p := g.set.Plans[c.plan]
 	left := (c.quota.most - c.total/g.told.value - c.fresh - units) / c.quota.most
 	switch {
-	case p.Open > 0 && c.open >= p.Open:
+	case p.MaxInFlight > 0 && c.open >= p.MaxInFlight:
 		return beyond
 	case !c.asks:
-		if p.Rate > 0 && c.level < units || p.Open > 0 && float64(c.open) >= float64(p.Open)/c.spread {
+		if p.Rate > 0 && c.level < units || p.MaxInFlight > 0 && float64(c.open) >= float64(p.MaxInFlight)/c.spread {
 			return beyond
 		}
 		return inside
@@ -419,12 +419,12 @@
 	switch {
 	case !c.ceilingHolds(p, units):
 		return false
-	case p.Rate == 0 && float64(p.Open) >= c.spread:
-		return float64(c.open) < float64(p.Open)/c.spread
+	case p.Rate == 0 && float64(p.MaxInFlight) >= c.spread:
+		return float64(c.open) < float64(p.MaxInFlight)/c.spread
 	case p.Rate > 0 && c.quota.burst >= c.spread*units:
 		return c.level >= units
 	}
-	return chance*blind > (1-chance)*p.OverCost
+	return chance*blind > (1-chance)*p.OverQuotaCost
 }
 
 // ceilingHolds tells whether the split of a ceiling has room.
@@ -473,7 +473,7 @@
 	})
 }
 
-func (g *Gateway) counted(e Counted) {
+func (g *Gateway) counted(e CounterReplied) {
 	line := g.calls[e.Name]
 	if len(line) == 0 {
 		return
@@ -497,7 +497,7 @@
 		g.takeBack(r) // its client is gone
 	}
 	g.settle(c)
-	if k.units != 0 && (e.Outcome == Full || e.Outcome == ConnectFailed) {
+	if k.units != 0 && (e.Outcome == Rejected || e.Outcome == ConnectFailed) {
 		g.addLater(c, k.units*math.Exp(-(g.now-k.at).Seconds()/c.quota.fade))
 	}
 	if !ok {
@@ -563,38 +563,38 @@
 
 // 4. Server choice and health.
 
-func (g *Gateway) serversChanged(e ServersChanged) {
+func (g *Gateway) serversChanged(e EndpointsChanged) {
 	if e.Failed {
 		g.subscribe = g.set.Subscribe
 		return
 	}
 	if e.Full {
 		for _, s := range g.list {
-			s.State = Gone
+			s.State = Removed
 		}
 	}
-	for _, n := range e.Entries {
-		s := g.servers[n.Server]
-		if s == nil && n.State == Gone {
+	for _, n := range e.Endpoints {
+		s := g.servers[n.Backend]
+		if s == nil && n.State == Removed {
 			continue
 		}
 		if s == nil {
 			s = &server{slowness: 1, health: make([]health, len(g.set.Classes))}
-			g.servers[n.Server] = s
+			g.servers[n.Backend] = s
 		}
-		if n.Started > s.Started && n.Started > 0 && n.Started+g.set.ColdTime > g.now {
+		if n.Started > s.Started && n.Started > 0 && n.Started+g.set.SlowStartTime > g.now {
 			s.cold, s.coldAt = true, n.Started
 			s.room, s.roomAt, s.need = 0, 0, g.rng.Float64()
 			clear(s.health)
 		}
-		s.ServerEntry = n
+		s.Endpoint = n
 		if n.State == Up && !slices.Contains(g.list, s) {
 			g.list = append(g.list, s)
 		}
 	}
 	g.list = slices.DeleteFunc(g.list, func(s *server) bool {
-		if s.State == Gone && s.open == 0 {
-			delete(g.servers, s.Server)
+		if s.State == Removed && s.open == 0 {
+			delete(g.servers, s.Backend)
 		}
 		return s.State != Up
 	})
@@ -607,8 +607,8 @@
 		return 1
 	}
 	age := g.now - s.coldAt
-	s.cold = age < g.set.ColdTime+g.set.OverloadTime
-	return g.set.ColdShare + (1-g.set.ColdShare)*min(1, max(0, float64(age)/float64(max(1, g.set.ColdTime))))
+	s.cold = age < g.set.SlowStartTime+g.set.OverloadTime
+	return g.set.SlowStartShare + (1-g.set.SlowStartShare)*min(1, max(0, float64(age)/float64(max(1, g.set.SlowStartTime))))
 }
 
 // risk is how likely an attempt of a class fails at a server: what it did to the last ones, an overdue answer
@@ -631,7 +631,7 @@
 	switch o {
 	case OK:
 		fail = 0
-	case Error, TimedOut, ConnectFailed, Reset:
+	case BackendError, TimedOut, ConnectFailed, ConnectionReset:
 	default:
 		return
 	}
@@ -659,7 +659,7 @@
 		return true
 	}
 	limit := g.set.OverloadFactor * g.warmth(s) * g.pace // this one's part, in attempts a second
-	all := limit * float64(g.set.Gateways) * g.set.OverloadTime.Seconds()
+	all := limit * float64(g.set.Instances) * g.set.OverloadTime.Seconds()
 	few := math.Sqrt(luck*luck+4*all) - luck // twice the root of what leaves room for luck
 	rate := limit * min(bearable, few*few/4/max(all, 1e-9))
 	most := rate * atOnce * g.set.OverloadTime.Seconds()
@@ -767,16 +767,16 @@
 
 // inScope tells whether a server discards repeats of what r may have run already.
 func inScope(r *request, class Class, s *server) bool {
-	if class.Repeat != Keyed || r.ranAt == nil || class.Scope == ScopeAll {
+	if class.Idempotency != IdempotentByKey || r.ranAt == nil || class.KeyScope == KeyScopeAll {
 		return true
 	}
-	return class.Scope == ScopeZone && s.Zone == r.ranAt.Zone ||
-		class.Scope == ScopeCell && s.Cell == r.ranAt.Cell
+	return class.KeyScope == KeyScopeZone && s.Zone == r.ranAt.Zone ||
+		class.KeyScope == KeyScopeCell && s.Cell == r.ranAt.Cell
 }
 
 // 5. Attempts and answers.
 
-func (g *Gateway) arrived(e Arrived) {
+func (g *Gateway) arrived(e RequestArrived) {
 	if g.requests[e.Request] != nil {
 		return
 	}
@@ -786,7 +786,7 @@
 	}
 	c := g.customer(e)
 	r := &request{id: e.Request, class: e.Class, customer: c, units: e.Units, arrived: g.now,
-		deadline: g.now + max(0, e.Left)}
+		deadline: g.now + max(0, e.TimeLeft)}
 	if anyBad(e.Units) {
 		r.units = 1
 	}
@@ -804,7 +804,7 @@
 		switch l := g.loops[g.rank[e.Class][c.plan]]; {
 		case c.hash >= l.f: // not worth a call
 			g.admit(r, true, false)
-		case g.mayCall(g.chance(c, e.Class) * g.set.Plans[c.plan].Price / g.dear):
+		case g.mayCall(g.chance(c, e.Class) * g.set.Plans[c.plan].WeightFactor / g.dear):
 			g.call(c, r.units, r)
 		default:
 			g.admit(r, g.guess(c, r.class, r.units), false)
@@ -822,7 +822,7 @@
 	l := &g.loops[g.rank[r.class][c.plan]]
 	if !inside {
 		l, r.why = &g.loops[len(g.loops)-1], OverQuota
-		if p.OverWorth <= p.OverCost {
+		if p.OverQuotaValue <= p.OverQuotaCost {
 			g.end(r, true)
 			return
 		}
@@ -864,7 +864,7 @@
 	r.attempts = append(r.attempts, attempt{server: s, sent: g.now, place: place, open: true})
 	r.customer.open++
 	if !slices.Contains(g.set.LoadFields, FieldInFlight) { // the line as this gateway's share of it tells
-		g.sensor.line.add(float64(g.open*g.set.Gateways)/float64(max(1, len(g.list))), g.now)
+		g.sensor.line.add(float64(g.open*g.set.Instances)/float64(max(1, len(g.list))), g.now)
 	}
 	g.open++
 	if s.open == 0 {
@@ -875,19 +875,19 @@
 		s.room--
 		s.need = g.rng.Float64()
 	}
-	g.do(Send{Request: r.id, Server: s.Server, Timeout: g.timeout(r, left)})
+	g.do(SendAttempt{Request: r.id, Backend: s.Backend, Timeout: g.timeout(r, left)})
 	return true
 }
 
 // timeout gives up an attempt when another could still be in time, and else leaves it all that is left.
 func (g *Gateway) timeout(r *request, left time.Duration) time.Duration {
 	class := g.set.Classes[r.class]
-	if class.Repeat == Unsafe || class.Stream || len(r.attempts) >= g.set.MaxAttempts {
+	if class.Idempotency == NotIdempotent || class.Stream || len(r.attempts) >= g.set.MaxAttempts {
 		return left
 	}
 	l := g.latency[r.class]
-	t := max(time.Duration((l.mean+patience*l.dev)*float64(time.Second)), class.Aim)
-	if class.Repeat == Keyed && g.now+t > r.arrived+safe(class) {
+	t := max(time.Duration((l.mean+patience*l.dev)*float64(time.Second)), class.LatencyObjective)
+	if class.Idempotency == IdempotentByKey && g.now+t > r.arrived+safe(class) {
 		return left
 	}
 	return min(t, left)
@@ -905,7 +905,7 @@
 	class := g.set.Classes[r.class]
 	took := (g.now - a.sent).Seconds()
 	if e.Outcome == OK || e.Outcome == TimedOut {
-		g.learn(s, a, max(took-e.Way.Seconds(), took*leastOwn)/max(class.Aim, tick).Seconds())
+		g.learn(s, a, max(took-e.RoundTrip.Seconds(), took*leastOwn)/max(class.LatencyObjective, tick).Seconds())
 	}
 	if l := &g.latency[r.class]; e.Outcome == OK {
 		l.dev += (math.Abs(took-l.mean) - l.dev) * smoothing
@@ -916,20 +916,20 @@
 		g.ends++
 		g.good += one(e.Outcome == OK)
 	}
-	if e.Outcome != Void && e.Outcome != Cancelled {
+	if e.Outcome != NotSent && e.Outcome != Cancelled {
 		bad := 0.0
-		if e.Outcome == Full || e.Outcome == TimedOut || took > class.Aim.Seconds() {
+		if e.Outcome == Rejected || e.Outcome == TimedOut || took > class.LatencyObjective.Seconds() {
 			bad = 1
 		}
 		g.sensor.bad.add(bad, g.now)
 	}
-	if !r.ran && e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != Void {
+	if !r.ran && e.Outcome != Rejected && e.Outcome != ConnectFailed && e.Outcome != NotSent {
 		r.ran, r.ranAt, r.ranSent = true, s, a.sent
 	}
 	switch {
 	case r.ended:
 		g.drop(r)
-	case e.Settled || e.Outcome == OK:
+	case e.Answered || e.Outcome == OK:
 		g.end(r, false)
 	case g.mayRetry(r, class):
 		g.send(r)
@@ -960,12 +960,12 @@
 	if len(r.attempts) >= g.set.MaxAttempts || r.streaming {
 		return false
 	}
-	if r.ran && (class.Repeat == Unsafe || class.Repeat == Keyed && g.now >= r.ranSent+safe(class)) {
+	if r.ran && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && g.now >= r.ranSent+safe(class)) {
 		return false
 	}
 	useful := r.deadline
 	if class.LateShare == 0 {
-		useful = min(useful, r.arrived+class.Aim)
+		useful = min(useful, r.arrived+class.LatencyObjective)
 	}
 	return (useful - g.now).Seconds() > g.latency[r.class].mean/2
 }
@@ -981,17 +981,17 @@
 		if r.attempts[i].open {
 			out = true
 			if g.set.Cancel && !r.streaming {
-				g.do(Cancel{Request: r.id, Attempt: i})
+				g.do(CancelAttempt{Request: r.id, Attempt: i})
 			}
 		}
 	}
-	promise := class.Repeat == Safe || !r.ran && !out || class.Repeat == Keyed && class.Scope == ScopeAll
+	promise := class.Idempotency == Idempotent || !r.ran && !out || class.Idempotency == IdempotentByKey && class.KeyScope == KeyScopeAll
 	switch {
 	case owed && promise && len(r.attempts) == 0:
-		g.do(Refuse{Request: r.id, Why: r.why, RetryAfter: g.comeBack(r)})
+		g.do(Reject{Request: r.id, Reason: r.why, RetryAfter: g.comeBack(r)})
 	case owed && promise:
-		r.why = NoRoom
-		g.do(Refuse{Request: r.id, Why: r.why, RetryAfter: g.comeBack(r)})
+		r.why = NoCapacity
+		g.do(Reject{Request: r.id, Reason: r.why, RetryAfter: g.comeBack(r)})
 	case owed:
 		g.do(Fail{Request: r.id})
 	}
@@ -1015,7 +1015,7 @@
 	default:
 		wait = time.Duration(g.latency[r.class].mean * float64(time.Second))
 	}
-	most := time.Duration(awayShare * float64(g.set.Classes[r.class].Aim))
+	most := time.Duration(awayShare * float64(g.set.Classes[r.class].LatencyObjective))
 	return min(max(tick, min(wait, most)), max(0, g.set.MaxRetryAfter))
 }
 
@@ -1050,8 +1050,8 @@
 		if c.open--; r.told && c.quota.rate == 0 {
 			g.takeBack(r)
 		}
-		if s := a.server; s.State == Gone && s.open == 0 {
-			delete(g.servers, s.Server)
+		if s := a.server; s.State == Removed && s.open == 0 {
+			delete(g.servers, s.Backend)
 		}
 	}
 }
--- a/choice/choice_test.go
+++ b/decision/gateway_test.go
@@ -1,4 +1,4 @@
-package choice_test
+package decision_test
 
 import (
 	"fmt"
@@ -9,37 +9,37 @@
 	"testing"
 	"time"
 
-	"sandyard/choice"
+	"sandyard/decision"
 )
 
 // bench drives one gateway by hand: it keeps the time, fires timers and remembers what was done.
 type bench struct {
 	t      *testing.T
-	g      *choice.Gateway
+	g      *decision.Gateway
 	now    time.Duration
-	timers []choice.SetTimer
-	did    []choice.Action
-	next   choice.RequestID
-	tries  map[choice.RequestID]int
+	timers []decision.SetTimer
+	did    []decision.Action
+	next   decision.RequestID
+	tries  map[decision.RequestID]int
 	// counter, if set, answers calls at once
-	counter func(choice.Count) (choice.Outcome, float64)
+	counter func(decision.AddToCounter) (decision.Outcome, float64)
 }
 
-func start(t *testing.T, set choice.Settings, at time.Duration, servers ...choice.ServerEntry) *bench {
+func start(t *testing.T, set decision.Settings, at time.Duration, servers ...decision.Endpoint) *bench {
 	t.Helper()
-	g, first, err := choice.New(set, 1, at)
+	g, first, err := decision.New(set, 1, at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, g: g, now: at, next: 1, tries: map[choice.RequestID]int{}}
+	b := &bench{t: t, g: g, now: at, next: 1, tries: map[decision.RequestID]int{}}
 	b.take(first)
-	b.tell(choice.ServersChanged{Full: true, Cached: true, Entries: servers})
+	b.tell(decision.EndpointsChanged{Full: true, Cached: true, Endpoints: servers})
 	return b
 }
 
-func (b *bench) take(actions []choice.Action) []choice.Action {
+func (b *bench) take(actions []decision.Action) []decision.Action {
 	for _, a := range actions {
-		if t, ok := a.(choice.SetTimer); ok {
+		if t, ok := a.(decision.SetTimer); ok {
 			b.timers = append(b.timers, t)
 		}
 	}
@@ -47,12 +47,12 @@
 	return actions
 }
 
-func (b *bench) tell(e choice.Event) []choice.Action {
+func (b *bench) tell(e decision.Event) []decision.Action {
 	did := b.take(b.g.Handle(e, b.now))
 	for i := 0; i < len(did) && b.counter != nil; i++ {
-		if a, ok := did[i].(choice.Count); ok {
+		if a, ok := did[i].(decision.AddToCounter); ok {
 			o, total := b.counter(a)
-			did = append(did, b.take(b.g.Handle(choice.Counted{Name: a.Name, Outcome: o, Total: total}, b.now))...)
+			did = append(did, b.take(b.g.Handle(decision.CounterReplied{Name: a.Name, Outcome: o, Total: total}, b.now))...)
 		}
 	}
 	return did
@@ -74,54 +74,54 @@
 		t := b.timers[first]
 		b.timers = append(b.timers[:first], b.timers[first+1:]...)
 		b.now = max(b.now, t.At)
-		b.tell(choice.TimerFired{Timer: t.Timer})
+		b.tell(decision.TimerFired{Timer: t.Timer})
 	}
 }
 
 func (b *bench) wait(d time.Duration) { b.until(b.now + d) }
 
 // ask brings a request and returns its id and the server it was sent to; sent is false if it was refused.
-func (b *bench) ask(customer string, class choice.ClassID, spread int) (id choice.RequestID, s choice.ServerID, sent bool) {
+func (b *bench) ask(customer string, class decision.ClassID, spread int) (id decision.RequestID, s decision.BackendID, sent bool) {
 	id = b.next
 	b.next++
-	for _, a := range b.tell(choice.Arrived{Request: id, Class: class, Customer: customer, Left: 2 * time.Second,
+	for _, a := range b.tell(decision.RequestArrived{Request: id, Class: class, Customer: customer, TimeLeft: 2 * time.Second,
 		Units: 1, Spread: spread}) {
-		if a, ok := a.(choice.Send); ok {
-			return id, a.Server, true
+		if a, ok := a.(decision.SendAttempt); ok {
+			return id, a.Backend, true
 		}
 	}
 	return id, 0, false
 }
 
 // answer ends the latest attempt of a request.
-func (b *bench) answer(id choice.RequestID, s choice.ServerID, o choice.Outcome) []choice.Action {
+func (b *bench) answer(id decision.RequestID, s decision.BackendID, o decision.Outcome) []decision.Action {
 	n := b.tries[id]
 	b.tries[id]++
-	return b.tell(choice.AttemptEnded{Request: id, Attempt: n, Server: s, Outcome: o, Settled: o == choice.OK})
+	return b.tell(decision.AttemptEnded{Request: id, Attempt: n, Backend: s, Outcome: o, Answered: o == decision.OK})
 }
 
-func up(ids ...choice.ServerID) (out []choice.ServerEntry) {
+func up(ids ...decision.BackendID) (out []decision.Endpoint) {
 	for _, id := range ids {
-		out = append(out, choice.ServerEntry{Server: id, Weight: 1})
+		out = append(out, decision.Endpoint{Backend: id, Weight: 1})
 	}
 	return out
 }
 
-func basic() choice.Settings {
-	return choice.Settings{
-		Gateways: 1, MaxAttempts: 3, Cancel: true, Counter: true, DrainGrace: time.Second,
-		ColdShare: 0.2, ColdTime: 10 * time.Second, OverloadFactor: 4, OverloadTime: time.Second,
-		Classes: []choice.Class{
-			{Repeat: choice.Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Repeat: choice.Unsafe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 2},
-			{Repeat: choice.Keyed, Scope: choice.ScopeZone, KeyTTL: time.Second, Aim: time.Second,
-				Deadline: 2 * time.Second, Worth: 1, LateShare: 0.5},
+func basic() decision.Settings {
+	return decision.Settings{
+		Instances: 1, MaxAttempts: 3, Cancel: true, Counter: true, DrainGrace: time.Second,
+		SlowStartShare: 0.2, SlowStartTime: 10 * time.Second, OverloadFactor: 4, OverloadTime: time.Second,
+		Classes: []decision.Class{
+			{Idempotency: decision.Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
+			{Idempotency: decision.NotIdempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 2},
+			{Idempotency: decision.IdempotentByKey, KeyScope: decision.KeyScopeZone, KeyTTL: time.Second, LatencyObjective: time.Second,
+				Deadline: 2 * time.Second, PriorityWeight: 1, LateShare: 0.5},
 		},
-		Plans: []choice.Plan{{Rate: 1000, Burst: 1000, Price: 1}},
+		Plans: []decision.Plan{{Rate: 1000, Burst: 1000, WeightFactor: 1}},
 	}
 }
 
-func count[A choice.Action](actions []choice.Action) (n int) {
+func count[A decision.Action](actions []decision.Action) (n int) {
 	for _, a := range actions {
 		if _, ok := a.(A); ok {
 			n++
@@ -133,22 +133,22 @@
 func TestRetryKeepsRepeatClass(t *testing.T) {
 	cases := []struct {
 		name    string
-		class   choice.ClassID
-		outcome choice.Outcome
+		class   decision.ClassID
+		outcome decision.Outcome
 		send    int
 		refuse  int
 		fail    int
 	}{
-		{"safe after an error", 0, choice.Error, 1, 0, 0},
-		{"safe after full", 0, choice.Full, 1, 0, 0},
-		{"unsafe after full", 1, choice.Full, 1, 0, 0},
-		{"unsafe after no connection", 1, choice.ConnectFailed, 1, 0, 0},
-		{"unsafe after an error", 1, choice.Error, 0, 0, 1},
-		{"unsafe after a reset", 1, choice.Reset, 0, 0, 1},
-		{"unsafe after a time-out", 1, choice.TimedOut, 0, 0, 1},
-		{"unsafe after a cancel", 1, choice.Cancelled, 0, 0, 1},
-		{"unsafe never sent", 1, choice.Void, 1, 0, 0},
-		{"keyed after an error", 2, choice.Error, 1, 0, 0},
+		{"safe after an error", 0, decision.BackendError, 1, 0, 0},
+		{"safe after full", 0, decision.Rejected, 1, 0, 0},
+		{"unsafe after full", 1, decision.Rejected, 1, 0, 0},
+		{"unsafe after no connection", 1, decision.ConnectFailed, 1, 0, 0},
+		{"unsafe after an error", 1, decision.BackendError, 0, 0, 1},
+		{"unsafe after a reset", 1, decision.ConnectionReset, 0, 0, 1},
+		{"unsafe after a time-out", 1, decision.TimedOut, 0, 0, 1},
+		{"unsafe after a cancel", 1, decision.Cancelled, 0, 0, 1},
+		{"unsafe never sent", 1, decision.NotSent, 1, 0, 0},
+		{"keyed after an error", 2, decision.BackendError, 1, 0, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -156,13 +156,13 @@
 			id, s, _ := b.ask("a", c.class, 1)
 			b.wait(20 * time.Millisecond)
 			did := b.answer(id, s, c.outcome)
-			if n := count[choice.Send](did); n != c.send {
+			if n := count[decision.SendAttempt](did); n != c.send {
 				t.Errorf("%d sends, want %d", n, c.send)
 			}
-			if n := count[choice.Refuse](did); n != c.refuse {
+			if n := count[decision.Reject](did); n != c.refuse {
 				t.Errorf("%d refusals, want %d", n, c.refuse)
 			}
-			if n := count[choice.Fail](did); n != c.fail {
+			if n := count[decision.Fail](did); n != c.fail {
 				t.Errorf("%d failures, want %d", n, c.fail)
 			}
 		})
@@ -170,47 +170,47 @@
 }
 
 func TestKeyedStaysInZoneAndTime(t *testing.T) {
-	servers := []choice.ServerEntry{{Server: 1, Zone: 0}, {Server: 2, Zone: 0}, {Server: 3, Zone: 1}, {Server: 4, Zone: 1}}
-	zone := map[choice.ServerID]int{1: 0, 2: 0, 3: 1, 4: 1}
+	servers := []decision.Endpoint{{Backend: 1, Zone: 0}, {Backend: 2, Zone: 0}, {Backend: 3, Zone: 1}, {Backend: 4, Zone: 1}}
+	zone := map[decision.BackendID]int{1: 0, 2: 0, 3: 1, 4: 1}
 	for range 20 {
 		b := start(t, basic(), 0, servers...)
 		id, s, _ := b.ask("a", 2, 1)
 		b.wait(10 * time.Millisecond)
-		for _, a := range b.answer(id, s, choice.Error) {
-			if a, ok := a.(choice.Send); ok && zone[a.Server] != zone[s] {
-				t.Fatalf("resent from zone %d to %d", zone[s], zone[a.Server])
+		for _, a := range b.answer(id, s, decision.BackendError) {
+			if a, ok := a.(decision.SendAttempt); ok && zone[a.Backend] != zone[s] {
+				t.Fatalf("resent from zone %d to %d", zone[s], zone[a.Backend])
 			}
 		}
 	}
 	b := start(t, basic(), 0, servers...)
 	id, s, _ := b.ask("a", 2, 1)
 	b.wait(1500 * time.Millisecond) // the key is forgotten by now
-	did := b.answer(id, s, choice.Error)
-	if count[choice.Send](did) != 0 || count[choice.Fail](did) != 1 {
+	did := b.answer(id, s, decision.BackendError)
+	if count[decision.SendAttempt](did) != 0 || count[decision.Fail](did) != 1 {
 		t.Errorf("after the key's life: %v, want a failure", did)
 	}
 }
 
 func TestDrainingAndGoneGetNothing(t *testing.T) {
-	for _, state := range []choice.ServerState{choice.Draining, choice.Gone} {
+	for _, state := range []decision.EndpointState{decision.Draining, decision.Removed} {
 		b := start(t, basic(), 0, up(1, 2)...)
 		id, first, _ := b.ask("a", 0, 1)
 		other := 3 - first
-		b.tell(choice.ServersChanged{Entries: []choice.ServerEntry{{Server: other, State: state}}})
+		b.tell(decision.EndpointsChanged{Endpoints: []decision.Endpoint{{Backend: other, State: state}}})
 		for range 30 {
 			if _, s, sent := b.ask("a", 0, 1); sent && s == other {
 				t.Fatalf("sent to a server in state %v", state)
 			}
 		}
-		for _, a := range b.answer(id, first, choice.Full) {
-			if a, ok := a.(choice.Send); ok && a.Server == other {
+		for _, a := range b.answer(id, first, decision.Rejected) {
+			if a, ok := a.(decision.SendAttempt); ok && a.Backend == other {
 				t.Fatal("retried at a server that is not up")
 			}
 		}
 	}
 	b := start(t, basic(), 0, up(1, 2)...)
-	b.tell(choice.ServersChanged{Full: true})
-	if _, _, sent := b.ask("a", 0, 1); sent || count[choice.Refuse](b.did) != 1 {
+	b.tell(decision.EndpointsChanged{Full: true})
+	if _, _, sent := b.ask("a", 0, 1); sent || count[decision.Reject](b.did) != 1 {
 		t.Error("an empty list must give a prompt refusal")
 	}
 }
@@ -218,13 +218,13 @@
 func TestDeadlineAnswersOnce(t *testing.T) {
 	for class, fail := range []int{0, 1} {
 		b := start(t, basic(), 0, up(1)...)
-		id, s, _ := b.ask("a", choice.ClassID(class), 1)
+		id, s, _ := b.ask("a", decision.ClassID(class), 1)
 		b.wait(2 * time.Second)
-		b.answer(id, s, choice.TimedOut)
-		b.answer(id, s, choice.OK) // late and doubled news
-		b.tell(choice.ClientLeft{Request: id})
+		b.answer(id, s, decision.TimedOut)
+		b.answer(id, s, decision.OK) // late and doubled news
+		b.tell(decision.ClientDisconnected{Request: id})
 		b.wait(time.Minute)
-		if r, f := count[choice.Refuse](b.did), count[choice.Fail](b.did); r != 1-fail || f != fail {
+		if r, f := count[decision.Reject](b.did), count[decision.Fail](b.did); r != 1-fail || f != fail {
 			t.Errorf("class %d: %d refusals and %d failures", class, r, f)
 		}
 	}
@@ -236,14 +236,14 @@
 	set.Classes[0].Stream = true
 	b := start(t, set, 0, up(1, 2)...)
 	id, s, _ := b.ask("a", 0, 1)
-	b.tell(choice.StreamStarted{Request: id, Server: s})
+	b.tell(decision.StreamStarted{Request: id, Backend: s})
 	b.did = nil
 	b.wait(10 * time.Second)
-	b.answer(id, s, choice.Reset)
-	if n := count[choice.Send](b.did) + count[choice.Cancel](b.did); n != 0 {
+	b.answer(id, s, decision.ConnectionReset)
+	if n := count[decision.SendAttempt](b.did) + count[decision.CancelAttempt](b.did); n != 0 {
 		t.Errorf("%d sends and cancels for a begun stream", n)
 	}
-	if n := count[choice.Fail](b.did) + count[choice.Refuse](b.did); n != 1 {
+	if n := count[decision.Fail](b.did) + count[decision.Reject](b.did); n != 1 {
 		t.Errorf("%d answers after it broke unsettled, want 1", n)
 	}
 }
@@ -254,7 +254,7 @@
 		set.Cancel = allowed
 		b := start(t, set, 0, up(1)...)
 		id, _, _ := b.ask("a", 0, 1)
-		if n := count[choice.Cancel](b.tell(choice.ClientLeft{Request: id})); (n == 1) != allowed {
+		if n := count[decision.CancelAttempt](b.tell(decision.ClientDisconnected{Request: id})); (n == 1) != allowed {
 			t.Errorf("allowed %v: %d cancels", allowed, n)
 		}
 	}
@@ -263,15 +263,15 @@
 // A gateway that starts, perhaps again, does not know what its customers have drawn: of a ceiling it has the slack.
 func TestCeilingAfterRestart(t *testing.T) {
 	set := basic()
-	set.Gateways = 2
-	set.Plans = []choice.Plan{{Rate: 100, Burst: 100, Price: 1, CeilingRate: 10, CeilingBurst: 50, CeilingSlack: 6}}
+	set.Instances = 2
+	set.Plans = []decision.Plan{{Rate: 100, Burst: 100, WeightFactor: 1, CeilingRate: 10, CeilingBurst: 50, CeilingSlack: 6}}
 	b := start(t, set, time.Hour, up(1, 2, 3)...)
 	b.counter = silent
 	sent := 0
 	for range 30 {
 		if id, s, ok := b.ask("a", 0, 2); ok {
 			sent++
-			b.answer(id, s, choice.OK)
+			b.answer(id, s, decision.OK)
 		}
 	}
 	if sent != 3 {
@@ -280,16 +280,16 @@
 }
 
 // load keeps a rate of requests of one class on servers that each behave in their own way, and counts what each got.
-func load(b *bench, class choice.ClassID, n int, gap time.Duration,
-	behave func(s choice.ServerID) (time.Duration, choice.Outcome)) map[choice.ServerID]int {
+func load(b *bench, class decision.ClassID, n int, gap time.Duration,
+	behave func(s decision.BackendID) (time.Duration, decision.Outcome)) map[decision.BackendID]int {
 	type out struct {
-		id  choice.RequestID
-		s   choice.ServerID
+		id  decision.RequestID
+		s   decision.BackendID
 		due time.Duration
-		o   choice.Outcome
+		o   decision.Outcome
 	}
 	var waiting []out
-	got := map[choice.ServerID]int{}
+	got := map[decision.BackendID]int{}
 	for range n {
 		b.wait(gap)
 		for i := 0; i < len(waiting); i++ {
@@ -309,19 +309,19 @@
 	return got
 }
 
-func healthy() (time.Duration, choice.Outcome) { return 50 * time.Millisecond, choice.OK }
+func healthy() (time.Duration, decision.Outcome) { return 50 * time.Millisecond, decision.OK }
 
 func TestColdServerGetsItsShare(t *testing.T) {
 	set := basic()
-	set.ColdTime = time.Hour // stays at its coldest
+	set.SlowStartTime = time.Hour // stays at its coldest
 	servers := up(1, 2, 3, 4)
 	servers[3].Started = time.Hour
 	b := start(t, set, time.Hour, servers...)
-	got := load(b, 0, 1000, 5*time.Millisecond, func(s choice.ServerID) (time.Duration, choice.Outcome) {
+	got := load(b, 0, 1000, 5*time.Millisecond, func(s decision.BackendID) (time.Duration, decision.Outcome) {
 		if s == 4 {
-			return time.Millisecond, choice.OK // its line is always the shortest
+			return time.Millisecond, decision.OK // its line is always the shortest
 		}
-		return 300 * time.Millisecond, choice.OK
+		return 300 * time.Millisecond, decision.OK
 	})
 	all := got[1] + got[2] + got[3] + got[4]
 	if share := float64(got[4]) / float64(all); share > 3*0.2/3.2*1.1 { // drawn once in three by its warmth
@@ -334,7 +334,7 @@
 // yet, requests go out about one after the other.
 func TestColdFleet(t *testing.T) {
 	set := basic()
-	set.ColdTime = time.Hour // stays at its coldest
+	set.SlowStartTime = time.Hour // stays at its coldest
 	for _, c := range []struct {
 		name        string
 		known       bool
@@ -344,11 +344,11 @@
 		servers := up(1, 2, 3)
 		servers[0].Started = time.Hour
 		b := start(t, set, time.Hour, servers[2])
-		good := func(choice.ServerID) (time.Duration, choice.Outcome) { return time.Millisecond, choice.OK }
+		good := func(decision.BackendID) (time.Duration, decision.Outcome) { return time.Millisecond, decision.OK }
 		if c.known {
 			load(b, 0, 1000, 5*time.Millisecond, good)
 		}
-		b.tell(choice.ServersChanged{Full: true, Entries: servers[:1+c.warm]})
+		b.tell(decision.EndpointsChanged{Full: true, Endpoints: servers[:1+c.warm]})
 		got := load(b, 0, 1000, 5*time.Millisecond, good)
 		if all := got[1] + got[2]; all < c.least || all > c.most {
 			t.Errorf("%s: %d of 1000 were sent", c.name, all)
@@ -358,17 +358,17 @@
 
 // Where nothing is said of what pushes a cold server over, nothing is held back.
 func TestColdFleetWithoutLimit(t *testing.T) {
-	for _, change := range []func(*choice.Settings){
-		func(s *choice.Settings) { s.OverloadFactor = 0 },
-		func(s *choice.Settings) { s.OverloadTime = 0 },
+	for _, change := range []func(*decision.Settings){
+		func(s *decision.Settings) { s.OverloadFactor = 0 },
+		func(s *decision.Settings) { s.OverloadTime = 0 },
 	} {
 		set := basic()
-		set.ColdTime, set.ColdShare = time.Hour, 0.5
+		set.SlowStartTime, set.SlowStartShare = time.Hour, 0.5
 		change(&set)
 		servers := up(1)
 		servers[0].Started = time.Hour
 		b := start(t, set, time.Hour, servers...)
-		got := load(b, 0, 1000, 5*time.Millisecond, func(choice.ServerID) (time.Duration, choice.Outcome) { return time.Millisecond, choice.OK })
+		got := load(b, 0, 1000, 5*time.Millisecond, func(decision.BackendID) (time.Duration, decision.Outcome) { return time.Millisecond, decision.OK })
 		if got[1] < 990 {
 			t.Errorf("%d of 1000 were sent", got[1])
 		}
@@ -377,9 +377,9 @@
 
 func TestHungServerIsLeft(t *testing.T) {
 	b := start(t, basic(), 0, up(1, 2, 3, 4)...)
-	got := load(b, 1, 400, 100*time.Millisecond, func(s choice.ServerID) (time.Duration, choice.Outcome) {
+	got := load(b, 1, 400, 100*time.Millisecond, func(s decision.BackendID) (time.Duration, decision.Outcome) {
 		if s == 1 {
-			return 0, choice.OK // never
+			return 0, decision.OK // never
 		}
 		return healthy()
 	})
@@ -391,9 +391,9 @@
 // Errors come back at once, so the line at their server is always the shortest.
 func TestFastErrorsAreLeft(t *testing.T) {
 	b := start(t, basic(), 0, up(1, 2, 3, 4)...)
-	got := load(b, 1, 400, 20*time.Millisecond, func(s choice.ServerID) (time.Duration, choice.Outcome) {
+	got := load(b, 1, 400, 20*time.Millisecond, func(s decision.BackendID) (time.Duration, decision.Outcome) {
 		if s == 1 {
-			return time.Millisecond, choice.Error
+			return time.Millisecond, decision.BackendError
 		}
 		return healthy()
 	})
@@ -405,7 +405,9 @@
 // Trouble that all share leaves all in use.
 func TestAllFailingAlikeEjectsNobody(t *testing.T) {
 	b := start(t, basic(), 0, up(1, 2, 3, 4, 5, 6)...)
-	failing := func(choice.ServerID) (time.Duration, choice.Outcome) { return 20 * time.Millisecond, choice.Error }
+	failing := func(decision.BackendID) (time.Duration, decision.Outcome) {
+		return 20 * time.Millisecond, decision.BackendError
+	}
 	load(b, 1, 300, 30*time.Millisecond, failing)
 	got := load(b, 1, 60, 30*time.Millisecond, failing)
 	if len(got) < 4 { // at most 0.4 of the list is out
@@ -416,26 +418,26 @@
 func TestQuota(t *testing.T) {
 	cases := []struct {
 		name     string
-		plan     choice.Plan
+		plan     decision.Plan
 		spread   int
-		counter  func(choice.Count) (choice.Outcome, float64) // what the counter says to an add
-		min, max int                                          // of 400 requests in 10 s
+		counter  func(decision.AddToCounter) (decision.Outcome, float64) // what the counter says to an add
+		min, max int                                                     // of 400 requests in 10 s
 	}{
-		{"one gateway holds the whole", choice.Plan{Rate: 10, Burst: 20, Price: 1}, 1, nil, 115, 121},
-		{"silent counter: the split", choice.Plan{Rate: 10, Burst: 20, Price: 1}, 2, silent, 55, 61},
-		{"refusing counter: the split", choice.Plan{Rate: 10, Burst: 20, Price: 1}, 2, refusing, 55, 61},
-		{"alone at the counter: the whole", choice.Plan{Rate: 10, Burst: 20, Price: 1}, 2, alone(), 100, 121},
-		{"others use the same: half", choice.Plan{Rate: 10, Burst: 20, Price: 1}, 2, twice(), 40, 75},
-		{"a burst smaller than the split: still a request", choice.Plan{Rate: 1, Burst: 4, Price: 1}, 11, alone(), 6, 14},
-		{"soft plan: the loops decide", choice.Plan{Rate: 10, Burst: 20, Price: 1, OverWorth: 0.5}, 1, nil, 350, 400},
+		{"one gateway holds the whole", decision.Plan{Rate: 10, Burst: 20, WeightFactor: 1}, 1, nil, 115, 121},
+		{"silent counter: the split", decision.Plan{Rate: 10, Burst: 20, WeightFactor: 1}, 2, silent, 55, 61},
+		{"refusing counter: the split", decision.Plan{Rate: 10, Burst: 20, WeightFactor: 1}, 2, refusing, 55, 61},
+		{"alone at the counter: the whole", decision.Plan{Rate: 10, Burst: 20, WeightFactor: 1}, 2, alone(), 100, 121},
+		{"others use the same: half", decision.Plan{Rate: 10, Burst: 20, WeightFactor: 1}, 2, twice(), 40, 75},
+		{"a burst smaller than the split: still a request", decision.Plan{Rate: 1, Burst: 4, WeightFactor: 1}, 11, alone(), 6, 14},
+		{"soft plan: the loops decide", decision.Plan{Rate: 10, Burst: 20, WeightFactor: 1, OverQuotaValue: 0.5}, 1, nil, 350, 400},
 		{"ceiling, silent counter: the slack and its split",
-			choice.Plan{Rate: 100, Burst: 100, Price: 1, CeilingRate: 10, CeilingBurst: 20, CeilingSlack: 4}, 2, silent, 15, 52},
+			decision.Plan{Rate: 100, Burst: 100, WeightFactor: 1, CeilingRate: 10, CeilingBurst: 20, CeilingSlack: 4}, 2, silent, 15, 52},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			set := basic()
-			set.Gateways = 11
-			set.Plans = []choice.Plan{c.plan}
+			set.Instances = 11
+			set.Plans = []decision.Plan{c.plan}
 			b := start(t, set, 0, up(1, 2, 3, 4, 5, 6)...)
 			b.counter = c.counter
 			sent := 0
@@ -443,7 +445,7 @@
 				b.wait(25 * time.Millisecond)
 				if id, s, ok := b.ask("a", 0, c.spread); ok {
 					sent++
-					b.answer(id, s, choice.OK)
+					b.answer(id, s, decision.OK)
 				}
 			}
 			if sent < c.min || sent > c.max {
@@ -453,37 +455,37 @@
 	}
 }
 
-func silent(choice.Count) (choice.Outcome, float64)   { return choice.TimedOut, 0 }
-func refusing(choice.Count) (choice.Outcome, float64) { return choice.ConnectFailed, 0 }
+func silent(decision.AddToCounter) (decision.Outcome, float64)   { return decision.TimedOut, 0 }
+func refusing(decision.AddToCounter) (decision.Outcome, float64) { return decision.ConnectFailed, 0 }
 
-func alone() func(choice.Count) (choice.Outcome, float64) { return shared(1) }
-func twice() func(choice.Count) (choice.Outcome, float64) { return shared(2) }
+func alone() func(decision.AddToCounter) (decision.Outcome, float64) { return shared(1) }
+func twice() func(decision.AddToCounter) (decision.Outcome, float64) { return shared(2) }
 
 // shared is a counter to which all gateways together add factor times what this one does.
-func shared(factor float64) func(choice.Count) (choice.Outcome, float64) {
+func shared(factor float64) func(decision.AddToCounter) (decision.Outcome, float64) {
 	totals := map[string]float64{}
-	return func(a choice.Count) (choice.Outcome, float64) {
+	return func(a decision.AddToCounter) (decision.Outcome, float64) {
 		totals[a.Name] += factor * a.Amount
-		return choice.OK, totals[a.Name]
+		return decision.OK, totals[a.Name]
 	}
 }
 
 // Of a ceiling no part is passed on by asking a counter that lost what it was told, until the use before has faded.
 func TestCounterThatForgets(t *testing.T) {
 	set := basic()
-	set.Gateways = 2
-	set.Plans = []choice.Plan{{Rate: 36, Burst: 36, Price: 1, CeilingRate: 40, CeilingBurst: 40, CeilingSlack: 4}}
+	set.Instances = 2
+	set.Plans = []decision.Plan{{Rate: 36, Burst: 36, WeightFactor: 1, CeilingRate: 40, CeilingBurst: 40, CeilingSlack: 4}}
 	b := start(t, set, time.Minute, up(1, 2, 3, 4)...)
 	total := 0.0
-	b.counter = func(a choice.Count) (choice.Outcome, float64) {
+	b.counter = func(a decision.AddToCounter) (decision.Outcome, float64) {
 		total += a.Amount
-		return choice.OK, total
+		return decision.OK, total
 	}
 	letIn := func() (n int) {
 		for range 40 {
 			if id, s, sent := b.ask("a", 0, 2); sent {
 				n++
-				b.answer(id, s, choice.OK)
+				b.answer(id, s, decision.OK)
 			}
 		}
 		return n
@@ -499,21 +501,21 @@
 }
 
 func TestBadSettings(t *testing.T) {
-	for _, change := range []func(*choice.Settings){
-		func(s *choice.Settings) { s.Classes = nil },
-		func(s *choice.Settings) { s.Plans[0].Rate = -1 },
-		func(s *choice.Settings) { s.Plans[0].Burst = math.NaN() },
-		func(s *choice.Settings) { s.Classes[0].Aim = -1 },
+	for _, change := range []func(*decision.Settings){
+		func(s *decision.Settings) { s.Classes = nil },
+		func(s *decision.Settings) { s.Plans[0].Rate = -1 },
+		func(s *decision.Settings) { s.Plans[0].Burst = math.NaN() },
+		func(s *decision.Settings) { s.Classes[0].LatencyObjective = -1 },
 	} {
 		set := basic()
 		change(&set)
-		if _, _, err := choice.New(set, 1, 0); err == nil {
+		if _, _, err := decision.New(set, 1, 0); err == nil {
 			t.Errorf("no error for %+v", set)
 		}
 	}
 	set := basic()
-	set.ColdShare, set.MaxAttempts, set.Gateways, set.OverloadTime, set.ColdTime = 0, 0, 0, 0, 0
-	set.Classes[0].Aim = 0
+	set.SlowStartShare, set.MaxAttempts, set.Instances, set.OverloadTime, set.SlowStartTime = 0, 0, 0, 0, 0
+	set.Classes[0].LatencyObjective = 0
 	b := start(t, set, 0, up(1)...)
 	b.ask("a", 0, 0)
 	b.wait(3 * time.Second)
@@ -526,7 +528,7 @@
 		id, s, ok := b.ask("a", 0, 1)
 		b.wait(100 * time.Millisecond)
 		if ok {
-			b.answer(id, s, choice.OK)
+			b.answer(id, s, decision.OK)
 		}
 	}
 	sent := 0
@@ -549,14 +551,14 @@
 	}{{0, 600 * time.Millisecond, false}, {550 * time.Millisecond, 600 * time.Millisecond, true}, {50 * time.Millisecond, 600 * time.Millisecond, false},
 		{time.Hour, 600 * time.Millisecond, true}, {-time.Hour, 600 * time.Millisecond, false}} {
 		set := basic()
-		set.Classes[0].Repeat = choice.Unsafe
+		set.Classes[0].Idempotency = decision.NotIdempotent
 		b := start(t, set, 0, up(1, 2)...)
 		refused := 0
 		for i := range 60 {
 			id, s, ok := b.ask(fmt.Sprint("c", i), 0, 1)
 			b.wait(c.took)
 			if ok {
-				b.tell(choice.AttemptEnded{Request: id, Server: s, Outcome: choice.OK, Latency: c.took, Way: c.way})
+				b.tell(decision.AttemptEnded{Request: id, Backend: s, Outcome: decision.OK, Latency: c.took, RoundTrip: c.way})
 			} else {
 				refused++
 			}
@@ -570,14 +572,14 @@
 // Under lasting overload the cheaper plan is cut and the dearer one is not.
 func TestLowerWorthIsCutFirst(t *testing.T) {
 	set := basic()
-	set.Plans = slices.Repeat([]choice.Plan{{Rate: 1000, Burst: 1000}}, 4)
+	set.Plans = slices.Repeat([]decision.Plan{{Rate: 1000, Burst: 1000}}, 4)
 	for i := range set.Plans {
-		set.Plans[i].Price = float64(i + 1)
+		set.Plans[i].WeightFactor = float64(i + 1)
 	}
 	b := start(t, set, 0, up(1, 2)...)
 	type out struct {
-		id  choice.RequestID
-		s   choice.ServerID
+		id  decision.RequestID
+		s   decision.BackendID
 		due time.Duration
 	}
 	var line []out
@@ -586,19 +588,19 @@
 	for i := range 4000 { // 100 a second, of which the servers can do 60
 		b.wait(10 * time.Millisecond)
 		for len(line) > 0 && line[0].due <= b.now {
-			b.answer(line[0].id, line[0].s, choice.OK)
+			b.answer(line[0].id, line[0].s, decision.OK)
 			line = line[1:]
 		}
 		plan := i % 4
 		id := b.next
 		b.next++
 		asked[plan]++
-		for _, a := range b.tell(choice.Arrived{Request: id, Plan: choice.PlanID(plan), Left: 2 * time.Second,
+		for _, a := range b.tell(decision.RequestArrived{Request: id, Plan: decision.PlanID(plan), TimeLeft: 2 * time.Second,
 			Customer: fmt.Sprint("c", i%200), Units: 1, Spread: 1}) {
-			if a, ok := a.(choice.Send); ok {
+			if a, ok := a.(decision.SendAttempt); ok {
 				sent[plan]++
 				free = max(free, b.now) + 16*time.Millisecond
-				line = append(line, out{id, a.Server, max(free, b.now+100*time.Millisecond)})
+				line = append(line, out{id, a.Backend, max(free, b.now+100*time.Millisecond)})
 			}
 		}
 	}
@@ -612,14 +614,14 @@
 	set.Subscribe = true
 	b := start(t, set, 0)
 	b.wait(time.Second)
-	if n := count[choice.Subscribe](b.did); n != 1 {
+	if n := count[decision.WatchEndpoints](b.did); n != 1 {
 		t.Fatalf("%d subscriptions at the start", n)
 	}
-	if n := count[choice.Subscribe](b.tell(choice.ServersChanged{Failed: true})); n != 0 {
+	if n := count[decision.WatchEndpoints](b.tell(decision.EndpointsChanged{Failed: true})); n != 0 {
 		t.Errorf("asked again at once")
 	}
 	b.wait(time.Second)
-	if n := count[choice.Subscribe](b.did); n != 2 {
+	if n := count[decision.WatchEndpoints](b.did); n != 2 {
 		t.Errorf("%d subscriptions after a failure, want 2", n)
 	}
 }
@@ -627,20 +629,20 @@
 // A customer whose requests were all refused hears nothing of the counter; it must get its share again.
 func TestRefusedCustomerIsHeardAgain(t *testing.T) {
 	set := basic()
-	set.Gateways = 2
-	set.Plans = []choice.Plan{{Rate: 10, Burst: 10, Price: 1}}
+	set.Instances = 2
+	set.Plans = []decision.Plan{{Rate: 10, Burst: 10, WeightFactor: 1}}
 	b := start(t, set, 0, up(1, 2, 3)...)
 	seen, late, spike := 0, 0, 300.0
 	for b.now < 20*time.Second {
 		b.wait(25 * time.Millisecond)
 		for ; seen < len(b.did); seen++ {
-			if a, ok := b.did[seen].(choice.Count); ok { // once, the others used very much
-				b.tell(choice.Counted{Name: a.Name, Total: a.Amount + spike})
+			if a, ok := b.did[seen].(decision.AddToCounter); ok { // once, the others used very much
+				b.tell(decision.CounterReplied{Name: a.Name, Total: a.Amount + spike})
 				spike = 0
 			}
 		}
 		if id, s, ok := b.ask("a", 0, 2); ok {
-			b.answer(id, s, choice.OK)
+			b.answer(id, s, decision.OK)
 			if b.now > 10*time.Second {
 				late++
 			}
@@ -660,17 +662,17 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			set := basic()
-			set.Gateways = 2
-			set.Plans = []choice.Plan{{Open: 3, Price: 1}}
+			set.Instances = 2
+			set.Plans = []decision.Plan{{MaxInFlight: 3, WeightFactor: 1}}
 			b := start(t, set, time.Minute, up(1, 2, 3)...)
 			total := c.elsewhere
 			scale := 0.0 // what one attempt counts as
-			b.counter = func(a choice.Count) (choice.Outcome, float64) {
+			b.counter = func(a decision.AddToCounter) (decision.Outcome, float64) {
 				if scale == 0 {
 					scale = a.Amount
 				}
 				total += a.Amount / scale
-				return choice.OK, total * scale
+				return decision.OK, total * scale
 			}
 			got := 0
 			for range 6 {
@@ -688,9 +690,9 @@
 // What is past leaves nothing behind: a day of ever new customers, requests, servers and calls.
 func TestStateIsBounded(t *testing.T) {
 	set := basic()
-	set.Gateways = 2
+	set.Instances = 2
 	b := start(t, set, 0, up(1, 2, 3)...)
-	b.counter = func(a choice.Count) (choice.Outcome, float64) { return choice.OK, max(0, a.Amount) }
+	b.counter = func(a decision.AddToCounter) (decision.Outcome, float64) { return decision.OK, max(0, a.Amount) }
 	heap := func() uint64 {
 		b.did = nil
 		runtime.GC()
@@ -704,14 +706,14 @@
 			b.wait(20 * time.Millisecond)
 			id, s, ok := b.ask(fmt.Sprint("customer", i), 0, 2)
 			if ok {
-				b.answer(id, s, choice.OK)
+				b.answer(id, s, decision.OK)
 			}
 			delete(b.tries, id)
 			b.did = b.did[:0]
 			if i%50 == 0 {
-				n := choice.ServerID(10 + i)
-				b.tell(choice.ServersChanged{Entries: up(n)})
-				b.tell(choice.ServersChanged{Entries: []choice.ServerEntry{{Server: n, State: choice.Gone}}})
+				n := decision.BackendID(10 + i)
+				b.tell(decision.EndpointsChanged{Endpoints: up(n)})
+				b.tell(decision.EndpointsChanged{Endpoints: []decision.Endpoint{{Backend: n, State: decision.Removed}}})
 			}
 		}
 	}
@@ -733,35 +735,35 @@
 func playRandom(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	set := basic()
-	set.Gateways = 1 + rng.IntN(3)
-	set.Plans = append(set.Plans, choice.Plan{Open: 2, Price: 2},
-		choice.Plan{Rate: 5, Burst: 5, Price: 3, CeilingRate: 8, CeilingBurst: 10, CeilingSlack: 2})
+	set.Instances = 1 + rng.IntN(3)
+	set.Plans = append(set.Plans, decision.Plan{MaxInFlight: 2, WeightFactor: 2},
+		decision.Plan{Rate: 5, Burst: 5, WeightFactor: 3, CeilingRate: 8, CeilingBurst: 10, CeilingSlack: 2})
 	b := start(t, set, 0, up(1, 2, 3, 4, 5)...)
 	type try struct {
-		server choice.ServerID
+		server decision.BackendID
 		open   bool
 		ran    bool
 	}
 	type row struct {
-		class   choice.ClassID
+		class   decision.ClassID
 		tries   []try
 		answers int
 		ended   bool
 		due     time.Duration
 	}
-	rows := map[choice.RequestID]*row{}
-	var ids []choice.RequestID
-	state := map[choice.ServerID]choice.ServerState{}
-	check := func(actions []choice.Action) {
+	rows := map[decision.RequestID]*row{}
+	var ids []decision.RequestID
+	state := map[decision.BackendID]decision.EndpointState{}
+	check := func(actions []decision.Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
-			case choice.Send:
+			case decision.SendAttempt:
 				r := rows[a.Request]
 				if r.ended || r.answers > 0 {
 					t.Fatalf("sent after the end of %d", a.Request)
 				}
-				if state[a.Server] != choice.Up {
-					t.Fatalf("sent to %d, which is not up", a.Server)
+				if state[a.Backend] != decision.Up {
+					t.Fatalf("sent to %d, which is not up", a.Backend)
 				}
 				for _, o := range r.tries {
 					if o.open {
@@ -771,8 +773,8 @@
 						t.Fatalf("unsafe %d sent again", a.Request)
 					}
 				}
-				r.tries = append(r.tries, try{server: a.Server, open: true})
-			case choice.Refuse:
+				r.tries = append(r.tries, try{server: a.Backend, open: true})
+			case decision.Reject:
 				r := rows[a.Request]
 				r.answers++
 				for _, o := range r.tries {
@@ -780,7 +782,7 @@
 						t.Fatalf("refused %d, which may have run", a.Request)
 					}
 				}
-			case choice.Fail:
+			case decision.Fail:
 				rows[a.Request].answers++
 			}
 		}
@@ -792,24 +794,24 @@
 		flush()
 		switch k := rng.IntN(20); {
 		case k < 9:
-			id := choice.RequestID(len(ids) + 1)
+			id := decision.RequestID(len(ids) + 1)
 			ids = append(ids, id)
 			left := time.Duration(200+rng.IntN(1800)) * time.Millisecond
-			r := &row{class: choice.ClassID(rng.IntN(3)), due: b.now + left}
+			r := &row{class: decision.ClassID(rng.IntN(3)), due: b.now + left}
 			rows[id] = r
-			b.tell(choice.Arrived{Request: id, Class: r.class, Plan: choice.PlanID(rng.IntN(5) - 1),
-				Customer: fmt.Sprint(rng.IntN(9)), Left: left, Units: float64(rng.IntN(3)), Spread: rng.IntN(4)})
+			b.tell(decision.RequestArrived{Request: id, Class: r.class, Plan: decision.PlanID(rng.IntN(5) - 1),
+				Customer: fmt.Sprint(rng.IntN(9)), TimeLeft: left, Units: float64(rng.IntN(3)), Spread: rng.IntN(4)})
 		case k < 17 && len(ids) > 0:
 			id := ids[max(0, len(ids)-1-rng.IntN(30))]
 			r := rows[id]
 			for i := range r.tries {
 				if a := &r.tries[i]; a.open {
-					o := choice.Outcome(rng.IntN(8))
+					o := decision.Outcome(rng.IntN(8))
 					a.open = false
-					a.ran = o != choice.Full && o != choice.ConnectFailed && o != choice.Void
-					settled := o == choice.OK || r.answers > 0 || r.ended
-					r.ended = r.ended || o == choice.OK && r.answers == 0
-					b.tell(choice.AttemptEnded{Request: id, Attempt: i, Server: a.server, Outcome: o, Settled: settled})
+					a.ran = o != decision.Rejected && o != decision.ConnectFailed && o != decision.NotSent
+					settled := o == decision.OK || r.answers > 0 || r.ended
+					r.ended = r.ended || o == decision.OK && r.answers == 0
+					b.tell(decision.AttemptEnded{Request: id, Attempt: i, Backend: a.server, Outcome: o, Answered: settled})
 				}
 			}
 		case k == 17 && len(ids) > 0:
@@ -817,15 +819,15 @@
 			if rows[id].answers == 0 {
 				rows[id].ended = true
 			}
-			b.tell(choice.ClientLeft{Request: id})
+			b.tell(decision.ClientDisconnected{Request: id})
 		case k == 18:
-			s := choice.ServerID(1 + rng.IntN(6))
-			state[s] = choice.ServerState(rng.IntN(3))
-			b.tell(choice.ServersChanged{Entries: []choice.ServerEntry{{Server: s, State: state[s], Started: b.now}}})
+			s := decision.BackendID(1 + rng.IntN(6))
+			state[s] = decision.EndpointState(rng.IntN(3))
+			b.tell(decision.EndpointsChanged{Endpoints: []decision.Endpoint{{Backend: s, State: state[s], Started: b.now}}})
 		default: // news of what is not known
-			b.tell(choice.Counted{Name: "x.1", Total: 5})
-			b.tell(choice.AttemptEnded{Request: 1 << 40, Attempt: -1, Outcome: choice.OK})
-			b.tell(choice.ProbeEnded{Server: 99})
+			b.tell(decision.CounterReplied{Name: "x.1", Total: 5})
+			b.tell(decision.AttemptEnded{Request: 1 << 40, Attempt: -1, Outcome: decision.OK})
+			b.tell(decision.ProbeEnded{Backend: 99})
 		}
 		flush()
 		for _, id := range ids[max(0, len(ids)-300):] {
@@ -844,25 +846,25 @@
 // counter is a counter as gateways share it.
 type counter map[string]float64
 
-func (c counter) call(a choice.Count) (choice.Outcome, float64) {
+func (c counter) call(a decision.AddToCounter) (decision.Outcome, float64) {
 	c[a.Name] += a.Amount
-	return choice.OK, c[a.Name]
+	return decision.OK, c[a.Name]
 }
 
 // fleet starts gateways that share a counter.
-func fleet(t *testing.T, n int, set choice.Settings, at time.Duration, answer func(choice.Count) (choice.Outcome, float64),
-	servers ...choice.ServerEntry) []*bench {
-	set.Gateways = n
+func fleet(t *testing.T, n int, set decision.Settings, at time.Duration, answer func(decision.AddToCounter) (decision.Outcome, float64),
+	servers ...decision.Endpoint) []*bench {
+	set.Instances = n
 	out := make([]*bench, n)
 	for i := range out {
 		set.Self = i
-		g, first, err := choice.New(set, uint64(i+1), at)
+		g, first, err := decision.New(set, uint64(i+1), at)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out[i] = &bench{t: t, g: g, now: at, next: 1, tries: map[choice.RequestID]int{}, counter: answer}
+		out[i] = &bench{t: t, g: g, now: at, next: 1, tries: map[decision.RequestID]int{}, counter: answer}
 		out[i].take(first)
-		out[i].tell(choice.ServersChanged{Full: true, Cached: true, Entries: servers})
+		out[i].tell(decision.EndpointsChanged{Full: true, Cached: true, Endpoints: servers})
 	}
 	return out
 }
@@ -870,11 +872,11 @@
 // A customer that comes through a hundred gateways, each of which hardly ever sees it, gets its quota: all of
 // it, and not much more, whatever it asks. Per-gateway splits would give it nothing, or each a request.
 func TestQuotaOverAHundredGateways(t *testing.T) {
-	silentNow := func(choice.Count) (choice.Outcome, float64) { return choice.TimedOut, 0 }
+	silentNow := func(decision.AddToCounter) (decision.Outcome, float64) { return decision.TimedOut, 0 }
 	cases := []struct {
 		name     string
 		asked    float64 // a second, for a minute
-		answer   func(choice.Count) (choice.Outcome, float64)
+		answer   func(decision.AddToCounter) (decision.Outcome, float64)
 		min, max int
 	}{
 		{"half the quota", 1, counter{}.call, 58, 60},
@@ -886,7 +888,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			set := basic()
 			set.CounterTimeout = 80 * time.Millisecond
-			set.Plans = []choice.Plan{{Rate: 2, Burst: 8, Price: 1, OverCost: 1}}
+			set.Plans = []decision.Plan{{Rate: 2, Burst: 8, WeightFactor: 1, OverQuotaCost: 1}}
 			gates := fleet(t, 100, set, time.Hour, c.answer, up(1, 2, 3, 4, 5, 6)...)
 			rng := rand.New(rand.NewPCG(1, 2))
 			sent := 0
@@ -896,7 +898,7 @@
 				if id, s, ok := b.ask("a", 0, 100); ok {
 					sent++
 					b.wait(20 * time.Millisecond)
-					b.answer(id, s, choice.OK)
+					b.answer(id, s, decision.OK)
 				}
 			}
 			if sent < c.min || sent > c.max {
@@ -909,13 +911,13 @@
 // Attempts out are taken back when they end, and so is what was added for a try that was refused.
 func TestOpenCapOverManyGateways(t *testing.T) {
 	set := basic()
-	set.Plans = []choice.Plan{{Open: 3, Price: 1, OverCost: 1}}
+	set.Plans = []decision.Plan{{MaxInFlight: 3, WeightFactor: 1, OverQuotaCost: 1}}
 	shared := counter{}
 	gates := fleet(t, 40, set, time.Hour, shared.call, up(1, 2, 3, 4)...)
 	type try struct {
 		b  *bench
-		id choice.RequestID
-		s  choice.ServerID
+		id decision.RequestID
+		s  decision.BackendID
 	}
 	for round := range 5 {
 		var out []try
@@ -930,7 +932,7 @@
 			t.Fatalf("round %d: %d attempts out of a cap of 3", round, len(out))
 		}
 		for _, o := range out {
-			o.b.answer(o.id, o.s, choice.OK)
+			o.b.answer(o.id, o.s, decision.OK)
 		}
 	}
 }
@@ -938,7 +940,7 @@
 // A ceiling holds while the counter is silent, from the first moment on, over all gateways together.
 func TestCeilingOverManyGatewaysWithoutCounter(t *testing.T) {
 	set := basic()
-	set.Plans = []choice.Plan{{Rate: 20, Burst: 40, Price: 1, OverCost: 1, CeilingRate: 40, CeilingBurst: 80, CeilingSlack: 8}}
+	set.Plans = []decision.Plan{{Rate: 20, Burst: 40, WeightFactor: 1, OverQuotaCost: 1, CeilingRate: 40, CeilingBurst: 80, CeilingSlack: 8}}
 	gates := fleet(t, 40, set, time.Hour, silent, up(1, 2, 3, 4)...)
 	rng := rand.New(rand.NewPCG(3, 4))
 	level, last := 80.0, time.Hour
@@ -951,7 +953,7 @@
 			if level--; level < -8 {
 				t.Fatalf("the ceiling is passed by %v after %v", -level, at-time.Hour)
 			}
-			b.answer(id, s, choice.OK)
+			b.answer(id, s, decision.OK)
 		}
 	}
 }
@@ -977,11 +979,11 @@
 // one class goes on serving the others.
 func TestOneFailureTells(t *testing.T) {
 	set := basic()
-	set.Gateways = 100
+	set.Instances = 100
 	b := start(t, set, 0, up(1, 2, 3, 4, 5, 6, 7, 8)...)
-	got := load(b, 1, 400, 200*time.Millisecond, func(s choice.ServerID) (time.Duration, choice.Outcome) {
+	got := load(b, 1, 400, 200*time.Millisecond, func(s decision.BackendID) (time.Duration, decision.Outcome) {
 		if s == 1 {
-			return 300 * time.Millisecond, choice.Reset
+			return 300 * time.Millisecond, decision.ConnectionReset
 		}
 		return healthy()
 	})
@@ -993,13 +995,13 @@
 // A long line heard of once must not be believed for ever by a gateway that refuses all and hears no more.
 func TestOldLineFades(t *testing.T) {
 	set := basic()
-	set.LoadFields = []choice.LoadField{choice.FieldInFlight}
+	set.LoadFields = []decision.LoadField{decision.FieldInFlight}
 	b := start(t, set, 0, up(1, 2)...)
 	for range 12 {
 		id, s, ok := b.ask("a", 0, 1)
 		b.wait(100 * time.Millisecond)
 		if ok {
-			b.tell(choice.AttemptEnded{Request: id, Server: s, Settled: true, Load: []float64{500}})
+			b.tell(decision.AttemptEnded{Request: id, Backend: s, Answered: true, Load: []float64{500}})
 		}
 	}
 	if _, _, ok := b.ask("a", 0, 1); ok {
@@ -1015,13 +1017,13 @@
 	for _, n := range []int{30, 100} {
 		b.Run(fmt.Sprint(n, " servers"), func(b *testing.B) {
 			set := basic()
-			set.Gateways = 300
-			var ids []choice.ServerID
+			set.Instances = 300
+			var ids []decision.BackendID
 			for i := range n {
-				ids = append(ids, choice.ServerID(i+1))
+				ids = append(ids, decision.BackendID(i+1))
 			}
-			g, _, _ := choice.New(set, 1, 0)
-			g.Handle(choice.ServersChanged{Full: true, Entries: up(ids...)}, 0)
+			g, _, _ := decision.New(set, 1, 0)
+			g.Handle(decision.EndpointsChanged{Full: true, Endpoints: up(ids...)}, 0)
 			names := make([]string, 4000)
 			for i := range names {
 				names[i] = fmt.Sprint("customer", i)
@@ -1029,13 +1031,13 @@
 			now := time.Duration(0)
 			for i := 0; b.Loop(); i++ {
 				now += 100 * time.Millisecond
-				id := choice.RequestID(i + 1)
-				for _, a := range g.Handle(choice.Arrived{Request: id, Customer: names[i%4000], Left: time.Second, Units: 1,
+				id := decision.RequestID(i + 1)
+				for _, a := range g.Handle(decision.RequestArrived{Request: id, Customer: names[i%4000], TimeLeft: time.Second, Units: 1,
 					Spread: 200}, now) {
-					if c, ok := a.(choice.Count); ok {
-						for _, a := range g.Handle(choice.Counted{Name: c.Name, Total: c.Amount}, now) {
-							if s, ok := a.(choice.Send); ok {
-								g.Handle(choice.AttemptEnded{Request: id, Server: s.Server, Settled: true}, now)
+					if c, ok := a.(decision.AddToCounter); ok {
+						for _, a := range g.Handle(decision.CounterReplied{Name: c.Name, Total: c.Amount}, now) {
+							if s, ok := a.(decision.SendAttempt); ok {
+								g.Handle(decision.AttemptEnded{Request: id, Backend: s.Backend, Answered: true}, now)
 							}
 						}
 					}
@@ -1047,21 +1049,21 @@
 
 func BenchmarkTick(b *testing.B) {
 	set := basic()
-	set.Gateways = 300
-	g, _, _ := choice.New(set, 1, 0)
-	var ids []choice.ServerID
+	set.Instances = 300
+	g, _, _ := decision.New(set, 1, 0)
+	var ids []decision.BackendID
 	for i := range 100 {
-		ids = append(ids, choice.ServerID(i+1))
+		ids = append(ids, decision.BackendID(i+1))
 	}
-	g.Handle(choice.ServersChanged{Full: true, Entries: up(ids...)}, 0)
+	g.Handle(decision.EndpointsChanged{Full: true, Endpoints: up(ids...)}, 0)
 	for i := range 4000 {
-		g.Handle(choice.Arrived{Request: choice.RequestID(i + 1), Customer: fmt.Sprint(i), Left: time.Second, Units: 1,
+		g.Handle(decision.RequestArrived{Request: decision.RequestID(i + 1), Customer: fmt.Sprint(i), TimeLeft: time.Second, Units: 1,
 			Spread: 200}, 0)
 	}
 	now := time.Duration(0)
 	for b.Loop() {
 		now += 50 * time.Millisecond
-		g.Handle(choice.TimerFired{Timer: choice.Timer{Kind: choice.TickTimer}}, now)
+		g.Handle(decision.TimerFired{Timer: decision.Timer{Kind: decision.TickTimer}}, now)
 	}
 }
 
@@ -1069,8 +1071,8 @@
 // alone would get, and a plan that changes neither.
 func TestOddSpreadsAndPlans(t *testing.T) {
 	set := basic()
-	set.Gateways = 10
-	set.Plans = []choice.Plan{{Rate: 2, Burst: 8, Price: 1, OverCost: 1}, {Rate: 4, Burst: 8, Price: 2, OverCost: 1}}
+	set.Instances = 10
+	set.Plans = []decision.Plan{{Rate: 2, Burst: 8, WeightFactor: 1, OverQuotaCost: 1}, {Rate: 4, Burst: 8, WeightFactor: 2, OverQuotaCost: 1}}
 	b := start(t, set, time.Hour, up(1, 2, 3)...)
 	b.counter = counter{}.call
 	sent := 0
@@ -1078,11 +1080,11 @@
 		b.wait(10 * time.Millisecond)
 		id := b.next
 		b.next++
-		for _, a := range b.tell(choice.Arrived{Request: id, Customer: "a", Plan: choice.PlanID(i % 2), Left: time.Second,
+		for _, a := range b.tell(decision.RequestArrived{Request: id, Customer: "a", Plan: decision.PlanID(i % 2), TimeLeft: time.Second,
 			Units: 1, Spread: []int{0, 5, 1000, -3}[i%4]}) {
-			if a, ok := a.(choice.Send); ok {
+			if a, ok := a.(decision.SendAttempt); ok {
 				sent++
-				b.answer(id, a.Server, choice.OK)
+				b.answer(id, a.Backend, decision.OK)
 			}
 		}
 	}
@@ -1096,13 +1098,13 @@
 // die away because little is sent: gateways that hold back learn nothing.
 func TestFewAttemptsLeaveRoomForChance(t *testing.T) {
 	set := basic()
-	set.ColdShare, set.ColdTime, set.OverloadFactor, set.OverloadTime = 0.25, time.Hour, 2, time.Second
+	set.SlowStartShare, set.SlowStartTime, set.OverloadFactor, set.OverloadTime = 0.25, time.Hour, 2, time.Second
 	gates := fleet(t, 20, set, time.Hour, silent, up(1)...)
 	rng := rand.New(rand.NewPCG(5, 6))
 	type out struct {
 		b    *bench
-		id   choice.RequestID
-		s    choice.ServerID
+		id   decision.RequestID
+		s    decision.BackendID
 		done time.Duration
 	}
 	var open []out
@@ -1113,7 +1115,7 @@
 			b.until(at)
 			for len(open) > 0 && open[0].done <= at {
 				open[0].b.until(at)
-				open[0].b.answer(open[0].id, open[0].s, choice.OK)
+				open[0].b.answer(open[0].id, open[0].s, decision.OK)
 				open = open[1:]
 			}
 			if id, s, ok := b.ask(fmt.Sprint("c", rng.IntN(1000)), 0, 1); ok {
@@ -1127,7 +1129,7 @@
 	servers[0].Started = time.Hour + minute
 	for _, b := range gates {
 		b.until(time.Hour + minute)
-		b.tell(choice.ServersChanged{Full: true, Entries: servers})
+		b.tell(decision.EndpointsChanged{Full: true, Endpoints: servers})
 	}
 	sent = nil
 	play(time.Hour+minute, time.Hour+6*minute, 25*time.Millisecond)
@@ -1151,14 +1153,14 @@
 	for _, allowed := range []bool{true, false} {
 		set := basic()
 		set.RetryAfter, set.MaxRetryAfter = allowed, 500*time.Millisecond
-		set.Plans = []choice.Plan{{Rate: 20, Burst: 1, Price: 1, OverCost: 1}}
+		set.Plans = []decision.Plan{{Rate: 20, Burst: 1, WeightFactor: 1, OverQuotaCost: 1}}
 		b := start(t, set, time.Second, up(1, 2)...)
 		told := []time.Duration{}
 		for range 4 {
 			id := b.next
 			b.next++
-			for _, a := range b.tell(choice.Arrived{Request: id, Customer: "c", Left: 2 * time.Second, Units: 1, Spread: 1}) {
-				if a, ok := a.(choice.Refuse); ok {
+			for _, a := range b.tell(decision.RequestArrived{Request: id, Customer: "c", TimeLeft: 2 * time.Second, Units: 1, Spread: 1}) {
+				if a, ok := a.(decision.Reject); ok {
 					told = append(told, a.RetryAfter)
 				}
 			}
@@ -1167,7 +1169,7 @@
 			t.Fatalf("%d refused of 4 with a burst of 1", len(told))
 		}
 		for _, d := range told {
-			if most := set.Classes[0].Aim / 2; allowed != (d > 0) || d > most {
+			if most := set.Classes[0].LatencyObjective / 2; allowed != (d > 0) || d > most {
 				t.Errorf("allowed %v: told %v, at most %v was expected", allowed, d, most)
 			}
 		}
@@ -1178,16 +1180,16 @@
 // counter that turns calls away does not keep them out.
 func TestQuickAttemptsFitUnderAnOpenCap(t *testing.T) {
 	set := basic()
-	set.Gateways = 4
-	set.Plans = []choice.Plan{{Open: 2, Price: 1, OverCost: 0.8}}
+	set.Instances = 4
+	set.Plans = []decision.Plan{{MaxInFlight: 2, WeightFactor: 1, OverQuotaCost: 0.8}}
 	b := start(t, set, time.Second, up(1, 2)...)
-	b.counter = func(choice.Count) (choice.Outcome, float64) { return choice.Full, 0 }
+	b.counter = func(decision.AddToCounter) (decision.Outcome, float64) { return decision.Rejected, 0 }
 	sent := 0
 	for range 50 {
 		id, s, ok := b.ask("c", 0, 4)
 		if b.wait(50 * time.Millisecond); ok {
 			sent++
-			b.answer(id, s, choice.OK)
+			b.answer(id, s, decision.OK)
 		}
 		b.wait(150 * time.Millisecond)
 	}
@@ -1201,20 +1203,20 @@
 func TestUseWaitsToBeTold(t *testing.T) {
 	told := func(turnsAway bool) (sum float64) {
 		set := basic()
-		set.Gateways = 2
-		set.Plans = []choice.Plan{{Rate: 1, Burst: 20, Price: 1, OverCost: 1}}
+		set.Instances = 2
+		set.Plans = []decision.Plan{{Rate: 1, Burst: 20, WeightFactor: 1, OverQuotaCost: 1}}
 		b := start(t, set, time.Second, up(1, 2)...)
 		calls := 0
-		b.counter = func(c choice.Count) (choice.Outcome, float64) {
+		b.counter = func(c decision.AddToCounter) (decision.Outcome, float64) {
 			if calls++; turnsAway && calls%4 != 0 {
-				return choice.Full, 0
+				return decision.Rejected, 0
 			}
 			sum += c.Amount
-			return choice.OK, sum
+			return decision.OK, sum
 		}
 		for i := range 64 {
 			if id, s, ok := b.ask(fmt.Sprint("c", i%8), 0, 2); ok {
-				b.answer(id, s, choice.OK)
+				b.answer(id, s, decision.OK)
 			}
 			b.wait(10 * time.Millisecond)
 		}
--- a/choice/snapshot.go
+++ b/decision/snapshot.go
@@ -1,4 +1,4 @@
-package choice
+package decision
 
 import (
 	"errors"
@@ -30,7 +30,7 @@
 	Customers         []CustomerState // in the order of the roll, then those that only others refer to
 	Roll              int             // how many of them are in it
 	Due               []int           // customers
-	Servers           []ServerData    // in the order of their numbers, then those that only others refer to
+	Servers           []BackendState  // in the order of their numbers, then those that only others refer to
 	Known             int             // how many of them are in the table
 	List              []int           // servers
 	Requests          []RequestState  // in the order of their numbers, then those that only others refer to
@@ -61,9 +61,9 @@
 	Open                  int
 }
 
-// ServerData is a server.
-type ServerData struct {
-	Entry    ServerEntry
+// BackendState is a server.
+type BackendState struct {
+	Entry    Endpoint
 	Open     int
 	Due      time.Duration
 	Slowness float64
@@ -90,7 +90,7 @@
 	Name                  string
 	Weight                float64
 	Told                  bool
-	Why                   Why
+	Why                   RejectReason
 }
 
 // AttemptState is an attempt.
@@ -210,7 +210,7 @@
 		s.Customers = append(s.Customers, customerState(c))
 	}
 	for _, v := range servers.all {
-		q := ServerData{Entry: v.ServerEntry, Open: v.open, Due: v.due, Slowness: v.slowness, Cold: v.cold, ColdAt: v.coldAt,
+		q := BackendState{Entry: v.Endpoint, Open: v.open, Due: v.due, Slowness: v.slowness, Cold: v.cold, ColdAt: v.coldAt,
 			Room: v.room, Need: v.need, RoomAt: v.roomAt}
 		for _, h := range v.health {
 			q.Fails, q.N, q.HealthAt = append(q.Fails, h.fails), append(q.N, h.n), append(q.HealthAt, h.at)
@@ -282,14 +282,14 @@
 		if len(v.Fails) != len(set.Classes) || len(v.N) != len(v.Fails) || len(v.HealthAt) != len(v.Fails) {
 			return nil, errState
 		}
-		o := &server{ServerEntry: v.Entry, open: v.Open, due: v.Due, slowness: v.Slowness, cold: v.Cold, coldAt: v.ColdAt,
+		o := &server{Endpoint: v.Entry, open: v.Open, due: v.Due, slowness: v.Slowness, cold: v.Cold, coldAt: v.ColdAt,
 			room: v.Room, need: v.Need, roomAt: v.RoomAt}
 		for k := range v.Fails {
 			o.health = append(o.health, health{v.Fails[k], v.N[k], v.HealthAt[k]})
 		}
 		servers[i] = o
 		if i < s.Known {
-			g.servers[v.Entry.Server] = o
+			g.servers[v.Entry.Backend] = o
 		}
 	}
 	for _, i := range s.List {
@@ -348,9 +348,9 @@
 	return customerState(c), true
 }
 
-// CountedAs is the name under which the counter holds a customer's use as of the last event, and what a unit weighs in it;
+// CounterName is the name under which the counter holds a customer's use as of the last event, and what a unit weighs in it;
 // ok is false for a customer that is not known or not shared. Only the owner of the gateway may ask.
-func (g *Gateway) CountedAs(id string) (name string, weight float64, ok bool) {
+func (g *Gateway) CounterName(id string) (name string, weight float64, ok bool) {
 	c := g.customers[id]
 	if c == nil || !c.asks {
 		return "", 0, false
--- a/choice/state.go
+++ b/decision/state.go
@@ -1,4 +1,4 @@
-package choice
+package decision
 
 import (
 	"crypto/sha256"
@@ -30,7 +30,7 @@
 	dear      float64           // highest price
 	asking    float64           // chance that the counter is asked
 	crowded   time.Duration     // when it last was slow or refused
-	servers   map[ServerID]*server
+	servers   map[BackendID]*server
 	list      []*server // those that discovery has up
 	requests  map[RequestID]*request
 	latency   []latency     // by class
@@ -136,7 +136,7 @@
 
 // server is what a gateway knows of one.
 type server struct {
-	ServerEntry
+	Endpoint
 	open     int           // own attempts out
 	due      time.Duration // when an answer is overdue
 	slowness float64       // latency in a place in line, relative to the fleet
@@ -180,10 +180,10 @@
 	ranAt             *server
 	ranSent           time.Duration
 	ended, streaming  bool
-	name              string  // of the counter that its units were added to,
-	weight            float64 // each as so much
-	told              bool    // and they are there
-	why               Why     // what a refusal before any attempt would be for
+	name              string       // of the counter that its units were added to,
+	weight            float64      // each as so much
+	told              bool         // and they are there
+	why               RejectReason // what a refusal before any attempt would be for
 }
 
 // latency is what attempts of a class take, in seconds, and how far they stray from it.
@@ -221,12 +221,12 @@
 		return fmt.Errorf("%w: no classes", errSettings)
 	}
 	for i, c := range set.Classes {
-		if anyBad(c.Worth, c.LateShare, float64(c.Aim), float64(c.Deadline), float64(c.KeyTTL)) {
+		if anyBad(c.PriorityWeight, c.LateShare, float64(c.LatencyObjective), float64(c.Deadline), float64(c.KeyTTL)) {
 			return fmt.Errorf("%w: class %d: a negative figure", errSettings, i)
 		}
 	}
 	for i, p := range set.Plans {
-		if anyBad(p.Rate, p.Burst, p.Price, p.CeilingRate, p.CeilingBurst, p.CeilingSlack, float64(p.Open)) {
+		if anyBad(p.Rate, p.Burst, p.WeightFactor, p.CeilingRate, p.CeilingBurst, p.CeilingSlack, float64(p.MaxInFlight)) {
 			return fmt.Errorf("%w: plan %d: a negative figure", errSettings, i)
 		}
 	}
--- a/standin/box.go
+++ b/emulator/backend.go
@@ -1,18 +1,18 @@
-// Package standin has the peers that a front door is tried against: boxes, the tally keeper and clients. They are
+// Package emulator has the peers that a front door is tried against: boxes, the tally keeper and clients. They are
 // models: pure code fed with times and bytes, without I/O, clocks or goroutines, one owner each. Sockets and virtual
 // time run the same ones.
-package standin
+package emulator
 
 import (
 	"math"
 	"math/rand/v2"
 	"time"
 
-	"sandyard/trouble"
+	"sandyard/fault"
 )
 
-// BoxConfig describes a box. The zero value of a field stands for its default.
-type BoxConfig struct {
+// BackendConfig describes a box. The zero value of a field stands for its default.
+type BackendConfig struct {
 	Name           string
 	Cores          int           // that work at once; 2
 	Queue          int           // requests that wait beside those in work; beyond them 503 at once; 24
@@ -27,7 +27,7 @@
 	Seed           uint64
 }
 
-func (c BoxConfig) orDefault() BoxConfig {
+func (c BackendConfig) orDefault() BackendConfig {
 	if c.Cores <= 0 {
 		c.Cores = 2
 	}
@@ -51,7 +51,7 @@
 	ID    string        // of the request, for the record
 	Key   string        // Idempotency-Key; "" for none
 	Work  time.Duration // 0: drawn
-	conn  *BoxConn
+	conn  *BackendConn
 	seq   uint64 // of the conn's requests
 	began time.Duration
 	ends  time.Duration
@@ -60,11 +60,11 @@
 
 // Fact is something that happened at a box, for those who check the rules.
 type Fact struct {
-	At   time.Duration
-	Box  string
-	Kind FactKind
-	ID   string
-	Key  string
+	At      time.Duration
+	Backend string
+	Kind    FactKind
+	ID      string
+	Key     string
 }
 
 // FactKind says what a Fact is.
@@ -72,18 +72,18 @@
 
 // The kinds.
 const (
-	Received FactKind = "received" // a request is whole at the box
-	Ran      FactKind = "ran"      // its effect took place
-	Repeated FactKind = "repeated" // a keyed repeat was discarded
-	Fell     FactKind = "fell"     // the box fell over
+	Received     FactKind = "received" // a request is whole at the box
+	Executed     FactKind = "ran"      // its effect took place
+	Deduplicated FactKind = "repeated" // a keyed repeat was discarded
+	Collapsed    FactKind = "fell"     // the box fell over
 )
 
-// Box is a back-end server: cores that work on a queue, cold at its start, with faults to be set while it runs.
+// Backend is a back-end server: cores that work on a queue, cold at its start, with faults to be set while it runs.
 // Work in progress at the change of a speed keeps the end it was given.
-type Box struct {
+type Backend struct {
 	Facts func(Fact) // told of everything that happens; may be nil
 
-	cfg     BoxConfig
+	cfg     BackendConfig
 	rng     *rand.Rand
 	started time.Duration
 	fell    bool
@@ -92,7 +92,7 @@
 	late    []*Job // done, but their answers are delayed
 	keys    map[string]time.Duration
 	sweep   time.Duration
-	faults  map[trouble.Verb]float64
+	faults  map[fault.Verb]float64
 	offered []load // of the last OverloadTime
 	paces   []pace // while it is cold
 	busy    float64
@@ -105,15 +105,15 @@
 	seconds float64
 }
 
-// NewBox starts a box.
-func NewBox(cfg BoxConfig, now time.Duration) *Box {
-	return &Box{cfg: cfg.orDefault(), rng: rand.New(rand.NewPCG(cfg.Seed, 7)), started: now, seen: now,
-		keys: map[string]time.Duration{}, faults: map[trouble.Verb]float64{}}
+// NewBackend starts a box.
+func NewBackend(cfg BackendConfig, now time.Duration) *Backend {
+	return &Backend{cfg: cfg.orDefault(), rng: rand.New(rand.NewPCG(cfg.Seed, 7)), started: now, seen: now,
+		keys: map[string]time.Duration{}, faults: map[fault.Verb]float64{}}
 }
 
 // Set begins or ends a fault.
-func (b *Box) Set(now time.Duration, v trouble.Verb, value float64, on bool) {
-	if v == trouble.Stall {
+func (b *Backend) Set(now time.Duration, v fault.Verb, value float64, on bool) {
+	if v == fault.Stall {
 		switch {
 		case on && b.stalled == 0:
 			b.stalled = now
@@ -129,7 +129,7 @@
 	} else {
 		delete(b.faults, v)
 	}
-	if v == trouble.Slow && now-b.started < b.cfg.ColdTime+b.cfg.OverloadTime {
+	if v == fault.Slow && now-b.started < b.cfg.ColdTime+b.cfg.OverloadTime {
 		for n := len(b.paces); n > 0 && b.paces[n-1].at > now; n = len(b.paces) {
 			b.paces = b.paces[:n-1]
 		}
@@ -141,16 +141,16 @@
 	}
 }
 
-func (b *Box) has(v trouble.Verb) bool { _, ok := b.faults[v]; return ok }
+func (b *Backend) has(v fault.Verb) bool { _, ok := b.faults[v]; return ok }
 
 // Refuses tells that connections are refused, and those there are closed.
-func (b *Box) Refuses() bool { return b.fell || b.has(trouble.Refuse) }
+func (b *Backend) Refuses() bool { return b.fell || b.has(fault.Refuse) }
 
-// Fallen tells that the box fell over; it stays down.
-func (b *Box) Fallen() bool { return b.fell }
+// HasCollapsed tells that the box fell over; it stays down.
+func (b *Backend) HasCollapsed() bool { return b.fell }
 
 // warm is how fast a core works without troubles, as a share of a warm one.
-func (b *Box) warm(now time.Duration) float64 {
+func (b *Backend) warm(now time.Duration) float64 {
 	if b.cfg.ColdTime <= 0 {
 		return 1
 	}
@@ -159,24 +159,24 @@
 }
 
 // speed is how fast a core works now, as a share of a warm one.
-func (b *Box) speed(now time.Duration) float64 { return b.warm(now) / b.slow() }
+func (b *Backend) speed(now time.Duration) float64 { return b.warm(now) / b.slow() }
 
 // slow is how many times as long work takes.
-func (b *Box) slow() float64 {
-	if f, ok := b.faults[trouble.Slow]; ok && f > 0 {
+func (b *Backend) slow() float64 {
+	if f, ok := b.faults[fault.Slow]; ok && f > 0 {
 		return f
 	}
 	return 1
 }
 
-func (b *Box) tell(now time.Duration, k FactKind, j *Job) {
+func (b *Backend) tell(now time.Duration, k FactKind, j *Job) {
 	if b.Facts != nil {
-		b.Facts(Fact{At: now, Box: b.cfg.Name, Kind: k, ID: j.ID, Key: j.Key})
+		b.Facts(Fact{At: now, Backend: b.cfg.Name, Kind: k, ID: j.ID, Key: j.Key})
 	}
 }
 
 // draw is the work of a request, lognormal about the mean.
-func (b *Box) draw() float64 {
+func (b *Backend) draw() float64 {
 	mean := b.cfg.Work.Seconds()
 	if b.cfg.Spread <= 0 || mean == 0 {
 		return mean
@@ -186,14 +186,14 @@
 }
 
 // take begins a job, or answers it at once: status 0 means that it waits or works.
-func (b *Box) take(now time.Duration, j *Job) (status int) {
+func (b *Backend) take(now time.Duration, j *Job) (status int) {
 	b.tell(now, Received, j)
-	if share, ok := b.faults[trouble.Fault]; ok && b.rng.Float64() < share {
+	if share, ok := b.faults[fault.ServerErrors]; ok && b.rng.Float64() < share {
 		return 500
 	}
 	if j.Key != "" {
 		if until, ok := b.keys[j.Key]; ok && now < until {
-			b.tell(now, Repeated, j)
+			b.tell(now, Deduplicated, j)
 			return 200
 		}
 	}
@@ -203,7 +203,7 @@
 	}
 	if b.overloaded(now, j.takes) { // what is turned away was sent all the same
 		b.fell = true
-		b.tell(now, Fell, j)
+		b.tell(now, Collapsed, j)
 		return 503
 	}
 	if len(b.work) >= b.cfg.Cores && len(b.queue) >= b.cfg.Queue {
@@ -213,7 +213,7 @@
 		b.remember(now, j.Key)
 	}
 	if j.takes == 0 && len(b.faults) == 0 && len(b.queue) == 0 {
-		b.tell(now, Ran, j)
+		b.tell(now, Executed, j)
 		return 200
 	}
 	b.queue = append(b.queue, j)
@@ -221,7 +221,7 @@
 	return 0
 }
 
-func (b *Box) remember(now time.Duration, key string) {
+func (b *Backend) remember(now time.Duration, key string) {
 	b.keys[key] = now + b.cfg.KeyTTL
 	if now >= b.sweep {
 		b.sweep = now + b.cfg.KeyTTL
@@ -236,7 +236,7 @@
 // overloaded counts what was asked of a cold box of late against what it could do meanwhile: its speed over that time,
 // as if it had stood at its first speed before it started. That a trouble slows it counts after OverloadTime, so that
 // it does not fall from what was sent before anybody could notice.
-func (b *Box) overloaded(now time.Duration, seconds float64) bool {
+func (b *Backend) overloaded(now time.Duration, seconds float64) bool {
 	if b.cfg.OverloadFactor <= 0 || b.cfg.OverloadTime <= 0 || now-b.started >= b.cfg.ColdTime+b.cfg.OverloadTime {
 		b.offered, b.paces = nil, nil
 		return false
@@ -252,7 +252,7 @@
 }
 
 // could is what a core could do in the last OverloadTime, in seconds of warm work.
-func (b *Box) could(now time.Duration) float64 {
+func (b *Backend) could(now time.Duration) float64 {
 	from, sum := now-b.cfg.OverloadTime, 0.0
 	for i := len(b.paces); i >= 0 && now > from; i-- {
 		since, slow := from, 1.0 // before the first change
@@ -274,8 +274,8 @@
 }
 
 // begin gives idle cores work.
-func (b *Box) begin(now time.Duration) {
-	if b.has(trouble.Hang) || b.stalled > 0 {
+func (b *Backend) begin(now time.Duration) {
+	if b.has(fault.Hang) || b.stalled > 0 {
 		return
 	}
 	for len(b.work) < b.cfg.Cores && len(b.queue) > 0 {
@@ -288,12 +288,12 @@
 }
 
 // Next is when something ends; 0: nothing will by itself.
-func (b *Box) Next() time.Duration {
+func (b *Backend) Next() time.Duration {
 	if b.stalled > 0 || b.fell {
 		return 0
 	}
 	var t time.Duration
-	if !b.has(trouble.Hang) {
+	if !b.has(fault.Hang) {
 		for _, j := range b.work {
 			if t == 0 || j.ends < t {
 				t = j.ends
@@ -309,11 +309,11 @@
 }
 
 // Advance ends what is due. done is called for each job whose answer is to be sent.
-func (b *Box) Advance(now time.Duration, done func(*Job)) {
+func (b *Backend) Advance(now time.Duration, done func(*Job)) {
 	if b.stalled > 0 || b.fell {
 		return
 	}
-	for !b.has(trouble.Hang) {
+	for !b.has(fault.Hang) {
 		b.begin(now)
 		i := -1
 		for k, j := range b.work {
@@ -326,9 +326,9 @@
 		}
 		j := b.work[i]
 		b.work = append(b.work[:i], b.work[i+1:]...)
-		b.tell(j.ends, Ran, j)
+		b.tell(j.ends, Executed, j)
 		b.busy += (j.ends - j.began).Seconds()
-		if ms, ok := b.faults[trouble.Delay]; ok {
+		if ms, ok := b.faults[fault.Delay]; ok {
 			j.ends += time.Duration(ms * float64(time.Millisecond))
 			b.late = append(b.late, j)
 			continue
@@ -346,19 +346,19 @@
 }
 
 // InFlight is how many requests the box holds.
-func (b *Box) InFlight() int { return len(b.queue) + len(b.work) + len(b.late) }
+func (b *Backend) InFlight() int { return len(b.queue) + len(b.work) + len(b.late) }
 
 // load is what the box reports: requests held, and the share of its cores in work.
-func (b *Box) load(now time.Duration) (inFlight, use float64) {
+func (b *Backend) load(now time.Duration) (inFlight, use float64) {
 	inFlight, use = float64(b.InFlight()), float64(len(b.work))/float64(b.cfg.Cores)
-	if f, ok := b.faults[trouble.Lie]; ok {
+	if f, ok := b.faults[fault.FalseReports]; ok {
 		inFlight, use = inFlight*f, use*f
 	}
 	return inFlight, use
 }
 
 // withdraw drops a closed connection's waiting jobs; work that has begun goes on.
-func (b *Box) withdraw(c *BoxConn) {
+func (b *Backend) withdraw(c *BackendConn) {
 	kept := b.queue[:0]
 	for _, j := range b.queue {
 		if j.conn != c {
--- a/standin/boxconn.go
+++ b/emulator/backendconn.go
@@ -1,20 +1,20 @@
-package standin
+package emulator
 
 import (
 	"strconv"
 	"time"
 
+	"sandyard/fault"
 	"sandyard/internal/http1"
-	"sandyard/trouble"
 )
 
-// BoxConn is a connection to a stand-in box. It answers one request at a time, in order.
-type BoxConn struct {
+// BackendConn is a connection to a stand-in box. It answers one request at a time, in order.
+type BackendConn struct {
 	Out   []byte // for the peer, to be written and cut off by the owner
 	Close bool   // the connection is to be closed once Out is written,
 	Abort bool   // with a reset
 
-	box    *Box
+	box    *Backend
 	rd     *http1.Reader
 	stash  []byte
 	head   *http1.Head
@@ -25,12 +25,14 @@
 }
 
 // NewConn begins a connection.
-func (b *Box) NewConn() *BoxConn { return &BoxConn{box: b, rd: http1.NewRequests(http1.Limits{})} }
+func (b *Backend) NewConn() *BackendConn {
+	return &BackendConn{box: b, rd: http1.NewRequests(http1.Limits{})}
+}
 
 const mostStash = 1 << 20
 
 // Feed takes bytes in.
-func (c *BoxConn) Feed(now time.Duration, in []byte) {
+func (c *BackendConn) Feed(now time.Duration, in []byte) {
 	if c.waits {
 		if c.stash = append(c.stash, in...); len(c.stash) > mostStash {
 			c.Close = true
@@ -40,7 +42,7 @@
 	c.read(now, in)
 }
 
-func (c *BoxConn) read(now time.Duration, in []byte) {
+func (c *BackendConn) read(now time.Duration, in []byte) {
 	for !c.waits && !c.Close {
 		n, part, err := c.rd.Feed(in)
 		in = in[n:]
@@ -68,9 +70,9 @@
 
 // whole takes a request to the box. Two fields let a client say what it asks of the stand-in: X-Request-Id names the
 // request in the record, X-Work is the work in milliseconds.
-func (c *BoxConn) whole(now time.Duration) {
+func (c *BackendConn) whole(now time.Duration) {
 	if c.head.Path == "/load" { // a probe: no work to speak of
-		if !c.box.has(trouble.Hang) && c.box.stalled == 0 {
+		if !c.box.has(fault.Hang) && c.box.stalled == 0 {
 			c.answer(now, 200)
 		} else {
 			c.waits = true
@@ -92,7 +94,7 @@
 }
 
 // Done answers a job that the box has finished.
-func (c *BoxConn) Done(now time.Duration, j *Job) {
+func (c *BackendConn) Done(now time.Duration, j *Job) {
 	if c.closed || j.seq != c.seq {
 		return
 	}
@@ -112,11 +114,11 @@
 	return b
 }()
 
-func (c *BoxConn) answer(now time.Duration, status int) {
+func (c *BackendConn) answer(now time.Duration, status int) {
 	c.waits = false
 	c.seq++
 	box := c.box
-	if box.has(trouble.Lose) && status == 200 {
+	if box.has(fault.Lose) && status == 200 {
 		c.Close = true
 		return
 	}
@@ -148,17 +150,17 @@
 			size -= n
 		}
 	}
-	if _, ok := box.faults[trouble.Trail]; ok { // what follows an answer that nobody asked for
+	if _, ok := box.faults[fault.Trail]; ok { // what follows an answer that nobody asked for
 		c.Out = append(c.Out, "HTTP/1.1 200 OK\r\nX-Answers: nobody\r\nContent-Length: 0\r\n\r\n"...)
 	}
-	if after, ok := box.faults[trouble.Reset]; ok && status == 200 {
+	if after, ok := box.faults[fault.Reset]; ok && status == 200 {
 		c.Out = c.Out[:at+min(len(c.Out)-at, int(after))]
 		c.Close, c.Abort = true, true
 	}
 }
 
 // Closed tells that the connection is gone.
-func (c *BoxConn) Closed() {
+func (c *BackendConn) Closed() {
 	if !c.closed {
 		c.closed = true
 		c.box.withdraw(c)
@@ -166,7 +168,7 @@
 }
 
 // Waits tells that a request is in work or queued, so that the connection is not idle.
-func (c *BoxConn) Waits() bool { return c.waits }
+func (c *BackendConn) Waits() bool { return c.waits }
 
 // Conn is the connection that a job came on.
-func (j *Job) Conn() *BoxConn { return j.conn }
+func (j *Job) Conn() *BackendConn { return j.conn }
--- a/standin/keeper.go
+++ b/emulator/counter.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"hash/fnv"
@@ -8,16 +8,16 @@
 	"strings"
 	"time"
 
+	"sandyard/fault"
 	"sandyard/internal/resp"
-	"sandyard/trouble"
 )
 
-// Keeper is the tally keeper: named numbers that can be added to and that expire. It speaks enough of Redis for its
+// Counter is the tally keeper: named numbers that can be added to and that expire. It speaks enough of Redis for its
 // clients: INCRBYFLOAT, PEXPIRE (with NX), PTTL, GET, DEL, DBSIZE, FLUSHALL, PING, ECHO, HELLO 2, CLIENT and SELECT 0.
-type Keeper struct {
+type Counter struct {
 	totals map[string]total
 	sweep  time.Duration
-	faults map[trouble.Verb]float64
+	faults map[fault.Verb]float64
 	past   []change         // of the last remembered, for totals that come back old
 	copied map[string]total // what the other side of a split holds; nil while there is none
 	aside  bool             // a command of the other side is carried out
@@ -44,7 +44,7 @@
 )
 
 // note keeps what a total was.
-func (k *Keeper) note(now time.Duration, name string) {
+func (k *Counter) note(now time.Duration, name string) {
 	if k.aside {
 		return // that side is lost in the end
 	}
@@ -56,7 +56,7 @@
 }
 
 // back undoes what was added since a time, as a keeper does that is restored from a copy.
-func (k *Keeper) back(since time.Duration) {
+func (k *Counter) back(since time.Duration) {
 	for n := len(k.past); n > 0 && k.past[n-1].at >= since; n-- {
 		if c := k.past[n-1]; c.had {
 			k.totals[c.name] = c.was
@@ -67,22 +67,22 @@
 	}
 }
 
-// NewKeeper starts an empty keeper.
-func NewKeeper() *Keeper {
-	return &Keeper{totals: map[string]total{}, faults: map[trouble.Verb]float64{}}
+// NewCounter starts an empty keeper.
+func NewCounter() *Counter {
+	return &Counter{totals: map[string]total{}, faults: map[fault.Verb]float64{}}
 }
 
 // Set begins or ends a fault. Empty and Old happen at once.
-func (k *Keeper) Set(now time.Duration, v trouble.Verb, value float64, on bool) {
+func (k *Counter) Set(now time.Duration, v fault.Verb, value float64, on bool) {
 	switch {
-	case v == trouble.Empty && on:
+	case v == fault.Empty && on:
 		clear(k.totals)
 		k.past = nil
-	case v == trouble.Old && on:
+	case v == fault.Old && on:
 		k.back(now - time.Duration(value*float64(time.Millisecond)))
-	case v == trouble.Split && on:
+	case v == fault.Split && on:
 		k.copied, k.faults[v] = maps.Clone(k.totals), value
-	case v == trouble.Split:
+	case v == fault.Split:
 		k.copied = nil
 		delete(k.faults, v)
 	case on:
@@ -93,20 +93,20 @@
 }
 
 // Refuses tells that connections are refused, and those there are closed.
-func (k *Keeper) Refuses() bool { _, ok := k.faults[trouble.Refuse]; return ok }
+func (k *Counter) Refuses() bool { _, ok := k.faults[fault.Refuse]; return ok }
 
 // Stalled tells that nothing is read.
-func (k *Keeper) Stalled() bool { _, ok := k.faults[trouble.Stall]; return ok }
+func (k *Counter) Stalled() bool { _, ok := k.faults[fault.Stall]; return ok }
 
 // Delay is how much later than at once answers go out.
-func (k *Keeper) Delay() time.Duration {
-	return time.Duration(k.faults[trouble.Delay] * float64(time.Millisecond))
+func (k *Counter) Delay() time.Duration {
+	return time.Duration(k.faults[fault.Delay] * float64(time.Millisecond))
 }
 
 // Total is a name's value, 0 if there is none.
-func (k *Keeper) Total(now time.Duration, name string) float64 { return k.get(now, name).value }
+func (k *Counter) Total(now time.Duration, name string) float64 { return k.get(now, name).value }
 
-func (k *Keeper) get(now time.Duration, name string) total {
+func (k *Counter) get(now time.Duration, name string) total {
 	t, ok := k.totals[name]
 	if ok && t.expires > 0 && now >= t.expires {
 		delete(k.totals, name)
@@ -116,22 +116,22 @@
 }
 
 // Names is how many names are held, expired ones that nobody has asked for included.
-func (k *Keeper) Names() int { return len(k.totals) }
+func (k *Counter) Names() int { return len(k.totals) }
 
-// KeeperConn is a connection to a stand-in keeper.
-type KeeperConn struct {
-	Out    []byte // for the peer, to be written and cut off by the owner
-	Close  bool
-	Of     float64 // where its client stands among all, in [0,1): which side of a split it is on; set by the owner
-	keeper *Keeper
-	rd     resp.Reader
+// CounterConn is a connection to a stand-in keeper.
+type CounterConn struct {
+	Out            []byte // for the peer, to be written and cut off by the owner
+	Close          bool
+	ClientPosition float64 // where its client stands among all, in [0,1): which side of a split it is on; set by the owner
+	keeper         *Counter
+	rd             resp.Reader
 }
 
 // NewConn begins a connection.
-func (k *Keeper) NewConn() *KeeperConn { return &KeeperConn{keeper: k} }
+func (k *Counter) NewConn() *CounterConn { return &CounterConn{keeper: k} }
 
 // Feed takes bytes in.
-func (c *KeeperConn) Feed(now time.Duration, b []byte) {
+func (c *CounterConn) Feed(now time.Duration, b []byte) {
 	for !c.Close {
 		n, v, whole, err := c.rd.Feed(b)
 		b = b[n:]
@@ -143,20 +143,20 @@
 			return
 		}
 		at, k := len(c.Out), c.keeper
-		if aside := k.copied != nil && c.Of < k.faults[trouble.Split]; aside {
+		if aside := k.copied != nil && c.ClientPosition < k.faults[fault.Split]; aside {
 			k.totals, k.copied, k.aside = k.copied, k.totals, true
 			c.command(now, v)
 			k.totals, k.copied, k.aside = k.copied, k.totals, false
 		} else {
 			c.command(now, v)
 		}
-		if _, silent := c.keeper.faults[trouble.Silent]; silent {
+		if _, silent := c.keeper.faults[fault.Silent]; silent {
 			c.Out = c.Out[:at]
 		}
 	}
 }
 
-func (c *KeeperConn) command(now time.Duration, v resp.Value) {
+func (c *CounterConn) command(now time.Duration, v resp.Value) {
 	var args []string
 	for _, a := range v.Items {
 		if a.Type != resp.Bulk {
@@ -184,7 +184,7 @@
 		return
 	}
 	k := c.keeper
-	if share, ok := k.faults[trouble.Part]; ok && len(args) > 1 && part(args[1]) < share {
+	if share, ok := k.faults[fault.Part]; ok && len(args) > 1 && part(args[1]) < share {
 		c.Out = resp.AppendError(c.Out, "CLUSTERDOWN Hash slot not served")
 		return
 	}
@@ -216,17 +216,17 @@
 
 type command struct {
 	least, most int // arguments, the name included; most 0: any
-	run         func(k *Keeper, now time.Duration, out []byte, args []string) []byte
+	run         func(k *Counter, now time.Duration, out []byte, args []string) []byte
 }
 
 var commands map[string]command
 
 func init() { // not a literal: some commands look at others
-	ok := func(_ *Keeper, _ time.Duration, out []byte, _ []string) []byte { return resp.AppendSimple(out, "OK") }
+	ok := func(_ *Counter, _ time.Duration, out []byte, _ []string) []byte { return resp.AppendSimple(out, "OK") }
 	commands = map[string]command{
 		"INCRBYFLOAT": {3, 3, incr},
 		"PEXPIRE":     {3, 4, pexpire},
-		"PTTL": {2, 2, func(k *Keeper, now time.Duration, out []byte, a []string) []byte {
+		"PTTL": {2, 2, func(k *Counter, now time.Duration, out []byte, a []string) []byte {
 			t := k.get(now, a[1])
 			switch _, ok := k.totals[a[1]]; {
 			case !ok:
@@ -236,14 +236,14 @@
 			}
 			return resp.AppendInt(out, int64((t.expires-now)/time.Millisecond))
 		}},
-		"GET": {2, 2, func(k *Keeper, now time.Duration, out []byte, a []string) []byte {
+		"GET": {2, 2, func(k *Counter, now time.Duration, out []byte, a []string) []byte {
 			t := k.get(now, a[1])
 			if _, ok := k.totals[a[1]]; !ok {
 				return resp.AppendNull(out)
 			}
 			return resp.AppendBulk(out, format(t.value))
 		}},
-		"DEL": {2, 0, func(k *Keeper, now time.Duration, out []byte, a []string) []byte {
+		"DEL": {2, 0, func(k *Counter, now time.Duration, out []byte, a []string) []byte {
 			n := int64(0)
 			for _, name := range a[1:] {
 				k.get(now, name)
@@ -254,34 +254,34 @@
 			}
 			return resp.AppendInt(out, n)
 		}},
-		"DBSIZE": {1, 1, func(k *Keeper, _ time.Duration, out []byte, _ []string) []byte {
+		"DBSIZE": {1, 1, func(k *Counter, _ time.Duration, out []byte, _ []string) []byte {
 			return resp.AppendInt(out, int64(len(k.totals)))
 		}},
-		"FLUSHALL": {1, 2, func(k *Keeper, _ time.Duration, out []byte, _ []string) []byte {
+		"FLUSHALL": {1, 2, func(k *Counter, _ time.Duration, out []byte, _ []string) []byte {
 			clear(k.totals)
 			return resp.AppendSimple(out, "OK")
 		}},
-		"PING": {1, 2, func(_ *Keeper, _ time.Duration, out []byte, a []string) []byte {
+		"PING": {1, 2, func(_ *Counter, _ time.Duration, out []byte, a []string) []byte {
 			if len(a) == 2 {
 				return resp.AppendBulk(out, a[1])
 			}
 			return resp.AppendSimple(out, "PONG")
 		}},
-		"ECHO": {2, 2, func(_ *Keeper, _ time.Duration, out []byte, a []string) []byte {
+		"ECHO": {2, 2, func(_ *Counter, _ time.Duration, out []byte, a []string) []byte {
 			return resp.AppendBulk(out, a[1])
 		}},
-		"HELLO": {1, 0, func(_ *Keeper, _ time.Duration, out []byte, a []string) []byte {
+		"HELLO": {1, 0, func(_ *Counter, _ time.Duration, out []byte, a []string) []byte {
 			if len(a) > 1 && a[1] != "2" {
 				return resp.AppendError(out, "NOPROTO unsupported protocol version")
 			}
 			out = append(out, "*6\r\n"...)
-			for _, s := range [...]string{"server", "sandyard-standin", "proto"} {
+			for _, s := range [...]string{"server", "sandyard-emulator", "proto"} {
 				out = resp.AppendBulk(out, s)
 			}
 			return resp.AppendBulk(resp.AppendBulk(resp.AppendInt(out, 2), "mode"), "standalone")
 		}},
 		"CLIENT": {2, 0, ok},
-		"SELECT": {2, 2, func(_ *Keeper, _ time.Duration, out []byte, a []string) []byte {
+		"SELECT": {2, 2, func(_ *Counter, _ time.Duration, out []byte, a []string) []byte {
 			if a[1] != "0" {
 				return resp.AppendError(out, "ERR DB index is out of range")
 			}
@@ -292,7 +292,7 @@
 
 func format(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 
-func incr(k *Keeper, now time.Duration, out []byte, a []string) []byte {
+func incr(k *Counter, now time.Duration, out []byte, a []string) []byte {
 	by, err := strconv.ParseFloat(a[2], 64)
 	t := k.get(now, a[1])
 	sum := t.value + by
@@ -306,7 +306,7 @@
 	return resp.AppendBulk(out, format(sum))
 }
 
-func pexpire(k *Keeper, now time.Duration, out []byte, a []string) []byte {
+func pexpire(k *Counter, now time.Duration, out []byte, a []string) []byte {
 	ms, err := strconv.ParseInt(a[2], 10, 64)
 	if err != nil || ms > math.MaxInt64/int64(time.Millisecond)/2 {
 		return resp.AppendError(out, "ERR value is not an integer or out of range")
--- a/standin/standin_test.go
+++ b/emulator/emulator_test.go
@@ -1,12 +1,12 @@
-package standin
+package emulator
 
 import (
 	"strings"
 	"testing"
 	"time"
 
+	"sandyard/fault"
 	"sandyard/internal/resp"
-	"sandyard/trouble"
 )
 
 func request(id, key string) []byte {
@@ -18,14 +18,14 @@
 }
 
 type bench struct {
-	*Box
+	*Backend
 	facts []Fact
 }
 
-func newBench(c BoxConfig) *bench {
+func newBench(c BackendConfig) *bench {
 	b := &bench{}
 	c.Name = "b"
-	b.Box = NewBox(c, time.Second)
+	b.Backend = NewBackend(c, time.Second)
 	b.Facts = func(f Fact) { b.facts = append(b.facts, f) }
 	return b
 }
@@ -46,8 +46,8 @@
 }
 
 func TestBoxQueues(t *testing.T) {
-	b := newBench(BoxConfig{Cores: 1, Queue: 1, Work: 100 * time.Millisecond})
-	var conns []*BoxConn
+	b := newBench(BackendConfig{Cores: 1, Queue: 1, Work: 100 * time.Millisecond})
+	var conns []*BackendConn
 	for range 3 {
 		c := b.NewConn()
 		c.Feed(time.Second, request("r", ""))
@@ -61,34 +61,34 @@
 		t.Fatal("one core has worked on both, or on none")
 	}
 	b.run(2 * time.Second)
-	if len(conns[1].Out) == 0 || b.count(Ran) != 2 {
-		t.Fatalf("ran %d", b.count(Ran))
+	if len(conns[1].Out) == 0 || b.count(Executed) != 2 {
+		t.Fatalf("ran %d", b.count(Executed))
 	}
 }
 
 func TestBoxFaults(t *testing.T) {
-	feed := func(v trouble.Verb, value float64) (*bench, *BoxConn) {
-		b := newBench(BoxConfig{Work: 10 * time.Millisecond})
+	feed := func(v fault.Verb, value float64) (*bench, *BackendConn) {
+		b := newBench(BackendConfig{Work: 10 * time.Millisecond})
 		b.Set(time.Second, v, value, true)
 		c := b.NewConn()
 		c.Feed(time.Second, request("r", "k"))
 		b.run(10 * time.Second)
 		return b, c
 	}
-	if b, c := feed(trouble.Hang, 0); len(c.Out) != 0 || b.count(Ran) != 0 || b.count(Received) != 1 {
+	if b, c := feed(fault.Hang, 0); len(c.Out) != 0 || b.count(Executed) != 0 || b.count(Received) != 1 {
 		t.Error("hang works or answers")
 	}
-	if b, c := feed(trouble.Lose, 0); len(c.Out) != 0 || !c.Close || b.count(Ran) != 1 {
+	if b, c := feed(fault.Lose, 0); len(c.Out) != 0 || !c.Close || b.count(Executed) != 1 {
 		t.Error("lose: no work, or an answer")
 	}
-	if b, c := feed(trouble.Reset, 10); len(c.Out) != 10 || !c.Abort || b.count(Ran) != 1 {
+	if b, c := feed(fault.Reset, 10); len(c.Out) != 10 || !c.Abort || b.count(Executed) != 1 {
 		t.Error("reset: not after 10 bytes")
 	}
-	if b, c := feed(trouble.Fault, 1); !strings.HasPrefix(string(c.Out), "HTTP/1.1 500") || b.count(Ran) != 0 {
+	if b, c := feed(fault.ServerErrors, 1); !strings.HasPrefix(string(c.Out), "HTTP/1.1 500") || b.count(Executed) != 0 {
 		t.Error("fault: worked, or no 500")
 	}
-	b, c := feed(trouble.Hang, 0)
-	b.Set(10*time.Second, trouble.Hang, 0, false)
+	b, c := feed(fault.Hang, 0)
+	b.Set(10*time.Second, fault.Hang, 0, false)
 	b.Advance(10*time.Second, func(*Job) {})
 	b.run(11 * time.Second)
 	if len(c.Out) == 0 {
@@ -97,27 +97,27 @@
 }
 
 func TestKeyedRepeatsRunOnce(t *testing.T) {
-	b := newBench(BoxConfig{KeyTTL: time.Second})
+	b := newBench(BackendConfig{KeyTTL: time.Second})
 	c := b.NewConn()
 	c.Feed(time.Second, request("1", "k"))
 	c.Feed(1500*time.Millisecond, request("2", "k"))
-	if b.count(Ran) != 1 || b.count(Repeated) != 1 {
+	if b.count(Executed) != 1 || b.count(Deduplicated) != 1 {
 		t.Fatalf("%+v", b.facts)
 	}
 	c.Feed(2500*time.Millisecond, request("3", "k"))
-	if b.count(Ran) != 2 {
+	if b.count(Executed) != 2 {
 		t.Fatal("a key is remembered for ever")
 	}
 }
 
 func TestColdBoxFallsOver(t *testing.T) {
-	b := newBench(BoxConfig{Cores: 1, Queue: 1000, Work: 100 * time.Millisecond, ColdShare: 0.2, ColdTime: 10 * time.Second,
+	b := newBench(BackendConfig{Cores: 1, Queue: 1000, Work: 100 * time.Millisecond, ColdShare: 0.2, ColdTime: 10 * time.Second,
 		OverloadFactor: 2, OverloadTime: time.Second})
-	for i := 0; i < 100 && !b.Fallen(); i++ {
+	for i := 0; i < 100 && !b.HasCollapsed(); i++ {
 		b.NewConn().Feed(time.Second, request("r", ""))
 	}
-	if n := b.count(Received); !b.Fallen() || n < 3 || n > 6 {
-		t.Fatalf("fallen %v after %d: 0.4 s of work in a second is its limit", b.Fallen(), n)
+	if n := b.count(Received); !b.HasCollapsed() || n < 3 || n > 6 {
+		t.Fatalf("fallen %v after %d: 0.4 s of work in a second is its limit", b.HasCollapsed(), n)
 	}
 }
 
@@ -127,21 +127,21 @@
 		after  time.Duration // of the slowness, until the requests come
 		fallen bool
 	}{{500 * time.Millisecond, false}, {3 * time.Second, true}} {
-		b := newBench(BoxConfig{Cores: 1, Queue: 1000, Work: 100 * time.Millisecond, ColdShare: 0.5, ColdTime: 10 * time.Second,
+		b := newBench(BackendConfig{Cores: 1, Queue: 1000, Work: 100 * time.Millisecond, ColdShare: 0.5, ColdTime: 10 * time.Second,
 			OverloadFactor: 2, OverloadTime: time.Second})
-		b.Set(time.Second, trouble.Slow, 4, true)
+		b.Set(time.Second, fault.Slow, 4, true)
 		for range 9 { // 0.9 s of work in a second; it could do 1.3 or more, slowed 0.4
 			b.NewConn().Feed(time.Second+c.after, request("r", ""))
 		}
-		if b.Fallen() != c.fallen {
-			t.Errorf("%v after it was slowed: fallen %v", c.after, b.Fallen())
+		if b.HasCollapsed() != c.fallen {
+			t.Errorf("%v after it was slowed: fallen %v", c.after, b.HasCollapsed())
 		}
 	}
 }
 
 // Totals come back as they were; names that were made since are gone.
 func TestKeeperComesBackOld(t *testing.T) {
-	k := NewKeeper()
+	k := NewCounter()
 	c := k.NewConn()
 	add := func(at time.Duration, name string) {
 		c.Feed(at, resp.AppendCommand(nil, "INCRBYFLOAT", name, "1"))
@@ -149,11 +149,11 @@
 	add(time.Second, "a")
 	add(2*time.Second, "a")
 	add(3*time.Second, "b")
-	k.Set(3*time.Second, trouble.Old, 1500, true)
+	k.Set(3*time.Second, fault.Old, 1500, true)
 	if a, b := k.Total(3*time.Second, "a"), k.Total(3*time.Second, "b"); a != 1 || b != 0 || k.Names() != 1 {
 		t.Errorf("a %v, b %v of %d names", a, b, k.Names())
 	}
-	k.Set(3*time.Second, trouble.Part, 1, true)
+	k.Set(3*time.Second, fault.Part, 1, true)
 	c.Out = nil
 	if add(4*time.Second, "a"); c.Out[0] != '-' || k.Total(4*time.Second, "a") != 1 {
 		t.Errorf("a name that is not served: %q", c.Out)
@@ -162,32 +162,32 @@
 
 // The sides of a split count on from the same totals, each by itself; in the end one of them is lost.
 func TestKeeperSplits(t *testing.T) {
-	k := NewKeeper()
+	k := NewCounter()
 	here, there := k.NewConn(), k.NewConn()
-	here.Of, there.Of = 0.9, 0.1
-	add := func(c *KeeperConn) string {
+	here.ClientPosition, there.ClientPosition = 0.9, 0.1
+	add := func(c *CounterConn) string {
 		c.Out = nil
 		c.Feed(time.Second, resp.AppendCommand(nil, "INCRBYFLOAT", "a", "1"))
 		return strings.Split(string(c.Out), "\r\n")[1]
 	}
 	add(here)
 	add(there)
-	k.Set(time.Second, trouble.Split, 0.5, true)
+	k.Set(time.Second, fault.Split, 0.5, true)
 	if a, b, c := add(there), add(there), add(here); a != "3" || b != "4" || c != "3" {
 		t.Errorf("%s and %s on one side, %s on the other", a, b, c)
 	}
-	k.Set(time.Second, trouble.Split, 0.5, false)
+	k.Set(time.Second, fault.Split, 0.5, false)
 	if a, b := add(there), add(here); a != "4" || b != "5" {
 		t.Errorf("%s and %s afterwards", a, b)
 	}
-	k.Set(time.Second, trouble.Old, 1000, true)
+	k.Set(time.Second, fault.Old, 1000, true)
 	if x := k.Total(time.Second, "a"); x != 0 {
 		t.Errorf("%v after all was undone", x)
 	}
 }
 
 func TestKeeperExpiry(t *testing.T) {
-	k := NewKeeper()
+	k := NewCounter()
 	c := k.NewConn()
 	say := func(now time.Duration, s string) string {
 		c.Out = nil
@@ -205,7 +205,7 @@
 	if got := say(2*time.Second, incr); got != "$3\r\n1.5\r\n" {
 		t.Fatalf("after its life: %q", got)
 	}
-	k.Set(time.Second, trouble.Silent, 0, true)
+	k.Set(time.Second, fault.Silent, 0, true)
 	if got := say(2*time.Second, incr); got != "" || k.Total(2*time.Second, "a") != 3 {
 		t.Fatalf("silent: %q", got)
 	}
--- a/trouble/trouble.go
+++ b/fault/fault.go
@@ -1,6 +1,6 @@
-// Package trouble is the one vocabulary for what can go wrong: each verb is defined here, and means the same for
+// Package fault is the one vocabulary for what can go wrong: each verb is defined here, and means the same for
 // stand-ins on sockets and in virtual time.
-package trouble
+package fault
 
 import (
 	"fmt"
@@ -17,15 +17,15 @@
 // The verbs, with what their value says.
 const (
 	// Of boxes.
-	Slow   Verb = "slow"   // work takes value times as long
-	Hang   Verb = "hang"   // requests are taken and neither worked on nor answered
-	Reset  Verb = "reset"  // the work is done; the connection is reset after value bytes of the answer
-	Lose   Verb = "lose"   // the work is done; the connection is closed without an answer
-	Fault  Verb = "fault"  // requests are answered 500 at once, unworked; value is their share
-	Refuse Verb = "refuse" // connections are refused, those there are closed; of the keeper, too
-	Trail  Verb = "trail"  // each answer is followed by another that nobody asked for
-	Lie    Verb = "lie"    // load reports are value times the truth; below 0 they are what no box can have
-	Stall  Verb = "stall"  // everything stands still, and goes on where it was; of the keeper, too
+	Slow         Verb = "slow"   // work takes value times as long
+	Hang         Verb = "hang"   // requests are taken and neither worked on nor answered
+	Reset        Verb = "reset"  // the work is done; the connection is reset after value bytes of the answer
+	Lose         Verb = "lose"   // the work is done; the connection is closed without an answer
+	ServerErrors Verb = "fault"  // requests are answered 500 at once, unworked; value is their share
+	Refuse       Verb = "refuse" // connections are refused, those there are closed; of the keeper, too
+	Trail        Verb = "trail"  // each answer is followed by another that nobody asked for
+	FalseReports Verb = "lie"    // load reports are value times the truth; below 0 they are what no box can have
+	Stall        Verb = "stall"  // everything stands still, and goes on where it was; of the keeper, too
 	// Of the tally keeper.
 	Silent Verb = "silent" // calls are counted and not answered
 	Delay  Verb = "delay"  // answers take value milliseconds more; of boxes, too
@@ -57,11 +57,11 @@
 	Noise Verb = "noise" // a share of the clients, value, send what is no request
 )
 
-var verbs = []Verb{Slow, Hang, Reset, Lose, Fault, Refuse, Trail, Lie, Stall, Silent, Delay, Empty, Old, Part, Split, Kill, Drain, Replace, Leave,
+var verbs = []Verb{Slow, Hang, Reset, Lose, ServerErrors, Refuse, Trail, FalseReports, Stall, Silent, Delay, Empty, Old, Part, Split, Kill, Drain, Replace, Leave,
 	Surge, Move, Quit, Drip, Noise, Partition, Oneway, Lag, Throttle, Deaf, Pause, Descriptors, Torn, Garble}
 
 // valued lists the verbs that need a value.
-var valued = []Verb{Slow, Lie, Delay, Old, Part, Split, Surge, Quit, Drip, Noise, Lag, Throttle, Descriptors}
+var valued = []Verb{Slow, FalseReports, Delay, Old, Part, Split, Surge, Quit, Drip, Noise, Lag, Throttle, Descriptors}
 
 // Event is one trouble of a script: a verb, whom it meets, when and for how long.
 type Event struct {
@@ -83,13 +83,13 @@
 		if slices.Contains(valued, v) {
 			return "", 0, fmt.Errorf("%s: a value is missing", v)
 		}
-		if v == Fault {
+		if v == ServerErrors {
 			return v, 1, nil
 		}
 		return v, 0, nil
 	}
 	x, err := strconv.ParseFloat(strings.TrimSpace(rest), 64)
-	if err != nil || !(x >= 0) && v != Lie || !(math.Abs(x) <= 1e9) {
+	if err != nil || !(x >= 0) && v != FalseReports || !(math.Abs(x) <= 1e9) {
 		return "", 0, fmt.Errorf("%s: %q: expected a number, 0 or more", v, rest)
 	}
 	return v, x, nil
--- a/internal/bench/peers.go
+++ b/internal/bench/peers.go
@@ -19,8 +19,8 @@
 	fmt.Fprintf(out, "{\"msg\":\"listening\",\"addr\":%q}\n", ln.Addr())
 }
 
-// Box answers at once, so that what is measured is the way to it.
-func Box(out io.Writer) error {
+// Backend answers at once, so that what is measured is the way to it.
+func Backend(out io.Writer) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
--- a/internal/bench/tools.go
+++ b/internal/bench/tools.go
@@ -195,7 +195,7 @@
 	for _, f := range files {
 		n, err := each(f.Name(), func(h trace.Head) error { part[f.Name()] = h.Part; return nil }, func(_ trace.Head, it trace.Item) error {
 			dropped += it.Dropped
-			if it.State == nil && it.Box == nil && it.Dropped == 0 {
+			if it.State == nil && it.Backend == nil && it.Dropped == 0 {
 				steps++
 			}
 			actions += uint64(len(it.Actions))
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -16,7 +16,7 @@
 		case "sandyard":
 			return Gateway(rest, out, errs)
 		case "box":
-			err = bench.Box(out)
+			err = bench.Backend(out)
 		case "reverseproxy":
 			err = bench.ReverseProxy(out, rest[0])
 		case "fasthttp":
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"sandyard/choice"
-	"sandyard/identity"
+	"sandyard/coreid"
+	"sandyard/decision"
 	"sandyard/trace"
 )
 
@@ -45,14 +45,14 @@
 
 func traceFile(t *testing.T, core string) string {
 	h := trace.Head{Core: core, Share: 1, Plans: []string{"hobby"}, Classes: []string{"c"}, Ops: []string{"book"},
-		Settings: choice.Settings{Classes: []choice.Class{{Aim: time.Second, Deadline: time.Second}}, Plans: []choice.Plan{{Rate: 1, Burst: 1}}}}
-	gw, first, err := choice.New(h.Settings, 0, 0)
+		Settings: decision.Settings{Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: time.Second}}, Plans: []decision.Plan{{Rate: 1, Burst: 1}}}}
+	gw, first, err := decision.New(h.Settings, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	items := []trace.Item{{First: true, Actions: trace.FromActions(first)}}
-	for i, e := range []choice.Event{choice.ServersChanged{Full: true, Entries: []choice.ServerEntry{{Server: 1}}},
-		choice.Arrived{Request: 1, Customer: "a", Left: time.Second, Units: 1, Spread: 1}, choice.Arrived{Request: 2, Customer: "a", Left: time.Second, Units: 1, Spread: 1}} {
+	for i, e := range []decision.Event{decision.EndpointsChanged{Full: true, Endpoints: []decision.Endpoint{{Backend: 1}}},
+		decision.RequestArrived{Request: 1, Customer: "a", TimeLeft: time.Second, Units: 1, Spread: 1}, decision.RequestArrived{Request: 2, Customer: "a", TimeLeft: time.Second, Units: 1, Spread: 1}} {
 		at := time.Duration(i+1) * time.Millisecond
 		items = append(items, trace.Item{At: at, Event: trace.FromEvent(e), Actions: trace.FromActions(gw.Handle(e, at)), Op: 1})
 	}
@@ -76,7 +76,7 @@
 }
 
 func TestTraceTool(t *testing.T) {
-	f := traceFile(t, identity.Core())
+	f := traceFile(t, coreid.Core())
 	if code, out, errs := run(tracer, "replay", f); code != Fine || !strings.Contains(out, "4 steps replayed and 0 states compared, 0 differ") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
@@ -97,8 +97,8 @@
 	if code, out, errs := run(tracer, "replay", traceFile(t, "0123456789abcdef")); code != OtherCore || out != "" || !strings.Contains(errs, "verdicts could differ") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
-	mine, other := frontDoor(t, identity.Core()), frontDoor(t, "0123456789abcdef")
-	file := traceFile(t, identity.Core())
+	mine, other := frontDoor(t, coreid.Core()), frontDoor(t, "0123456789abcdef")
+	file := traceFile(t, coreid.Core())
 	dir := t.TempDir()
 	for _, c := range []struct {
 		program string
@@ -121,13 +121,13 @@
 		}
 		exe := filepath.Join(dir, c.program)
 		if _, err := os.Stat(exe); err != nil {
-			if b, err := exec.Command("go", "build", "-ldflags", "-X sandyard/identity.other=x", "-o", exe, "sandyard/cmd/"+c.program).CombinedOutput(); err != nil {
+			if b, err := exec.Command("go", "build", "-ldflags", "-X sandyard/coreid.other=x", "-o", exe, "sandyard/cmd/"+c.program).CombinedOutput(); err != nil {
 				t.Fatalf("%v: %s", err, b)
 			}
 		}
 		b, err := exec.Command(exe, strings.Fields(args)...).CombinedOutput()
 		var ee *exec.ExitError
-		if !errors.As(err, &ee) || ee.ExitCode() != OtherCore || !strings.Contains(string(b), identity.Core()) {
+		if !errors.As(err, &ee) || ee.ExitCode() != OtherCore || !strings.Contains(string(b), coreid.Core()) {
 			t.Errorf("%s %s, of another core: %v %s", c.program, args, err, b)
 		}
 	}
@@ -177,7 +177,7 @@
 
 // TestOutputJSON: every command of the tools that prints a table prints the same as JSON.
 func TestOutputJSON(t *testing.T) {
-	f, api := traceFile(t, identity.Core()), "../../examples/kilns/openapi.yaml"
+	f, api := traceFile(t, coreid.Core()), "../../examples/kilns/openapi.yaml"
 	for _, c := range []struct {
 		tool func([]string, *bytes.Buffer, *bytes.Buffer) int
 		args string
@@ -206,7 +206,7 @@
 
 // TestInfoTellsOfACut: a file that a kill cut off is told to be so, with what is whole.
 func TestInfoTellsOfACut(t *testing.T) {
-	f := traceFile(t, identity.Core())
+	f := traceFile(t, coreid.Core())
 	b, _ := os.ReadFile(f)
 	os.WriteFile(f, b[:len(b)-3], 0o600)
 	if code, out, _ := run(tracer, "info", f); code != Fine || !strings.Contains(out, "cut at ") {
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 
 	"sandyard/internal/drill"
-	"sandyard/internal/virtual"
+	"sandyard/internal/simulation"
 )
 
 // as is the first argument that makes sandyard-drill run as one of the programs it drills, so that a drill needs one
@@ -24,8 +24,8 @@
 		switch strings.TrimPrefix(args[0], as) {
 		case "sandyard":
 			return Gateway(args[1:], out, errs)
-		case "sandyard-standin":
-			return StandIn(args[1:], out, errs)
+		case "sandyard-emulator":
+			return Emulator(args[1:], out, errs)
 		}
 		fmt.Fprintln(errs, "sandyard-drill: no program", args[0])
 		return Usage
@@ -50,7 +50,7 @@
 }
 
 func (a drillArgs) Run(c *Console) error {
-	opt := drill.Options{Seed: a.Seed, Seconds: a.Seconds, Doors: a.Doors, Boxes: a.Boxes, Rate: a.Rate, Keep: a.Keep, Command: self}
+	opt := drill.Options{Seed: a.Seed, Seconds: a.Seconds, Instances: a.Doors, Backends: a.Boxes, Rate: a.Rate, Keep: a.Keep, Command: self}
 	if a.Doors < 2 || a.Boxes < 1 || !(a.Seconds > 0) || !(a.Rate > 0) {
 		return fmt.Errorf("at least 2 doors, 1 box, and more than 0 seconds and requests are needed")
 	}
@@ -59,12 +59,12 @@
 		if err != nil {
 			return err
 		}
-		script, err := virtual.ReadScript(a.Script, text)
+		script, err := simulation.ReadScript(a.Script, text)
 		if err != nil {
 			return err
 		}
-		opt.Events, opt.Seed, opt.Seconds, opt.Doors, opt.Boxes, opt.Rate = script.Events, script.Seed, script.Seconds, script.Doors,
-			script.Boxes.Count, script.Rate
+		opt.Events, opt.Seed, opt.Seconds, opt.Instances, opt.Backends, opt.Rate = script.Events, script.Seed, script.Seconds, script.Instances,
+			script.Backends.Count, script.Rate
 	}
 	if !a.Quiet {
 		opt.Log = c.Errs
@@ -98,8 +98,8 @@
 
 func printReport(out io.Writer, r drill.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "seed %d: %d tries in %.0f s, %d troubles; %.3f of the worth asked for was served\n\n", r.Seed, r.Tries, r.Seconds,
-		r.Troubles, r.WorthShare)
+	fmt.Fprintf(w, "seed %d: %d tries in %.0f s, %d troubles; %.3f of the worth asked for was served\n\n", r.Seed, r.Requests, r.Seconds,
+		r.Faults, r.ValueShare)
 	fmt.Fprintln(w, "rule\tcases\tviolations\tnearest\tof")
 	for _, rule := range r.Rules {
 		seen := fmt.Sprint(rule.Cases)
--- a/internal/cli/standin.go
+++ b/internal/cli/emulator.go
@@ -12,19 +12,19 @@
 	"syscall"
 	"time"
 
-	"sandyard/internal/sockets"
-	"sandyard/standin"
+	"sandyard/emulator"
+	"sandyard/internal/server"
 )
 
-// StandIn runs the sandyard-standin program.
-func StandIn(args []string, out, errs io.Writer) int {
+// Emulator runs the sandyard-emulator program.
+func Emulator(args []string, out, errs io.Writer) int {
 	var g struct {
 		Box    standInBox    `cmd:"" help:"Run a stand-in box."`
 		Keeper standInKeeper `cmd:"" help:"Run a stand-in tally keeper."`
 		Set    standInSet    `cmd:"" help:"Set a fault of a running stand-in: slow 3, hang, reset 20, lose, fault 0.5, refuse, lie 0, stall, delay 200; of the keeper: silent, empty, refuse, stall, delay."`
 		Clear  standInClear  `cmd:"" help:"End a fault of a running stand-in."`
 	}
-	return program("sandyard-standin", "Peers to try a front door against: boxes and a tally keeper.", &g, args, out, errs,
+	return program("sandyard-emulator", "Peers to try a front door against: boxes and a tally keeper.", &g, args, out, errs,
 		&Console{out, errs})
 }
 
@@ -46,13 +46,13 @@
 	Record         bool          `help:"Print what happens as lines of JSON."`
 }
 
-// BoxFact is a line of a stand-in box's record.
-type BoxFact struct {
-	At   int64            `json:"at"` // Unix time in nanoseconds
-	Box  string           `json:"box"`
-	Kind standin.FactKind `json:"kind"`
-	ID   string           `json:"id,omitempty"`
-	Key  string           `json:"key,omitempty"`
+// BackendFact is a line of a stand-in box's record.
+type BackendFact struct {
+	At      int64             `json:"at"` // Unix time in nanoseconds
+	Backend string            `json:"box"`
+	Kind    emulator.FactKind `json:"kind"`
+	ID      string            `json:"id,omitempty"`
+	Key     string            `json:"key,omitempty"`
 }
 
 // Ready is the first line that a stand-in prints.
@@ -111,13 +111,13 @@
 func (b standInBox) Run(c *Console) error {
 	rec := newRecord(c.Out)
 	defer rec.close()
-	var facts func(standin.Fact)
+	var facts func(emulator.Fact)
 	if b.Record {
-		facts = func(f standin.Fact) {
-			rec.write(BoxFact{time.Now().UnixNano(), f.Box, f.Kind, f.ID, f.Key})
+		facts = func(f emulator.Fact) {
+			rec.write(BackendFact{time.Now().UnixNano(), f.Backend, f.Kind, f.ID, f.Key})
 		}
 	}
-	box, err := sockets.StartBox(b.Listen, standin.BoxConfig{Name: b.Name, Cores: b.Cores, Queue: b.Queue, Work: b.Work, Spread: b.Spread,
+	box, err := server.StartBackend(b.Listen, emulator.BackendConfig{Name: b.Name, Cores: b.Cores, Queue: b.Queue, Work: b.Work, Spread: b.Spread,
 		ColdShare: b.ColdShare, ColdTime: b.ColdTime, OverloadFactor: b.OverloadFactor, OverloadTime: b.OverloadTime, KeyTTL: b.KeyTTL,
 		Body: b.Body, Seed: b.Seed}, facts)
 	if err != nil {
@@ -128,11 +128,11 @@
 }
 
 // untilTold says where a stand-in listens and waits for a signal.
-func untilTold(rec *record, addr, control string, f sockets.Faulty) error {
+func untilTold(rec *record, addr, control string, f server.FaultTarget) error {
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(told)
-	at, stop, err := sockets.Control(control, f)
+	at, stop, err := server.Control(control, f)
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 func (s standInKeeper) Run(c *Console) error {
 	rec := newRecord(c.Out)
 	defer rec.close()
-	k, err := sockets.StartKeeper(s.Listen)
+	k, err := server.StartCounter(s.Listen)
 	if err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 }
 
 func (s standInSet) Run(c *Console) error {
-	if err := sockets.SetFault(s.Control, "set "+strings.Join(s.Fault, " ")); err != nil {
+	if err := server.SetFault(s.Control, "set "+strings.Join(s.Fault, " ")); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(c.Out, "ok")
@@ -177,7 +177,7 @@
 }
 
 func (s standInClear) Run(c *Console) error {
-	if err := sockets.SetFault(s.Control, "clear "+s.Fault); err != nil {
+	if err := server.SetFault(s.Control, "clear "+s.Fault); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(c.Out, "ok")
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -17,10 +17,10 @@
 	"github.com/willabides/kongplete"
 
 	"sandyard/config"
-	"sandyard/identity"
-	"sandyard/internal/diag"
-	"sandyard/internal/sockets"
-	"sandyard/standin"
+	"sandyard/coreid"
+	"sandyard/emulator"
+	"sandyard/internal/diagnostic"
+	"sandyard/internal/server"
 )
 
 // Exit statuses of all programs.
@@ -54,10 +54,10 @@
 	switch err := ctx.Run(); {
 	case err == nil:
 		return Fine
-	case errors.As(err, &identity.Mismatch{}):
+	case errors.As(err, &coreid.Mismatch{}):
 		fmt.Fprintln(errs, name+":", err)
 		return OtherCore
-	case errors.As(err, &diag.Problems{}):
+	case errors.As(err, &diagnostic.Problems{}):
 		fmt.Fprintln(errs, err)
 		return Usage
 	default:
@@ -93,7 +93,7 @@
 			}
 		}
 	}
-	_, err := fmt.Fprintf(c.Out, "sandyard %s %s\ncore %s\n", v, goes, identity.Core())
+	_, err := fmt.Fprintf(c.Out, "sandyard %s %s\ncore %s\n", v, goes, coreid.Core())
 	return err
 }
 
@@ -107,7 +107,7 @@
 		return err
 	}
 	_, err = fmt.Fprintf(c.Out, "%s: good: %d operations in %d classes, %d plans, %d studios, %d boxes\n", k.Config,
-		len(cfg.Routes.Operations), len(cfg.Settings.Classes), len(cfg.Plans), len(cfg.Studios), len(cfg.Boxes))
+		len(cfg.Routes.Operations), len(cfg.Settings.Classes), len(cfg.Plans), len(cfg.Customers), len(cfg.Endpoints))
 	return err
 }
 
@@ -125,7 +125,7 @@
 		return err
 	}
 	log := logger(c.Errs, cfg)
-	opt := sockets.Options{Log: log}
+	opt := server.Options{Log: log}
 	if s.Listen != "" {
 		cfg.Listen = s.Listen
 	}
@@ -141,13 +141,13 @@
 		s.Seed = rand.Uint64()
 	}
 	opt.Seed = s.Seed
-	server, err := sockets.Listen(cfg, cfg.Listen, opt)
+	server, err := server.Listen(cfg, cfg.Listen, opt)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	log.Info("listening", "addr", server.Addr().String(), "door", cfg.Door.Number, "of", cfg.Door.Of, "seed", s.Seed)
+	log.Info("listening", "addr", server.Addr().String(), "door", cfg.Instance.Number, "of", cfg.Instance.Total, "seed", s.Seed)
 	return server.Serve(ctx)
 }
 
@@ -172,23 +172,23 @@
 			f()
 		}
 	}
-	if addr := cfg.Keeper.Address; addr != "" {
-		k, err := sockets.StartKeeper(addr)
+	if addr := cfg.Counter.Address; addr != "" {
+		k, err := server.StartCounter(addr)
 		if errors.Is(err, syscall.EADDRINUSE) {
-			k, err = sockets.StartKeeper(any)
+			k, err = server.StartCounter(any)
 		}
 		if err != nil {
 			return nil, nil, fmt.Errorf("stand-in keeper: %w", err)
 		}
 		stops = append(stops, k.Close)
-		cfg.Keeper.Address = k.Addr()
+		cfg.Counter.Address = k.Addr()
 		log.Info("stand-in keeper", "addr", k.Addr())
 	}
-	for i, b := range cfg.Boxes {
-		like := standin.BoxConfig{Name: b.Name, Work: work, Spread: 1, Seed: uint64(i)}
-		box, err := sockets.StartBox(b.Address, like, nil)
+	for i, b := range cfg.Endpoints {
+		like := emulator.BackendConfig{Name: b.Name, Work: work, Spread: 1, Seed: uint64(i)}
+		box, err := server.StartBackend(b.Address, like, nil)
 		if errors.Is(err, syscall.EADDRINUSE) {
-			box, err = sockets.StartBox(any, like, nil)
+			box, err = server.StartBackend(any, like, nil)
 		}
 		if err != nil {
 			stop()
--- a/internal/cli/hunt.go
+++ b/internal/cli/hunt.go
@@ -13,7 +13,7 @@
 	"text/tabwriter"
 	"time"
 
-	"sandyard/internal/virtual"
+	"sandyard/internal/simulation"
 )
 
 type simHunt struct {
@@ -30,16 +30,16 @@
 
 // hunted is the outcome of a hunt.
 type hunted struct {
-	Runs     int           `json:"runs"`
-	Seconds  float64       `json:"seconds"`
-	Nearness float64       `json:"nearness"` // share of the limit
-	Find     *virtual.Find `json:"find,omitempty"`
-	Script   string        `json:"script"`
+	Runs     int              `json:"runs"`
+	Seconds  float64          `json:"seconds"`
+	Nearness float64          `json:"nearness"` // share of the limit
+	Find     *simulation.Find `json:"find,omitempty"`
+	Script   string           `json:"script"`
 }
 
 // rule finds a rule by its name or a part of it.
 func (r simHunt) rule() (int, error) {
-	names := virtual.RuleNames()
+	names := simulation.RuleNames()
 	var fit []int
 	for i, n := range names {
 		if n == r.Rule {
@@ -70,7 +70,7 @@
 	debug.SetGCPercent(400)
 	begun, runs := time.Now(), 0
 	long := time.Duration(r.Minutes * float64(time.Minute))
-	h := virtual.Hunt{Rule: rule, Profile: r.profile(), Options: opt, Workers: r.Workers, Seed: r.Seed,
+	h := simulation.Hunt{Rule: rule, Profile: r.profile(), Options: opt, Workers: r.Workers, Seed: r.Seed,
 		Until: func() bool {
 			if r.Runs > 0 && runs >= r.Runs || time.Since(begun) >= long {
 				return true
@@ -78,9 +78,9 @@
 			runs++
 			return false
 		},
-		Better: func(s *virtual.Script, o virtual.Outcome, n int) {
+		Better: func(s *simulation.Script, o simulation.Outcome, n int) {
 			fmt.Fprintf(c.Errs, "run %d, %v: %.3f of the limit; %d troubles, %d doors, %d boxes, %g a second\n", n, time.Since(begun).Round(time.Second),
-				o.Nearness(rule), len(s.Events), s.Doors, s.Boxes.Count, s.Rate)
+				o.Nearness(rule), len(s.Events), s.Instances, s.Backends.Count, s.Rate)
 		}}
 	best, o, n, err := h.Run()
 	if err != nil {
@@ -93,22 +93,22 @@
 		out := hunted{Runs: n, Seconds: time.Since(begun).Seconds(), Nearness: o.Nearness(rule), Script: best.Text()}
 		if len(o.Findings) > 0 {
 			f := o.Findings[0]
-			out.Find = &virtual.Find{Seed: best.Seed, Rule: f.Rule, At: f.At, What: f.What}
+			out.Find = &simulation.Find{Seed: best.Seed, Rule: f.Rule, At: f.At, What: f.What}
 		}
 		return json.NewEncoder(c.Out).Encode(out)
 	}
-	fmt.Fprintf(c.Out, "%d runs in %v; nearest to breaking \"%s\": %.3f of the limit, %s\n", n, time.Since(begun).Round(time.Second), virtual.RuleNames()[rule],
+	fmt.Fprintf(c.Out, "%d runs in %v; nearest to breaking \"%s\": %.3f of the limit, %s\n", n, time.Since(begun).Round(time.Second), simulation.RuleNames()[rule],
 		o.Nearness(rule), o.Verdict.Rules[rule].Of)
-	what, holds := fmt.Sprintf("Comes to %.3f of the limit of \"%s\".", o.Nearness(rule), virtual.RuleNames()[rule]), func(x virtual.Outcome) bool {
+	what, holds := fmt.Sprintf("Comes to %.3f of the limit of \"%s\".", o.Nearness(rule), simulation.RuleNames()[rule]), func(x simulation.Outcome) bool {
 		return len(x.Findings) == 0 && x.Nearness(rule) >= near*o.Nearness(rule)
 	}
 	if len(o.Findings) > 0 {
 		f := o.Findings[0]
-		what, holds = fmt.Sprintf("Breaks \"%s\": %s", f.Rule, f.What), virtual.Breaks(f.Rule)
+		what, holds = fmt.Sprintf("Breaks \"%s\": %s", f.Rule, f.What), simulation.Breaks(f.Rule)
 		fmt.Fprintln(c.Out, what)
 	}
 	if r.Shrink > 0 {
-		best = virtual.Shrink(best, opt, holds, r.Shrink, nil)
+		best = simulation.Shrink(best, opt, holds, r.Shrink, nil)
 	}
 	text := "# " + what + "\n" + best.Text()
 	if r.To != "" {
@@ -127,10 +127,10 @@
 const near = 0.9 // of its nearness that a script keeps when it is made smaller
 
 // printNearness shows for each rule how many runs came how near to its limit.
-func printNearness(out io.Writer, o virtual.Swept) {
+func printNearness(out io.Writer, o simulation.Swept) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "\nshare of the limit\t")
-	names := virtual.RuleNames()
+	names := simulation.RuleNames()
 	for _, n := range names {
 		fmt.Fprintf(w, "%s\t", n)
 	}
--- a/internal/cli/mutants.go
+++ b/internal/cli/mutants.go
@@ -16,8 +16,8 @@
 	"text/tabwriter"
 	"time"
 
-	"sandyard/internal/mutants"
-	"sandyard/internal/virtual"
+	"sandyard/internal/mutation"
+	"sandyard/internal/simulation"
 )
 
 type simMutants struct {
@@ -37,32 +37,32 @@
 
 // searched is what became of one mistake.
 type searched struct {
-	Name    string         `json:"name"`
-	Guards  string         `json:"guards"`
-	Rule    string         `json:"rule"`
-	Because string         `json:"because,omitempty"`
-	Found   []virtual.Find `json:"found"`   // one for each start that found it
-	Seeds   []uint64       `json:"seeds"`   // that it took, bred scripts included, by start; what was spent where nothing was found
-	Bred    int            `json:"bred"`    // searches that found it by breeding only
-	Seconds []float64      `json:"seconds"` // of one core
-	Worth   float64        `json:"worth,omitempty"`
-	WorthU  float64        `json:"worth_noise,omitempty"`
-	Calls   float64        `json:"calls,omitempty"`
-	CallsU  float64        `json:"calls_noise,omitempty"`
-	Failure string         `json:"failure,omitempty"`
+	Name    string            `json:"name"`
+	Guards  string            `json:"guards"`
+	Rule    string            `json:"rule"`
+	Because string            `json:"because,omitempty"`
+	Found   []simulation.Find `json:"found"`   // one for each start that found it
+	Seeds   []uint64          `json:"seeds"`   // that it took, bred scripts included, by start; what was spent where nothing was found
+	Bred    int               `json:"bred"`    // searches that found it by breeding only
+	Seconds []float64         `json:"seconds"` // of one core
+	Worth   float64           `json:"worth,omitempty"`
+	WorthU  float64           `json:"worth_noise,omitempty"`
+	Calls   float64           `json:"calls,omitempty"`
+	CallsU  float64           `json:"calls_noise,omitempty"`
+	Failure string            `json:"failure,omitempty"`
 }
 
 func (r simMutants) Run(c *Console) error {
-	all, err := mutants.List()
+	all, err := mutation.List()
 	if err != nil {
 		return err
 	}
 	for _, name := range r.Only {
-		if !slices.ContainsFunc(all, func(m mutants.Mutant) bool { return m.Name == name }) {
+		if !slices.ContainsFunc(all, func(m mutation.Mutation) bool { return m.Name == name }) {
 			return fmt.Errorf("--only %s: no such mistake; --list names them", name)
 		}
 	}
-	all = slices.DeleteFunc(all, func(m mutants.Mutant) bool {
+	all = slices.DeleteFunc(all, func(m mutation.Mutation) bool {
 		return len(r.Only) > 0 && !slices.Contains(r.Only, m.Name) || r.Scripts && m.Script == "" || r.Days > 0 && m.Day == ""
 	})
 	if r.List {
@@ -90,8 +90,8 @@
 	if r.Days > 0 {
 		return r.playDays(c, dir, whole, all)
 	}
-	var base virtual.Swept
-	if slices.ContainsFunc(all, func(m mutants.Mutant) bool { return m.Rule == mutants.Worth }) {
+	var base simulation.Swept
+	if slices.ContainsFunc(all, func(m mutation.Mutation) bool { return m.Rule == mutation.CostOnly }) {
 		if base, err = r.sweep(whole, r.First, r.Worth, r.Workers, true, ""); err != nil {
 			return err
 		}
@@ -125,7 +125,7 @@
 		if s.Failure != "" {
 			return fmt.Errorf("%s: %s", s.Name, s.Failure)
 		}
-		if s.Rule != mutants.Worth && len(s.Found) == 0 {
+		if s.Rule != mutation.CostOnly && len(s.Found) == 0 {
 			missed = append(missed, s.Name)
 		}
 	}
@@ -150,7 +150,7 @@
 }
 
 // plant builds the simulator with a mistake.
-func (r simMutants) plant(dir string, m mutants.Mutant) (string, error) {
+func (r simMutants) plant(dir string, m mutation.Mutation) (string, error) {
 	overlay, err := m.Overlay(r.Root, dir)
 	if err != nil {
 		return "", err
@@ -160,7 +160,7 @@
 }
 
 // sweep runs a simulator over seeds, each with its own script or all with one.
-func (r simMutants) sweep(program string, first, n uint64, workers int, goOn bool, script string) (virtual.Swept, error) {
+func (r simMutants) sweep(program string, first, n uint64, workers int, goOn bool, script string) (simulation.Swept, error) {
 	args := []string{"run", "--output", "json", "--quiet", "--workers", fmt.Sprint(workers), "--seeds", fmt.Sprintf("%d-%d", first, first+n-1)}
 	if goOn {
 		args = append(args, "--go-on")
@@ -174,9 +174,9 @@
 	err := cmd.Run()
 	var exit *exec.ExitError
 	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == Failure) {
-		return virtual.Swept{}, fmt.Errorf("%w\n%s", err, errs.Bytes())
+		return simulation.Swept{}, fmt.Errorf("%w\n%s", err, errs.Bytes())
 	}
-	var o virtual.Swept
+	var o simulation.Swept
 	if err := json.Unmarshal(text.Bytes(), &o); err != nil {
 		return o, fmt.Errorf("%w\n%s", err, errs.Bytes())
 	}
@@ -197,7 +197,7 @@
 }
 
 // try searches for a mistake, and compares what it costs if no rule sees it.
-func (r simMutants) try(dir string, m mutants.Mutant, base virtual.Swept) searched {
+func (r simMutants) try(dir string, m mutation.Mutation, base simulation.Swept) searched {
 	s := searched{Name: m.Name, Guards: m.Guards, Rule: m.Rule, Because: m.Because}
 	program, err := r.plant(dir, m)
 	if err != nil {
@@ -205,7 +205,7 @@
 		return s
 	}
 	defer os.Remove(program)
-	if m.Rule == mutants.Worth {
+	if m.Rule == mutation.CostOnly {
 		o, err := r.sweep(program, r.First, r.Worth, 1, true, "")
 		if err != nil {
 			s.Failure = err.Error()
@@ -228,7 +228,7 @@
 		runs, took := o.Seeds, o.Took.Seconds()
 		if len(o.Finds) > 0 {
 			s.Found = append(s.Found, o.Finds[0])
-		} else if r.Breed > 0 && slices.Contains(virtual.RuleNames(), m.Rule) {
+		} else if r.Breed > 0 && slices.Contains(simulation.RuleNames(), m.Rule) {
 			h, err := r.hunt(program, m.Rule, first)
 			if err != nil {
 				s.Failure = err.Error()
@@ -245,13 +245,13 @@
 }
 
 // compare takes over what a mistake costs on the same days.
-func (s *searched) compare(whole, without virtual.Swept) {
+func (s *searched) compare(whole, without simulation.Swept) {
 	n := len(whole.Worth)
 	calls := [2][]float64{make([]float64, n), make([]float64, n)}
 	sum, asked := 0.0, 0.0
 	for i := range n {
-		calls[0][i], calls[1][i] = float64(whole.Calls[i]), float64(without.Calls[i])
-		sum, asked = sum+whole.Worth[i], asked+float64(whole.Calls[i])
+		calls[0][i], calls[1][i] = float64(whole.CounterCalls[i]), float64(without.CounterCalls[i])
+		sum, asked = sum+whole.Worth[i], asked+float64(whole.CounterCalls[i])
 	}
 	mean, units := noise(whole.Worth, without.Worth)
 	s.Worth, s.WorthU = mean*float64(n)/max(1, sum), units
@@ -264,7 +264,7 @@
 	switch {
 	case s.Failure != "":
 		return "failed: " + strings.SplitN(s.Failure, "\n", 2)[0]
-	case s.Rule == mutants.Worth && len(s.Found) == 0:
+	case s.Rule == mutation.CostOnly && len(s.Found) == 0:
 		return fmt.Sprintf("worth %+.2f%% (%+.1f noise), calls %+.1f%% (%+.1f noise)", 100*s.Worth, s.WorthU, 100*s.Calls, s.CallsU)
 	case len(s.Found) == 0:
 		return "not found"
@@ -293,7 +293,7 @@
 		}
 		n := float64(max(1, len(s.Seeds)))
 		fmt.Fprintf(w, "%s\t%s\t%d of %d\t%d\t%s\t%.0f\t%d\t%.0f\n", s.Name, s.Guards, len(s.Found), len(s.Seeds), s.Bred, s.verdict(), float64(sum)/n, worst, took/n)
-		if s.Rule != mutants.Worth {
+		if s.Rule != mutation.CostOnly {
 			visible++
 			if len(s.Found) > 0 {
 				seen++
@@ -309,7 +309,7 @@
 
 // playDays holds each day on which a defence matters to that: without it less worth is served, or the keeper is asked
 // more, beyond chance, and the day breaks no rule with it.
-func (r simMutants) playDays(c *Console, dir, whole string, all []mutants.Mutant) error {
+func (r simMutants) playDays(c *Console, dir, whole string, all []mutation.Mutation) error {
 	if r.Days < 2 {
 		return errors.New("--days 1: chance needs two seeds at least")
 	}
@@ -320,7 +320,7 @@
 			return err
 		}
 		day := filepath.Join(r.Root, "internal", "virtual", "testdata", m.Day)
-		var o [2]virtual.Swept
+		var o [2]simulation.Swept
 		for i, p := range []string{whole, program} {
 			if o[i], err = r.sweep(p, 1, r.Days, r.Workers, true, day); err != nil {
 				return err
@@ -343,11 +343,11 @@
 }
 
 // playScripts holds each script that finds a mistake to that, and to finding nothing without it.
-func (r simMutants) playScripts(c *Console, dir, whole string, all []mutants.Mutant) error {
+func (r simMutants) playScripts(c *Console, dir, whole string, all []mutation.Mutation) error {
 	begun := time.Now()
-	breaks := func(program, script string) (virtual.Outcome, error) {
+	breaks := func(program, script string) (simulation.Outcome, error) {
 		text, err := exec.Command(program, "replay", "--output", "json", script).Output()
-		var o virtual.Outcome
+		var o simulation.Outcome
 		var exit *exec.ExitError
 		if err != nil && !errors.As(err, &exit) {
 			return o, err
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -12,7 +12,7 @@
 	"syscall"
 
 	"sandyard/internal/platform"
-	"sandyard/internal/sockets"
+	"sandyard/internal/server"
 )
 
 const heapShare = 0.7 // of the memory limit, for the collector; stacks, code and the kernel's part come besides
@@ -38,7 +38,7 @@
 		debug.SetMemoryLimit(int64(heapShare * float64(n.Limits.MemoryMB<<20)))
 	}
 	log := slog.New(slog.NewTextHandler(c.Errs, nil))
-	server, err := sockets.Listen(n.Config, n.Listen, sockets.Options{Log: log, Seed: n.Seed, Dialect: n, Discovery: n.Discovery, Seq: n.Known.Seq})
+	server, err := server.Listen(n.Config, n.Listen, server.Options{Log: log, Seed: n.Seed, Protocol: n, Discovery: n.Discovery, Seq: n.Known.Seq})
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 			if m, err := k.read(); err != nil {
 				log.Error("reload: the last configuration stays in force", "error", err)
 			} else {
-				counter := m.Config.Keeper.Address // none where the settings allow none
+				counter := m.Config.Counter.Address // none where the settings allow none
 				log.Info("reload", "discovery", m.Discovery, "counter", counter)
 				server.Move(m.Discovery, counter)
 			}
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n, err := platform.Read(text)
+	n, err := platform.ParseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", k.Config, err)
 	}
--- a/internal/cli/quota.go
+++ b/internal/cli/quota.go
@@ -11,11 +11,11 @@
 	"text/tabwriter"
 	"time"
 
-	"sandyard/choice"
-	"sandyard/identity"
+	"sandyard/coreid"
+	"sandyard/decision"
 	"sandyard/internal/http1"
 	"sandyard/internal/resp"
-	"sandyard/internal/sockets"
+	"sandyard/internal/server"
 	"sandyard/quota"
 	"sandyard/trace"
 )
@@ -62,7 +62,7 @@
 		case http1.HeadEnd:
 			head = part.Head
 			core, _ := head.Get("Sandyard-Core")
-			if err := identity.Check(core, "the running front door"); err != nil {
+			if err := coreid.Check(core, "the running front door"); err != nil {
 				return err
 			}
 		case http1.Data:
@@ -105,29 +105,29 @@
 		return json.NewEncoder(c.Out).Encode(v)
 	}
 	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "studio\t%q\n", v.Studio)
+	fmt.Fprintf(w, "studio\t%q\n", v.Customer)
 	fmt.Fprintf(w, "plan\t%g units a second, %g at once\n", v.Rate, v.Burst)
 	if !v.Known {
 		fmt.Fprintf(w, "seen here\tnot lately\n")
 		return w.Flush()
 	}
 	fmt.Fprintf(w, "shared by\t%g front doors\n", v.Spread)
-	fmt.Fprintf(w, "split left here\t%.2f units\n", v.Level)
+	fmt.Fprintf(w, "split left here\t%.2f units\n", v.SplitTokens)
 	if v.CeilingRate > 0 {
-		fmt.Fprintf(w, "ceiling left here\t%.2f units\n", v.Ceiling)
+		fmt.Fprintf(w, "ceiling left here\t%.2f units\n", v.SplitCeilingTokens)
 	}
-	fmt.Fprintf(w, "asked for here lately\t%.2f units\n", v.AskedHere)
-	fmt.Fprintf(w, "attempts out\t%d\n", v.Open)
+	fmt.Fprintf(w, "asked for here lately\t%.2f units\n", v.RecentDemand)
+	fmt.Fprintf(w, "attempts out\t%d\n", v.InFlight)
 	switch {
-	case !v.AsksKeeper:
+	case !v.UsesCounter:
 		fmt.Fprintf(w, "keeper\tnot asked: this front door alone serves it, or there is no keeper\n")
-	case v.HeardAgo < 0:
+	case v.CounterTotalAge < 0:
 		fmt.Fprintf(w, "keeper\thas told nothing yet\n")
 	default:
-		fmt.Fprintf(w, "keeper\ttold a recent use of %.2f units over all front doors, %.3f s ago\n", v.Total, v.HeardAgo)
+		fmt.Fprintf(w, "keeper\ttold a recent use of %.2f units over all front doors, %.3f s ago\n", v.CounterTotal, v.CounterTotalAge)
 	}
-	if v.BeyondFor > 0 {
-		fmt.Fprintf(w, "beyond its quota\tfor another %.3f s at least\n", v.BeyondFor)
+	if v.OverQuotaFor > 0 {
+		fmt.Fprintf(w, "beyond its quota\tfor another %.3f s at least\n", v.OverQuotaFor)
 	}
 	return w.Flush()
 }
@@ -137,10 +137,10 @@
 	var r *trace.Replay
 	var head trace.Head
 	var first, last time.Duration
-	begun, plan := false, choice.PlanID(-1)
+	begun, plan := false, decision.PlanID(-1)
 	stop := errors.New("far enough")
 	err := traceFiles{q.Trace}.each(c, func(h trace.Head) error {
-		if err := identity.Check(h.Core, "the trace"); err != nil {
+		if err := coreid.Check(h.Core, "the trace"); err != nil {
 			return err
 		}
 		var err error
@@ -172,7 +172,7 @@
 		fmt.Fprintf(c.Errs, "%d steps are missing from the trace: the figures may be off\n", r.Dropped)
 	}
 	st, known := r.Gateway().Customer(q.Studio)
-	return quota.Look(head.Settings, plan, q.Studio, st, known, last), nil
+	return quota.Inspect(head.Settings, plan, q.Studio, st, known, last), nil
 }
 
 type quotaWould struct {
@@ -213,7 +213,7 @@
 }
 
 func (q quotaTotal) Run(c *Console) error {
-	var n sockets.Counted
+	var n server.CounterEntry
 	if err := ask(q.Socket, "/v1/counted?name="+url.QueryEscape(q.Studio), &n); err != nil {
 		return err
 	}
@@ -221,17 +221,17 @@
 		return fmt.Errorf("the front door has not seen %q lately, or shares it with no other: the keeper holds nothing of it", q.Studio)
 	}
 	if q.Keeper != "" {
-		n.Keeper = q.Keeper
+		n.CounterAddr = q.Keeper
 	}
-	v := totalView{Studio: q.Studio, Name: n.Name, Keeper: n.Keeper, Lives: -1}
-	got, err := askKeeper(n.Keeper, []string{"GET", n.Name}, []string{"PTTL", n.Name})
+	v := totalView{Studio: q.Studio, Name: n.Name, Keeper: n.CounterAddr, Lives: -1}
+	got, err := askKeeper(n.CounterAddr, []string{"GET", n.Name}, []string{"PTTL", n.Name})
 	if err != nil {
-		return fmt.Errorf("keeper %s: %w", n.Keeper, err)
+		return fmt.Errorf("keeper %s: %w", n.CounterAddr, err)
 	}
 	if got[0].Type != resp.Null {
 		x, ok := got[0].Float()
 		if !ok || !(n.Weight > 0) {
-			return fmt.Errorf("keeper %s holds %.40q under %s, which is no total", n.Keeper, got[0].Str, n.Name)
+			return fmt.Errorf("keeper %s holds %.40q under %s, which is no total", n.CounterAddr, got[0].Str, n.Name)
 		}
 		v.Held, v.Units = true, x/n.Weight
 	}
--- a/internal/cli/quota_test.go
+++ b/internal/cli/quota_test.go
@@ -8,13 +8,13 @@
 	"strings"
 	"testing"
 
-	"sandyard/identity"
-	"sandyard/internal/sockets"
+	"sandyard/coreid"
+	"sandyard/internal/server"
 )
 
 // TestQuotaTotal: the name and its weight come from the front door, the total from the keeper; what is neither says so.
 func TestQuotaTotal(t *testing.T) {
-	k, err := sockets.StartKeeper("127.0.0.1:0")
+	k, err := server.StartCounter("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 			}
 			body := <-answers
 			c.Read(make([]byte, 4096))
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nSandyard-Core: %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", identity.Core(), len(body), body)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nSandyard-Core: %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", coreid.Core(), len(body), body)
 			c.Close()
 		}
 	}()
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 
 	"sandyard/config"
-	"sandyard/door"
+	"sandyard/proxy"
 	"sandyard/routes"
 	"sandyard/trace"
 )
@@ -38,12 +38,12 @@
 }
 
 // match asks the running front door, or the front door's own code with the configuration's files.
-func (m routesMatch) match(cfg *config.Config, method, target, studio string) (door.Matched, error) {
-	l := door.Look{Method: method, Target: target, Fields: m.Header, Key: m.Key, Studio: studio}
+func (m routesMatch) match(cfg *config.Config, method, target, studio string) (proxy.InspectionResult, error) {
+	l := proxy.Inspection{Method: method, Target: target, Fields: m.Header, Key: m.Key, Customer: studio}
 	if cfg != nil {
-		return l.On(cfg), nil
+		return l.Run(cfg), nil
 	}
-	var out door.Matched
+	var out proxy.InspectionResult
 	return out, ask(m.Socket, "/v1/match?"+l.Query(), &out)
 }
 
@@ -57,7 +57,7 @@
 	}
 	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
 	enc := json.NewEncoder(c.Out)
-	print := func(x door.Matched, err error) error {
+	print := func(x proxy.InspectionResult, err error) error {
 		if err != nil {
 			return err
 		}
@@ -66,9 +66,9 @@
 		}
 		status := "decided"
 		if x.Status != 0 {
-			status = fmt.Sprintf("%d %s", x.Status, x.Why)
+			status = fmt.Sprintf("%d %s", x.Status, x.Reason)
 		}
-		_, err = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%g\t%q\t%s\t%s\n", x.Method, x.Target, x.Operation, x.Class, x.Repeat, x.Units, x.Studio, x.Plan, status)
+		_, err = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%g\t%q\t%s\t%s\n", x.Method, x.Target, x.Operation, x.Class, x.Idempotency, x.Units, x.Customer, x.Plan, status)
 		return err
 	}
 	if !m.json() {
@@ -178,7 +178,7 @@
 	for _, op := range tables[0].Operations {
 		if now[key(op)] == nil {
 			tell("gone", key(op), "line %d", op.Line)
-			if hit, v := tables[1].Look(op.Method, strings.NewReplacer("{", "", "}", "").Replace(op.Template)); v == routes.Found {
+			if hit, v := tables[1].Match(op.Method, strings.NewReplacer("{", "", "}", "").Replace(op.Template)); v == routes.Found {
 				tell("shadowed", key(op), "its requests become %s (line %d)", key(hit), hit.Line)
 			}
 		}
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"sandyard/config"
-	"sandyard/internal/virtual"
+	"sandyard/internal/simulation"
 )
 
 // Sim runs the sandyard-sim program.
@@ -41,14 +41,14 @@
 	Shapes  float64 `default:"0.5" help:"Share of the drawn days that come in a whole shape."`
 }
 
-func (c simCommon) profile() virtual.Profile {
-	p := virtual.Usual()
-	p.Seconds, p.Rate, p.MostDoors, p.Config, p.Shapes = c.Seconds, c.Rate, c.Doors, c.Config, c.Shapes
+func (c simCommon) profile() simulation.Profile {
+	p := simulation.Usual()
+	p.Seconds, p.Rate, p.MaxInstances, p.Config, p.ScenarioShare = c.Seconds, c.Rate, c.Doors, c.Config, c.Shapes
 	return p
 }
 
-func (c simCommon) options() (virtual.Options, error) {
-	var opt virtual.Options
+func (c simCommon) options() (simulation.Options, error) {
+	var opt simulation.Options
 	if c.Config != "" {
 		cfg, err := config.Load(c.Config)
 		if err != nil {
@@ -60,18 +60,18 @@
 }
 
 // script is a seed's, or a file's.
-func (c simCommon) script(what string) (*virtual.Script, virtual.Options, error) {
+func (c simCommon) script(what string) (*simulation.Script, simulation.Options, error) {
 	if seed, err := strconv.ParseUint(what, 10, 53); err == nil {
 		opt, err := c.options()
-		return virtual.Generate(seed, c.profile()), opt, err
+		return simulation.Generate(seed, c.profile()), opt, err
 	}
 	text, err := os.ReadFile(what)
 	if err != nil {
-		return nil, virtual.Options{}, err
+		return nil, simulation.Options{}, err
 	}
-	s, err := virtual.ReadScript(what, text)
+	s, err := simulation.ReadScript(what, text)
 	if err != nil {
-		return nil, virtual.Options{}, err
+		return nil, simulation.Options{}, err
 	}
 	if s.Config != "" && c.Config == "" {
 		c.Config = s.Config
@@ -81,12 +81,12 @@
 }
 
 // play runs a seed's script, or a file's.
-func (c simCommon) play(what string) (*virtual.Script, virtual.Options, virtual.Outcome, error) {
+func (c simCommon) play(what string) (*simulation.Script, simulation.Options, simulation.Outcome, error) {
 	s, opt, err := c.script(what)
 	if err != nil {
-		return nil, opt, virtual.Outcome{}, err
+		return nil, opt, simulation.Outcome{}, err
 	}
-	o, err := virtual.Run(s, opt)
+	o, err := simulation.Run(s, opt)
 	return s, opt, o, err
 }
 
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	var script *virtual.Script
+	var script *simulation.Script
 	if r.Script != "" {
 		if script, opt, err = r.script(r.Script); err != nil {
 			return err
@@ -127,9 +127,9 @@
 	}
 	debug.SetGCPercent(400) // runs are short and their garbage is all they leave
 	begun, total, broken := time.Now(), last-first+1, 0
-	w := virtual.Sweep{First: first, Last: last, Profile: r.profile(), Script: script, Options: opt, Workers: r.Workers, GoOn: r.GoOn}
+	w := simulation.Sweep{First: first, Last: last, Profile: r.profile(), Script: script, Options: opt, Workers: r.Workers, GoOn: r.GoOn}
 	if !r.json() {
-		w.Found = func(f virtual.Find) {
+		w.Found = func(f simulation.Find) {
 			broken++
 			fmt.Fprintf(c.Out, "seed %d: %s, at %v: %s\n  again: %s\n", f.Seed, f.Rule, f.At, f.What, r.again(f.Seed))
 		}
@@ -154,7 +154,7 @@
 	} else {
 		took := o.Took.Seconds()
 		fmt.Fprintf(c.Out, "%d seeds, %d broken; %d workers, %.1f s: %.0f virtual seconds, %.0f requests and %.0f events a second\n", o.Seeds, o.Broken,
-			r.Workers, took, o.Virtual.Seconds()/took, float64(o.Tries)/took, float64(o.Events)/took)
+			r.Workers, took, o.Virtual.Seconds()/took, float64(o.Requests)/took, float64(o.Events)/took)
 		if r.Coverage {
 			printCoverage(c.Out, o)
 		}
@@ -188,7 +188,7 @@
 }
 
 // printCoverage tells what a search reached, and what it did not.
-func printCoverage(out io.Writer, o virtual.Swept) {
+func printCoverage(out io.Writer, o simulation.Swept) {
 	reached, pairs := o.Reached, o.Pairs
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nreached\ttimes")
@@ -196,8 +196,8 @@
 		fmt.Fprintf(w, "%s\t%d\n", k, reached[k])
 	}
 	fmt.Fprintln(w, "\nshape\tdays")
-	for _, k := range slices.Sorted(maps.Keys(o.Shapes)) {
-		fmt.Fprintf(w, "%s\t%d\n", k, o.Shapes[k])
+	for _, k := range slices.Sorted(maps.Keys(o.Scenarios)) {
+		fmt.Fprintf(w, "%s\t%d\n", k, o.Scenarios[k])
 	}
 	fmt.Fprintln(w, "\nlet pass by a check\ttimes")
 	for _, k := range slices.Sorted(maps.Keys(o.Excuses)) {
@@ -205,12 +205,12 @@
 	}
 	w.Flush()
 	var missed []string
-	for _, k := range virtual.Reachable() {
+	for _, k := range simulation.Reachable() {
 		if reached[k] == 0 {
 			missed = append(missed, k)
 		}
 	}
-	verbs := virtual.Verbs()
+	verbs := simulation.Verbs()
 	var unpaired []string
 	for i, a := range verbs {
 		for _, b := range verbs[i+1:] {
@@ -252,7 +252,7 @@
 	if r.Log && !r.json() {
 		opt.Log = func(at time.Duration, what string) { fmt.Fprintf(c.Out, "%12.6f  %s\n", at.Seconds(), what) }
 	}
-	o, err := virtual.Run(s, opt)
+	o, err := simulation.Run(s, opt)
 	if err != nil {
 		return err
 	}
@@ -269,7 +269,7 @@
 	return nil
 }
 
-func printOutcome(out io.Writer, o virtual.Outcome) {
+func printOutcome(out io.Writer, o simulation.Outcome) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "rule\tcases\tviolations\tnearest\tof")
 	for _, r := range o.Verdict.Rules {
@@ -283,7 +283,7 @@
 	for _, f := range o.Findings {
 		fmt.Fprintf(out, "%v: %s: %s\n", f.At, f.Rule, f.What)
 	}
-	fmt.Fprintf(out, "digest %016x, %d events, %d tries, %v\n", o.Digest, o.Events, o.Tries, o.Virtual)
+	fmt.Fprintf(out, "digest %016x, %d events, %d tries, %v\n", o.Digest, o.Events, o.Requests, o.Virtual)
 }
 
 type simShrink struct {
@@ -303,12 +303,12 @@
 	}
 	rule := o.Findings[0].Rule
 	n := 0
-	small := virtual.Shrink(s, opt, virtual.Breaks(rule), r.Runs, func(kept bool, s *virtual.Script) {
+	small := simulation.Shrink(s, opt, simulation.Breaks(rule), r.Runs, func(kept bool, s *simulation.Script) {
 		if n++; kept {
-			fmt.Fprintf(c.Errs, "run %d: %d troubles, %d doors, %d boxes, %g s, %g a second\n", n, len(s.Events), s.Doors, s.Boxes.Count, s.Seconds, s.Rate)
+			fmt.Fprintf(c.Errs, "run %d: %d troubles, %d doors, %d boxes, %g s, %g a second\n", n, len(s.Events), s.Instances, s.Backends.Count, s.Seconds, s.Rate)
 		}
 	})
-	o, err = virtual.Run(small, opt)
+	o, err = simulation.Run(small, opt)
 	if err != nil {
 		return err
 	}
@@ -340,6 +340,6 @@
 }
 
 func (r simGenerate) Run(c *Console) error {
-	_, err := io.WriteString(c.Out, virtual.Generate(r.Seed, r.profile()).Text())
+	_, err := io.WriteString(c.Out, simulation.Generate(r.Seed, r.profile()).Text())
 	return err
 }
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -9,8 +9,8 @@
 	"text/tabwriter"
 	"time"
 
-	"sandyard/choice"
-	"sandyard/identity"
+	"sandyard/coreid"
+	"sandyard/decision"
 	"sandyard/trace"
 )
 
@@ -120,7 +120,7 @@
 		}
 		outcome := string(st.Outcome)
 		if st.Outcome == trace.Refused && len(st.Attempts) == 0 {
-			outcome += map[choice.Why]string{choice.OverQuota: " (quota)", choice.NoRoom: " (no room)"}[st.Why]
+			outcome += map[decision.RejectReason]string{decision.OverQuota: " (quota)", decision.NoCapacity: " (no room)"}[st.Why]
 		}
 		fmt.Fprintf(w, "%d\t%.3fs\t%q\t%s\t%s\t%s\t%g\t%d\t%s\t%.1f\n", st.Request, at.Seconds(), st.Customer, name(head.Plans, int(st.Plan)), class,
 			name(head.Ops, st.Op-1), st.Units, len(st.Attempts), outcome, float64((st.Ended-st.At).Microseconds())/1000)
@@ -172,7 +172,7 @@
 	if err != nil {
 		return head, nil, nil, err
 	}
-	st := s.Find(choice.RequestID(t.Request))
+	st := s.Find(decision.RequestID(t.Request))
 	if st == nil {
 		return head, nil, nil, fmt.Errorf("the trace has no request %d", t.Request)
 	}
@@ -244,7 +244,7 @@
 	next := 0
 	begun := time.Now()
 	err := t.each(c, func(h trace.Head) error {
-		if err := identity.Check(h.Core, "the trace"); err != nil {
+		if err := coreid.Check(h.Core, "the trace"); err != nil {
 			return err
 		}
 		if r == nil {
@@ -324,7 +324,7 @@
 		v := recorded{File: name}
 		var first, last time.Duration
 		cut, err := eachOf(name, func(h trace.Head) error {
-			v.Door, v.Part, v.Core, v.SameCore, v.Config, v.Share = h.Door, h.Part, h.Core, h.Core == identity.Core(), h.Config, h.Share
+			v.Door, v.Part, v.Core, v.SameCore, v.Config, v.Share = h.Instance, h.Part, h.Core, h.Core == coreid.Core(), h.Config, h.Share
 			v.Plans, v.Operations, v.From = h.Plans, h.Ops, time.Unix(0, h.Origin).Add(h.Began).UTC()
 			return nil
 		}, func(_ trace.Head, it trace.Item) error {
@@ -336,7 +336,7 @@
 				v.Dropped += it.Dropped
 				return nil
 			}
-			if it.Box != nil {
+			if it.Backend != nil {
 				return nil
 			}
 			if v.Steps++; v.Steps == 1 {
@@ -363,7 +363,7 @@
 		}
 		core, whole := v.Core, "yes"
 		if !v.SameCore {
-			core += " (this program's is " + identity.Core() + ")"
+			core += " (this program's is " + coreid.Core() + ")"
 		}
 		if cut > 0 {
 			whole = fmt.Sprintf("cut at %d", cut)
--- a/internal/diag/diag.go
+++ b/internal/diagnostic/diagnostic.go
@@ -1,5 +1,5 @@
-// Package diag holds what is wrong with files that people write: all of it at once, each with its place.
-package diag
+// Package diagnostic holds what is wrong with files that people write: all of it at once, each with its place.
+package diagnostic
 
 import (
 	"cmp"
--- a/internal/drill/caller.go
+++ b/internal/drill/caller.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"sandyard/audit"
 	"sandyard/internal/http1"
+	"sandyard/invariant"
 )
 
 // caller is a client's side of connections to one front door: small, so that what a try's end was is known for sure.
@@ -70,10 +70,10 @@
 }
 
 // call sends one request and says how it ended.
-func (c *caller) call(request []byte, method string, deadline time.Time) (e audit.Ending, status, answers int) {
+func (c *caller) call(request []byte, method string, deadline time.Time) (e invariant.Ending, status, answers int) {
 	cn, err := c.get(deadline)
 	if err != nil {
-		return audit.NoDoor, 0, 0
+		return invariant.NotAccepted, 0, 0
 	}
 	cn.SetDeadline(deadline)
 	if _, err := cn.Write(request); err != nil {
@@ -88,17 +88,17 @@
 		n, err := cn.Read(b)
 		if err != nil {
 			cn.Close()
-			if e := lost(err); e != audit.Cut || head == nil {
+			if e := lost(err); e != invariant.ConnectionBroken || head == nil {
 				return e, 0, 0
 			}
-			return audit.Failed, head.Status, 1 // an answer that flowed and broke off: its client knows that it failed
+			return invariant.Failed, head.Status, 1 // an answer that flowed and broke off: its client knows that it failed
 		}
 		for in := b[:n]; ; {
 			used, part, err := cn.rd.Feed(in)
 			in = in[used:]
 			if err != nil {
 				cn.Close()
-				return audit.Cut, 0, 0
+				return invariant.ConnectionBroken, 0, 0
 			}
 			if part.Kind == http1.More {
 				break
@@ -125,20 +125,20 @@
 	}
 }
 
-func lost(err error) audit.Ending {
+func lost(err error) invariant.Ending {
 	var ne net.Error
 	if errors.As(err, &ne) && ne.Timeout() {
-		return audit.GaveUp
+		return invariant.ClientTimedOut
 	}
-	return audit.Cut
+	return invariant.ConnectionBroken
 }
 
-func ending(h *http1.Head, body []byte) audit.Ending {
+func ending(h *http1.Head, body []byte) invariant.Ending {
 	switch {
 	case h.Status < 400:
-		return audit.Served
+		return invariant.Served
 	case strings.Contains(string(body), `"retry":"harmless"`):
-		return audit.Refused
+		return invariant.Rejected
 	}
-	return audit.Failed
+	return invariant.Failed
 }
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -18,36 +18,36 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"sandyard/audit"
-	"sandyard/internal/sockets"
-	"sandyard/standin"
-	"sandyard/trouble"
+	"sandyard/emulator"
+	"sandyard/fault"
+	"sandyard/internal/server"
+	"sandyard/invariant"
 )
 
 // Options say what to play. Zero values stand for defaults.
 type Options struct {
-	Seed    uint64
-	Seconds float64         // of traffic; 50
-	Doors   int             // 3
-	Boxes   int             // 8
-	Rate    float64         // requests a second that are asked for on a usual second; 180
-	Events  []trouble.Event // the built-in day if nil
-	Slack   time.Duration   // between where things happen and where they are noted; 150 ms
-	Keep    string          // folder for the processes' logs; a temporary one that is removed, if empty
-	Log     io.Writer
-	// Command says how to run a program: "sandyard" or "sandyard-standin".
+	Seed      uint64
+	Seconds   float64       // of traffic; 50
+	Instances int           // 3
+	Backends  int           // 8
+	Rate      float64       // requests a second that are asked for on a usual second; 180
+	Events    []fault.Event // the built-in day if nil
+	Slack     time.Duration // between where things happen and where they are noted; 150 ms
+	Keep      string        // folder for the processes' logs; a temporary one that is removed, if empty
+	Log       io.Writer
+	// Command says how to run a program: "sandyard" or "sandyard-emulator".
 	Command func(program string) (exe string, args []string)
 }
 
 // Report is the outcome of a drill.
 type Report struct {
-	audit.Verdict
+	invariant.Verdict
 	Seed       uint64   `json:"seed"`
 	Seconds    float64  `json:"seconds"`
-	Tries      int      `json:"tries"`
-	WorthShare float64  `json:"worth_served_in_time"` // of the worth asked for
+	Requests   int      `json:"tries"`
+	ValueShare float64  `json:"worth_served_in_time"` // of the worth asked for
 	Exits      []string `json:"bad_exits"`            // processes that did not end as they should
-	Troubles   int      `json:"troubles"`
+	Faults     int      `json:"troubles"`
 }
 
 // Bad tells that the drill failed.
@@ -84,15 +84,15 @@
 
 type class struct {
 	name, path, method string
-	repeat             audit.Repeat
+	repeat             invariant.Idempotency
 	share, worth       float64
 	aim, deadline      time.Duration
 }
 
 var classes = []class{
-	{"slot-booking", "/v1/bookings", "POST", audit.Safe, 0.6, 1, 600 * time.Millisecond, 2500 * time.Millisecond},
-	{"firing", "/v1/firings", "POST", audit.Keyed, 0.25, 2, time.Second, 3 * time.Second},
-	{"payment", "/v1/payments", "POST", audit.Unsafe, 0.15, 4, time.Second, 3 * time.Second},
+	{"slot-booking", "/v1/bookings", "POST", invariant.Idempotent, 0.6, 1, 600 * time.Millisecond, 2500 * time.Millisecond},
+	{"firing", "/v1/firings", "POST", invariant.IdempotentByKey, 0.25, 2, time.Second, 3 * time.Second},
+	{"payment", "/v1/payments", "POST", invariant.NotIdempotent, 0.15, 4, time.Second, 3 * time.Second},
 }
 
 type studio struct {
@@ -119,7 +119,7 @@
 	start0 time.Time
 
 	mu      sync.Mutex
-	audit   *audit.Auditor
+	audit   *invariant.Auditor
 	surge   float64
 	surges  map[string]float64 // by plan or studio
 	tries   int
@@ -146,30 +146,30 @@
 }
 
 // Day is the bad day's script, fitted to a number of seconds.
-func Day(seconds float64) []trouble.Event {
+func Day(seconds float64) []fault.Event {
 	at := func(share float64) time.Duration { return time.Duration(share * seconds * float64(time.Second)) }
-	return []trouble.Event{
-		{At: at(0.08), For: at(0.08), Verb: trouble.Surge, Target: "*", Value: 1.9},
-		{At: at(0.20), For: at(0.14), Verb: trouble.Surge, Target: "school-0", Value: 6},
-		{At: at(0.20), For: at(0.14), Verb: trouble.Surge, Target: "hobby-1", Value: 10},
-		{At: at(0.30), For: at(0.08), Verb: trouble.Slow, Target: "*", Value: 1.8},
-		{At: at(0.40), For: 2 * time.Second, Verb: trouble.Replace, Target: "box-0"},
-		{At: at(0.42), For: 2 * time.Second, Verb: trouble.Replace, Target: "box-1"},
-		{At: at(0.44), For: 2 * time.Second, Verb: trouble.Replace, Target: "box-2"},
-		{At: at(0.54), For: at(0.06), Verb: trouble.Silent, Target: "keeper"},
-		{At: at(0.60), Verb: trouble.Empty, Target: "keeper"},
-		{At: at(0.60), For: at(0.10), Verb: trouble.Surge, Target: "school-1", Value: 6},
-		{At: at(0.64), For: at(0.08), Verb: trouble.Hang, Target: "box-4"},
-		{At: at(0.70), For: at(0.06), Verb: trouble.Reset, Target: "box-5", Value: 20},
-		{At: at(0.76), For: at(0.05), Verb: trouble.Lose, Target: "box-6"},
-		{At: at(0.80), For: at(0.04), Verb: trouble.Kill, Target: "door-1"},
-		{At: at(0.86), Verb: trouble.Move, Target: "*"},
+	return []fault.Event{
+		{At: at(0.08), For: at(0.08), Verb: fault.Surge, Target: "*", Value: 1.9},
+		{At: at(0.20), For: at(0.14), Verb: fault.Surge, Target: "school-0", Value: 6},
+		{At: at(0.20), For: at(0.14), Verb: fault.Surge, Target: "hobby-1", Value: 10},
+		{At: at(0.30), For: at(0.08), Verb: fault.Slow, Target: "*", Value: 1.8},
+		{At: at(0.40), For: 2 * time.Second, Verb: fault.Replace, Target: "box-0"},
+		{At: at(0.42), For: 2 * time.Second, Verb: fault.Replace, Target: "box-1"},
+		{At: at(0.44), For: 2 * time.Second, Verb: fault.Replace, Target: "box-2"},
+		{At: at(0.54), For: at(0.06), Verb: fault.Silent, Target: "keeper"},
+		{At: at(0.60), Verb: fault.Empty, Target: "keeper"},
+		{At: at(0.60), For: at(0.10), Verb: fault.Surge, Target: "school-1", Value: 6},
+		{At: at(0.64), For: at(0.08), Verb: fault.Hang, Target: "box-4"},
+		{At: at(0.70), For: at(0.06), Verb: fault.Reset, Target: "box-5", Value: 20},
+		{At: at(0.76), For: at(0.05), Verb: fault.Lose, Target: "box-6"},
+		{At: at(0.80), For: at(0.04), Verb: fault.Kill, Target: "door-1"},
+		{At: at(0.86), Verb: fault.Move, Target: "*"},
 	}
 }
 
 // playable are the verbs that mean something on sockets.
-var playable = []trouble.Verb{trouble.Slow, trouble.Hang, trouble.Reset, trouble.Lose, trouble.Fault, trouble.Refuse, trouble.Trail, trouble.Lie,
-	trouble.Stall, trouble.Silent, trouble.Delay, trouble.Empty, trouble.Kill, trouble.Drain, trouble.Replace, trouble.Leave, trouble.Surge, trouble.Move}
+var playable = []fault.Verb{fault.Slow, fault.Hang, fault.Reset, fault.Lose, fault.ServerErrors, fault.Refuse, fault.Trail, fault.FalseReports,
+	fault.Stall, fault.Silent, fault.Delay, fault.Empty, fault.Kill, fault.Drain, fault.Replace, fault.Leave, fault.Surge, fault.Move}
 
 // Run plays a drill.
 func Run(ctx context.Context, opt Options) (Report, error) {
@@ -180,11 +180,11 @@
 	}
 	def(&opt.Seconds, 50)
 	def(&opt.Rate, 180)
-	if opt.Doors == 0 {
-		opt.Doors = 3
+	if opt.Instances == 0 {
+		opt.Instances = 3
 	}
-	if opt.Boxes == 0 {
-		opt.Boxes = 8
+	if opt.Backends == 0 {
+		opt.Backends = 8
 	}
 	if opt.Slack == 0 {
 		opt.Slack = 150 * time.Millisecond
@@ -197,15 +197,15 @@
 			return Report{}, fmt.Errorf("%s: only in virtual time", e.Verb)
 		}
 	}
-	ceilings := map[string]audit.Ceiling{}
+	ceilings := map[string]invariant.Ceiling{}
 	for _, p := range plans {
 		if p.ceilRate > 0 {
-			ceilings[p.name] = audit.Ceiling{Rate: p.ceilRate, Burst: p.ceilBurst, Slack: p.ceilSlack}
+			ceilings[p.name] = invariant.Ceiling{Rate: p.ceilRate, Burst: p.ceilBurst, Slack: p.ceilSlack}
 		}
 	}
 	d := &Drill{opt: opt, dir: opt.Keep, start0: time.Now(), surge: 1, surges: map[string]float64{},
-		audit: audit.New(audit.Limits{DrainGrace: drainGrace, Slack: opt.Slack, KeyTTL: keyTTL, ColdShare: coldShare,
-			ColdTime: coldTime, OverloadFactor: overloadFactor, OverloadTime: overloadTime, Cores: cores, Ceilings: ceilings})}
+		audit: invariant.New(invariant.Limits{DrainGrace: drainGrace, Slack: opt.Slack, KeyTTL: keyTTL, SlowStartShare: coldShare,
+			SlowStartTime: coldTime, OverloadFactor: overloadFactor, OverloadTime: overloadTime, Cores: cores, Ceilings: ceilings})}
 	if d.dir == "" {
 		dir, err := os.MkdirTemp("", "sandyard-drill-")
 		if err != nil {
@@ -235,13 +235,13 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := Report{Verdict: d.audit.Verdict(), Seed: opt.Seed, Seconds: opt.Seconds, Tries: d.tries, Exits: d.exits,
-		Troubles: len(opt.Events)}
+	r := Report{Verdict: d.audit.Verdict(), Seed: opt.Seed, Seconds: opt.Seconds, Requests: d.tries, Exits: d.exits,
+		Faults: len(opt.Events)}
 	asked, served := 0.0, 0.0
 	for _, p := range r.Plans {
 		asked, served = asked+p.WorthAsked, served+p.WorthServed
 	}
-	r.WorthShare = served / max(asked, 1e-9)
+	r.ValueShare = served / max(asked, 1e-9)
 	return r, nil
 }
 
@@ -249,13 +249,13 @@
 func (d *Drill) begin() error {
 	var err error
 	var r ready
-	d.keeper, r, err = d.start("keeper", "sandyard-standin", []string{"keeper"}, true, nil)
+	d.keeper, r, err = d.start("keeper", "sandyard-emulator", []string{"keeper"}, true, nil)
 	if err != nil {
 		return err
 	}
 	d.all = append(d.all, d.keeper)
 	d.control = r.Control
-	for i := range d.opt.Boxes {
+	for i := range d.opt.Backends {
 		if _, err := d.newBox(fmt.Sprintf("box-%d", i), false); err != nil {
 			return err
 		}
@@ -265,13 +265,13 @@
 	}
 	for i, p := range plans {
 		for n := range p.studios {
-			d.studios = append(d.studios, &studio{name: fmt.Sprintf("%s-%d", p.name, n), plan: i, first: n % d.opt.Doors, hot: 1})
+			d.studios = append(d.studios, &studio{name: fmt.Sprintf("%s-%d", p.name, n), plan: i, first: n % d.opt.Instances, hot: 1})
 		}
 	}
 	if err := os.WriteFile(filepath.Join(d.dir, "openapi.yaml"), []byte(description()), 0o600); err != nil {
 		return err
 	}
-	for i := range d.opt.Doors {
+	for i := range d.opt.Instances {
 		if err := os.WriteFile(d.doorConfig(i), []byte(d.gateway(i, r.Addr)), 0o600); err != nil {
 			return err
 		}
@@ -310,7 +310,7 @@
 			"--overload-factor", fmt.Sprint(overloadFactor), "--overload-time", overloadTime.String())
 	}
 	started := time.Now()
-	p, r, err := d.start(name, "sandyard-standin", args, true, d.boxLine)
+	p, r, err := d.start(name, "sandyard-emulator", args, true, d.boxLine)
 	if err != nil {
 		return nil, err
 	}
@@ -319,7 +319,7 @@
 	defer d.mu.Unlock()
 	if isCold {
 		b.started = started
-		d.audit.Started(name, time.Since(d.start0))
+		d.audit.BackendStarted(name, time.Since(d.start0))
 	}
 	d.all = append(d.all, p)
 	d.boxes = append(d.boxes, b)
@@ -328,11 +328,11 @@
 
 func (d *Drill) boxLine(line []byte) {
 	var f struct {
-		At   int64            `json:"at"`
-		Box  string           `json:"box"`
-		Kind standin.FactKind `json:"kind"`
-		ID   string           `json:"id"`
-		Key  string           `json:"key"`
+		At   int64             `json:"at"`
+		Box  string            `json:"box"`
+		Kind emulator.FactKind `json:"kind"`
+		ID   string            `json:"id"`
+		Key  string            `json:"key"`
 	}
 	if json.Unmarshal(line, &f) != nil || f.Kind == "" {
 		return
@@ -341,12 +341,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch f.Kind {
-	case standin.Received:
-		d.audit.Received(audit.Receipt{ID: f.ID, Box: f.Box, At: at})
-	case standin.Ran:
-		d.audit.Ran(audit.Run{ID: f.ID, Key: f.Key, Box: f.Box, At: at})
-	case standin.Fell:
-		d.audit.Fell(f.Box, at)
+	case emulator.Received:
+		d.audit.RequestReceived(invariant.Receipt{ID: f.ID, Backend: f.Box, At: at})
+	case emulator.Executed:
+		d.audit.RequestExecuted(invariant.Execution{ID: f.ID, Key: f.Key, Backend: f.Box, At: at})
+	case emulator.Collapsed:
+		d.audit.BackendCollapsed(f.Box, at)
 	}
 }
 
@@ -386,7 +386,7 @@
 
 func (d *Drill) gateway(i int, keeper string) string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "listen: \"127.0.0.1:0\"\nopenapi: openapi.yaml\ndoor: {number: %d, of: %d}\n", i, d.opt.Doors)
+	fmt.Fprintf(&s, "listen: \"127.0.0.1:0\"\nopenapi: openapi.yaml\ndoor: {number: %d, of: %d}\n", i, d.opt.Instances)
 	s.WriteString("classes:\n")
 	for _, c := range classes {
 		repeat := []string{"safe", "keyed, key-ttl: " + keyTTL.String(), "unsafe"}[c.repeat]
@@ -403,7 +403,7 @@
 	s.WriteString("studios:\n")
 	for _, st := range d.studios {
 		fmt.Fprintf(&s, "  - {name: %s, plan: %s, keys: [key-%s], doors: {first: %d, spread: %d}}\n", st.name, plans[st.plan].name, st.name,
-			st.first, min(2, d.opt.Doors))
+			st.first, min(2, d.opt.Instances))
 	}
 	fmt.Fprintf(&s, "boxes: {file: boxes.yaml, drain-grace: %v, cold: {share: %g, time: %v}, overload: {factor: %d, time: %v}}\n",
 		drainGrace, coldShare, coldTime, overloadFactor, overloadTime)
@@ -500,24 +500,24 @@
 	for try := 0; try <= clientRetries; try++ {
 		id := fmt.Sprintf("%s.%d", op, try)
 		d.mu.Lock()
-		doorN := (s.first + (s.turn+rng.IntN(4)/3)%2) % d.opt.Doors
+		doorN := (s.first + (s.turn+rng.IntN(4)/3)%2) % d.opt.Instances
 		caller := d.callers[doorN]
 		d.tries++
 		asked := d.now()
-		d.audit.Asked(audit.Try{ID: id, Op: op, Studio: s.name, Plan: p.name, Repeat: c.repeat, Units: 1, Work: takes, Door: doorN,
-			Asked: asked, Patience: patience, Worth: c.worth * p.price, Late: lateShare, Aim: c.aim})
+		d.audit.RequestSent(invariant.Request{ID: id, Op: op, Customer: s.name, Plan: p.name, Idempotency: c.repeat, Units: 1, Work: takes, Instance: doorN,
+			SentAt: asked, Timeout: patience, Value: c.worth * p.price, LateShare: lateShare, LatencyObjective: c.aim})
 		d.mu.Unlock()
 		req := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: door\r\nX-Api-Key: key-%s\r\nX-Request-Id: %s\r\nX-Work: %.3f\r\nX-Patience: %d\r\nX-Retry: %d\r\n"+
 			"Idempotency-Key: %s\r\nContent-Length: 2\r\n\r\nok", c.method, c.path, s.name, id, takes.Seconds()*1000, patience.Milliseconds(), try, op)
-		if c.repeat == audit.Unsafe { // a box would discard repeats of a key
+		if c.repeat == invariant.NotIdempotent { // a box would discard repeats of a key
 			req = strings.Replace(req, "Idempotency-Key: "+op+"\r\n", "", 1)
 		}
 		e, _, answers := caller.call([]byte(req), c.method, d.start0.Add(asked+patience))
 		d.mu.Lock()
-		d.audit.Ended(audit.End{ID: id, Ending: e, At: d.now(), Answers: answers})
+		d.audit.RequestEnded(invariant.End{ID: id, Ending: e, At: d.now(), Responses: answers})
 		d.mu.Unlock()
-		again := e == audit.Refused || e == audit.NoDoor || c.repeat != audit.Unsafe && e != audit.Served
-		if !again || c.repeat == audit.Keyed && d.now()-asked > keyTTL/2 {
+		again := e == invariant.Rejected || e == invariant.NotAccepted || c.repeat != invariant.NotIdempotent && e != invariant.Served
+		if !again || c.repeat == invariant.IdempotentByKey && d.now()-asked > keyTTL/2 {
 			return
 		}
 		if !sleep(ctx, time.Duration((0.5+rng.Float64())*float64(100*time.Millisecond<<try))) {
@@ -527,17 +527,17 @@
 }
 
 // trouble plays one event of the script.
-func (d *Drill) trouble(ctx context.Context, e trouble.Event, begun time.Time) error {
+func (d *Drill) trouble(ctx context.Context, e fault.Event, begun time.Time) error {
 	d.say("%s %s %g for %v", e.Verb, e.Target, e.Value, e.For)
 	switch e.Verb {
-	case trouble.Surge:
+	case fault.Surge:
 		d.setSurge(e, true)
 		if e.For > 0 {
 			sleep(ctx, e.For)
 			d.setSurge(e, false)
 		}
 		return nil
-	case trouble.Move:
+	case fault.Move:
 		d.mu.Lock()
 		for _, s := range d.studios {
 			if e.Target == "*" || e.Target == s.name || e.Target == plans[s.plan].name {
@@ -546,9 +546,9 @@
 		}
 		d.mu.Unlock()
 		return nil
-	case trouble.Kill:
+	case fault.Kill:
 		return d.kill(ctx, e)
-	case trouble.Drain, trouble.Replace, trouble.Leave:
+	case fault.Drain, fault.Replace, fault.Leave:
 		return d.drain(ctx, e)
 	}
 	var controls []string
@@ -566,7 +566,7 @@
 		return fmt.Errorf("no such target")
 	}
 	for _, c := range controls {
-		if err := sockets.SetFault(c, fmt.Sprintf("set %s %g", e.Verb, e.Value)); err != nil {
+		if err := server.SetFault(c, fmt.Sprintf("set %s %g", e.Verb, e.Value)); err != nil {
 			return err
 		}
 	}
@@ -576,12 +576,12 @@
 	sleep(ctx, e.For)
 	for _, c := range controls {
 		// a box that has gone meanwhile has taken its fault along
-		_ = sockets.SetFault(c, "clear "+string(e.Verb))
+		_ = server.SetFault(c, "clear "+string(e.Verb))
 	}
 	return nil
 }
 
-func (d *Drill) setSurge(e trouble.Event, on bool) {
+func (d *Drill) setSurge(e fault.Event, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -597,14 +597,14 @@
 }
 
 // kill ends a door, or a box, at once and starts it anew after the event's time.
-func (d *Drill) kill(ctx context.Context, e trouble.Event) error {
+func (d *Drill) kill(ctx context.Context, e fault.Event) error {
 	i, err := strconv.Atoi(strings.TrimPrefix(e.Target, "door-"))
 	if err != nil || i < 0 || i >= len(d.doors) {
 		return fmt.Errorf("expected door-0 to door-%d", len(d.doors)-1)
 	}
 	d.mu.Lock()
 	p, addr := d.doors[i], d.callers[i].addr
-	d.audit.DoorDown(i, d.now())
+	d.audit.InstanceDown(i, d.now())
 	d.mu.Unlock()
 	p.kill()
 	sleep(ctx, e.For)
@@ -612,14 +612,14 @@
 		return err
 	}
 	d.mu.Lock()
-	d.audit.DoorUp(i, d.now())
+	d.audit.InstanceUp(i, d.now())
 	d.mu.Unlock()
 	return nil
 }
 
 // drain lists a box as draining, then as gone, with a cold replacement if asked for; a box that leaves goes without
 // notice.
-func (d *Drill) drain(ctx context.Context, e trouble.Event) error {
+func (d *Drill) drain(ctx context.Context, e fault.Event) error {
 	d.mu.Lock()
 	i := slices.IndexFunc(d.boxes, func(b *box) bool { return b.name == e.Target && b.state == "up" })
 	if i < 0 {
@@ -628,7 +628,7 @@
 	}
 	b := d.boxes[i]
 	b.state = "draining"
-	if e.Verb == trouble.Leave {
+	if e.Verb == fault.Leave {
 		b.state = "gone"
 	}
 	d.mu.Unlock()
@@ -636,12 +636,12 @@
 		return err
 	}
 	d.mu.Lock()
-	d.audit.Unlisted(b.name, d.now())
+	d.audit.EndpointRemoved(b.name, d.now())
 	d.mu.Unlock()
 	if !sleep(ctx, max(e.For, drainGrace)) {
 		return nil
 	}
-	if e.Verb == trouble.Replace {
+	if e.Verb == fault.Replace {
 		d.mu.Lock()
 		d.next++
 		name := fmt.Sprintf("%s-r%d", e.Target, d.next)
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
+	"sandyard/fault"
 	"sandyard/internal/cli"
 	"sandyard/internal/drill"
-	"sandyard/trouble"
 )
 
 // TestMain lets the test's own binary stand for the programs that a drill starts.
@@ -37,13 +37,13 @@
 // slack is generous: a test machine that is busy with other tests must not look like a broken rule.
 const slack = 700 * time.Millisecond
 
-func run(t *testing.T, door string, seconds float64, events ...trouble.Event) drill.Report {
+func run(t *testing.T, door string, seconds float64, events ...fault.Event) drill.Report {
 	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	opt := drill.Options{Seed: 5, Seconds: seconds, Rate: 150, Doors: 2, Boxes: 4, Slack: slack, Command: func(p string) (string, []string) {
+	opt := drill.Options{Seed: 5, Seconds: seconds, Rate: 150, Instances: 2, Backends: 4, Slack: slack, Command: func(p string) (string, []string) {
 		if p == "sandyard" && door != "" {
 			return exe, []string{"--as=broken-" + door}
 		}
@@ -63,11 +63,11 @@
 
 // TestShortDay: a few troubles on real processes, and no rule broken.
 func TestShortDay(t *testing.T) {
-	r := run(t, "", 8, trouble.Event{At: sec, For: 2 * sec, Verb: trouble.Surge, Target: "school-0", Value: 12},
-		trouble.Event{At: sec, For: sec, Verb: trouble.Replace, Target: "box-0"},
-		trouble.Event{At: 3 * sec, For: sec, Verb: trouble.Lose, Target: "box-1"},
-		trouble.Event{At: 4 * sec, For: sec, Verb: trouble.Kill, Target: "door-1"},
-		trouble.Event{At: 5 * sec, For: sec, Verb: trouble.Silent, Target: "keeper"})
+	r := run(t, "", 8, fault.Event{At: sec, For: 2 * sec, Verb: fault.Surge, Target: "school-0", Value: 12},
+		fault.Event{At: sec, For: sec, Verb: fault.Replace, Target: "box-0"},
+		fault.Event{At: 3 * sec, For: sec, Verb: fault.Lose, Target: "box-1"},
+		fault.Event{At: 4 * sec, For: sec, Verb: fault.Kill, Target: "door-1"},
+		fault.Event{At: 5 * sec, For: sec, Verb: fault.Silent, Target: "keeper"})
 	if r.Bad() {
 		b, _ := json.MarshalIndent(r, "", " ")
 		t.Errorf("%s", b)
@@ -76,18 +76,18 @@
 
 // TestBrokenDoorsAreFound: for each rule, a front door that breaks it.
 func TestBrokenDoorsAreFound(t *testing.T) {
-	lose := trouble.Event{At: 0, Verb: trouble.Lose, Target: "*"}
+	lose := fault.Event{At: 0, Verb: fault.Lose, Target: "*"}
 	for _, c := range []struct {
 		door   string
 		rule   int
-		events []trouble.Event
+		events []fault.Event
 	}{
-		{"loses", 0, []trouble.Event{{At: sec, For: sec, Verb: trouble.Surge, Target: "*", Value: 1}}},
-		{"repeats", 1, []trouble.Event{lose}},
-		{"repeats", 0, []trouble.Event{lose}},
-		{"stale", 2, []trouble.Event{{At: 200 * time.Millisecond, For: sec, Verb: trouble.Drain, Target: "box-0"}}},
-		{"stale", 3, []trouble.Event{{At: 200 * time.Millisecond, For: sec, Verb: trouble.Replace, Target: "box-0"}, {At: sec, Verb: trouble.Surge, Target: "*", Value: 3}}},
-		{"stale", 4, []trouble.Event{{At: 0, Verb: trouble.Surge, Target: "school-0", Value: 30}}},
+		{"loses", 0, []fault.Event{{At: sec, For: sec, Verb: fault.Surge, Target: "*", Value: 1}}},
+		{"repeats", 1, []fault.Event{lose}},
+		{"repeats", 0, []fault.Event{lose}},
+		{"stale", 2, []fault.Event{{At: 200 * time.Millisecond, For: sec, Verb: fault.Drain, Target: "box-0"}}},
+		{"stale", 3, []fault.Event{{At: 200 * time.Millisecond, For: sec, Verb: fault.Replace, Target: "box-0"}, {At: sec, Verb: fault.Surge, Target: "*", Value: 3}}},
+		{"stale", 4, []fault.Event{{At: 0, Verb: fault.Surge, Target: "school-0", Value: 30}}},
 	} {
 		t.Run(fmt.Sprintf("%s-%d", c.door, c.rule), func(t *testing.T) {
 			t.Parallel()
--- a/internal/mutants/mutants.go
+++ b/internal/mutation/mutation.go
@@ -1,6 +1,6 @@
-// Package mutants has the mistakes that the simulator is tried against: each takes one defence of the front door or of
+// Package mutation has the mistakes that the simulator is tried against: each takes one defence of the front door or of
 // the decision module away, as a change of the source that a build is told of. Nothing of it is in a normal build.
-package mutants
+package mutation
 
 import (
 	_ "embed"
@@ -11,17 +11,17 @@
 	"slices"
 	"strings"
 
-	"sandyard/internal/strict"
+	"sandyard/internal/strictyaml"
 )
 
 //go:embed list.yaml
 var list []byte
 
-// Worth, as a Mutant's rule, says that no rule can see it: it costs worth served, or calls to the keeper.
-const Worth = "worth"
+// CostOnly as the rule of a Mutation says that no rule can see it: it costs worth served, or calls to the keeper.
+const CostOnly = "worth"
 
-// Mutant is a planted mistake.
-type Mutant struct {
+// Mutation is a planted mistake.
+type Mutation struct {
 	Name    string   `yaml:"name"`
 	Guards  string   `yaml:"guards"`  // what the defence that is taken away guards against
 	Rule    string   `yaml:"rule"`    // that sees it, or Worth
@@ -40,11 +40,11 @@
 }
 
 // List is all mistakes. The error, if any, is a diag.Problems.
-func List() ([]Mutant, error) {
+func List() ([]Mutation, error) {
 	var f struct {
-		Mutants []Mutant `yaml:"mutants"`
+		Mutants []Mutation `yaml:"mutants"`
 	}
-	d := strict.Read("list.yaml", list, &f)
+	d := strictyaml.Read("list.yaml", list, &f)
 	if err := d.Problems.Err(); err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 
 // Texts is what becomes of the files that a mistake changes, below the module's root. A piece that does not stand in its
 // file exactly once is an error: the source has moved on and the list has not.
-func (m Mutant) Texts(root string) (map[string]string, error) {
+func (m Mutation) Texts(root string) (map[string]string, error) {
 	texts := map[string]string{}
 	for _, e := range m.Edits {
 		text, ok := texts[e.File]
@@ -94,7 +94,7 @@
 
 // Overlay writes the changed files into a folder, and the file for go build's -overlay that puts them in the place of
 // the originals, whose path it returns.
-func (m Mutant) Overlay(root, dir string) (string, error) {
+func (m Mutation) Overlay(root, dir string) (string, error) {
 	texts, err := m.Texts(root)
 	if err != nil {
 		return "", err
--- a/internal/mutants/mutants_test.go
+++ b/internal/mutation/mutation_test.go
@@ -1,4 +1,4 @@
-package mutants
+package mutation
 
 import (
 	"go/parser"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"sandyard/internal/virtual"
+	"sandyard/internal/simulation"
 )
 
 // TestListFitsTheSource: every mistake can be planted in the source as it is, and changes it to what parses; its rule is
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rules := append(virtual.RuleNames(), virtual.RuleBack, virtual.RuleCrash, virtual.RuleLeak, virtual.RuleWhose, Worth)
+	rules := append(simulation.RuleNames(), simulation.RuleRecovery, simulation.RuleCrash, simulation.RuleLeak, simulation.RuleOwnResponse, CostOnly)
 	for _, m := range all {
 		texts, err := m.Texts("../..")
 		if err != nil {
@@ -40,11 +40,11 @@
 			if file == "" {
 				continue
 			}
-			if _, err := os.Stat("../virtual/testdata/" + file); err != nil {
+			if _, err := os.Stat("../simulation/testdata/" + file); err != nil {
 				t.Error(err)
 			}
 		}
-		if m.Day != "" && m.Rule != Worth {
+		if m.Day != "" && m.Rule != CostOnly {
 			t.Errorf("%s: a day of worth, though a rule sees it", m.Name)
 		}
 	}
@@ -55,8 +55,8 @@
 
 // A list that the source has left behind is told, not passed over.
 func TestMovedSource(t *testing.T) {
-	m := Mutant{Name: "x", Edits: []Edit{{File: "mutants.go", Old: "no such text, except here", New: ""}}}
-	if _, err := m.Texts("."); err == nil || !strings.Contains(err.Error(), "mutants.go has 0 times") {
+	m := Mutation{Name: "x", Edits: []Edit{{File: "mutation.go", Old: "no such text, except here", New: ""}}}
+	if _, err := m.Texts("."); err == nil || !strings.Contains(err.Error(), "mutation.go has 0 times") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -16,10 +16,10 @@
 	"strings"
 	"time"
 
-	"sandyard/choice"
 	"sandyard/config"
-	"sandyard/internal/strict"
-	"sandyard/internal/wire"
+	"sandyard/decision"
+	"sandyard/internal/simwire"
+	"sandyard/internal/strictyaml"
 	"sandyard/routes"
 )
 
@@ -34,7 +34,7 @@
 	Config    *config.Config
 
 	classes map[string]*routes.Operation
-	plans   map[string]choice.PlanID
+	plans   map[string]decision.PlanID
 	loads   []string // names of the figures of a report, in the order of Settings.LoadFields
 	doors   int      // in the fleet
 }
@@ -59,8 +59,8 @@
 	stopTime      = 600 * time.Millisecond // more than new connections keep coming after SIGTERM
 )
 
-// Read takes a configuration apart.
-func Read(text []byte) (*Node, error) {
+// ParseConfig takes a configuration apart.
+func ParseConfig(text []byte) (*Node, error) {
 	var f struct {
 		Name      string          `json:"name"`
 		Listen    string          `json:"listen"`
@@ -88,7 +88,7 @@
 		return nil, fmt.Errorf("configuration: limits: expected no negative figure")
 	}
 	if len(f.Known) > 0 {
-		if n.Known, err = ReadList(f.Known); err != nil {
+		if n.Known, err = ParseList(f.Known); err != nil {
 			return nil, fmt.Errorf("configuration: known: %w", err)
 		}
 		if len(n.Known.Wrong) > 0 {
@@ -183,7 +183,7 @@
 	for i, p := range pairs {
 		text[i], at[p.path] = p.path+"="+p.value, p.value
 	}
-	set, err := wire.Settings(text)
+	set, err := simwire.Settings(text)
 	if err != nil {
 		return err
 	}
@@ -196,37 +196,35 @@
 		}
 		return absent
 	}
-	n.doors = set.Gateways
+	n.doors = set.Instances
 	cfg := &config.Config{Settings: set}
 	cfg.Trace.Mode, cfg.Log.Level = "off", "info"
 	n.classes = map[string]*routes.Operation{}
 	for i := range set.Classes {
 		name := at["services."+strconv.Itoa(i)+".name"]
 		n.classes[name] = &routes.Operation{ID: name, Class: name, Index: i}
-		cfg.Names = append(cfg.Names, name)
-		cfg.ClassOf = append(cfg.ClassOf, choice.ClassID(i))
+		cfg.ClassNames = append(cfg.ClassNames, name)
+		cfg.ClassByOperation = append(cfg.ClassByOperation, decision.ClassID(i))
 	}
-	n.plans = map[string]choice.PlanID{}
+	n.plans = map[string]decision.PlanID{}
 	for i := range set.Plans {
-		n.plans[at["plans."+strconv.Itoa(i)+".name"]] = choice.PlanID(i)
+		n.plans[at["plans."+strconv.Itoa(i)+".name"]] = decision.PlanID(i)
 	}
 	if len(n.classes) != len(set.Classes) || len(n.plans) != len(set.Plans) {
 		return fmt.Errorf("settings: two classes or two plans of one name")
 	}
-	for _, name := range strings.Split(at["feedback.names"], ",") {
-		n.loads = append(n.loads, name)
-	}
+	n.loads = append(n.loads, strings.Split(at["feedback.names"], ",")...)
 	cfg.Zones = strings.Split(at["localities"], ",")
-	cfg.Door.Number, cfg.Door.Of = set.Self, set.Gateways
-	cfg.RetryAfter.Tell = set.RetryAfter
+	cfg.Instance.Number, cfg.Instance.Total = set.Self, set.Instances
+	cfg.RetryAfter.Enabled = set.RetryAfter
 	if set.Counter {
-		cfg.Keeper.Address = counter
+		cfg.Counter.Address = counter
 	}
-	cfg.Keeper.Timeout, cfg.Keeper.Pending = strict.Duration(set.CounterTimeout), keeperPending
-	if cfg.Keeper.Timeout <= 0 {
-		cfg.Keeper.Timeout = strict.Duration(50 * time.Millisecond)
+	cfg.Counter.Timeout, cfg.Counter.MaxPending = strictyaml.Duration(set.CounterTimeout), keeperPending
+	if cfg.Counter.Timeout <= 0 {
+		cfg.Counter.Timeout = strictyaml.Duration(50 * time.Millisecond)
 	}
-	cfg.Boxes = n.Known.Boxes
+	cfg.Endpoints = n.Known.Boxes
 	sockets := n.Limits.Sockets
 	if sockets == 0 {
 		sockets = fallback
@@ -237,14 +235,14 @@
 		memory = int64(n.Limits.MemoryMB) << 20 / 4
 	}
 	idle := time.Duration(idleShare * float64(millis("limits.conn-idle-ms", 15*time.Second)))
-	cfg.Limits = config.Limits{Connections: max(4, int(clientShare*float64(sockets))), Lines: lines, LinesPerBox: lines,
-		Queue: 2048, Memory: strict.Size(memory), Body: mostBody, Head: 16 << 10, Fields: 64, HoldAnswer: mostBody, Answer: mostBody,
-		HeadTimeout: strict.Duration(requestTime), BodyTimeout: strict.Duration(requestTime), FirstTimeout: strict.Duration(requestTime),
-		WriteTimeout: strict.Duration(3 * time.Second), IdleTimeout: strict.Duration(30 * time.Second),
-		ConnectTimeout: strict.Duration(millis("limits.connect-timeout-ms", 250*time.Millisecond)),
-		BoxIdleTimeout: strict.Duration(idle), UnsafeIdle: 0, LineRest: strict.Duration(quiet),
-		AnswerMargin: strict.Duration(answerMargin), StreamSilence: strict.Duration(30 * time.Second),
-		ShutdownTimeout: strict.Duration(time.Minute), StopDelay: strict.Duration(stopTime)}
+	cfg.Limits = config.Limits{Connections: max(4, int(clientShare*float64(sockets))), BackendConns: lines, ConnsPerBackend: lines,
+		Queue: 2048, Memory: strictyaml.Size(memory), Body: mostBody, Head: 16 << 10, Fields: 64, HoldResponse: mostBody, Response: mostBody,
+		HeadTimeout: strictyaml.Duration(requestTime), BodyTimeout: strictyaml.Duration(requestTime), FirstTimeout: strictyaml.Duration(requestTime),
+		WriteTimeout: strictyaml.Duration(3 * time.Second), IdleTimeout: strictyaml.Duration(30 * time.Second),
+		ConnectTimeout:     strictyaml.Duration(millis("limits.connect-timeout-ms", 250*time.Millisecond)),
+		BackendIdleTimeout: strictyaml.Duration(idle), NonIdempotentIdle: 0, ReuseDelay: strictyaml.Duration(quiet),
+		ResponseMargin: strictyaml.Duration(answerMargin), StreamIdleTimeout: strictyaml.Duration(30 * time.Second),
+		ShutdownTimeout: strictyaml.Duration(time.Minute), StopDelay: strictyaml.Duration(stopTime)}
 	n.Config = cfg
 	return nil
 }
