--- a/internal/platform/speak.go
+++ b/internal/platform/protocol.go
@@ -6,16 +6,16 @@
 	"strings"
 	"time"
 
-	"sandyard/choice"
 	"sandyard/config"
-	"sandyard/internal/dialect"
+	"sandyard/decision"
 	"sandyard/internal/http1"
+	"sandyard/internal/protocol"
 )
 
 const path = "/api" // of every request that clients make
 
 var (
-	ready       = dialect.Own{Status: 200, Kind: "ready"}
+	ready       = protocol.LocalResponse{Status: 200, Kind: "ready"}
 	noRoute     = refusal(404, "no-route", "No such path", "Requests go to "+path+".")
 	noMethod    = refusal(405, "no-method", "No such method", "The class of the request has another method.")
 	badID       = refusal(400, "id", "Bad X-Request-Id", "Expected 16 hex digits.")
@@ -28,12 +28,12 @@
 	badBody     = refusal(400, "body", "Unexpected body", "A GET has none.")
 )
 
-func refusal(status int, kind, title, detail string) dialect.Own {
-	return dialect.Own{Status: status, Kind: kind, Title: title, Detail: detail, Harmless: true}
+func refusal(status int, kind, title, detail string) protocol.LocalResponse {
+	return protocol.LocalResponse{Status: status, Kind: kind, Title: title, Detail: detail, RetryIsSafe: true}
 }
 
-// Read takes a request's head apart. A head that could be read in two ways is refused: fields that stand twice too.
-func (n *Node) Read(h *http1.Head, ask *dialect.Ask) *dialect.Own {
+// ParseRequest takes a request's head apart. A head that could be read in two ways is refused: fields that stand twice too.
+func (n *Node) ParseRequest(h *http1.Head, ask *protocol.RequestInfo) *protocol.LocalResponse {
 	if h.Path == "/ready" {
 		if h.Method != "GET" {
 			return &noMethod
@@ -102,17 +102,17 @@
 	if err != nil || ms == 0 {
 		return &badDeadline
 	}
-	ask.Op, ask.Class, ask.Name, ask.Retry = op, choice.ClassID(op.Index), id, retry == "1"
-	ask.Patience = time.Duration(ms) * time.Millisecond
-	ask.Studio = &config.Customer{Name: customer, Plan: plan, PlanName: tier}
+	ask.Operation, ask.Class, ask.Name, ask.Retry = op, decision.ClassID(op.Index), id, retry == "1"
+	ask.Timeout = time.Duration(ms) * time.Millisecond
+	ask.Customer = &config.Customer{Name: customer, Plan: plan, PlanName: tier}
 	if !n.terms(terms, ask) {
 		return &badTerms
 	}
-	repeat := n.Config.Settings.Classes[op.Index].Repeat
+	repeat := n.Config.Settings.Classes[op.Index].Idempotency
 	switch {
-	case (h.Method == "GET") != (repeat == choice.Safe) || repeat != choice.Safe && h.Method != "POST":
+	case (h.Method == "GET") != (repeat == decision.Idempotent) || repeat != decision.Idempotent && h.Method != "POST":
 		return &noMethod
-	case (key != "") != (repeat == choice.Keyed):
+	case (key != "") != (repeat == decision.IdempotentByKey):
 		return &badKey
 	case h.Method == "GET" && h.Length != 0:
 		return &badBody
@@ -150,7 +150,7 @@
 }
 
 // terms reads "units=2,spread=3,first=1".
-func (n *Node) terms(v string, ask *dialect.Ask) bool {
+func (n *Node) terms(v string, ask *protocol.RequestInfo) bool {
 	var got uint8
 	for v != "" {
 		var one string
@@ -160,7 +160,7 @@
 		switch name {
 		case "units":
 			x, err := strconv.ParseFloat(value, 64)
-			if err != nil || !(x > 0) || x > n.Config.Settings.MostUnits {
+			if err != nil || !(x > 0) || x > n.Config.Settings.MaxUnits {
 				return false
 			}
 			ask.Units, bit = x, 1
@@ -169,13 +169,13 @@
 			if err != nil || k < 1 || k > n.doors {
 				return false
 			}
-			ask.Studio.Spread, bit = k, 2
+			ask.Customer.Spread, bit = k, 2
 		case "first":
 			k, err := strconv.Atoi(value)
 			if err != nil || k < 0 || k >= n.doors {
 				return false
 			}
-			ask.Studio.First, bit = k, 4
+			ask.Customer.First, bit = k, 4
 		default:
 			continue
 		}
@@ -187,8 +187,8 @@
 	return got == 7
 }
 
-// Request renders a request for backends: what has to pass through, and no more.
-func (n *Node) Request(b []byte, h *http1.Head, body []byte, _ []http1.Field, _ string) ([]byte, int) {
+// RenderRequest renders a request for backends: what has to pass through, and no more.
+func (n *Node) RenderRequest(b []byte, h *http1.Head, body []byte, _ []http1.Field, _ string) ([]byte, int) {
 	b = append(append(append(b, h.Method...), ' '), h.Target...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = http1.AppendField(b, "Host", h.Authority)
@@ -206,8 +206,8 @@
 	return append(b, body...), head
 }
 
-// Attempt adds how long the front door waits.
-func (n *Node) Attempt(wire []byte, head int, left time.Duration) []byte {
+// RenderAttempt adds how long the front door waits.
+func (n *Node) RenderAttempt(wire []byte, head int, left time.Duration) []byte {
 	if head == 0 {
 		return wire // a probe
 	}
@@ -218,20 +218,20 @@
 	return append(b, wire[head:]...)
 }
 
-// Probe asks for the load report.
-func (n *Node) Probe(addr string) []byte {
+// RenderProbe asks for the load report.
+func (n *Node) RenderProbe(addr string) []byte {
 	return []byte("GET /status/load HTTP/1.1\r\nHost: " + addr + "\r\n\r\n")
 }
 
-// Report reads an answer's outcome and its load report, which of a probe is the body.
-func (n *Node) Report(h *http1.Head, body []byte, probe bool) dialect.Report {
-	var r dialect.Report
+// ParseResponse reads an answer's outcome and its load report, which of a probe is the body.
+func (n *Node) ParseResponse(h *http1.Head, body []byte, probe bool) protocol.ResponseReport {
+	var r protocol.ResponseReport
 	switch mark, ok := h.Get("X-Not-Run"); {
 	case h.Status == 200:
 	case (h.Status == 503 || h.Status == 504) && ok && mark == "1":
-		r.Outcome = choice.Full
+		r.Outcome = decision.Rejected
 	default:
-		r.Outcome = choice.Error
+		r.Outcome = decision.BackendError
 	}
 	if v, ok := h.Get("X-Load"); ok {
 		r.Load = n.load(v)
@@ -242,8 +242,8 @@
 }
 
 // figures are the names that the protocol has for the figures of a load report.
-var figures = map[string]choice.LoadField{"inflight": choice.FieldInFlight, "queue": choice.FieldQueue, "util": choice.FieldUtil,
-	"latency_ms": choice.FieldLatency, "qps": choice.FieldServed, "eps": choice.FieldErrors}
+var figures = map[string]decision.LoadField{"inflight": decision.FieldInFlight, "queue": decision.FieldQueue, "util": decision.FieldUtil,
+	"latency_ms": decision.FieldLatency, "qps": decision.FieldServed, "eps": decision.FieldErrors}
 
 // load reads "inflight=7,queue=2,util=0.61", by those names or by those of the settings. What can't be read is not told.
 func (n *Node) load(v string) []float64 {
@@ -262,7 +262,7 @@
 		}
 		is := figures[name]
 		for i := range load {
-			if n.loads[i] == name || is != choice.FieldOther && fields[i] == is {
+			if n.loads[i] == name || is != decision.FieldOther && fields[i] == is {
 				load[i] = x
 			}
 		}
@@ -270,15 +270,15 @@
 	return load
 }
 
-// Pass keeps the status; what else a backend tells is for the front door alone.
-func (n *Node) Pass(b []byte, h *http1.Head) []byte {
+// RenderResponseHead keeps the status; what else a backend tells is for the front door alone.
+func (n *Node) RenderResponseHead(b []byte, h *http1.Head) []byte {
 	return http1.AppendStatus(b, h.Status, http1.StatusText(h.Status))
 }
 
-// RetryAfter is in seconds with a decimal fraction, rounded up to milliseconds.
-func (n *Node) RetryAfter(b []byte, d time.Duration) []byte {
+// AppendRetryAfter is in seconds with a decimal fraction, rounded up to milliseconds.
+func (n *Node) AppendRetryAfter(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, math.Ceil(d.Seconds()*1000)/1000, 'f', -1, 64)
 }
 
-// Counter begins a connection to the counter.
-func (n *Node) Counter() dialect.Counter { return &counter{} }
+// NewCounterCodec begins a connection to the counter.
+func (n *Node) NewCounterCodec() protocol.CounterCodec { return &counter{} }
--- a/internal/sockets/admin.go
+++ b/internal/server/admin.go
@@ -1,4 +1,4 @@
-package sockets
+package server
 
 import (
 	"encoding/json"
@@ -12,10 +12,10 @@
 	"syscall"
 	"time"
 
-	"sandyard/choice"
-	"sandyard/door"
-	"sandyard/identity"
+	"sandyard/coreid"
+	"sandyard/decision"
 	"sandyard/internal/http1"
+	"sandyard/proxy"
 	"sandyard/quota"
 )
 
@@ -50,18 +50,18 @@
 
 // Identity is the answer to /v1/identity.
 type Identity struct {
-	Core   string `json:"core"`
-	Config string `json:"config"`
-	Door   int    `json:"door"`
-	Of     int    `json:"of"`
+	Core     string `json:"core"`
+	Config   string `json:"config"`
+	Instance int    `json:"door"`
+	Of       int    `json:"of"`
 }
 
-// Counted is the answer to /v1/counted. Names change every while: it holds as of the front door's last event.
-type Counted struct {
-	Known  bool    `json:"known"` // seen lately, and shared with other front doors
-	Name   string  `json:"name"`
-	Weight float64 `json:"weight"` // of a unit that is used now
-	Keeper string  `json:"keeper"` // host:port; empty: there is none
+// CounterEntry is the answer to /v1/counted. Names change every while: it holds as of the front door's last event.
+type CounterEntry struct {
+	Known       bool    `json:"known"` // seen lately, and shared with other front doors
+	Name        string  `json:"name"`
+	Weight      float64 `json:"weight"` // of a unit that is used now
+	CounterAddr string  `json:"keeper"` // host:port; empty: there is none
 }
 
 func (s *Server) startAdmin() (func(), error) {
@@ -162,7 +162,7 @@
 		}
 		out := http1.AppendStatus(nil, status, http1.StatusText(status))
 		out = http1.AppendField(out, "Content-Type", "application/json")
-		out = http1.AppendField(out, "Sandyard-Core", identity.Core())
+		out = http1.AppendField(out, "Sandyard-Core", coreid.Core())
 		out = http1.AppendLength(out, int64(len(body))+1)
 		out = append(out, "Connection: close\r\n\r\n"...)
 		c.Write(append(append(out, body...), '\n'))
@@ -180,31 +180,33 @@
 	}
 	cfg := a.s.cfg
 	if h.Path == "/v1/identity" {
-		return 200, Identity{identity.Core(), cfg.Digest, cfg.Door.Number, cfg.Door.Of}
+		return 200, Identity{coreid.Core(), cfg.Digest, cfg.Instance.Number, cfg.Instance.Total}
 	}
 	if h.Path == "/v1/match" {
-		return 200, door.LookOf(q).On(cfg)
+		return 200, proxy.ParseInspection(q).Run(cfg)
 	}
 	if h.Path != "/v1/studio" && h.Path != "/v1/would" && h.Path != "/v1/counted" {
 		return fail(404, "no such path; version 1 has identity, studio, counted, would and match")
 	}
-	studio := cfg.Studio(q["name"])
+	studio := cfg.CustomerByName(q["name"])
 	if studio == nil {
 		return fail(404, "no studio %q", q["name"])
 	}
 	if h.Path == "/v1/studio" {
 		var v quota.View
-		if !a.ask(func(c *door.Core, now time.Duration) {
+		if !a.ask(func(c *proxy.Instance, now time.Duration) {
 			st, known := c.Gateway().Customer(studio.Name)
-			v = quota.Look(cfg.Settings, studio.Plan, studio.Name, st, known, now)
+			v = quota.Inspect(cfg.Settings, studio.Plan, studio.Name, st, known, now)
 		}) {
 			return fail(503, "the front door is ending")
 		}
 		return 200, v
 	}
 	if h.Path == "/v1/counted" {
-		n := Counted{Keeper: cfg.Keeper.Address}
-		if !a.ask(func(c *door.Core, _ time.Duration) { n.Name, n.Weight, n.Known = c.Gateway().CountedAs(studio.Name) }) {
+		n := CounterEntry{CounterAddr: cfg.Counter.Address}
+		if !a.ask(func(c *proxy.Instance, _ time.Duration) {
+			n.Name, n.Weight, n.Known = c.Gateway().CounterName(studio.Name)
+		}) {
 			return fail(503, "the front door is ending")
 		}
 		return 200, n
@@ -222,15 +224,15 @@
 		time.Sleep(wait)
 	}
 	a.copied = time.Now()
-	var st choice.State
+	var st decision.State
 	var at time.Duration
-	if !a.ask(func(c *door.Core, now time.Duration) { st, err = c.Gateway().Snapshot(); at = now }) {
+	if !a.ask(func(c *proxy.Instance, now time.Duration) { st, err = c.Gateway().Snapshot(); at = now }) {
 		return fail(503, "the front door is ending")
 	}
 	if err != nil {
 		return fail(500, "%v", err)
 	}
-	w, err := quota.Would(cfg.Settings, st, studio.Plan, studio.Name, studio.Spread, studio.First, units, at)
+	w, err := quota.WouldDecide(cfg.Settings, st, studio.Plan, studio.Name, studio.Spread, studio.First, units, at)
 	if err != nil {
 		return fail(500, "%v", err)
 	}
@@ -238,9 +240,9 @@
 }
 
 // ask runs a look in the loop and waits for it; false: the loop has ended.
-func (a *admin) ask(look func(*door.Core, time.Duration)) bool {
+func (a *admin) ask(look func(*proxy.Instance, time.Duration)) bool {
 	done := make(chan struct{})
-	if !a.s.post(post{kind: inquiry, look: func(c *door.Core, now time.Duration) { look(c, now); close(done) }}) {
+	if !a.s.post(post{kind: inquiry, look: func(c *proxy.Instance, now time.Duration) { look(c, now); close(done) }}) {
 		return false
 	}
 	select {
--- a/internal/sockets/line.go
+++ b/internal/server/backendconn.go
@@ -1,4 +1,4 @@
-package sockets
+package server
 
 import (
 	"context"
@@ -7,26 +7,26 @@
 	"sync"
 	"time"
 
-	"sandyard/door"
+	"sandyard/proxy"
 )
 
 // lineConn is a connection to a box. Whoever holds mu owns the machine.
 type lineConn struct {
 	s      *Server
-	line   *door.Line
+	line   *proxy.BackendConn
 	cancel context.CancelFunc
 	grant  chan bool // a begun answer may flow, or is not wanted
 
 	mu   sync.Mutex
-	m    *door.BoxConn
+	m    *proxy.ResponseReader
 	link *link
-	ex   *door.Exchange // whose answer is awaited
-	dead bool           // closed, or its end was told
+	ex   *proxy.Exchange // whose answer is awaited
+	dead bool            // closed, or its end was told
 }
 
-func (s *Server) dial(l *door.Line) {
+func (s *Server) dial(l *proxy.BackendConn) {
 	ctx, cancel := context.WithTimeout(s.hard, time.Duration(s.cfg.Limits.ConnectTimeout))
-	lc := &lineConn{s: s, line: l, cancel: cancel, m: door.NewBoxConn(s.shared), grant: make(chan bool, 1)}
+	lc := &lineConn{s: s, line: l, cancel: cancel, m: proxy.NewResponseReader(s.shared), grant: make(chan bool, 1)}
 	l.Owner = lc
 	s.conns.Go(func() error {
 		defer cancel()
@@ -87,7 +87,7 @@
 		lc.s.post(post{kind: lineDown, line: lc.line, unsent: true})
 		return false
 	}
-	var a door.Answer
+	var a proxy.Response
 	switch {
 	case err == nil:
 		a = lc.m.Feed(b)
@@ -96,19 +96,19 @@
 	default:
 		a = lc.m.Lost()
 	}
-	if a.Kind == door.Whole || a.Kind == door.Over || a.Kind == door.Broken {
+	if a.Kind == proxy.Complete || a.Kind == proxy.Ended || a.Kind == proxy.Malformed {
 		lc.ex = nil
 		a.Reuse = a.Reuse && l.pending() == 0
 	}
-	if a.Kind == door.Broken {
+	if a.Kind == proxy.Malformed {
 		lc.dead = true
 	}
 	lc.mu.Unlock()
 	switch a.Kind {
-	case door.Nothing:
-	case door.Whole:
+	case proxy.NeedMore:
+	case proxy.Complete:
 		lc.s.post(post{kind: answer, line: lc.line, answer: a})
-	case door.Begun:
+	case proxy.Started:
 		lc.s.post(post{kind: answer, line: lc.line, answer: a})
 		select {
 		case ok := <-lc.grant:
@@ -118,15 +118,15 @@
 		case <-lc.s.hard.Done():
 			return false
 		}
-		l.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.s.cfg.Limits.StreamSilence)))
-	case door.Flow:
+		l.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.s.cfg.Limits.StreamIdleTimeout)))
+	case proxy.Continued:
 		ex.Owner.(*clientConn).relay(lc.s.now(), ex, a.Bytes, false, false)
-		l.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.s.cfg.Limits.StreamSilence)))
-	case door.Over:
+		l.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.s.cfg.Limits.StreamIdleTimeout)))
+	case proxy.Ended:
 		l.conn.SetReadDeadline(time.Time{})
 		ex.Owner.(*clientConn).relay(lc.s.now(), ex, a.Bytes, true, false)
 		lc.s.post(post{kind: answer, line: lc.line, answer: a})
-	case door.Broken:
+	case proxy.Malformed:
 		if !l.end() { // the request's last byte never went out: the box can't have begun on it
 			lc.s.post(post{kind: lineDown, line: lc.line, unsent: true})
 			return false
@@ -139,7 +139,7 @@
 
 // write sends a request; it never blocks. A line on which something lies to be read, which would be taken for the answer,
 // or on which not all of the request goes out, is of no use: the box can't have begun.
-func (lc *lineConn) write(ex *door.Exchange, wire []byte) {
+func (lc *lineConn) write(ex *proxy.Exchange, wire []byte) {
 	lc.mu.Lock()
 	if lc.dead { // its end is on its way to the core, as that of a line on which nothing was sent
 		lc.mu.Unlock()
--- a/internal/sockets/client.go
+++ b/internal/server/clientconn.go
@@ -1,11 +1,11 @@
-package sockets
+package server
 
 import (
 	"net"
 	"sync"
 	"time"
 
-	"sandyard/door"
+	"sandyard/proxy"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 	mu     sync.Mutex
 	resume sync.Cond // signalled when reading may go on
-	m      *door.Client
+	m      *proxy.ClientConn
 	armed  time.Duration // the read deadline that is set, 0: none
 	closed bool          // the last bytes are out
 	linger bool
@@ -37,7 +37,7 @@
 	cc := &clientConn{s: s, link: l}
 	cc.resume.L = &cc.mu
 	host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
-	cc.m = door.NewClient(s.shared, cc, host, s.now())
+	cc.m = proxy.NewClientConn(s.shared, cc, host, s.now())
 	l.flushed = cc.flushed
 	return cc, nil
 }
@@ -139,20 +139,20 @@
 }
 
 // after carries out what the machine wants; mu is held.
-func (cc *clientConn) after(now time.Duration, ex *door.Exchange) {
+func (cc *clientConn) after(now time.Duration, ex *proxy.Exchange) {
 	for {
 		if ex != nil && !cc.s.post(post{kind: arrive, ex: ex}) {
-			cc.m.TurnAway(now, ex)
+			cc.m.RejectOverload(now, ex)
 		} else if ex != nil {
 			break
 		}
-		if len(cc.m.Own) > 0 {
+		if len(cc.m.OwnStatuses) > 0 {
 			if cc.s.debug {
-				for _, status := range cc.m.Own {
+				for _, status := range cc.m.OwnStatuses {
 					cc.s.log.Debug("answer", "status", status, "client", cc.link.conn.RemoteAddr().String())
 				}
 			}
-			cc.m.Own = cc.m.Own[:0]
+			cc.m.OwnStatuses = cc.m.OwnStatuses[:0]
 		}
 		if len(cc.m.Out) > 0 {
 			cc.link.write(cc.m.Out)
@@ -204,7 +204,7 @@
 }
 
 // answered hands an answer, or its beginning, to the client.
-func (cc *clientConn) answered(now time.Duration, ex *door.Exchange, b []byte, more, closes bool) {
+func (cc *clientConn) answered(now time.Duration, ex *proxy.Exchange, b []byte, more, closes bool) {
 	cc.mu.Lock()
 	cc.m.Answered(now, ex, b, more, closes)
 	cc.after(now, nil)
@@ -212,7 +212,7 @@
 }
 
 // relay hands on more of an answer and waits until the client has taken enough of it.
-func (cc *clientConn) relay(now time.Duration, ex *door.Exchange, b []byte, end, broken bool) {
+func (cc *clientConn) relay(now time.Duration, ex *proxy.Exchange, b []byte, end, broken bool) {
 	cc.mu.Lock()
 	cc.m.Relay(now, ex, b, end, broken)
 	cc.after(now, nil)
--- a/internal/sockets/control.go
+++ b/internal/server/control.go
@@ -1,4 +1,4 @@
-package sockets
+package server
 
 import (
 	"bufio"
@@ -8,17 +8,17 @@
 	"sync"
 	"time"
 
-	"sandyard/trouble"
+	"sandyard/fault"
 )
 
-// Faulty is a stand-in whose faults can be set while it runs.
-type Faulty interface {
-	Set(v trouble.Verb, value float64, on bool) error
+// FaultTarget is a stand-in whose faults can be set while it runs.
+type FaultTarget interface {
+	Set(v fault.Verb, value float64, on bool) error
 }
 
 // Control listens for lines that set a stand-in's faults: "set slow 3", "clear slow". Each is answered "ok" or
 // "error: ...". The function returned stops it.
-func Control(addr string, f Faulty) (net.Addr, func(), error) {
+func Control(addr string, f FaultTarget) (net.Addr, func(), error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, nil, err
@@ -61,7 +61,7 @@
 	}, nil
 }
 
-func control(conn net.Conn, f Faulty) {
+func control(conn net.Conn, f FaultTarget) {
 	defer conn.Close()
 	in := bufio.NewScanner(conn)
 	in.Buffer(make([]byte, 256), 256)
@@ -74,17 +74,17 @@
 	}
 }
 
-func command(line string, f Faulty) error {
+func command(line string, f FaultTarget) error {
 	word, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 	switch word {
 	case "set":
-		v, x, err := trouble.Parse(rest)
+		v, x, err := fault.Parse(rest)
 		if err != nil {
 			return err
 		}
 		return f.Set(v, x, true)
 	case "clear":
-		v, _, err := trouble.Parse(rest + " 0")
+		v, _, err := fault.Parse(rest + " 0")
 		if err != nil {
 			return err
 		}
--- a/internal/sockets/standins.go
+++ b/internal/server/emulated.go
@@ -1,4 +1,4 @@
-package sockets
+package server
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"sandyard/door"
-	"sandyard/standin"
-	"sandyard/trouble"
+	"sandyard/emulator"
+	"sandyard/fault"
+	"sandyard/proxy"
 )
 
 // peer is a connection that a stand-in has taken.
 type peer struct {
 	link *link
-	box  *standin.BoxConn
-	keep *standin.KeeperConn
+	box  *emulator.BackendConn
+	keep *emulator.CounterConn
 }
 
 // standIn is what the stand-ins on sockets have in common: a listener that comes and goes with the refuse verb, and
@@ -37,7 +37,7 @@
 	gone   func(*peer)         // mu is held
 }
 
-func (s *standIn) now() time.Duration { return door.Start + time.Since(s.start) }
+func (s *standIn) now() time.Duration { return proxy.Start + time.Since(s.start) }
 
 func (s *standIn) listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
@@ -138,17 +138,17 @@
 	s.wg.Wait()
 }
 
-// Box is a stand-in box on a socket.
-type Box struct {
+// EmulatedBackend is a stand-in box on a socket.
+type EmulatedBackend struct {
 	standIn
-	box   *standin.Box
+	box   *emulator.Backend
 	timer *time.Timer
 }
 
-// StartBox starts a box. facts, if given, is told what happens; it must not block.
-func StartBox(addr string, cfg standin.BoxConfig, facts func(standin.Fact)) (*Box, error) {
-	b := &Box{standIn: standIn{start: time.Now(), peers: map[*peer]struct{}{}}}
-	b.box = standin.NewBox(cfg, b.now())
+// StartBackend starts a box. facts, if given, is told what happens; it must not block.
+func StartBackend(addr string, cfg emulator.BackendConfig, facts func(emulator.Fact)) (*EmulatedBackend, error) {
+	b := &EmulatedBackend{standIn: standIn{start: time.Now(), peers: map[*peer]struct{}{}}}
+	b.box = emulator.NewBackend(cfg, b.now())
 	b.box.Facts = facts
 	b.timer = time.AfterFunc(time.Hour, b.advance)
 	b.begin = func(p *peer) { p.box = b.box.NewConn() }
@@ -166,34 +166,34 @@
 }
 
 // Addr is where the box listens.
-func (b *Box) Addr() string { b.mu.Lock(); defer b.mu.Unlock(); return b.addr }
+func (b *EmulatedBackend) Addr() string { b.mu.Lock(); defer b.mu.Unlock(); return b.addr }
 
 // Set begins or ends a fault.
-func (b *Box) Set(v trouble.Verb, value float64, on bool) error {
+func (b *EmulatedBackend) Set(v fault.Verb, value float64, on bool) error {
 	b.mu.Lock()
 	b.box.Set(b.now(), v, value, on)
 	b.after()
 	b.mu.Unlock()
-	if v == trouble.Refuse {
+	if v == fault.Refuse {
 		return b.refuse(on)
 	}
 	return nil
 }
 
 // Close stops the box.
-func (b *Box) Close() {
+func (b *EmulatedBackend) Close() {
 	b.timer.Stop()
 	b.close()
 }
 
-func (b *Box) advance() {
+func (b *EmulatedBackend) advance() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
 		return
 	}
 	now := b.now()
-	b.box.Advance(now, func(j *standin.Job) {
+	b.box.Advance(now, func(j *emulator.Job) {
 		c := j.Conn()
 		c.Done(now, j)
 		for p := range b.peers { // few
@@ -206,8 +206,8 @@
 }
 
 // after sets the timer; a box that has fallen over refuses from then on. mu is held.
-func (b *Box) after() {
-	if b.box.Fallen() && b.ln != nil {
+func (b *EmulatedBackend) after() {
+	if b.box.HasCollapsed() && b.ln != nil {
 		ln := b.ln
 		b.ln = nil
 		ln.Close()
@@ -221,7 +221,7 @@
 }
 
 // out writes what a connection has for its peer; mu is held.
-func (b *Box) out(p *peer) {
+func (b *EmulatedBackend) out(p *peer) {
 	if len(p.box.Out) > 0 {
 		p.link.write(p.box.Out)
 		p.box.Out = p.box.Out[:0]
@@ -247,24 +247,24 @@
 	}
 }
 
-// Keeper is a stand-in tally keeper on a socket.
-type Keeper struct {
+// EmulatedCounter is a stand-in tally keeper on a socket.
+type EmulatedCounter struct {
 	standIn
-	keeper *standin.Keeper
+	keeper *emulator.Counter
 	ctx    context.Context
 	stop   context.CancelFunc
 	wake   sync.Cond // signalled when a stall ends
 }
 
-// StartKeeper starts a keeper.
-func StartKeeper(addr string) (*Keeper, error) {
-	k := &Keeper{standIn: standIn{start: time.Now(), peers: map[*peer]struct{}{}}, keeper: standin.NewKeeper()}
+// StartCounter starts a keeper.
+func StartCounter(addr string) (*EmulatedCounter, error) {
+	k := &EmulatedCounter{standIn: standIn{start: time.Now(), peers: map[*peer]struct{}{}}, keeper: emulator.NewCounter()}
 	k.wake.L = &k.mu
 	k.ctx, k.stop = context.WithCancel(context.Background())
 	served := 0.0
 	k.begin = func(p *peer) {
 		p.keep = k.keeper.NewConn()
-		_, p.keep.Of = math.Modf(served * (math.Sqrt(5) - 1) / 2) // a socket does not tell which front door it is
+		_, p.keep.ClientPosition = math.Modf(served * (math.Sqrt(5) - 1) / 2) // a socket does not tell which front door it is
 		served++
 	}
 	k.gone = func(*peer) {}
@@ -292,7 +292,7 @@
 }
 
 // delayed writes later; writes of one connection keep their order as long as the delay stays the same.
-func (k *Keeper) delayed(p *peer, b []byte, d time.Duration) {
+func (k *EmulatedCounter) delayed(p *peer, b []byte, d time.Duration) {
 	k.wg.Go(func() error {
 		t := time.NewTimer(d)
 		defer t.Stop()
@@ -306,29 +306,29 @@
 }
 
 // Addr is where the keeper listens.
-func (k *Keeper) Addr() string { k.mu.Lock(); defer k.mu.Unlock(); return k.addr }
+func (k *EmulatedCounter) Addr() string { k.mu.Lock(); defer k.mu.Unlock(); return k.addr }
 
 // Total is a name's value.
-func (k *Keeper) Total(name string) float64 {
+func (k *EmulatedCounter) Total(name string) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.keeper.Total(k.now(), name)
 }
 
 // Set begins or ends a fault.
-func (k *Keeper) Set(v trouble.Verb, value float64, on bool) error {
+func (k *EmulatedCounter) Set(v fault.Verb, value float64, on bool) error {
 	k.mu.Lock()
 	k.keeper.Set(k.now(), v, value, on)
 	k.wake.Broadcast()
 	k.mu.Unlock()
-	if v == trouble.Refuse {
+	if v == fault.Refuse {
 		return k.refuse(on)
 	}
 	return nil
 }
 
 // Close stops the keeper.
-func (k *Keeper) Close() {
+func (k *EmulatedCounter) Close() {
 	k.stop()
 	k.mu.Lock()
 	k.closed = true
--- a/internal/sockets/link.go
+++ b/internal/server/link.go
@@ -1,9 +1,9 @@
-// Package sockets runs a front door on TCP connections: it carries bytes between sockets and the machines of package
+// Package server runs a front door on TCP connections: it carries bytes between sockets and the machines of package
 // door, keeps the time and owns the goroutines. It decides nothing.
 //
 // Goroutines: one that owns door.Core and carries out its wishes; one that accepts; one for each connection, which
 // reads; and one for a connection's writing for as long as its peer takes less than we have. Errgroups own them all.
-package sockets
+package server
 
 import (
 	"errors"
--- a/internal/sockets/list.go
+++ b/internal/server/list.go
@@ -1,4 +1,4 @@
-package sockets
+package server
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 // folder is watched rather than the file, since a file that is replaced atomically is another file.
 func (s *Server) watchList() (func(context.Context) error, error) {
 	if s.disco != nil {
-		s.post(post{kind: list, boxes: slices.Clone(s.cfg.Boxes)})
+		s.post(post{kind: list, boxes: slices.Clone(s.cfg.Endpoints)})
 		return func(ctx context.Context) error {
 			late := time.AfterFunc(firstList, func() { s.post(post{kind: begin}) })
 			defer late.Stop()
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, err
 	}
-	path, err := filepath.Abs(s.cfg.BoxesPath())
+	path, err := filepath.Abs(s.cfg.EndpointsPath())
 	if err == nil {
 		err = w.Add(filepath.Dir(path))
 	}
@@ -32,7 +32,7 @@
 		w.Close()
 		return nil, err
 	}
-	s.post(post{kind: list, boxes: s.placed(slices.Clone(s.cfg.Boxes))})
+	s.post(post{kind: list, boxes: s.placed(slices.Clone(s.cfg.Endpoints))})
 	s.readList() // it may have changed since the configuration was read
 	return func(ctx context.Context) error {
 		defer w.Close()
--- a/internal/sockets/raw_test.go
+++ b/internal/server/raw_test.go
@@ -1,4 +1,4 @@
-package sockets
+package server
 
 import "syscall"
 
--- a/internal/sockets/recorder.go
+++ b/internal/server/recorder.go
@@ -1,4 +1,4 @@
-package sockets
+package server
 
 import (
 	"errors"
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
-	"sandyard/choice"
 	"sandyard/config"
-	"sandyard/door"
-	"sandyard/identity"
+	"sandyard/coreid"
+	"sandyard/decision"
+	"sandyard/proxy"
 	"sandyard/trace"
 )
 
@@ -36,7 +36,7 @@
 	opened *os.File // the first file
 
 	mu      sync.Mutex
-	steps   []door.Step
+	steps   []proxy.Step
 	dropped uint64
 	over    bool
 
@@ -44,8 +44,7 @@
 	w     *trace.Writer
 	file  *os.File
 	size  int
-	names map[choice.ServerID]string
-	parts []string
+	names map[decision.BackendID]string
 	told  uint64
 }
 
@@ -62,9 +61,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &recorder{s: s, cfg: t, dir: dir, w: w, stop: make(chan struct{}), ended: make(chan struct{}), names: map[choice.ServerID]string{}}
-	r.head = trace.Head{Core: identity.Core(), Config: s.cfg.Digest, Door: s.cfg.Door.Number, Seed: seed, Began: s.began,
-		Origin: s.origin().UnixNano(), Settings: s.cfg.Settings, Classes: s.cfg.Names, Share: 1}
+	r := &recorder{s: s, cfg: t, dir: dir, w: w, stop: make(chan struct{}), ended: make(chan struct{}), names: map[decision.BackendID]string{}}
+	r.head = trace.Head{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, Began: s.began,
+		Origin: s.origin().UnixNano(), Settings: s.cfg.Settings, Classes: s.cfg.ClassNames, Share: 1}
 	if t.Mode == "sampled" {
 		r.head.Share = t.Share
 	}
@@ -78,7 +77,7 @@
 		return nil, err
 	}
 	r.opened = r.file
-	r.steps = append(r.steps, s.core.First(s.began))
+	r.steps = append(r.steps, s.core.FirstStep(s.began))
 	s.core.Record = r.record
 	return r, nil
 }
@@ -94,22 +93,22 @@
 }
 
 // request is the one that a step is about, 0 if none.
-func request(e choice.Event) choice.RequestID {
+func request(e decision.Event) decision.RequestID {
 	switch e := e.(type) {
-	case choice.Arrived:
+	case decision.RequestArrived:
 		return e.Request
-	case choice.ClientLeft:
+	case decision.ClientDisconnected:
 		return e.Request
-	case choice.AttemptEnded:
+	case decision.AttemptEnded:
 		return e.Request
-	case choice.StreamStarted:
+	case decision.StreamStarted:
 		return e.Request
 	}
 	return 0
 }
 
 // record takes a step in; the core's goroutine calls it.
-func (r *recorder) record(st door.Step) {
+func (r *recorder) record(st proxy.Step) {
 	if r.head.Share < 1 { // a sample is of requests, drawn by their number; what concerns no one request is left out
 		id := uint64(request(st.Event))
 		if id == 0 || float64(id*0x9E3779B97F4A7C15>>11)/(1<<53) >= r.head.Share {
@@ -155,7 +154,7 @@
 	}
 }
 
-func (r *recorder) write(steps []door.Step, dropped uint64) error {
+func (r *recorder) write(steps []proxy.Step, dropped uint64) error {
 	var items []trace.Item
 	flush := func() error {
 		if len(items) == 0 {
@@ -179,11 +178,11 @@
 	}
 	for i := range steps {
 		st := &steps[i]
-		if list, ok := st.Event.(choice.ServersChanged); ok {
-			for k, name := range st.Names {
-				if id := list.Entries[k].Server; r.names[id] != name {
+		if list, ok := st.Event.(decision.EndpointsChanged); ok {
+			for k, name := range st.EndpointNames {
+				if id := list.Endpoints[k].Backend; r.names[id] != name {
 					r.names[id] = name
-					items = append(items, trace.Item{At: st.At, Box: &trace.Box{Server: id, Name: name}})
+					items = append(items, trace.Item{At: st.At, Backend: &trace.BackendName{Server: id, Name: name}})
 				}
 			}
 		}
@@ -191,7 +190,7 @@
 			items = append(items, trace.Item{At: st.At, State: st.State})
 			continue
 		}
-		items = append(items, trace.Item{At: st.At, Event: trace.FromEvent(st.Event), Actions: trace.FromActions(st.Actions), Op: st.Op,
+		items = append(items, trace.Item{At: st.At, Event: trace.FromEvent(st.Event), Actions: trace.FromActions(st.Actions), Op: st.Operation,
 			First: st.Event == nil})
 		if len(items) >= frameItems {
 			if err := flush(); err != nil {
@@ -213,7 +212,7 @@
 
 // next begins a file, and removes the oldest of this folder's while there are more bytes than allowed.
 func (r *recorder) next() error {
-	name := fmt.Sprintf("door-%d-%s-%03d.trace", r.head.Door, r.s.start.UTC().Format("20060102T150405.000"), r.head.Part)
+	name := fmt.Sprintf("door-%d-%s-%03d.trace", r.head.Instance, r.s.start.UTC().Format("20060102T150405.000"), r.head.Part)
 	f, err := os.OpenFile(filepath.Join(r.dir, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -228,7 +227,7 @@
 	}
 	r.file, r.size = f, len(b)
 	for id, name := range r.names { // each file names its boxes
-		b, err := r.w.Frame([]trace.Item{{Box: &trace.Box{Server: id, Name: name}}})
+		b, err := r.w.Frame([]trace.Item{{Backend: &trace.BackendName{Server: id, Name: name}}})
 		if err != nil {
 			return err
 		}
@@ -259,7 +258,7 @@
 		_, y, _ := strings.Cut(strings.TrimPrefix(b, "door-"), "-")
 		return strings.Compare(x, y)
 	})
-	for len(names) > 0 && total > int64(r.cfg.Most) {
+	for len(names) > 0 && total > int64(r.cfg.MaxTotalSize) {
 		if err := os.Remove(filepath.Join(r.dir, names[0])); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
--- a/internal/virtual/clock.go
+++ b/internal/simulation/clock.go
@@ -1,9 +1,9 @@
-// Package virtual runs whole deployments in one process and in virtual time: front doors made of the same machines that
+// Package simulation runs whole deployments in one process and in virtual time: front doors made of the same machines that
 // package sockets runs, stand-in boxes and keepers, clients, and a network that carries bytes. One queue of events and
 // one seed decide everything that happens: the same script gives the same events, byte for byte, on any machine.
 //
 // Nothing here starts a goroutine or reads a clock. A Sim has one owner; any number may run side by side.
-package virtual
+package simulation
 
 import (
 	"encoding/binary"
--- a/internal/virtual/net.go
+++ b/internal/simulation/net.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"math/rand/v2"
--- a/internal/strict/strict.go
+++ b/internal/strictyaml/strictyaml.go
@@ -1,6 +1,6 @@
-// Package strict reads YAML into structs: unknown keys, wrong types and values without their units are mistakes, and
+// Package strictyaml reads YAML into structs: unknown keys, wrong types and values without their units are mistakes, and
 // reading goes on after each, so that all are told at once, with file, line and field.
-package strict
+package strictyaml
 
 import (
 	"fmt"
@@ -14,12 +14,12 @@
 	"github.com/goccy/go-yaml/ast"
 	"github.com/goccy/go-yaml/parser"
 
-	"sandyard/internal/diag"
+	"sandyard/internal/diagnostic"
 )
 
 // Document is a file that was read, with its mistakes. Checks of one's own add to them with Say.
 type Document struct {
-	Problems diag.Problems
+	Problems diagnostic.Problems
 	file     string
 	places   map[string]place // where each field stands, by its dotted name
 }
@@ -36,11 +36,11 @@
 			line, column = se.GetToken().Position.Line, se.GetToken().Position.Column
 		}
 		msg, _, _ := strings.Cut(err.Error(), "\n")
-		d.Problems = append(d.Problems, diag.Problem{File: file, Line: line, Column: column, Message: "not YAML: " + msg})
+		d.Problems = append(d.Problems, diagnostic.Problem{File: file, Line: line, Column: column, Message: "not YAML: " + msg})
 		return d
 	}
 	if len(f.Docs) != 1 || f.Docs[0].Body == nil {
-		d.Problems = append(d.Problems, diag.Problem{File: file, Line: 1, Message: "expected one document with settings"})
+		d.Problems = append(d.Problems, diagnostic.Problem{File: file, Line: 1, Message: "expected one document with settings"})
 		return d
 	}
 	d.value(f.Docs[0].Body, reflect.ValueOf(into).Elem(), "")
@@ -53,9 +53,9 @@
 // Whole tells whether the document could be read at all.
 func (d *Document) Whole() bool { return len(d.places) > 0 }
 
-// Say adds a problem at a field that was read, or at the nearest thing around it.
-func (d *Document) Say(field, format string, args ...any) {
-	p := diag.Problem{File: d.file, Line: 1, Field: field, Message: fmt.Sprintf(format, args...)}
+// Reportf adds a problem at a field that was read, or at the nearest thing around it.
+func (d *Document) Reportf(field, format string, args ...any) {
+	p := diagnostic.Problem{File: d.file, Line: 1, Field: field, Message: fmt.Sprintf(format, args...)}
 	for at := field; at != ""; {
 		if where, ok := d.places[at]; ok {
 			p.Line, p.Column = where.line, where.column
@@ -68,7 +68,7 @@
 
 func (d *Document) sayAt(n ast.Node, field, format string, args ...any) {
 	d.note(n, field)
-	d.Say(field, format, args...)
+	d.Reportf(field, format, args...)
 }
 
 func (d *Document) note(n ast.Node, field string) {
@@ -87,15 +87,15 @@
 		d.value(m.Value, v, field)
 		return
 	case *ast.AliasNode, *ast.TagNode, *ast.MergeKeyNode:
-		d.Say(field, "anchors, aliases and tags are not taken here")
+		d.Reportf(field, "anchors, aliases and tags are not taken here")
 		return
 	}
 	if t, ok := v.Addr().Interface().(Text); ok {
 		s, ok := scalar(n)
 		if !ok {
-			d.Say(field, "expected a single value")
+			d.Reportf(field, "expected a single value")
 		} else if err := t.FromText(s); err != nil {
-			d.Say(field, "%q: %v", s, err)
+			d.Reportf(field, "%q: %v", s, err)
 		}
 		return
 	}
@@ -105,7 +105,7 @@
 	case reflect.Slice:
 		seq, ok := n.(*ast.SequenceNode)
 		if !ok {
-			d.Say(field, "expected a list")
+			d.Reportf(field, "expected a list")
 			return
 		}
 		for i, item := range seq.Values {
@@ -116,7 +116,7 @@
 	case reflect.Map:
 		pairs, ok := mapping(n)
 		if !ok {
-			d.Say(field, "expected a mapping")
+			d.Reportf(field, "expected a mapping")
 			return
 		}
 		v.Set(reflect.MakeMap(v.Type()))
@@ -155,7 +155,7 @@
 	pairs, ok := mapping(n)
 	if !ok {
 		if _, null := n.(*ast.NullNode); !null {
-			d.Say(field, "expected a mapping")
+			d.Reportf(field, "expected a mapping")
 		}
 		return
 	}
@@ -234,7 +234,7 @@
 func (d *Document) scalar(n ast.Node, v reflect.Value, field string) {
 	s, ok := scalar(n)
 	if !ok {
-		d.Say(field, "expected a single value")
+		d.Reportf(field, "expected a single value")
 		return
 	}
 	switch v.Kind() {
@@ -242,21 +242,21 @@
 		v.SetString(s)
 	case reflect.Bool:
 		if _, ok := n.(*ast.BoolNode); !ok {
-			d.Say(field, "%q: expected true or false", s)
+			d.Reportf(field, "%q: expected true or false", s)
 			return
 		}
 		v.SetBool(s == "true")
 	case reflect.Int:
 		x, err := strconv.Atoi(s)
 		if err != nil {
-			d.Say(field, "%q: expected a whole number", s)
+			d.Reportf(field, "%q: expected a whole number", s)
 			return
 		}
 		v.SetInt(int64(x))
 	case reflect.Float64:
 		x, err := strconv.ParseFloat(s, 64)
 		if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-			d.Say(field, "%q: expected a number", s)
+			d.Reportf(field, "%q: expected a number", s)
 			return
 		}
 		v.SetFloat(x)
