--- a/door/client.go
+++ b/proxy/clientconn.go
@@ -1,4 +1,4 @@
-package door
+package proxy
 
 import (
 	"time"
@@ -22,14 +22,14 @@
 	mostSkip = 64 << 10 // bytes of a refused request's body that are read rather than closing on it
 )
 
-// Client is a client's connection. It reads one request at a time; what comes while an answer is awaited is kept,
+// ClientConn is a client's connection. It reads one request at a time; what comes while an answer is awaited is kept,
 // up to a bound, and read after it, so that answers go out in the order of the requests.
 //
 // A client that closes its side is taken to have left, as most servers do: a half-closed connection can't be told
 // from a closed one until something is written to it.
-type Client struct {
-	Out []byte // bytes for the client, to be written and cut off by the owner
-	Own []int  // statuses of answers that no decision is behind, to be noted and cut off by the owner
+type ClientConn struct {
+	Out         []byte // bytes for the client, to be written and cut off by the owner
+	OwnStatuses []int  // statuses of answers that no decision is behind, to be noted and cut off by the owner
 
 	set     *Shared
 	owner   any
@@ -54,32 +54,34 @@
 	asked   bool // a request has been whole
 }
 
-// NewClient begins a connection. owner is handed on with exchanges; remote is the client's address without a port.
-func NewClient(set *Shared, owner any, remote string, now time.Duration) *Client {
+// NewClientConn begins a connection. owner is handed on with exchanges; remote is the client's address without a port.
+func NewClientConn(set *Shared, owner any, remote string, now time.Duration) *ClientConn {
 	l := set.Config.Limits
-	return &Client{set: set, owner: owner, remote: remote, since: now, opened: now,
+	return &ClientConn{set: set, owner: owner, remote: remote, since: now, opened: now,
 		rd: http1.NewRequests(http1.Limits{Head: int(l.Head), Fields: l.Fields})}
 }
 
 // Closing tells that the connection is to be closed once Out is written. Linger tells that an answer may still be on its
 // way: what comes should be read and dropped for a while, since closing on unread bytes would reset the connection and
 // could take the answer with it.
-func (c *Client) Closing() (closes, linger bool) { return c.phase == closing, c.linger || c.asked }
+func (c *ClientConn) Closing() (closes, linger bool) { return c.phase == closing, c.linger || c.asked }
 
 // Aborts tells that a connection that closes must be reset, once Out is written, rather than ended.
-func (c *Client) Aborts() bool { return c.aborts }
+func (c *ClientConn) Aborts() bool { return c.aborts }
 
 // Waiting tells that an answer is awaited.
-func (c *Client) Waiting() bool { return c.phase == waiting }
+func (c *ClientConn) Waiting() bool { return c.phase == waiting }
 
 // Idle tells that nothing of a request has come.
-func (c *Client) Idle() bool { return c.phase == idle && len(c.stash) == 0 }
+func (c *ClientConn) Idle() bool { return c.phase == idle && len(c.stash) == 0 }
 
-// Resting tells whether nothing of a request has come, since when, and whether there was one before.
-func (c *Client) Resting() (since time.Duration, asked, idle bool) { return c.since, c.asked, c.Idle() }
+// IdleSince tells whether nothing of a request has come, since when, and whether there was one before.
+func (c *ClientConn) IdleSince() (since time.Duration, asked, idle bool) {
+	return c.since, c.asked, c.Idle()
+}
 
 // Deadline is when Expired should be called if nothing else happens; 0 is never.
-func (c *Client) Deadline() time.Duration {
+func (c *ClientConn) Deadline() time.Duration {
 	l, d := c.set.Config.Limits, time.Duration(0)
 	switch c.phase {
 	case idle:
@@ -98,7 +100,7 @@
 }
 
 // Expired takes note of the time: slow senders get 408, idle connections are closed.
-func (c *Client) Expired(now time.Duration) {
+func (c *ClientConn) Expired(now time.Duration) {
 	if d := c.Deadline(); d == 0 || now < d {
 		return
 	}
@@ -111,7 +113,7 @@
 
 // Feed takes bytes in. It returns an exchange when a request is whole and for the core to decide; until that is
 // answered no other follows.
-func (c *Client) Feed(now time.Duration, b []byte) *Exchange {
+func (c *ClientConn) Feed(now time.Duration, b []byte) *Exchange {
 	if c.phase == waiting {
 		if len(c.stash) == 0 {
 			c.stashed = now
@@ -128,7 +130,7 @@
 }
 
 // Resume goes on with what was kept. Call it after an answer is out.
-func (c *Client) Resume(now time.Duration) *Exchange {
+func (c *ClientConn) Resume(now time.Duration) *Exchange {
 	if c.phase == waiting || len(c.stash) == 0 {
 		return nil
 	}
@@ -145,7 +147,7 @@
 
 // Gone ends the connection from the client's side. It returns the exchange that has lost its client, if any; from here
 // on no attempt of it begins, however late the core is told.
-func (c *Client) Gone() *Exchange {
+func (c *ClientConn) Gone() *Exchange {
 	ex := c.ex
 	if c.phase != waiting {
 		ex = nil
@@ -157,7 +159,7 @@
 	return ex
 }
 
-func (c *Client) close() {
+func (c *ClientConn) close() {
 	c.phase, c.ex = closing, nil
 	c.unkeep()
 	c.drop()
@@ -165,7 +167,7 @@
 
 // keep keeps bytes that come while an answer is awaited: as many as one request may have, and as limits.memory has room for.
 // Beyond that they are dropped rather than left unread, since the end of the connection would not be seen behind them.
-func (c *Client) keep(b []byte) {
+func (c *ClientConn) keep(b []byte) {
 	l := c.set.Config.Limits
 	if c.overrun = c.overrun || len(c.stash)+len(b) > int(l.Head)+int(l.Body) || !c.set.reserve(len(b)); !c.overrun {
 		c.stash = append(c.stash, b...)
@@ -173,13 +175,13 @@
 }
 
 // unkeep lets go of them.
-func (c *Client) unkeep() {
+func (c *ClientConn) unkeep() {
 	c.set.release(len(c.stash))
 	c.stash = nil
 }
 
 // Drain closes an idle connection and lets others end with their answer.
-func (c *Client) Drain() {
+func (c *ClientConn) Drain() {
 	if c.Idle() {
 		c.close()
 	}
@@ -188,7 +190,7 @@
 // Answered appends an answer of ours or of a box. more tells that the rest follows by Relay; else the exchange is
 // over and the connection goes on, with Resume, or closes.
 // closes tells that it is the connection's last: it says so, or only the connection's end can end it.
-func (c *Client) Answered(now time.Duration, ex *Exchange, b []byte, more, closes bool) {
+func (c *ClientConn) Answered(now time.Duration, ex *Exchange, b []byte, more, closes bool) {
 	if c.ex != ex || c.phase != waiting {
 		return
 	}
@@ -199,8 +201,8 @@
 	}
 }
 
-// TurnAway answers an exchange that the core's queue has no room for.
-func (c *Client) TurnAway(now time.Duration, ex *Exchange) {
+// RejectOverload answers an exchange that the core's queue has no room for.
+func (c *ClientConn) RejectOverload(now time.Duration, ex *Exchange) {
 	c.set.release(ex.held)
 	ex.held = 0
 	closes := ex.Close || c.set.closes()
@@ -208,7 +210,7 @@
 }
 
 // Relay appends more of an answer; end tells that it is over, broken that it must be cut off.
-func (c *Client) Relay(now time.Duration, ex *Exchange, b []byte, end, broken bool) {
+func (c *ClientConn) Relay(now time.Duration, ex *Exchange, b []byte, end, broken bool) {
 	if c.ex != ex || c.phase != waiting {
 		return
 	}
@@ -222,7 +224,7 @@
 	}
 }
 
-func (c *Client) finish(now time.Duration) {
+func (c *ClientConn) finish(now time.Duration) {
 	ex := c.ex
 	c.ex, c.phase, c.since = nil, idle, now
 	if ex.Close || c.last || c.overrun && len(c.stash) == 0 {
@@ -232,7 +234,7 @@
 }
 
 // read takes bytes apart until a request is whole, all are used or the connection ends.
-func (c *Client) read(now time.Duration, b []byte) *Exchange {
+func (c *ClientConn) read(now time.Duration, b []byte) *Exchange {
 	for c.phase != closing {
 		if c.phase == idle && len(b) > 0 {
 			c.phase, c.since = inHead, now
@@ -263,7 +265,7 @@
 }
 
 // malformed answers what can't be read, and closes: nobody knows where the next request would begin.
-func (c *Client) malformed(now time.Duration, err error) {
+func (c *ClientConn) malformed(now time.Duration, err error) {
 	p := badRequest
 	if e, ok := err.(*http1.Error); ok {
 		p.Status, p.Detail = e.Status, "The request has "+e.Reason+"."
@@ -276,7 +278,7 @@
 }
 
 // refuse settles that the request gets an answer of ours that no decision is behind.
-func (c *Client) refuse(now time.Duration, p problem, closes bool) {
+func (c *ClientConn) refuse(now time.Duration, p problem, closes bool) {
 	if c.refusal == nil {
 		c.refusal = &p
 	}
@@ -287,7 +289,7 @@
 }
 
 // answer writes the settled refusal.
-func (c *Client) answer(now time.Duration) {
+func (c *ClientConn) answer(now time.Duration) {
 	ex, p := c.ex, c.refusal
 	closes := ex.Close || c.set.closes()
 	retry := time.Duration(0)
@@ -295,7 +297,7 @@
 		retry = time.Second
 	}
 	c.Out = c.set.own(c.Out, p, ex.Method, ex.Minor, closes, retry)
-	c.Own = append(c.Own, p.Status)
+	c.OwnStatuses = append(c.OwnStatuses, p.Status)
 	c.drop()
 	c.ex, c.refusal = nil, nil
 	c.phase, c.since, c.linger = idle, now, true
@@ -305,7 +307,7 @@
 }
 
 // drop lets go of a body.
-func (c *Client) drop() {
+func (c *ClientConn) drop() {
 	if c.body != nil {
 		c.set.release(cap(c.body))
 	}
@@ -313,7 +315,7 @@
 }
 
 // begun takes a whole head in.
-func (c *Client) begun(now time.Duration, h *http1.Head) {
+func (c *ClientConn) begun(now time.Duration, h *http1.Head) {
 	c.phase, c.since, c.head = inBody, now, h
 	c.ex = &Exchange{Owner: c.owner, Method: h.Method, Minor: h.Minor, Close: h.Close}
 	if p := c.identify(h); p != nil {
@@ -335,7 +337,7 @@
 }
 
 // data takes a piece of a body in.
-func (c *Client) data(now time.Duration, b []byte) {
+func (c *ClientConn) data(now time.Duration, b []byte) {
 	if c.phase == skipping {
 		if c.left -= int64(len(b)); c.left < 0 {
 			c.ex.Close = true
@@ -370,7 +372,7 @@
 }
 
 // ended takes the end of a request in.
-func (c *Client) ended(now time.Duration) *Exchange {
+func (c *ClientConn) ended(now time.Duration) *Exchange {
 	if c.refusal != nil {
 		c.answer(now)
 		return nil
@@ -386,7 +388,7 @@
 		return nil
 	}
 	ex.held = size
-	ex.Wire, ex.head = c.set.Dialect.Request(make([]byte, 0, size), c.head, c.body, c.tail, c.remote)
+	ex.Rendered, ex.head = c.set.Protocol.RenderRequest(make([]byte, 0, size), c.head, c.body, c.tail, c.remote)
 	c.drop()
 	c.asked = true
 	ex.Arrived = min(now, c.came) // its client has waited since its bytes came, not since the answer before it
@@ -395,7 +397,7 @@
 }
 
 // identify finds the route, the studio, the units and the patience of a request.
-func (c *Client) identify(h *http1.Head) *problem {
+func (c *ClientConn) identify(h *http1.Head) *problem {
 	if c.set.Draining() {
 		c.ex.Close = true
 		return &shuttingDown
@@ -403,5 +405,5 @@
 	if c.set.starting.Load() {
 		return &notReady
 	}
-	return c.set.Dialect.Read(h, &c.ex.Ask)
+	return c.set.Protocol.ParseRequest(h, &c.ex.RequestInfo)
 }
--- a/door/product.go
+++ b/proxy/configured.go
@@ -1,4 +1,4 @@
-package door
+package proxy
 
 import (
 	"math"
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"sandyard/choice"
 	"sandyard/config"
-	"sandyard/internal/dialect"
+	"sandyard/decision"
 	"sandyard/internal/http1"
+	"sandyard/internal/protocol"
 	"sandyard/internal/resp"
 )
 
@@ -21,27 +21,31 @@
 	via string // how this front door names itself (RFC 9110 section 7.6.3)
 }
 
-// Product is the dialect that a configuration file describes. via is how the front door names itself to others.
-func Product(cfg *config.Config, via string) dialect.Dialect { return &product{cfg, via} }
+// NewConfiguredProtocol is the dialect that a configuration file describes. via is how the front door names itself to others.
+func NewConfiguredProtocol(cfg *config.Config, via string) protocol.Protocol {
+	return &product{cfg, via}
+}
 
-func (d *product) Read(h *http1.Head, ask *dialect.Ask) *dialect.Own { return identify(d.cfg, h, ask) }
+func (d *product) ParseRequest(h *http1.Head, ask *protocol.RequestInfo) *protocol.LocalResponse {
+	return identify(d.cfg, h, ask)
+}
 
-func identify(cfg *config.Config, h *http1.Head, ex *dialect.Ask) *problem {
+func identify(cfg *config.Config, h *http1.Head, ex *protocol.RequestInfo) *problem {
 	key, ok := h.Get(cfg.Headers.Key)
 	if !ok {
 		if key = bearer(h); key == "" {
 			return &noKey
 		}
 	}
-	if ex.Studio = cfg.Customer(key); ex.Studio == nil {
+	if ex.Customer = cfg.CustomerByKey(key); ex.Customer == nil {
 		return &wrongKey
 	}
 	return route(cfg, h, ex)
 }
 
 // route finds what an identified studio asks for.
-func route(cfg *config.Config, h *http1.Head, ex *dialect.Ask) *problem {
-	op, v := cfg.Routes.Look(h.Method, h.Path)
+func route(cfg *config.Config, h *http1.Head, ex *protocol.RequestInfo) *problem {
+	op, v := cfg.Routes.Match(h.Method, h.Path)
 	switch v {
 	case 0:
 	case 2:
@@ -51,25 +55,25 @@
 	default:
 		return &noRoute
 	}
-	ex.Op, ex.Class = op, cfg.ClassOf[op.Index]
+	ex.Operation, ex.Class = op, cfg.ClassByOperation[op.Index]
 	var ok bool
 	if ex.Units, ok = op.Units.Of(h.Query, h.Get); !ok {
 		return &badUnits
 	}
 	class := &cfg.Settings.Classes[ex.Class]
-	if class.Repeat == choice.Keyed {
+	if class.Idempotency == decision.IdempotentByKey {
 		if k, _ := h.Get("Idempotency-Key"); k == "" {
 			return &noIdemKey
 		}
 	}
-	ex.Patience = class.Deadline
-	if s, ok := h.Get(cfg.Headers.Patience); ok {
+	ex.Timeout = class.Deadline
+	if s, ok := h.Get(cfg.Headers.Timeout); ok {
 		ms, err := strconv.ParseFloat(s, 64)
 		if err != nil || !(ms >= 0) || math.IsInf(ms, 0) {
 			return &badPatience
 		}
 		if ms < float64(class.Deadline/time.Millisecond) {
-			ex.Patience = time.Duration(ms * float64(time.Millisecond))
+			ex.Timeout = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
 	if s, ok := h.Get(cfg.Headers.Retry); ok && s != "0" && s != "" {
@@ -78,8 +82,8 @@
 	return nil
 }
 
-// Request writes the request as a box gets it: hop-by-hop fields removed, this front door added.
-func (d *product) Request(b []byte, h *http1.Head, body []byte, trailers []http1.Field, remote string) ([]byte, int) {
+// RenderRequest writes the request as a box gets it: hop-by-hop fields removed, this front door added.
+func (d *product) RenderRequest(b []byte, h *http1.Head, body []byte, trailers []http1.Field, remote string) ([]byte, int) {
 	b = append(b, h.Method...)
 	b = append(b, ' ')
 	b = append(b, h.Path...)
@@ -131,25 +135,25 @@
 	return ""
 }
 
-// Attempt sends a request as it was rendered: how long a front door waits is not told.
-func (d *product) Attempt(wire []byte, _ int, _ time.Duration) []byte { return wire }
+// RenderAttempt sends a request as it was rendered: how long a front door waits is not told.
+func (d *product) RenderAttempt(wire []byte, _ int, _ time.Duration) []byte { return wire }
 
-// Probe asks at probes.path.
-func (d *product) Probe(addr string) []byte {
+// RenderProbe asks at probes.path.
+func (d *product) RenderProbe(addr string) []byte {
 	b := append([]byte("GET "), d.cfg.Probes.Path...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	return append(append(b, addr...), "\r\n\r\n"...)
 }
 
-// RetryAfter is in whole seconds, rounded up (RFC 9110 section 10.2.3).
-func (d *product) RetryAfter(b []byte, after time.Duration) []byte {
+// AppendRetryAfter is in whole seconds, rounded up (RFC 9110 section 10.2.3).
+func (d *product) AppendRetryAfter(b []byte, after time.Duration) []byte {
 	return strconv.AppendInt(b, int64((after+time.Second-1)/time.Second), 10)
 }
 
 const loadField = "endpoint-load-metrics"
 
-// Pass leaves out the box's load, which is for this front door alone.
-func (d *product) Pass(b []byte, h *http1.Head) []byte {
+// RenderResponseHead leaves out the box's load, which is for this front door alone.
+func (d *product) RenderResponseHead(b []byte, h *http1.Head) []byte {
 	b = http1.AppendStatus(b, h.Status, h.Reason)
 	b = http1.AppendFields(b, h, func(name string) bool {
 		return len(name) == len(loadField) && http1.EqualName(name, loadField)
@@ -159,19 +163,19 @@
 	return append(b, '\r', '\n')
 }
 
-// Report reads what a status says of an attempt: only statuses that the configuration lists mean that the box turned
+// ParseResponse reads what a status says of an attempt: only statuses that the configuration lists mean that the box turned
 // the request away unseen.
-func (d *product) Report(h *http1.Head, _ []byte, _ bool) dialect.Report {
-	var r dialect.Report
+func (d *product) ParseResponse(h *http1.Head, _ []byte, _ bool) protocol.ResponseReport {
+	var r protocol.ResponseReport
 	switch {
-	case slices.Contains(d.cfg.File.Boxes.FullStatuses, h.Status):
-		r.Outcome = choice.Full
+	case slices.Contains(d.cfg.File.Backends.RejectedStatuses, h.Status):
+		r.Outcome = decision.Rejected
 	case h.Status >= 500:
-		r.Outcome = choice.Error
+		r.Outcome = decision.BackendError
 	}
-	if len(d.cfg.Loads) > 0 {
+	if len(d.cfg.LoadReportNames) > 0 {
 		if v, ok := h.Get(loadField); ok {
-			r.Load = parseLoad(v, d.cfg.Loads)
+			r.Load = parseLoad(v, d.cfg.LoadReportNames)
 		}
 	}
 	if d.cfg.Settings.UnitsSettleLater {
@@ -210,28 +214,28 @@
 	return load
 }
 
-// Counter speaks RESP. A call is two commands in one round trip: INCRBYFLOAT, and PEXPIRE with NX so that a name's life
+// NewCounterCodec speaks RESP. A call is two commands in one round trip: INCRBYFLOAT, and PEXPIRE with NX so that a name's life
 // begins with its first use.
-func (d *product) Counter() dialect.Counter { return &respCounter{} }
+func (d *product) NewCounterCodec() protocol.CounterCodec { return &respCounter{} }
 
 type respCounter struct {
 	rd     resp.Reader
 	expiry bool // the next reply is that of PEXPIRE
 }
 
-func (r *respCounter) Call(b []byte, name string, amount float64, ttl time.Duration) []byte {
+func (r *respCounter) AppendCall(b []byte, name string, amount float64, ttl time.Duration) []byte {
 	b = resp.AppendCommand(b, "INCRBYFLOAT", name, strconv.FormatFloat(amount, 'g', -1, 64))
 	return resp.AppendCommand(b, "PEXPIRE", name, strconv.FormatInt(ttl.Milliseconds(), 10), "NX")
 }
 
-func (r *respCounter) Feed(b []byte) (int, dialect.Reply, error) {
+func (r *respCounter) Feed(b []byte) (int, protocol.CounterReply, error) {
 	n, v, whole, err := r.rd.Feed(b)
 	if err != nil || !whole {
-		return n, dialect.Reply{}, err
+		return n, protocol.CounterReply{}, err
 	}
 	if r.expiry = !r.expiry; !r.expiry {
-		return n, dialect.Reply{}, nil
+		return n, protocol.CounterReply{}, nil
 	}
 	sum, ok := v.Float()
-	return n, dialect.Reply{Got: true, Added: ok && v.Type != resp.Failed, Total: sum}, nil
+	return n, protocol.CounterReply{Complete: true, Added: ok && v.Type != resp.Failed, Total: sum}, nil
 }
--- a/door/keeper.go
+++ b/proxy/counter.go
@@ -1,10 +1,10 @@
-package door
+package proxy
 
 import (
 	"time"
 
-	"sandyard/choice"
-	"sandyard/internal/dialect"
+	"sandyard/decision"
+	"sandyard/internal/protocol"
 )
 
 const (
@@ -28,7 +28,7 @@
 	up      bool
 	dialing bool
 	addr    string
-	codec   dialect.Counter
+	codec   protocol.CounterCodec
 	calls   []keeperCall // oldest first, from head on
 	head    int
 	out     []byte
@@ -39,21 +39,21 @@
 func (k *keeper) pending() int { return len(k.calls) - k.head }
 
 // count starts a call, or tells how it ended at once.
-func (c *Core) count(a choice.Count) {
+func (c *Instance) count(a decision.AddToCounter) {
 	k, cfg := &c.keeper, c.set.Config
 	switch {
 	case !k.up:
-		c.later(choice.Counted{Name: a.Name, Outcome: choice.ConnectFailed})
-	case k.pending() >= cfg.Keeper.Pending:
-		c.later(choice.Counted{Name: a.Name, Outcome: choice.Full})
+		c.later(decision.CounterReplied{Name: a.Name, Outcome: decision.ConnectFailed})
+	case k.pending() >= cfg.Counter.MaxPending:
+		c.later(decision.CounterReplied{Name: a.Name, Outcome: decision.Rejected})
 	default:
-		k.out = k.codec.Call(k.out, a.Name, a.Amount, a.TTL)
+		k.out = k.codec.AppendCall(k.out, a.Name, a.Amount, a.TTL)
 		k.calls = append(k.calls, keeperCall{name: a.Name, sent: c.now})
 		c.armKeeper()
 	}
 }
 
-func (c *Core) armKeeper() {
+func (c *Instance) armKeeper() {
 	k := &c.keeper
 	if k.armed {
 		return
@@ -61,21 +61,21 @@
 	for i := k.head; i < len(k.calls); i++ {
 		if !k.calls[i].told {
 			k.armed = true
-			c.timers.push(timer{at: k.calls[i].sent + time.Duration(c.set.Config.Keeper.Timeout), kind: keeperTimer})
+			c.timers.push(timer{at: k.calls[i].sent + time.Duration(c.set.Config.Counter.Timeout), kind: keeperTimer})
 			return
 		}
 	}
 	if k.pending() > 0 { // all told, none answered
 		k.armed = true
-		c.timers.push(timer{at: k.calls[k.head].sent + keeperSilence*time.Duration(c.set.Config.Keeper.Timeout), kind: keeperTimer})
+		c.timers.push(timer{at: k.calls[k.head].sent + keeperSilence*time.Duration(c.set.Config.Counter.Timeout), kind: keeperTimer})
 	}
 }
 
 // keeperLate reports the calls whose time is up, oldest first, so that answers for one name keep their order.
-func (c *Core) keeperLate() {
+func (c *Instance) keeperLate() {
 	k := &c.keeper
 	k.armed = false
-	limit := time.Duration(c.set.Config.Keeper.Timeout)
+	limit := time.Duration(c.set.Config.Counter.Timeout)
 	for i := k.head; i < len(k.calls); i++ {
 		call := &k.calls[i]
 		if c.now < call.sent+limit {
@@ -83,29 +83,29 @@
 		}
 		if !call.told {
 			call.told = true
-			c.Stats.KeeperLate++
-			c.later(choice.Counted{Name: call.name, Outcome: choice.TimedOut})
+			c.Stats.CounterLate++
+			c.later(decision.CounterReplied{Name: call.name, Outcome: decision.TimedOut})
 		}
 	}
 	if k.pending() > 0 && k.up && c.now >= k.calls[k.head].sent+keeperSilence*limit {
-		c.wish(Wish{Kind: HangKeeper})
+		c.wish(Effect{Kind: CloseCounter})
 		c.keeperLost()
 	}
 	c.armKeeper()
 }
 
-// KeeperUp tells that the connection stands.
-func (c *Core) KeeperUp(now time.Duration) {
+// CounterConnected tells that the connection stands.
+func (c *Instance) CounterConnected(now time.Duration) {
 	c.at(now)
 	k := &c.keeper
 	if k.dialing {
 		k.up, k.dialing, k.backoff = true, false, 0
-		k.codec = c.set.Dialect.Counter()
+		k.codec = c.set.Protocol.NewCounterCodec()
 	}
 }
 
-// KeeperDown tells that the connection could not be made, or is lost.
-func (c *Core) KeeperDown(now time.Duration) {
+// CounterDisconnected tells that the connection could not be made, or is lost.
+func (c *Instance) CounterDisconnected(now time.Duration) {
 	c.at(now)
 	if c.keeper.up || c.keeper.dialing {
 		c.keeperLost()
@@ -115,12 +115,12 @@
 
 // keeperLost ends all calls, which may have been added, and plans the next try. Front doors that lose one keeper
 // together come back apart: each waits a random share of a growing time.
-func (c *Core) keeperLost() {
+func (c *Instance) keeperLost() {
 	k := &c.keeper
 	k.up, k.dialing, k.out = false, false, nil
 	for i := k.head; i < len(k.calls); i++ {
 		if call := &k.calls[i]; !call.told {
-			c.later(choice.Counted{Name: call.name, Outcome: choice.TimedOut})
+			c.later(decision.CounterReplied{Name: call.name, Outcome: decision.TimedOut})
 		}
 	}
 	k.calls, k.head = nil, 0
@@ -129,41 +129,41 @@
 	c.timers.push(timer{at: c.now + wait, kind: keeperDial})
 }
 
-func (c *Core) dialKeeper() {
+func (c *Instance) dialKeeper() {
 	if k := &c.keeper; !k.up && !k.dialing && !c.over && k.addr != "" {
 		k.dialing = true
-		c.wish(Wish{Kind: DialKeeper, Addr: k.addr})
+		c.wish(Effect{Kind: DialCounter, Addr: k.addr})
 	}
 }
 
-// KeeperFeed takes the keeper's bytes in.
-func (c *Core) KeeperFeed(now time.Duration, b []byte) {
+// CounterReceived takes the keeper's bytes in.
+func (c *Instance) CounterReceived(now time.Duration, b []byte) {
 	c.at(now)
 	k := &c.keeper
 	for k.up && len(b) > 0 {
 		n, r, err := k.codec.Feed(b)
 		b = b[n:]
-		if err != nil || r.Got && k.pending() == 0 { // not the protocol, or an answer to nothing
-			c.Stats.KeeperMalformed++
-			c.wish(Wish{Kind: HangKeeper})
+		if err != nil || r.Complete && k.pending() == 0 { // not the protocol, or an answer to nothing
+			c.Stats.CounterMalformed++
+			c.wish(Effect{Kind: CloseCounter})
 			c.keeperLost()
 			break
 		}
-		if r.Got {
+		if r.Complete {
 			c.keeperReply(r)
 		}
 	}
 	c.settle()
 }
 
-func (c *Core) keeperReply(r dialect.Reply) {
+func (c *Instance) keeperReply(r protocol.CounterReply) {
 	k := &c.keeper
 	if call := &k.calls[k.head]; !call.told {
-		o := choice.OK
+		o := decision.OK
 		if !r.Added {
-			o = choice.Full // the keeper said no: not added
+			o = decision.Rejected // the keeper said no: not added
 		}
-		c.later(choice.Counted{Name: call.name, Outcome: o, Total: r.Total})
+		c.later(decision.CounterReplied{Name: call.name, Outcome: o, Total: r.Total})
 	}
 	k.calls[k.head] = keeperCall{}
 	if k.head++; k.head == len(k.calls) {
--- a/door/doc.go
+++ b/proxy/doc.go
@@ -1,4 +1,4 @@
-// Package door is one front door as a deterministic machine: time and bytes come in, bytes and wishes go out. It
+// Package proxy is one front door as a deterministic machine: time and bytes come in, bytes and wishes go out. It
 // opens no connection, reads no clock, starts no goroutine and draws from no randomness but its seed, so that the
 // same code serves sockets and virtual time.
 //
@@ -15,14 +15,14 @@
 //
 // Times are since any fixed origin that is the same for all parts; virtual time begins at Start,
 // sockets at the time since 1970, since front doors that share a counter must have one time.
-package door
+package proxy
 
 import (
 	"sync/atomic"
 	"time"
 
 	"sandyard/config"
-	"sandyard/internal/dialect"
+	"sandyard/internal/protocol"
 )
 
 // Start is the time at which a front door's clock begins in virtual time, and a stand-in's: well above zero, so that what happened before its
@@ -32,7 +32,7 @@
 // Shared is what the parts of one front door have in common. Its counters may be used by all goroutines.
 type Shared struct {
 	Config   *config.Config
-	Dialect  dialect.Dialect
+	Protocol protocol.Protocol
 	Memory   atomic.Int64 // bytes of bodies held
 	Clients  atomic.Int64 // connections
 	starting atomic.Bool
@@ -40,14 +40,14 @@
 	draining atomic.Bool
 }
 
-// BeginStart says that the front door has no list yet that it may go by: requests are refused, and it is not ready.
-func (s *Shared) BeginStart() { s.starting.Store(true) }
+// MarkStarting says that the front door has no list yet that it may go by: requests are refused, and it is not ready.
+func (s *Shared) MarkStarting() { s.starting.Store(true) }
 
-// Begin ends that.
-func (s *Shared) Begin() { s.starting.Store(false) }
+// MarkStarted ends that.
+func (s *Shared) MarkStarted() { s.starting.Store(false) }
 
-// BeginLeave begins the end: answers close their connections, but requests are still taken.
-func (s *Shared) BeginLeave() { s.leaving.Store(true) }
+// CloseAfterResponses begins the end: answers close their connections, but requests are still taken.
+func (s *Shared) CloseAfterResponses() { s.leaving.Store(true) }
 
 // closes tells whether answers close their connections.
 func (s *Shared) closes() bool { return s.leaving.Load() }
@@ -55,8 +55,8 @@
 // Draining tells whether the front door is shutting down: it takes no more requests.
 func (s *Shared) Draining() bool { return s.draining.Load() }
 
-// BeginDrain ends the taking of requests: new ones are refused, and answers close their connections.
-func (s *Shared) BeginDrain() {
+// RejectNewRequests ends the taking of requests: new ones are refused, and answers close their connections.
+func (s *Shared) RejectNewRequests() {
 	s.leaving.Store(true)
 	s.draining.Store(true)
 }
--- a/door/exchange.go
+++ b/proxy/exchange.go
@@ -1,11 +1,11 @@
-package door
+package proxy
 
 import (
 	"sync/atomic"
 	"time"
 
-	"sandyard/choice"
-	"sandyard/internal/dialect"
+	"sandyard/decision"
+	"sandyard/internal/protocol"
 )
 
 // State is where an exchange stands. An exchange has exactly one final answer: the one given by the step that leads
@@ -14,10 +14,10 @@
 
 // The states.
 const (
-	Deciding State = iota // the gateway holds it; nothing is out
-	Trying                // an attempt was sent
-	Relaying              // an answer has begun to flow to the client
-	Done                  // answered, or its client left; attempts may still be out
+	Deciding   State = iota // the gateway holds it; nothing is out
+	Forwarding              // an attempt was sent
+	Streaming               // an answer has begun to flow to the client
+	Done                    // answered, or its client left; attempts may still be out
 	states
 )
 
@@ -48,19 +48,19 @@
 // client (refuse, fail, answer, begin, leave) act in Deciding and Trying only, and lead out of them for good.
 var moves = [states][steps]move{
 	Deciding: {
-		stepSend: {Trying, true}, stepRefuse: {Done, true}, stepFail: {Done, true}, stepCancel: {Deciding, false},
+		stepSend: {Forwarding, true}, stepRefuse: {Done, true}, stepFail: {Done, true}, stepCancel: {Deciding, false},
 		stepLost: {Deciding, false}, stepAnswer: {Deciding, false}, stepBegin: {Deciding, false},
 		stepEnd: {Deciding, false}, stepLeave: {Done, true},
 	},
-	Trying: {
-		stepSend: {Trying, true}, stepRefuse: {Done, true}, stepFail: {Done, true}, stepCancel: {Trying, true},
-		stepLost: {Trying, true}, stepAnswer: {Done, true}, stepBegin: {Relaying, true},
-		stepEnd: {Trying, false}, stepLeave: {Done, true},
+	Forwarding: {
+		stepSend: {Forwarding, true}, stepRefuse: {Done, true}, stepFail: {Done, true}, stepCancel: {Forwarding, true},
+		stepLost: {Forwarding, true}, stepAnswer: {Done, true}, stepBegin: {Streaming, true},
+		stepEnd: {Forwarding, false}, stepLeave: {Done, true},
 	},
-	Relaying: {
-		stepSend: {Relaying, false}, stepRefuse: {Relaying, false}, stepFail: {Relaying, false},
-		stepCancel: {Relaying, true}, stepLost: {Relaying, true}, stepAnswer: {Relaying, false},
-		stepBegin: {Relaying, false}, stepEnd: {Done, true}, stepLeave: {Done, true},
+	Streaming: {
+		stepSend: {Streaming, false}, stepRefuse: {Streaming, false}, stepFail: {Streaming, false},
+		stepCancel: {Streaming, true}, stepLost: {Streaming, true}, stepAnswer: {Streaming, false},
+		stepBegin: {Streaming, false}, stepEnd: {Done, true}, stepLeave: {Done, true},
 	},
 	Done: {
 		stepSend: {Done, false}, stepRefuse: {Done, false}, stepFail: {Done, false}, stepCancel: {Done, true},
@@ -71,22 +71,22 @@
 
 // Exchange is a request from its last byte until its answer's last byte.
 type Exchange struct {
-	Owner       any // the runtime's connection; handed back with wishes
-	ID          choice.RequestID
-	dialect.Ask // Patience counts from Arrived
-	Method      string
-	Minor       int  // the client's HTTP/1.Minor
-	Close       bool // the connection ends with this answer
-	Wire        []byte
-	Arrived     time.Duration
-	Status      int // of the final answer, 0 while there is none
+	Owner                any // the runtime's connection; handed back with wishes
+	ID                   decision.RequestID
+	protocol.RequestInfo // Patience counts from Arrived
+	Method               string
+	Minor                int  // the client's HTTP/1.Minor
+	Close                bool // the connection ends with this answer
+	Rendered             []byte
+	Arrived              time.Duration
+	Status               int // of the final answer, 0 while there is none
 
 	state    State
 	attempts []attempt
-	open     int   // attempts out
-	relay    int   // the attempt whose answer flows,
-	carrier  *Line // and its line
-	probe    choice.ServerID
+	open     int          // attempts out
+	relay    int          // the attempt whose answer flows,
+	carrier  *BackendConn // and its line
+	probe    decision.BackendID
 	isProbe  bool
 	left     atomic.Bool // its client has gone; set where that is seen, before the core is told
 	head     int         // of Wire: where an attempt adds fields; 0: nowhere
@@ -95,7 +95,7 @@
 
 // attempt is one send of an exchange.
 type attempt struct {
-	line  *Line
+	line  *BackendConn
 	sent  time.Duration
 	until time.Duration // when it is given up
 	wrote time.Duration // when it went out on its line; 0: it has not
--- a/door/answers.go
+++ b/proxy/localresponse.go
@@ -1,18 +1,18 @@
-package door
+package proxy
 
 import (
 	"strconv"
 	"time"
 
-	"sandyard/internal/dialect"
 	"sandyard/internal/http1"
+	"sandyard/internal/protocol"
 )
 
 // problem is one of this program's own answers.
-type problem = dialect.Own
+type problem = protocol.LocalResponse
 
 func says(status int, kind, title, detail string, harmless bool) problem {
-	return problem{Status: status, Kind: kind, Title: title, Detail: detail, Harmless: harmless}
+	return problem{Status: status, Kind: kind, Title: title, Detail: detail, RetryIsSafe: harmless}
 }
 
 var (
@@ -44,9 +44,9 @@
 // own appends an answer of this program to a request of the given method.
 func (s *Shared) own(b []byte, p *problem, method string, minor int, closing bool, retryAfter time.Duration) []byte {
 	b = http1.AppendStatus(b, p.Status, http1.StatusText(p.Status))
-	if retryAfter > 0 && s.Config.RetryAfter.Tell {
+	if retryAfter > 0 && s.Config.RetryAfter.Enabled {
 		b = append(b, "Retry-After: "...)
-		b = append(s.Dialect.RetryAfter(b, retryAfter), '\r', '\n')
+		b = append(s.Protocol.AppendRetryAfter(b, retryAfter), '\r', '\n')
 	}
 	if p.Status < 400 { // nothing is wrong, and there is nothing more to say
 		b = http1.AppendLength(b, 0)
@@ -57,7 +57,7 @@
 		b = append(b, "WWW-Authenticate: Bearer\r\n"...)
 	}
 	retry := "unknown"
-	if p.Harmless {
+	if p.RetryIsSafe {
 		retry = "harmless"
 	}
 	const a, c, d, e, f, z = `{"type":"urn:sandyard:problem:`, `","title":"`, `","status":`, `,"detail":"`, `","retry":"`, "\"}\n"
@@ -92,5 +92,7 @@
 	return b
 }
 
-// Busy is the answer to a connection beyond limits.connections, which is closed after it.
-func (s *Shared) Busy() []byte { return s.own(nil, &tooMany, "GET", 1, true, time.Second) }
+// TooManyConnections is the answer to a connection beyond limits.connections, which is closed after it.
+func (s *Shared) TooManyConnections() []byte {
+	return s.own(nil, &tooMany, "GET", 1, true, time.Second)
+}
--- a/door/boxconn.go
+++ b/proxy/responsereader.go
@@ -1,40 +1,40 @@
-package door
+package proxy
 
 import (
 	"time"
 
 	"sandyard/config"
-	"sandyard/internal/dialect"
 	"sandyard/internal/http1"
+	"sandyard/internal/protocol"
 )
 
-// AnswerKind says what came of an answer.
-type AnswerKind uint8
+// ResponseKind says what came of an answer.
+type ResponseKind uint8
 
 // The kinds.
 const (
-	Nothing AnswerKind = iota // more bytes are needed
-	Whole                     // the answer is complete and rendered in Bytes
-	Begun                     // it has begun and is too large to hold, or is a stream; Bytes is what there is
-	Flow                      // more of a begun answer, in Bytes
-	Over                      // the begun answer is complete; Bytes is its end
-	Broken                    // what came is no answer, or it was cut off
+	NeedMore  ResponseKind = iota // more bytes are needed
+	Complete                      // the answer is complete and rendered in Bytes
+	Started                       // it has begun and is too large to hold, or is a stream; Bytes is what there is
+	Continued                     // more of a begun answer, in Bytes
+	Ended                         // the begun answer is complete; Bytes is its end
+	Malformed                     // what came is no answer, or it was cut off
 )
 
-// Answer is what came of an answer.
-type Answer struct {
-	Kind   AnswerKind
+// Response is what came of an answer.
+type Response struct {
+	Kind   ResponseKind
 	Status int
 	Bytes  []byte // for the client
 	Reuse  bool   // Whole, Over: the connection can take another request
 	Close  bool   // Begun: only the end of the client's connection can tell where the body ends; Whole: Bytes say that it ends
-	dialect.Report
+	protocol.ResponseReport
 }
 
-// BoxConn is a connection to a box: it takes its answers apart, and renders them for the client that waits. An
+// ResponseReader is a connection to a box: it takes its answers apart, and renders them for the client that waits. An
 // answer is held until it is whole, so that nothing has reached the client if the box breaks off and another attempt
 // is allowed; one larger than limits.hold-answer, or of a streaming class, flows as it comes.
-type BoxConn struct {
+type ResponseReader struct {
 	set    *Shared
 	rd     *http1.Reader
 	ex     *Exchange // whose answer is awaited
@@ -44,25 +44,25 @@
 	chunks bool // of the answer to the client
 }
 
-// NewBoxConn begins a connection.
-func NewBoxConn(set *Shared) *BoxConn {
+// NewResponseReader begins a connection.
+func NewResponseReader(set *Shared) *ResponseReader {
 	l := set.Config.Limits
-	return &BoxConn{set: set, rd: http1.NewResponses(http1.Limits{Head: int(l.Head), Fields: l.Fields})}
+	return &ResponseReader{set: set, rd: http1.NewResponses(http1.Limits{Head: int(l.Head), Fields: l.Fields})}
 }
 
 // Expect sets the connection up for the answer to a request that is about to be written.
-func (b *BoxConn) Expect(ex *Exchange) {
+func (b *ResponseReader) Expect(ex *Exchange) {
 	b.ex, b.head, b.body, b.flows, b.chunks = ex, nil, nil, false, false
 	b.rd.Expect(ex.Method)
 }
 
 // Feed takes bytes in, all of them, and says what came of the answer by now.
-func (b *BoxConn) Feed(in []byte) Answer {
+func (b *ResponseReader) Feed(in []byte) Response {
 	if b.ex == nil {
 		if len(in) == 0 {
-			return Answer{}
+			return Response{}
 		}
-		return Answer{Kind: Broken} // bytes that nobody asked for
+		return Response{Kind: Malformed} // bytes that nobody asked for
 	}
 	var out []byte
 	for {
@@ -75,16 +75,16 @@
 		case http1.More:
 			switch {
 			case b.head == nil:
-				return Answer{}
+				return Response{}
 			case b.flows:
 				if len(out) == 0 {
-					return Answer{}
+					return Response{}
 				}
-				return Answer{Kind: Flow, Status: b.head.Status, Bytes: out}
-			case len(b.body) > int(b.set.Config.Limits.HoldAnswer) || b.stream():
+				return Response{Kind: Continued, Status: b.head.Status, Bytes: out}
+			case len(b.body) > int(b.set.Config.Limits.HoldResponse) || b.stream():
 				return b.begin()
 			}
-			return Answer{}
+			return Response{}
 		case http1.HeadEnd:
 			if part.Head.Status < 200 {
 				continue // interim answers speak of this hop, or promise what another attempt may not keep
@@ -110,15 +110,15 @@
 }
 
 // tooLong tells that an answer of this length is none that a box makes.
-func (b *BoxConn) tooLong(n int64) bool {
-	most := int64(b.set.Config.Limits.Answer)
+func (b *ResponseReader) tooLong(n int64) bool {
+	most := int64(b.set.Config.Limits.Response)
 	return most > 0 && n > most
 }
 
 // EOF tells that the box closed the connection.
-func (b *BoxConn) EOF() Answer {
+func (b *ResponseReader) EOF() Response {
 	if b.ex == nil {
-		return Answer{Kind: Broken}
+		return Response{Kind: Malformed}
 	}
 	part, err := b.rd.EOF()
 	if err != nil || part.Kind != http1.End || b.head == nil {
@@ -128,18 +128,18 @@
 }
 
 // Lost tells that the connection was lost.
-func (b *BoxConn) Lost() Answer { return b.broken() }
+func (b *ResponseReader) Lost() Response { return b.broken() }
 
-func (b *BoxConn) broken() Answer {
+func (b *ResponseReader) broken() Response {
 	b.ex = nil
-	return Answer{Kind: Broken}
+	return Response{Kind: Malformed}
 }
 
-func (b *BoxConn) stream() bool {
+func (b *ResponseReader) stream() bool {
 	return !b.ex.isProbe && b.set.Config.Settings.Classes[b.ex.Class].Stream
 }
 
-func (b *BoxConn) piece(out, data []byte) []byte {
+func (b *ResponseReader) piece(out, data []byte) []byte {
 	if b.ex.Method == "HEAD" {
 		return out
 	}
@@ -150,13 +150,13 @@
 }
 
 // begin renders the head and what there is of a body whose end has not come.
-func (b *BoxConn) begin() Answer {
+func (b *ResponseReader) begin() Response {
 	h, ex := b.head, b.ex
 	b.flows = true
-	a := b.facts(Begun)
+	a := b.facts(Started)
 	b.chunks = h.Length < 0 && ex.Minor == 1
 	a.Close = h.Length < 0 && ex.Minor == 0
-	out := b.set.Dialect.Pass(make([]byte, 0, 512+len(b.body)), h)
+	out := b.set.Protocol.RenderResponseHead(make([]byte, 0, 512+len(b.body)), h)
 	switch {
 	case b.chunks:
 		out = append(out, "Transfer-Encoding: chunked\r\n"...)
@@ -171,20 +171,20 @@
 }
 
 // end renders a whole answer, or the end of one that flows.
-func (b *BoxConn) end(out []byte, trailers []http1.Field, reuse bool) Answer {
+func (b *ResponseReader) end(out []byte, trailers []http1.Field, reuse bool) Response {
 	h, ex := b.head, b.ex
 	if b.flows {
 		if b.chunks {
 			out = http1.AppendLastChunk(out, trailers)
 		}
-		a := b.facts(Over)
+		a := b.facts(Ended)
 		a.Bytes, a.Reuse = out, reuse
 		b.ex = nil
 		return a
 	}
-	a := b.facts(Whole)
+	a := b.facts(Complete)
 	a.Reuse = reuse
-	out = b.set.Dialect.Pass(make([]byte, 0, 512+len(b.body)), h)
+	out = b.set.Protocol.RenderResponseHead(make([]byte, 0, 512+len(b.body)), h)
 	chunks := len(trailers) > 0 && ex.Minor == 1 && ex.Method != "HEAD"
 	switch {
 	case chunks:
@@ -211,17 +211,17 @@
 }
 
 // facts are what the head tells beside the answer.
-func (b *BoxConn) facts(k AnswerKind) Answer {
-	return Answer{Kind: k, Status: b.head.Status, Report: b.set.Dialect.Report(b.head, b.body, b.ex.isProbe)}
+func (b *ResponseReader) facts(k ResponseKind) Response {
+	return Response{Kind: k, Status: b.head.Status, ResponseReport: b.set.Protocol.ParseResponse(b.head, b.body, b.ex.isProbe)}
 }
 
-// Line is a connection to a box as the core knows it.
-type Line struct {
+// BackendConn is a connection to a box as the core knows it.
+type BackendConn struct {
 	Owner any // the runtime's connection; set by the runtime when it is told to dial
 	Addr  string
 
 	box   *box
-	stamp config.When // of the process that it is made to, as the list told
+	stamp config.Timestamp // of the process that it is made to, as the list told
 	state lineState
 	ex    *Exchange // whose attempt it carries
 	n     int       // the attempt's number
--- a/door/way.go
+++ b/proxy/roundtrip.go
@@ -1,4 +1,4 @@
-package door
+package proxy
 
 import "time"
 
--- a/door/timers.go
+++ b/proxy/timers.go
@@ -1,9 +1,9 @@
-package door
+package proxy
 
 import (
 	"time"
 
-	"sandyard/choice"
+	"sandyard/decision"
 )
 
 // timerKind says what a timer is for.
@@ -23,11 +23,11 @@
 type timer struct {
 	at      time.Duration
 	seq     uint64 // order of those that share a time
-	request choice.RequestID
-	line    *Line
+	request decision.RequestID
+	line    *BackendConn
 	n       int32
 	kind    timerKind
-	choice  choice.TimerKind
+	choice  decision.TimerKind
 }
 
 func (a *timer) before(b *timer) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
--- a/routes/compile.go
+++ b/routes/compile.go
@@ -15,8 +15,8 @@
 	v3 "github.com/pb33f/libopenapi/datamodel/high/v3"
 	"github.com/pb33f/libopenapi/orderedmap"
 
-	"sandyard/choice"
-	"sandyard/internal/diag"
+	"sandyard/decision"
+	"sandyard/internal/diagnostic"
 )
 
 // The extension fields.
@@ -31,12 +31,12 @@
 type compiler struct {
 	file     string
 	table    *Table
-	problems diag.Problems
+	problems diagnostic.Problems
 	ids      map[string]int // lines of operation ids
 }
 
 func (c *compiler) say(line, column int, field, format string, args ...any) {
-	c.problems = append(c.problems, diag.Problem{File: c.file, Line: line, Column: column, Field: field,
+	c.problems = append(c.problems, diagnostic.Problem{File: c.file, Line: line, Column: column, Field: field,
 		Message: fmt.Sprintf(format, args...)})
 }
 
@@ -339,12 +339,12 @@
 }
 
 var (
-	kinds  = map[string]choice.Repeat{"safe": choice.Safe, "keyed": choice.Keyed, "unsafe": choice.Unsafe}
-	scopes = map[string]choice.Scope{"all": choice.ScopeAll, "zone": choice.ScopeZone, "cell": choice.ScopeCell}
+	kinds  = map[string]decision.Idempotency{"safe": decision.Idempotent, "keyed": decision.IdempotentByKey, "unsafe": decision.NotIdempotent}
+	scopes = map[string]decision.KeyScope{"all": decision.KeyScopeAll, "zone": decision.KeyScopeZone, "cell": decision.KeyScopeCell}
 )
 
 func (c *compiler) repeat(e extension, at string) Repeat {
-	r := Repeat{Given: true, Kind: choice.Unsafe}
+	r := Repeat{Given: true, Kind: decision.NotIdempotent}
 	kind := e.node
 	if e.node.Kind == yaml.MappingNode {
 		keys := c.keys(e.node, at, "kind", "ttl", "scope")
@@ -372,7 +372,7 @@
 		c.say(kind.Line, kind.Column, at, "%q: expected safe, keyed or unsafe", kind.Value)
 		return r
 	}
-	if r.Kind = k; k == choice.Keyed && r.TTL == 0 {
+	if r.Kind = k; k == decision.IdempotentByKey && r.TTL == 0 {
 		c.say(e.line, e.node.Column, at+".ttl", "a keyed operation needs how long boxes remember its keys")
 	}
 	return r
--- a/routes/table.go
+++ b/routes/table.go
@@ -14,14 +14,14 @@
 	"strings"
 	"time"
 
-	"sandyard/choice"
+	"sandyard/decision"
 )
 
 // Repeat is what an operation says of repeats; the zero value leaves it to the class.
 type Repeat struct {
 	Given bool
-	Kind  choice.Repeat
-	Scope choice.Scope
+	Kind  decision.Idempotency
+	Scope decision.KeyScope
 	TTL   time.Duration
 }
 
@@ -62,20 +62,20 @@
 	ends    string // that template
 }
 
-// Verdict says how a look-up ended.
-type Verdict int
+// MatchResult says how a look-up ended.
+type MatchResult int
 
 // The verdicts.
 const (
-	Found     Verdict = iota
-	NoPath            // 404
-	NoMethod          // 405: the path is there
-	BadPath           // 400: a path that two parsers could read differently
-	BadParams         // 400: a parameter that carries units and is no number in its bounds
+	Found     MatchResult = iota
+	NoPath                // 404
+	NoMethod              // 405: the path is there
+	BadPath               // 400: a path that two parsers could read differently
+	BadParams             // 400: a parameter that carries units and is no number in its bounds
 )
 
-// Look finds the operation of a request. HEAD is answered where GET is described.
-func (t *Table) Look(method, path string) (*Operation, Verdict) {
+// Match finds the operation of a request. HEAD is answered where GET is described.
+func (t *Table) Match(method, path string) (*Operation, MatchResult) {
 	if !plain(path) {
 		return nil, BadPath
 	}
@@ -90,7 +90,7 @@
 	return nil, v
 }
 
-func (n *node) look(method, rest string, v *Verdict) *Operation {
+func (n *node) look(method, rest string, v *MatchResult) *Operation {
 	seg, tail, more := strings.Cut(rest, "/")
 	if next := n.literal[seg]; next != nil {
 		if op := next.step(method, tail, more, v); op != nil {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func (n *node) step(method, tail string, more bool, v *Verdict) *Operation {
+func (n *node) step(method, tail string, more bool, v *MatchResult) *Operation {
 	if more {
 		return n.look(method, tail, v)
 	}
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"time"
 
-	"sandyard/choice"
+	"sandyard/decision"
 )
 
 // Replay feeds recorded events to this program's module and compares each step's actions. It has one owner.
@@ -21,7 +21,7 @@
 	Skipped   uint64        `json:"skipped"`     // steps before the first state, in a series that does not begin with part 0
 	States    uint64        `json:"states"`      // recorded states that were compared with, or gone on from
 
-	gw  *choice.Gateway
+	gw  *decision.Gateway
 	gap bool // steps are missing since the last state
 }
 
@@ -43,10 +43,10 @@
 	if it.State != nil {
 		return r.state(h, it)
 	}
-	var got []choice.Action
+	var got []decision.Action
 	switch e := it.Event.Choice(); {
 	case it.First:
-		gw, first, err := choice.New(h.Settings, h.Seed, h.Began)
+		gw, first, err := decision.New(h.Settings, h.Seed, h.Began)
 		if err != nil {
 			return err
 		}
@@ -90,7 +90,7 @@
 		}
 		return nil
 	}
-	gw, err := choice.Restore(h.Settings, *it.State)
+	gw, err := decision.Restore(h.Settings, *it.State)
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func encoded(s choice.State) []byte {
+func encoded(s decision.State) []byte {
 	b, err := modes.enc.Marshal(s)
 	if err != nil {
 		panic(err) // it has nothing that can't be encoded
@@ -106,7 +106,7 @@
 	return b
 }
 
-func compare(recorded []Action, got []choice.Action) (string, bool) {
+func compare(recorded []Action, got []decision.Action) (string, bool) {
 	for i := range max(len(recorded), len(got)) {
 		switch {
 		case i >= len(recorded):
@@ -122,9 +122,9 @@
 	return "", true
 }
 
-func equal(a, b choice.Action) bool {
-	if x, ok := a.(choice.Count); ok {
-		if y, ok := b.(choice.Count); ok && math.IsNaN(x.Amount) && math.IsNaN(y.Amount) {
+func equal(a, b decision.Action) bool {
+	if x, ok := a.(decision.AddToCounter); ok {
+		if y, ok := b.(decision.AddToCounter); ok && math.IsNaN(x.Amount) && math.IsNaN(y.Amount) {
 			x.Amount, y.Amount = 0, 0
 			return x == y
 		}
@@ -133,4 +133,4 @@
 }
 
 // Gateway is the module as it stands; nil before the first step or state. It must be handed no event.
-func (r *Replay) Gateway() *choice.Gateway { return r.gw }
+func (r *Replay) Gateway() *decision.Gateway { return r.gw }
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -16,7 +16,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/klauspost/compress/zstd"
 
-	"sandyard/choice"
+	"sandyard/decision"
 )
 
 // Format is the version of files; readers refuse others.
@@ -26,87 +26,87 @@
 
 // Head says who decided, and with what.
 type Head struct {
-	Core     string          `cbor:"1,keyasint"`
-	Config   string          `cbor:"2,keyasint"` // digest of the configuration's files
-	Door     int             `cbor:"3,keyasint"`
-	Seed     uint64          `cbor:"4,keyasint"`
-	Began    time.Duration   `cbor:"5,keyasint"` // the door's time when its module was made
-	Origin   int64           `cbor:"6,keyasint"` // Unix time in nanoseconds at which the door's time was zero
-	Settings choice.Settings `cbor:"7,keyasint"`
-	Classes  []string        `cbor:"8,keyasint"`
-	Plans    []string        `cbor:"9,keyasint"`
-	Ops      []string        `cbor:"10,keyasint"` // operation ids
-	Part     int             `cbor:"11,keyasint"` // number of the file in its series; only part 0 begins at Began
-	Share    float64         `cbor:"12,keyasint"` // of the requests that are recorded; 1: everything
+	Core     string            `cbor:"1,keyasint"`
+	Config   string            `cbor:"2,keyasint"` // digest of the configuration's files
+	Instance int               `cbor:"3,keyasint"`
+	Seed     uint64            `cbor:"4,keyasint"`
+	Began    time.Duration     `cbor:"5,keyasint"` // the door's time when its module was made
+	Origin   int64             `cbor:"6,keyasint"` // Unix time in nanoseconds at which the door's time was zero
+	Settings decision.Settings `cbor:"7,keyasint"`
+	Classes  []string          `cbor:"8,keyasint"`
+	Plans    []string          `cbor:"9,keyasint"`
+	Ops      []string          `cbor:"10,keyasint"` // operation ids
+	Part     int               `cbor:"11,keyasint"` // number of the file in its series; only part 0 begins at Began
+	Share    float64           `cbor:"12,keyasint"` // of the requests that are recorded; 1: everything
 }
 
 // Item is one step of the module, or a note about it.
 type Item struct {
-	At      time.Duration `cbor:"1,keyasint"`
-	Event   Event         `cbor:"2,keyasint,omitempty"`
-	Actions []Action      `cbor:"3,keyasint,omitempty"`
-	Dropped uint64        `cbor:"4,keyasint,omitempty"` // items that were dropped here, for want of room
-	Box     *Box          `cbor:"5,keyasint,omitempty"` // a box's name
-	Op      int           `cbor:"6,keyasint,omitempty"` // of an arrival: its operation, from 1
-	First   bool          `cbor:"7,keyasint,omitempty"` // the actions are those of New
-	State   *choice.State `cbor:"8,keyasint,omitempty"` // the module's state before the next step; nothing else is set
+	At      time.Duration   `cbor:"1,keyasint"`
+	Event   Event           `cbor:"2,keyasint,omitempty"`
+	Actions []Action        `cbor:"3,keyasint,omitempty"`
+	Dropped uint64          `cbor:"4,keyasint,omitempty"` // items that were dropped here, for want of room
+	Backend *BackendName    `cbor:"5,keyasint,omitempty"` // a box's name
+	Op      int             `cbor:"6,keyasint,omitempty"` // of an arrival: its operation, from 1
+	First   bool            `cbor:"7,keyasint,omitempty"` // the actions are those of New
+	State   *decision.State `cbor:"8,keyasint,omitempty"` // the module's state before the next step; nothing else is set
 }
 
-// Box names a server.
-type Box struct {
-	Server choice.ServerID `cbor:"1,keyasint"`
-	Name   string          `cbor:"2,keyasint"`
+// BackendName names a server.
+type BackendName struct {
+	Server decision.BackendID `cbor:"1,keyasint"`
+	Name   string             `cbor:"2,keyasint"`
 }
 
 // Event is a choice.Event as data: one of the fields is set.
 type Event struct {
-	Arrived *choice.Arrived        `cbor:"1,keyasint,omitempty"`
-	Left    *choice.ClientLeft     `cbor:"2,keyasint,omitempty"`
-	Ended   *choice.AttemptEnded   `cbor:"3,keyasint,omitempty"`
-	Stream  *choice.StreamStarted  `cbor:"4,keyasint,omitempty"`
-	Probed  *choice.ProbeEnded     `cbor:"5,keyasint,omitempty"`
-	Counted *choice.Counted        `cbor:"6,keyasint,omitempty"`
-	Servers *choice.ServersChanged `cbor:"7,keyasint,omitempty"`
-	Timer   *choice.TimerFired     `cbor:"8,keyasint,omitempty"`
+	Arrived *decision.RequestArrived     `cbor:"1,keyasint,omitempty"`
+	Left    *decision.ClientDisconnected `cbor:"2,keyasint,omitempty"`
+	Ended   *decision.AttemptEnded       `cbor:"3,keyasint,omitempty"`
+	Stream  *decision.StreamStarted      `cbor:"4,keyasint,omitempty"`
+	Probed  *decision.ProbeEnded         `cbor:"5,keyasint,omitempty"`
+	Counted *decision.CounterReplied     `cbor:"6,keyasint,omitempty"`
+	Servers *decision.EndpointsChanged   `cbor:"7,keyasint,omitempty"`
+	Timer   *decision.TimerFired         `cbor:"8,keyasint,omitempty"`
 }
 
 // Action is a choice.Action as data: one of the fields is set.
 type Action struct {
-	Send      *choice.Send      `cbor:"1,keyasint,omitempty"`
-	Cancel    *choice.Cancel    `cbor:"2,keyasint,omitempty"`
-	Refuse    *choice.Refuse    `cbor:"3,keyasint,omitempty"`
-	Fail      *choice.Fail      `cbor:"4,keyasint,omitempty"`
-	Probe     *choice.Probe     `cbor:"5,keyasint,omitempty"`
-	Count     *choice.Count     `cbor:"6,keyasint,omitempty"`
-	SetTimer  *choice.SetTimer  `cbor:"7,keyasint,omitempty"`
-	Subscribe *choice.Subscribe `cbor:"8,keyasint,omitempty"`
+	Send      *decision.SendAttempt    `cbor:"1,keyasint,omitempty"`
+	Cancel    *decision.CancelAttempt  `cbor:"2,keyasint,omitempty"`
+	Refuse    *decision.Reject         `cbor:"3,keyasint,omitempty"`
+	Fail      *decision.Fail           `cbor:"4,keyasint,omitempty"`
+	Probe     *decision.Probe          `cbor:"5,keyasint,omitempty"`
+	Count     *decision.AddToCounter   `cbor:"6,keyasint,omitempty"`
+	SetTimer  *decision.SetTimer       `cbor:"7,keyasint,omitempty"`
+	Subscribe *decision.WatchEndpoints `cbor:"8,keyasint,omitempty"`
 }
 
 // FromEvent makes data of an event.
-func FromEvent(e choice.Event) (d Event) {
+func FromEvent(e decision.Event) (d Event) {
 	switch e := e.(type) {
-	case choice.Arrived:
+	case decision.RequestArrived:
 		d.Arrived = &e
-	case choice.ClientLeft:
+	case decision.ClientDisconnected:
 		d.Left = &e
-	case choice.AttemptEnded:
+	case decision.AttemptEnded:
 		d.Ended = &e
-	case choice.StreamStarted:
+	case decision.StreamStarted:
 		d.Stream = &e
-	case choice.ProbeEnded:
+	case decision.ProbeEnded:
 		d.Probed = &e
-	case choice.Counted:
+	case decision.CounterReplied:
 		d.Counted = &e
-	case choice.ServersChanged:
+	case decision.EndpointsChanged:
 		d.Servers = &e
-	case choice.TimerFired:
+	case decision.TimerFired:
 		d.Timer = &e
 	}
 	return d
 }
 
 // Choice is the event itself; nil if there is none.
-func (d Event) Choice() choice.Event {
+func (d Event) Choice() decision.Event {
 	switch {
 	case d.Arrived != nil:
 		return *d.Arrived
@@ -129,25 +129,25 @@
 }
 
 // FromActions makes data of actions.
-func FromActions(as []choice.Action) []Action {
+func FromActions(as []decision.Action) []Action {
 	out := make([]Action, len(as))
 	for i, a := range as {
 		switch a := a.(type) {
-		case choice.Send:
+		case decision.SendAttempt:
 			out[i].Send = &a
-		case choice.Cancel:
+		case decision.CancelAttempt:
 			out[i].Cancel = &a
-		case choice.Refuse:
+		case decision.Reject:
 			out[i].Refuse = &a
-		case choice.Fail:
+		case decision.Fail:
 			out[i].Fail = &a
-		case choice.Probe:
+		case decision.Probe:
 			out[i].Probe = &a
-		case choice.Count:
+		case decision.AddToCounter:
 			out[i].Count = &a
-		case choice.SetTimer:
+		case decision.SetTimer:
 			out[i].SetTimer = &a
-		case choice.Subscribe:
+		case decision.WatchEndpoints:
 			out[i].Subscribe = &a
 		}
 	}
@@ -155,7 +155,7 @@
 }
 
 // Choice is the action itself.
-func (d Action) Choice() choice.Action {
+func (d Action) Choice() decision.Action {
 	switch {
 	case d.Send != nil:
 		return *d.Send
