--- /dev/null
+++ b/internal/codecheck/exceptions.go
@@ -0,0 +1,71 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path"
+	"strings"
+)
+
+// errException is a line of the exceptions that can't be read.
+var errException = errors.New("expected 'FILE-PATTERN WORD: reason'")
+
+// exception allows a withdrawn word in the files of a pattern, as path.Match understands it.
+type exception struct {
+	pattern string
+	word    string
+	text    string
+	used    bool
+}
+
+// exceptions are the places where a withdrawn word may stand: it means something else there, or it is a name of a format.
+type exceptions []*exception
+
+// readExceptions reads a file of lines 'FILE-PATTERN WORD: reason'; empty lines and those that begin with # are passed over.
+func readExceptions(file string) (exceptions, error) {
+	if file == "" {
+		return nil, nil
+	}
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	var all exceptions
+	for number, line := range strings.Split(string(text), "\n") {
+		if strings.TrimSpace(line) == "" || strings.HasPrefix(line, "#") {
+			continue
+		}
+		place, reason, found := strings.Cut(line, ": ")
+		fields := strings.Fields(place)
+		if !found || strings.TrimSpace(reason) == "" || len(fields) != 2 {
+			return nil, fmt.Errorf("%s:%d: %w: %s", file, number+1, errException, line)
+		}
+		if _, err := path.Match(fields[0], ""); err != nil {
+			return nil, fmt.Errorf("%s:%d: %w", file, number+1, err)
+		}
+		all = append(all, &exception{pattern: fields[0], word: fields[1], text: line})
+	}
+	return all, nil
+}
+
+// allow tells whether an exception covers a use, and notes that it was needed.
+func (e exceptions) allow(use wordUse) bool {
+	for _, one := range e {
+		if match, _ := path.Match(one.pattern, use.file); match && one.word == use.word {
+			one.used = true
+			return true
+		}
+	}
+	return false
+}
+
+// unused are the exceptions that nothing needed.
+func (e exceptions) unused() (texts []string) {
+	for _, one := range e {
+		if !one.used {
+			texts = append(texts, one.text)
+		}
+	}
+	return texts
+}
