--- a/internal/cli/outputs_test.go
+++ b/internal/cli/outputs_test.go
@@ -72,7 +72,7 @@
 	}
 	for _, p := range []tool{gw, tr, qu, ro, si, {"sandyard-bench", func(a []string, o, e *bytes.Buffer) int { return Bench(a, o, e) }},
 		{"sandyard-drill", func(a []string, o, e *bytes.Buffer) int { return Drill(a, o, e) }},
-		{"sandyard-standin", func(a []string, o, e *bytes.Buffer) int { return StandIn(a, o, e) }}} {
+		{"sandyard-emulator", func(a []string, o, e *bytes.Buffer) int { return Emulator(a, o, e) }}} {
 		help := play(p, "", "--help")
 		_, list, ok := strings.Cut(help, "Commands:\n")
 		subs := subcommand.FindAllStringSubmatch(list, -1)
