--- a/internal/bench/tools.go
+++ b/internal/bench/tools.go
@@ -175,14 +175,14 @@
 	}
 	var names []string
 	part := map[string]int{}
-	each := func(name string, begin func(trace.Head) error, f func(trace.Head, trace.Item) error) (size int, err error) {
+	each := func(name string, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) (size int, err error) {
 		text, err := os.ReadFile(filepath.Join(folder, name))
 		if err != nil {
 			return 0, err
 		}
 		cut, err := trace.Each(text, begin, f)
 		if err == nil && cut > 0 {
-			err = trace.ErrCut
+			err = trace.ErrTruncated
 		}
 		if err != nil {
 			return 0, fmt.Errorf("%s: %w", name, err)
@@ -193,9 +193,9 @@
 	total := 0
 	begun := time.Now()
 	for _, f := range files {
-		n, err := each(f.Name(), func(h trace.Head) error { part[f.Name()] = h.Part; return nil }, func(_ trace.Head, it trace.Item) error {
+		n, err := each(f.Name(), func(h trace.Header) error { part[f.Name()] = h.Part; return nil }, func(_ trace.Header, it trace.Record) error {
 			dropped += it.Dropped
-			if it.State == nil && it.Backend == nil && it.Dropped == 0 {
+			if it.Snapshot == nil && it.Backend == nil && it.Dropped == 0 {
 				steps++
 			}
 			actions += uint64(len(it.Actions))
@@ -214,21 +214,21 @@
 	var rep *trace.Replay
 	begun = time.Now()
 	for _, name := range names {
-		if _, err := each(name, func(h trace.Head) (err error) {
+		if _, err := each(name, func(h trace.Header) (err error) {
 			if rep == nil {
 				rep, err = trace.NewReplay(h)
 			}
 			return err
-		}, func(h trace.Head, it trace.Item) error { return rep.Step(h, it) }); err != nil {
+		}, func(h trace.Header, it trace.Record) error { return rep.Step(h, it) }); err != nil {
 			return err
 		}
 	}
 	replaying := time.Since(begun)
 	_, err = fmt.Fprintf(o.Out, "%d files, %.1f MiB: %d steps with %d actions, %d dropped; %.1f bytes a step\nread: %.0f steps a second; read and replayed: %.0f steps a second, %d differ, %d of them behind a gap\n",
 		len(names), float64(total)/(1<<20), steps, actions, dropped, float64(total)/float64(steps), float64(steps)/reading.Seconds(),
-		float64(rep.Steps)/replaying.Seconds(), rep.Differ, rep.Uncertain)
-	if err == nil && rep.Differ > rep.Uncertain {
-		return errors.New("a replay differs: " + rep.First)
+		float64(rep.Steps)/replaying.Seconds(), rep.Differences, rep.Uncertain)
+	if err == nil && rep.Differences > rep.Uncertain {
+		return errors.New("a replay differs: " + rep.FirstDifference)
 	}
 	return err
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -44,17 +44,17 @@
 }
 
 func traceFile(t *testing.T, core string) string {
-	h := trace.Head{Core: core, Share: 1, Plans: []string{"hobby"}, Classes: []string{"c"}, Ops: []string{"book"},
+	h := trace.Header{Core: core, Share: 1, Plans: []string{"hobby"}, Classes: []string{"c"}, Operations: []string{"book"},
 		Settings: decision.Settings{Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: time.Second}}, Plans: []decision.Plan{{Rate: 1, Burst: 1}}}}
 	gw, first, err := decision.New(h.Settings, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	items := []trace.Item{{First: true, Actions: trace.FromActions(first)}}
+	items := []trace.Record{{Initial: true, Actions: trace.NewActions(first)}}
 	for i, e := range []decision.Event{decision.EndpointsChanged{Full: true, Endpoints: []decision.Endpoint{{Backend: 1}}},
 		decision.RequestArrived{Request: 1, Customer: "a", TimeLeft: time.Second, Units: 1, Spread: 1}, decision.RequestArrived{Request: 2, Customer: "a", TimeLeft: time.Second, Units: 1, Spread: 1}} {
 		at := time.Duration(i+1) * time.Millisecond
-		items = append(items, trace.Item{At: at, Event: trace.FromEvent(e), Actions: trace.FromActions(gw.Handle(e, at)), Op: 1})
+		items = append(items, trace.Record{At: at, Event: trace.NewEvent(e), Actions: trace.NewActions(gw.Handle(e, at)), Operation: 1})
 	}
 	w, err := trace.NewWriter()
 	if err != nil {
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -38,12 +38,12 @@
 		debug.SetMemoryLimit(int64(heapShare * float64(n.Limits.MemoryMB<<20)))
 	}
 	log := slog.New(slog.NewTextHandler(c.Errs, nil))
-	server, err := server.Listen(n.Config, n.Listen, server.Options{Log: log, Seed: n.Seed, Protocol: n, Discovery: n.Discovery, Seq: n.Known.Seq})
+	server, err := server.Listen(n.Config, n.Listen, server.Options{Log: log, Seed: n.Seed, Protocol: n, Discovery: n.Discovery, Seq: n.CachedEndpoints.Version})
 	if err != nil {
 		return err
 	}
 	log.Info("listening", "addr", server.Addr().String(), "name", n.Name, "cores", n.Limits.Cores, "memory_mb", n.Limits.MemoryMB,
-		"sockets", n.Limits.Sockets, "seq", n.Known.Seq, "boxes", len(n.Known.Boxes))
+		"sockets", n.Limits.Sockets, "seq", n.CachedEndpoints.Version, "boxes", len(n.CachedEndpoints.Endpoints))
 	done := make(chan struct{})
 	defer close(done)
 	go func() { // ends with Run
--- a/internal/cli/quota.go
+++ b/internal/cli/quota.go
@@ -135,11 +135,11 @@
 // fromTrace replays up to a time and looks there.
 func (q quotaShow) fromTrace(c *Console) (quota.View, error) {
 	var r *trace.Replay
-	var head trace.Head
+	var head trace.Header
 	var first, last time.Duration
 	begun, plan := false, decision.PlanID(-1)
 	stop := errors.New("far enough")
-	err := traceFiles{q.Trace}.each(c, func(h trace.Head) error {
+	err := traceFiles{q.Trace}.each(c, func(h trace.Header) error {
 		if err := coreid.Check(h.Core, "the trace"); err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 			r, err = trace.NewReplay(h)
 		}
 		return err
-	}, func(h trace.Head, it trace.Item) error {
+	}, func(h trace.Header, it trace.Record) error {
 		if !begun {
 			first, begun = it.At, true
 		}
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -217,7 +217,7 @@
 // weigh tells how many studios there are in the traces, and who would have paid otherwise for their traffic.
 func (d routesDiff) weigh(c *Console, cost map[string][2]float64) (studios int, otherwise []dues, err error) {
 	by := map[string]*dues{}
-	err = traceFiles{d.Trace}.each(c, nil, func(h trace.Head, it trace.Item) error {
+	err = traceFiles{d.Trace}.each(c, nil, func(h trace.Header, it trace.Record) error {
 		a := it.Event.Arrived
 		if a == nil {
 			return nil
@@ -228,7 +228,7 @@
 			by[a.Customer] = s
 		}
 		s.Was += a.Units
-		if ch, ok := cost[name(h.Ops, it.Op-1)]; ok {
+		if ch, ok := cost[name(h.Operations, it.Operation-1)]; ok {
 			s.Now += ch[1]
 		} else {
 			s.Now += a.Units
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -35,7 +35,7 @@
 }
 
 // each calls f with every item of the files; a file that was cut off by a kill is read to its last whole frame.
-func (t traceFiles) each(c *Console, begin func(trace.Head) error, f func(trace.Head, trace.Item) error) error {
+func (t traceFiles) each(c *Console, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) error {
 	for _, name := range t.Files {
 		cut, err := eachOf(name, begin, f)
 		if err != nil {
@@ -49,7 +49,7 @@
 }
 
 // eachOf does so for one file and returns where it is cut off, or 0.
-func eachOf(name string, begin func(trace.Head) error, f func(trace.Head, trace.Item) error) (cut int, err error) {
+func eachOf(name string, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) (cut int, err error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return 0, err
@@ -57,10 +57,10 @@
 	return trace.Each(text, begin, f)
 }
 
-func (t traceFiles) stories(c *Console) (trace.Head, *trace.Stories, error) {
-	s := trace.NewStories()
-	var head trace.Head
-	err := t.each(c, func(h trace.Head) error { head = h; return nil }, func(_ trace.Head, it trace.Item) error { s.Add(it); return nil })
+func (t traceFiles) stories(c *Console) (trace.Header, *trace.Histories, error) {
+	s := trace.NewHistories()
+	var head trace.Header
+	err := t.each(c, func(h trace.Header) error { head = h; return nil }, func(_ trace.Header, it trace.Record) error { s.Add(it); return nil })
 	if s.Dropped > 0 {
 		fmt.Fprintf(c.Errs, "%d steps were dropped while recording and are missing here\n", s.Dropped)
 	}
@@ -119,11 +119,11 @@
 			continue
 		}
 		outcome := string(st.Outcome)
-		if st.Outcome == trace.Refused && len(st.Attempts) == 0 {
-			outcome += map[decision.RejectReason]string{decision.OverQuota: " (quota)", decision.NoCapacity: " (no room)"}[st.Why]
+		if st.Outcome == trace.Rejected && len(st.Attempts) == 0 {
+			outcome += map[decision.RejectReason]string{decision.OverQuota: " (quota)", decision.NoCapacity: " (no room)"}[st.Reason]
 		}
 		fmt.Fprintf(w, "%d\t%.3fs\t%q\t%s\t%s\t%s\t%g\t%d\t%s\t%.1f\n", st.Request, at.Seconds(), st.Customer, name(head.Plans, int(st.Plan)), class,
-			name(head.Ops, st.Op-1), st.Units, len(st.Attempts), outcome, float64((st.Ended-st.At).Microseconds())/1000)
+			name(head.Operations, st.Operation-1), st.Units, len(st.Attempts), outcome, float64((st.Ended-st.At).Microseconds())/1000)
 	}
 	w.Flush()
 	if !t.json() {
@@ -136,9 +136,9 @@
 	return nil
 }
 
-func visited(s *trace.Stories, st *trace.Story, box string) bool {
+func visited(s *trace.Histories, st *trace.RequestHistory, box string) bool {
 	for _, a := range st.Attempts {
-		if s.Names[a.Server] == box {
+		if s.BackendNames[a.Backend] == box {
 			return true
 		}
 	}
@@ -147,17 +147,17 @@
 
 // told is a request with the names that its story has as numbers.
 type told struct {
-	*trace.Story
+	*trace.RequestHistory
 	ClassName string   `json:"class_name"`
 	PlanName  string   `json:"plan_name"`
 	Operation string   `json:"operation"`
 	Boxes     []string `json:"boxes"` // of its attempts
 }
 
-func tell(head trace.Head, s *trace.Stories, st *trace.Story) told {
-	v := told{Story: st, ClassName: name(head.Classes, int(st.Class)), PlanName: name(head.Plans, int(st.Plan)), Operation: name(head.Ops, st.Op-1), Boxes: []string{}}
+func tell(head trace.Header, s *trace.Histories, st *trace.RequestHistory) told {
+	v := told{RequestHistory: st, ClassName: name(head.Classes, int(st.Class)), PlanName: name(head.Plans, int(st.Plan)), Operation: name(head.Operations, st.Operation-1), Boxes: []string{}}
 	for _, a := range st.Attempts {
-		v.Boxes = append(v.Boxes, s.Names[a.Server])
+		v.Boxes = append(v.Boxes, s.BackendNames[a.Backend])
 	}
 	return v
 }
@@ -167,7 +167,7 @@
 	traceFiles
 }
 
-func (t traceOne) find(c *Console) (trace.Head, *trace.Stories, *trace.Story, error) {
+func (t traceOne) find(c *Console) (trace.Header, *trace.Histories, *trace.RequestHistory, error) {
 	head, s, err := t.stories(c)
 	if err != nil {
 		return head, nil, nil, err
@@ -194,17 +194,17 @@
 	}
 	at := func(d time.Duration) string { return fmt.Sprintf("%+10.3f ms", float64((d-st.At).Microseconds())/1000) }
 	fmt.Fprintf(c.Out, "%s  arrived: %q, plan %s, class %s, %g units, %v left\n", at(st.At), st.Customer, name(head.Plans, int(st.Plan)),
-		name(head.Classes, int(st.Class)), st.Units, st.Left)
-	if k := st.Call; k != nil {
-		fmt.Fprintf(c.Out, "%s  keeper asked: %q + %g\n", at(k.Asked), k.Name, k.Amount)
-		if k.Heard > 0 {
-			fmt.Fprintf(c.Out, "%s  keeper: %s, total %g\n", at(k.Heard), trace.OutcomeText(k.How), k.Total)
+		name(head.Classes, int(st.Class)), st.Units, st.TimeLeft)
+	if k := st.CounterCall; k != nil {
+		fmt.Fprintf(c.Out, "%s  keeper asked: %q + %g\n", at(k.SentAt), k.Name, k.Amount)
+		if k.RepliedAt > 0 {
+			fmt.Fprintf(c.Out, "%s  keeper: %s, total %g\n", at(k.RepliedAt), trace.OutcomeText(k.Outcome), k.Total)
 		}
 	}
 	for i, a := range st.Attempts {
-		fmt.Fprintf(c.Out, "%s  attempt %d sent to %s\n", at(a.Sent), i+1, s.Names[a.Server])
-		if a.Ended > 0 {
-			fmt.Fprintf(c.Out, "%s  attempt %d: %s\n", at(a.Ended), i+1, trace.OutcomeText(a.Outcome))
+		fmt.Fprintf(c.Out, "%s  attempt %d sent to %s\n", at(a.SentAt), i+1, s.BackendNames[a.Backend])
+		if a.EndedAt > 0 {
+			fmt.Fprintf(c.Out, "%s  attempt %d: %s\n", at(a.EndedAt), i+1, trace.OutcomeText(a.Outcome))
 		}
 	}
 	if st.Ended > 0 {
@@ -243,7 +243,7 @@
 	var r *trace.Replay
 	next := 0
 	begun := time.Now()
-	err := t.each(c, func(h trace.Head) error {
+	err := t.each(c, func(h trace.Header) error {
 		if err := coreid.Check(h.Core, "the trace"); err != nil {
 			return err
 		}
@@ -257,7 +257,7 @@
 		}
 		next = h.Part + 1
 		return nil
-	}, func(h trace.Head, it trace.Item) error { return r.Step(h, it) })
+	}, func(h trace.Header, it trace.Record) error { return r.Step(h, it) })
 	if err != nil {
 		return err
 	}
@@ -266,18 +266,18 @@
 		if err := printJSON(c.Out, r); err != nil {
 			return err
 		}
-		if r.Differ > r.Uncertain {
+		if r.Differences > r.Uncertain {
 			return errDiffers
 		}
 		return nil
 	}
-	fmt.Fprintf(c.Out, "%d steps replayed and %d states compared, %d differ, %d missing; %.0f steps a second\n", r.Steps, r.States, r.Differ, r.Dropped, float64(r.Steps)/took)
+	fmt.Fprintf(c.Out, "%d steps replayed and %d states compared, %d differ, %d missing; %.0f steps a second\n", r.Steps, r.States, r.Differences, r.Dropped, float64(r.Steps)/took)
 	if r.Skipped > 0 {
 		fmt.Fprintf(c.Out, "%d steps before the first recorded state could not be replayed\n", r.Skipped)
 	}
-	if r.Differ > 0 {
-		fmt.Fprintf(c.Out, "first at %v: %s\n", r.FirstAt, r.First)
-		if r.Uncertain == r.Differ {
+	if r.Differences > 0 {
+		fmt.Fprintf(c.Out, "first at %v: %s\n", r.FirstDifferenceAt, r.FirstDifference)
+		if r.Uncertain == r.Differences {
 			fmt.Fprintln(c.Out, "all of them stand behind steps that the trace lacks, which may be why; what followed can't be told")
 			return nil
 		}
@@ -323,12 +323,12 @@
 	for _, name := range t.Files {
 		v := recorded{File: name}
 		var first, last time.Duration
-		cut, err := eachOf(name, func(h trace.Head) error {
+		cut, err := eachOf(name, func(h trace.Header) error {
 			v.Door, v.Part, v.Core, v.SameCore, v.Config, v.Share = h.Instance, h.Part, h.Core, h.Core == coreid.Core(), h.Config, h.Share
-			v.Plans, v.Operations, v.From = h.Plans, h.Ops, time.Unix(0, h.Origin).Add(h.Began).UTC()
+			v.Plans, v.Operations, v.From = h.Plans, h.Operations, time.Unix(0, h.Origin).Add(h.StartedAt).UTC()
 			return nil
-		}, func(_ trace.Head, it trace.Item) error {
-			if it.State != nil {
+		}, func(_ trace.Header, it trace.Record) error {
+			if it.Snapshot != nil {
 				v.States++
 				return nil
 			}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -25,18 +25,18 @@
 
 // Node is what a front door is told when it starts, and again with SIGHUP.
 type Node struct {
-	Name      string
-	Listen    string // host:port
-	Discovery string // host:port
-	Seed      uint64
-	Limits    Limits
-	Known     List // as this front door had it last; may be old
-	Config    *config.Config
+	Name            string
+	Listen          string // host:port
+	Discovery       string // host:port
+	Seed            uint64
+	Limits          Limits
+	CachedEndpoints EndpointList // as this front door had it last; may be old
+	Config          *config.Config
 
-	classes map[string]*routes.Operation
-	plans   map[string]decision.PlanID
-	loads   []string // names of the figures of a report, in the order of Settings.LoadFields
-	doors   int      // in the fleet
+	operations      map[string]*routes.Operation
+	plans           map[string]decision.PlanID
+	loadReportNames []string // names of the figures of a report, in the order of Settings.LoadFields
+	instances       int      // in the fleet
 }
 
 // Limits are what a front door's processes may take.
@@ -88,11 +88,11 @@
 		return nil, fmt.Errorf("configuration: limits: expected no negative figure")
 	}
 	if len(f.Known) > 0 {
-		if n.Known, err = ParseList(f.Known); err != nil {
+		if n.CachedEndpoints, err = ParseEndpointList(f.Known); err != nil {
 			return nil, fmt.Errorf("configuration: known: %w", err)
 		}
-		if len(n.Known.Wrong) > 0 {
-			return nil, fmt.Errorf("configuration: known: %w", n.Known.Wrong[0].Err)
+		if len(n.CachedEndpoints.Malformed) > 0 {
+			return nil, fmt.Errorf("configuration: known: %w", n.CachedEndpoints.Malformed[0].Err)
 		}
 	}
 	pairs, err := flatten(f.Settings)
@@ -196,13 +196,13 @@
 		}
 		return absent
 	}
-	n.doors = set.Instances
+	n.instances = set.Instances
 	cfg := &config.Config{Settings: set}
 	cfg.Trace.Mode, cfg.Log.Level = "off", "info"
-	n.classes = map[string]*routes.Operation{}
+	n.operations = map[string]*routes.Operation{}
 	for i := range set.Classes {
 		name := at["services."+strconv.Itoa(i)+".name"]
-		n.classes[name] = &routes.Operation{ID: name, Class: name, Index: i}
+		n.operations[name] = &routes.Operation{ID: name, Class: name, Index: i}
 		cfg.ClassNames = append(cfg.ClassNames, name)
 		cfg.ClassByOperation = append(cfg.ClassByOperation, decision.ClassID(i))
 	}
@@ -210,10 +210,10 @@
 	for i := range set.Plans {
 		n.plans[at["plans."+strconv.Itoa(i)+".name"]] = decision.PlanID(i)
 	}
-	if len(n.classes) != len(set.Classes) || len(n.plans) != len(set.Plans) {
+	if len(n.operations) != len(set.Classes) || len(n.plans) != len(set.Plans) {
 		return fmt.Errorf("settings: two classes or two plans of one name")
 	}
-	n.loads = append(n.loads, strings.Split(at["feedback.names"], ",")...)
+	n.loadReportNames = append(n.loadReportNames, strings.Split(at["feedback.names"], ",")...)
 	cfg.Zones = strings.Split(at["localities"], ",")
 	cfg.Instance.Number, cfg.Instance.Total = set.Self, set.Instances
 	cfg.RetryAfter.Enabled = set.RetryAfter
@@ -224,7 +224,7 @@
 	if cfg.Counter.Timeout <= 0 {
 		cfg.Counter.Timeout = strictyaml.Duration(50 * time.Millisecond)
 	}
-	cfg.Endpoints = n.Known.Boxes
+	cfg.Endpoints = n.CachedEndpoints.Endpoints
 	sockets := n.Limits.Sockets
 	if sockets == 0 {
 		sockets = fallback
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -12,47 +12,47 @@
 	"sandyard/decision"
 )
 
-// MaxListBytes bounds one message of discovery, in bytes.
-const MaxListBytes = 4 << 20
+// MaxEndpointListBytes bounds one message of discovery, in bytes.
+const MaxEndpointListBytes = 4 << 20
 
-// List is one message of discovery: the whole list, or the entries that changed up to a version.
-type List struct {
-	Seq   uint64
-	Whole bool
-	Boxes []config.Endpoint
-	Wrong []SettingsError // entries that can't be read; they are not among Boxes
+// EndpointList is one message of discovery: the whole list, or the entries that changed up to a version.
+type EndpointList struct {
+	Version   uint64
+	Full      bool
+	Endpoints []config.Endpoint
+	Malformed []EndpointError // entries that can't be read; they are not among Boxes
 }
 
-// SettingsError is an entry of a list that can't be read.
-type SettingsError struct {
+// EndpointError is an entry of a list that can't be read.
+type EndpointError struct {
 	Host string // "" if that can't be read either
 	Err  error  // with its place
 }
 
 var states = map[string]decision.EndpointState{"active": decision.Up, "leaving": decision.Draining, "left": decision.Removed}
 
-// ParseList reads a message of discovery. An entry that can't be read spoils no other.
-func ParseList(text []byte) (List, error) {
+// ParseEndpointList reads a message of discovery. An entry that can't be read spoils no other.
+func ParseEndpointList(text []byte) (EndpointList, error) {
 	var f struct {
 		Seq   *uint64           `json:"seq"`
 		Whole bool              `json:"whole"`
 		Hosts []json.RawMessage `json:"hosts"`
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
-		return List{}, err
+		return EndpointList{}, err
 	}
 	if f.Seq == nil {
-		return List{}, fmt.Errorf("seq: missing")
+		return EndpointList{}, fmt.Errorf("seq: missing")
 	}
 	if len(f.Hosts) > config.MaxEndpoints {
-		return List{}, fmt.Errorf("hosts: %d of them: expected at most %d", len(f.Hosts), config.MaxEndpoints)
+		return EndpointList{}, fmt.Errorf("hosts: %d of them: expected at most %d", len(f.Hosts), config.MaxEndpoints)
 	}
-	l := List{Seq: *f.Seq, Whole: f.Whole, Boxes: make([]config.Endpoint, 0, len(f.Hosts))}
+	l := EndpointList{Version: *f.Seq, Full: f.Whole, Endpoints: make([]config.Endpoint, 0, len(f.Hosts))}
 	for i, text := range f.Hosts {
 		if b, err := readEntry(text); err != nil {
-			l.Wrong = append(l.Wrong, SettingsError{b.Name, fmt.Errorf("hosts[%d].%w", i, err)})
+			l.Malformed = append(l.Malformed, EndpointError{b.Name, fmt.Errorf("hosts[%d].%w", i, err)})
 		} else {
-			l.Boxes = append(l.Boxes, b)
+			l.Endpoints = append(l.Endpoints, b)
 		}
 	}
 	return l, nil
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -13,7 +13,7 @@
 	"sandyard/internal/protocol"
 )
 
-const told = `{"name":"n3","listen":"127.0.0.1:9000","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
+const configuration = `{"name":"n3","listen":"127.0.0.1:9000","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":0.5,"memory_mb":64,"sockets":256},"counter":"127.0.0.3:6400",
 "known":{"seq":41,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.9:80","site":"hall b","block":3,"health":"leaving","share":1.5,"born_ms":1700000000123}]},
 "settings":{"az":1,"peers-total":4,"me":2,"localities":["hall a","hall b"],"feedback":{"names":["cpu_share","pending"],"via":"piggyback"},
@@ -23,9 +23,9 @@
 "plans":[{"name":"free","refill":1.5,"store-size":4.0},{"name":"team","parallel":2,"refill":null}],
 "specifics":{"shared-counter":true,"count-limit-ms":50.0,"units-top":6}}}`
 
-func node(t *testing.T) *Node {
+func newNode(t *testing.T) *Node {
 	t.Helper()
-	n, err := ParseConfig([]byte(told))
+	n, err := ParseConfig([]byte(configuration))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 }
 
 func TestConfiguration(t *testing.T) {
-	n := node(t)
+	n := newNode(t)
 	s, c := n.Config.Settings, n.Config
 	if s.Zone != 1 || s.Instances != 4 || s.Self != 2 || !s.LoadInAnswers || s.MaxAttempts != 3 || !s.RetryAfter || !s.Counter || s.MaxUnits != 6 {
 		t.Errorf("%+v", s)
@@ -47,11 +47,11 @@
 	if c.Counter.Address != "127.0.0.3:6400" || c.Limits.Connections+c.Limits.BackendConns >= n.Limits.Sockets || c.Limits.BackendIdleTimeout >= 4e9 {
 		t.Errorf("%+v %+v", c.Counter, c.Limits)
 	}
-	b := n.Known.Boxes[0]
-	if n.Known.Seq != 41 || decision.EndpointState(b.State) != decision.Draining || time.Time(b.Started).UnixMilli() != 1700000000123 || b.Cell != 3 {
-		t.Errorf("%+v", n.Known)
+	b := n.CachedEndpoints.Endpoints[0]
+	if n.CachedEndpoints.Version != 41 || decision.EndpointState(b.State) != decision.Draining || time.Time(b.Started).UnixMilli() != 1700000000123 || b.Cell != 3 {
+		t.Errorf("%+v", n.CachedEndpoints)
 	}
-	if n, err := ParseConfig([]byte(strings.Replace(told, `"shared-counter":true`, `"shared-counter":false`, 1))); err != nil || n.Config.Counter.Address != "" {
+	if n, err := ParseConfig([]byte(strings.Replace(configuration, `"shared-counter":true`, `"shared-counter":false`, 1))); err != nil || n.Config.Counter.Address != "" {
 		t.Errorf("a counter that may not be called: %v %+v", err, n.Config.Counter)
 	}
 	if c.Zones[1] != "hall_b" {
@@ -63,7 +63,7 @@
 	for _, c := range [][3]string{{`"127.0.0.2:8500"`, `"nowhere"`, "discovery"}, {`"8c1f30d27a5be964"`, `"seed"`, "seed"}, {`"leaving"`, `"away"`, "hosts[0].health"},
 		{`"retryable"`, `"often"`, "services.0.semantics"}, {`"max-attempts":3`, `"max-attempts":"x"`, "limits.max-attempts"}, {`"name":"book"`, `"name":"pay"`, "two classes"},
 		{`"memory_mb":64`, `"memory_mb":-1`, "limits"}, {`"seq":41`, `"sea":41`, "seq"}, {`"settings":{`, `"settings":[{`, "configuration"}} {
-		if _, err := ParseConfig([]byte(strings.Replace(told, c[0], c[1], 1))); err == nil || !strings.Contains(err.Error(), c[2]) {
+		if _, err := ParseConfig([]byte(strings.Replace(configuration, c[0], c[1], 1))); err == nil || !strings.Contains(err.Error(), c[2]) {
 			t.Errorf("%s for %s: %v, want it to name %s", c[1], c[0], err, c[2])
 		}
 	}
@@ -78,23 +78,23 @@
 	return p.Head
 }
 
-const look = "GET /api?client=00000000b4d65521 HTTP/1.1\r\nHost: o\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\nX-Class: look_up\r\nX-Tier: team\r\n" +
+const getRequest = "GET /api?client=00000000b4d65521 HTTP/1.1\r\nHost: o\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\nX-Class: look_up\r\nX-Tier: team\r\n" +
 	"X-Deadline-Ms: 480\r\nX-Call-Terms: units=2,spread=3,first=1\r\nX-Retry: 1\r\n\r\n"
 
-const book = "POST /api?x=1&client=00000000b4d65521 HTTP/1.1\r\nHost: o\r\nX-Request-Id: 9b1f03aa5c7e2d42\r\nX-Class: book\r\nX-Tier: free\r\n" +
+const postRequest = "POST /api?x=1&client=00000000b4d65521 HTTP/1.1\r\nHost: o\r\nX-Request-Id: 9b1f03aa5c7e2d42\r\nX-Class: book\r\nX-Tier: free\r\n" +
 	"Idempotency-Key: k1\r\nX-Deadline-Ms: 480\r\nContent-Length: 3\r\nX-Call-Terms: units=1,spread=4,first=0\r\n\r\n"
 
 func TestRequests(t *testing.T) {
-	n := node(t)
+	n := newNode(t)
 	var ask protocol.RequestInfo
-	if own := n.ParseRequest(head(t, look), &ask); own != nil {
+	if own := n.ParseRequest(head(t, getRequest), &ask); own != nil {
 		t.Fatal(own)
 	}
 	if ask.Class != 0 || ask.Customer.Plan != 1 || ask.Customer.Name != "00000000b4d65521" || ask.Customer.Spread != 3 || ask.Customer.First != 1 ||
 		ask.Units != 2 || ask.Timeout != 480*time.Millisecond || !ask.Retry || ask.Name != "9b1f03aa5c7e2d41" {
 		t.Errorf("%+v %+v", ask, ask.Customer)
 	}
-	h := head(t, book)
+	h := head(t, postRequest)
 	if own := n.ParseRequest(h, &ask); own != nil {
 		t.Fatal(own)
 	}
@@ -113,13 +113,13 @@
 
 // TestBadRequests: whatever is not as the protocol says gets a 4xx of its own and no decision.
 func TestBadRequests(t *testing.T) {
-	n := node(t)
-	for _, c := range [][3]string{{look, "GET /api", "GET /other"}, {look, "GET ", "POST "}, {look, "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d4"}, {look, "9b1f", "ZZZZ"},
-		{look, "X-Request-Id: 9b1f03aa5c7e2d41\r\n", ""}, {look, "X-Retry: 1", "X-Request-Id: 0000000000000000"}, {look, "look_up", "lookup"}, {look, "team", "none"},
-		{look, "00000000b4d65521", "0000000200000000"}, {look, "00000000b4d65521", "b4d65521"}, {look, "client=", "clien="}, {look, "?client=", "?client=0000000000000001&client="},
-		{look, ": 480", ": 4e2"}, {look, ": 480", ": 0"}, {look, ": 480", ": -1"}, {look, "units=2", "units=7"}, {look, "units=2", "units=-1"}, {look, "units=2", "units=NaN"},
-		{look, "spread=3", "spread=5"}, {look, "spread=3", "spread=0"}, {look, "first=1", "first=4"}, {look, ",first=1", ""}, {look, "first=1", "first=1,first=2"},
-		{look, "X-Retry: 1", "Idempotency-Key: k"}, {look, "X-Retry: 1", "Content-Length: 1"}, {book, "POST", "PUT"}, {book, "Idempotency-Key: k1\r\n", ""}, {book, "POST", "GET"}} {
+	n := newNode(t)
+	for _, c := range [][3]string{{getRequest, "GET /api", "GET /other"}, {getRequest, "GET ", "POST "}, {getRequest, "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d4"}, {getRequest, "9b1f", "ZZZZ"},
+		{getRequest, "X-Request-Id: 9b1f03aa5c7e2d41\r\n", ""}, {getRequest, "X-Retry: 1", "X-Request-Id: 0000000000000000"}, {getRequest, "look_up", "lookup"}, {getRequest, "team", "none"},
+		{getRequest, "00000000b4d65521", "0000000200000000"}, {getRequest, "00000000b4d65521", "b4d65521"}, {getRequest, "client=", "clien="}, {getRequest, "?client=", "?client=0000000000000001&client="},
+		{getRequest, ": 480", ": 4e2"}, {getRequest, ": 480", ": 0"}, {getRequest, ": 480", ": -1"}, {getRequest, "units=2", "units=7"}, {getRequest, "units=2", "units=-1"}, {getRequest, "units=2", "units=NaN"},
+		{getRequest, "spread=3", "spread=5"}, {getRequest, "spread=3", "spread=0"}, {getRequest, "first=1", "first=4"}, {getRequest, ",first=1", ""}, {getRequest, "first=1", "first=1,first=2"},
+		{getRequest, "X-Retry: 1", "Idempotency-Key: k"}, {getRequest, "X-Retry: 1", "Content-Length: 1"}, {postRequest, "POST", "PUT"}, {postRequest, "Idempotency-Key: k1\r\n", ""}, {postRequest, "POST", "GET"}} {
 		var ask protocol.RequestInfo
 		if own := n.ParseRequest(head(t, strings.Replace(c[0], c[1], c[2], 1)), &ask); own == nil || own.Status < 400 || own.Status > 499 {
 			t.Errorf("%q for %q: %+v", c[2], c[1], own)
@@ -128,7 +128,7 @@
 }
 
 func TestReports(t *testing.T) {
-	n := node(t)
+	n := newNode(t)
 	for _, c := range []struct {
 		text, body string
 		probe      bool
@@ -162,7 +162,7 @@
 
 // TestCounterLines: replies are read alike however they are split, and what has no number ends the connection.
 func TestCounterLines(t *testing.T) {
-	n := node(t)
+	n := newNode(t)
 	if b := n.NewCounterCodec().AppendCall(nil, "a.1", -2.5, 4*time.Second); string(b) != "add a.1 -2.5 4000\r\n" {
 		t.Errorf("%q", b)
 	}
@@ -195,17 +195,17 @@
 }
 
 func TestLists(t *testing.T) {
-	l, err := ParseList([]byte(`{"seq":43,"whole":false,"hosts":[{"host":"s","health":"left"}]}`))
-	if err != nil || l.Whole || l.Seq != 43 || l.Boxes[0].State != config.EndpointState(decision.Removed) {
+	l, err := ParseEndpointList([]byte(`{"seq":43,"whole":false,"hosts":[{"host":"s","health":"left"}]}`))
+	if err != nil || l.Full || l.Version != 43 || l.Endpoints[0].State != config.EndpointState(decision.Removed) {
 		t.Errorf("%+v %v", l, err)
 	}
 	for _, bad := range []string{`{"seq":-1}`, `x`, `{"hosts":[]}`, `{"seq":1,"hosts":{}}`, `[]`} {
-		if _, err := ParseList([]byte(bad)); err == nil {
+		if _, err := ParseEndpointList([]byte(bad)); err == nil {
 			t.Errorf("%s is taken", bad)
 		}
 	}
 	const good = `{"host":"g","health":"active","dial":"127.0.0.1:1"}`
-	for bad, want := range map[string]SettingsError{
+	for bad, want := range map[string]EndpointError{
 		`{"host":"","health":"active","dial":"127.0.0.1:1"}`:             {"", errors.New("hosts[1].host: missing")},
 		`{"host":"a","health":"active","dial":"a"}`:                      {"a", errors.New(`hosts[1].dial: "a": expected an IP address and a port`)},
 		`{"host":"a","health":"up","dial":"127.0.0.1:1"}`:                {"a", errors.New(`hosts[1].health: "up": expected active, leaving or left`)},
@@ -213,8 +213,8 @@
 		`{"host":7,"health":"active","dial":"127.0.0.1:1"}`:              {"", errors.New("hosts[1].host: number: expected another type")},
 		`7`: {"", errors.New("hosts[1].host: json: cannot unmarshal number")},
 	} {
-		l, err := ParseList([]byte(`{"seq":1,"hosts":[` + good + `,` + bad + `,` + good + `]}`))
-		if err != nil || len(l.Boxes) != 2 || len(l.Wrong) != 1 || l.Wrong[0].Host != want.Host || !strings.HasPrefix(l.Wrong[0].Err.Error(), want.Err.Error()) {
+		l, err := ParseEndpointList([]byte(`{"seq":1,"hosts":[` + good + `,` + bad + `,` + good + `]}`))
+		if err != nil || len(l.Endpoints) != 2 || len(l.Malformed) != 1 || l.Malformed[0].Host != want.Host || !strings.HasPrefix(l.Malformed[0].Err.Error(), want.Err.Error()) {
 			t.Errorf("%s: %+v %v", bad, l, err)
 		}
 	}
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -33,7 +33,7 @@
 }
 
 // ParseRequest takes a request's head apart. A head that could be read in two ways is refused: fields that stand twice too.
-func (n *Node) ParseRequest(h *http1.Head, ask *protocol.RequestInfo) *protocol.LocalResponse {
+func (n *Node) ParseRequest(h *http1.Head, info *protocol.RequestInfo) *protocol.LocalResponse {
 	if h.Path == "/ready" {
 		if h.Method != "GET" {
 			return &noMethod
@@ -86,7 +86,7 @@
 	if len(id) != 16 || !isHex(id) {
 		return &badID
 	}
-	op := n.classes[tidy.Replace(class)] // settings have names in that form, whatever form others have them in
+	op := n.operations[tidy.Replace(class)] // settings have names in that form, whatever form others have them in
 	if op == nil {
 		return &badClass
 	}
@@ -102,10 +102,10 @@
 	if err != nil || ms == 0 {
 		return &badDeadline
 	}
-	ask.Operation, ask.Class, ask.Name, ask.Retry = op, decision.ClassID(op.Index), id, retry == "1"
-	ask.Timeout = time.Duration(ms) * time.Millisecond
-	ask.Customer = &config.Customer{Name: customer, Plan: plan, PlanName: tier}
-	if !n.terms(terms, ask) {
+	info.Operation, info.Class, info.Name, info.Retry = op, decision.ClassID(op.Index), id, retry == "1"
+	info.Timeout = time.Duration(ms) * time.Millisecond
+	info.Customer = &config.Customer{Name: customer, Plan: plan, PlanName: tier}
+	if !n.terms(terms, info) {
 		return &badTerms
 	}
 	repeat := n.Config.Settings.Classes[op.Index].Idempotency
@@ -150,7 +150,7 @@
 }
 
 // terms reads "units=2,spread=3,first=1".
-func (n *Node) terms(v string, ask *protocol.RequestInfo) bool {
+func (n *Node) terms(v string, info *protocol.RequestInfo) bool {
 	var got uint8
 	for v != "" {
 		var one string
@@ -163,19 +163,19 @@
 			if err != nil || !(x > 0) || x > n.Config.Settings.MaxUnits {
 				return false
 			}
-			ask.Units, bit = x, 1
+			info.Units, bit = x, 1
 		case "spread":
 			k, err := strconv.Atoi(value)
-			if err != nil || k < 1 || k > n.doors {
+			if err != nil || k < 1 || k > n.instances {
 				return false
 			}
-			ask.Customer.Spread, bit = k, 2
+			info.Customer.Spread, bit = k, 2
 		case "first":
 			k, err := strconv.Atoi(value)
-			if err != nil || k < 0 || k >= n.doors {
+			if err != nil || k < 0 || k >= n.instances {
 				return false
 			}
-			ask.Customer.First, bit = k, 4
+			info.Customer.First, bit = k, 4
 		default:
 			continue
 		}
@@ -262,7 +262,7 @@
 		}
 		is := figures[name]
 		for i := range load {
-			if n.loads[i] == name || is != decision.FieldOther && fields[i] == is {
+			if n.loadReportNames[i] == name || is != decision.FieldOther && fields[i] == is {
 				load[i] = x
 			}
 		}
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -16,10 +16,10 @@
 
 func (c settingsCase) parse(t *testing.T) (*Node, error) {
 	t.Helper()
-	if !strings.Contains(told, c.old) {
+	if !strings.Contains(configuration, c.old) {
 		t.Fatalf("%s: the configuration has no %s", c.name, c.old)
 	}
-	return ParseConfig([]byte(strings.Replace(told, c.old, c.replacement, 1)))
+	return ParseConfig([]byte(strings.Replace(configuration, c.old, c.replacement, 1)))
 }
 
 // TestAcceptedSettings: operators generate their configurations with many tools, which write a number as text, a list
@@ -67,7 +67,7 @@
 		{settingsCase{"zones as text", `["hall a","hall b"]`, `"hall a"`}, func(_ *decision.Settings, c *config.Config) { c.Zones = []string{"hall_a"} }},
 		{settingsCase{"no zones", `"localities":["hall a","hall b"],`, ``}, func(_ *decision.Settings, c *config.Config) { c.Zones = []string{""} }},
 	} {
-		want := node(t).Config
+		want := newNode(t).Config
 		if c.want != nil {
 			c.want(&want.Settings, want)
 		}
--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -166,8 +166,8 @@
 			return 0, errors.New("the watch ended")
 		}
 	}
-	if w.size += len(w.data); w.size > platform.MaxListBytes {
-		return 0, fmt.Errorf("a message of more than %d bytes", platform.MaxListBytes)
+	if w.size += len(w.data); w.size > platform.MaxEndpointListBytes {
+		return 0, fmt.Errorf("a message of more than %d bytes", platform.MaxEndpointListBytes)
 	}
 	n := copy(p, w.data)
 	w.data = w.data[n:]
@@ -177,34 +177,34 @@
 
 // take tells the core of a message.
 func (d *discovery) take(text []byte) error {
-	news, err := platform.ParseList(text)
+	news, err := platform.ParseEndpointList(text)
 	if err != nil {
 		return err
 	}
-	if !news.Whole && news.Seq < d.seq {
-		d.s.log.Warn("list of boxes: changes of an older version are dropped", "seq", news.Seq, "held", d.seq)
+	if !news.Full && news.Version < d.seq {
+		d.s.log.Warn("list of boxes: changes of an older version are dropped", "seq", news.Version, "held", d.seq)
 		return nil
 	}
-	for _, w := range news.Wrong { // what is held of such a box stays
-		d.s.log.Warn("list of boxes: an entry is not taken", "seq", news.Seq, "error", w.Err)
-		if held, ok := d.boxes[w.Host]; ok && news.Whole {
-			news.Boxes = append(news.Boxes, held)
+	for _, w := range news.Malformed { // what is held of such a box stays
+		d.s.log.Warn("list of boxes: an entry is not taken", "seq", news.Version, "error", w.Err)
+		if held, ok := d.boxes[w.Host]; ok && news.Full {
+			news.Endpoints = append(news.Endpoints, held)
 		}
 	}
 	kind := changes
-	if news.Whole {
+	if news.Full {
 		kind = list
 		clear(d.boxes)
 	}
-	for _, b := range news.Boxes {
+	for _, b := range news.Endpoints {
 		if d.boxes[b.Name] = b; decision.EndpointState(b.State) == decision.Removed {
 			delete(d.boxes, b.Name)
 		}
 	}
-	d.seq = news.Seq
-	d.s.post(post{kind: kind, boxes: news.Boxes})
+	d.seq = news.Version
+	d.s.post(post{kind: kind, boxes: news.Endpoints})
 	d.s.post(post{kind: begin})
-	d.s.log.Info("list of boxes", "seq", news.Seq, "whole", news.Whole, "entries", len(news.Boxes))
+	d.s.log.Info("list of boxes", "seq", news.Version, "whole", news.Full, "entries", len(news.Endpoints))
 	return nil
 }
 
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -178,7 +178,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{T: t, log: &lines{more: make(chan struct{}, 1)}, ended: make(chan error, 1)}
-	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, Discovery: n.Discovery, Seq: n.Known.Seq})
+	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, Discovery: n.Discovery, Seq: n.CachedEndpoints.Version})
 	return r
 }
 
--- a/internal/server/node_test.go
+++ b/internal/server/node_test.go
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{T: t, log: &lines{more: make(chan struct{}, 1)}, ended: make(chan error, 1)}
-	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, Discovery: n.Discovery, Seq: n.Known.Seq})
+	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, Discovery: n.Discovery, Seq: n.CachedEndpoints.Version})
 	for r.status(isReady) != 200 {
 		runtime.Gosched()
 	}
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -29,7 +29,7 @@
 	s     *Server
 	cfg   config.Trace
 	dir   string
-	head  trace.Head
+	head  trace.Header
 	stop  chan struct{}
 	ended chan struct{}
 
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	r := &recorder{s: s, cfg: t, dir: dir, w: w, stop: make(chan struct{}), ended: make(chan struct{}), names: map[decision.BackendID]string{}}
-	r.head = trace.Head{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, Began: s.began,
+	r.head = trace.Header{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, StartedAt: s.began,
 		Origin: s.origin().UnixNano(), Settings: s.cfg.Settings, Classes: s.cfg.ClassNames, Share: 1}
 	if t.Mode == "sampled" {
 		r.head.Share = t.Share
@@ -71,7 +71,7 @@
 		r.head.Plans = append(r.head.Plans, p.Name)
 	}
 	for _, op := range s.cfg.Routes.Operations {
-		r.head.Ops = append(r.head.Ops, op.ID)
+		r.head.Operations = append(r.head.Operations, op.ID)
 	}
 	if err := r.next(); err != nil {
 		return nil, err
@@ -155,7 +155,7 @@
 }
 
 func (r *recorder) write(steps []proxy.Step, dropped uint64) error {
-	var items []trace.Item
+	var items []trace.Record
 	flush := func() error {
 		if len(items) == 0 {
 			return nil
@@ -182,16 +182,16 @@
 			for k, name := range st.EndpointNames {
 				if id := list.Endpoints[k].Backend; r.names[id] != name {
 					r.names[id] = name
-					items = append(items, trace.Item{At: st.At, Backend: &trace.BackendName{Server: id, Name: name}})
+					items = append(items, trace.Record{At: st.At, Backend: &trace.BackendName{Backend: id, Name: name}})
 				}
 			}
 		}
 		if st.State != nil {
-			items = append(items, trace.Item{At: st.At, State: st.State})
+			items = append(items, trace.Record{At: st.At, Snapshot: st.State})
 			continue
 		}
-		items = append(items, trace.Item{At: st.At, Event: trace.FromEvent(st.Event), Actions: trace.FromActions(st.Actions), Op: st.Operation,
-			First: st.Event == nil})
+		items = append(items, trace.Record{At: st.At, Event: trace.NewEvent(st.Event), Actions: trace.NewActions(st.Actions), Operation: st.Operation,
+			Initial: st.Event == nil})
 		if len(items) >= frameItems {
 			if err := flush(); err != nil {
 				return err
@@ -204,7 +204,7 @@
 		if len(steps) > 0 {
 			at = steps[len(steps)-1].At
 		}
-		items = append(items, trace.Item{At: at, Dropped: dropped})
+		items = append(items, trace.Record{At: at, Dropped: dropped})
 		r.s.log.Warn("steps dropped from the trace", "steps", dropped, "in_all", r.told)
 	}
 	return flush()
@@ -227,7 +227,7 @@
 	}
 	r.file, r.size = f, len(b)
 	for id, name := range r.names { // each file names its boxes
-		b, err := r.w.Frame([]trace.Item{{Backend: &trace.BackendName{Server: id, Name: name}}})
+		b, err := r.w.Frame([]trace.Record{{Backend: &trace.BackendName{Backend: id, Name: name}}})
 		if err != nil {
 			return err
 		}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -782,7 +782,7 @@
 				if it.Event.Arrived != nil {
 					arrived++
 				}
-				if it.Event.Ended != nil {
+				if it.Event.AttemptEnded != nil {
 					served++
 				}
 			}
--- a/internal/simulation/replay_test.go
+++ b/internal/simulation/replay_test.go
@@ -16,19 +16,19 @@
 	steps, differ, bytes := uint64(0), uint64(0), 0
 	for seed := uint64(1); seed <= 40; seed++ {
 		type life struct {
-			head  trace.Head
-			items []trace.Item
+			head  trace.Header
+			items []trace.Record
 		}
 		var lives []*life
 		_, err := Run(Generate(seed, Usual()), Options{GoOn: true, Record: func(n int, cfg *config.Config, seed uint64) func(proxy.Step) {
-			l := &life{head: trace.Head{Instance: n, Seed: seed, Began: proxy.Start, Settings: cfg.Settings, Share: 1}}
+			l := &life{head: trace.Header{Instance: n, Seed: seed, StartedAt: proxy.Start, Settings: cfg.Settings, Share: 1}}
 			lives = append(lives, l)
 			return func(s proxy.Step) {
 				if s.State != nil {
-					l.items = append(l.items, trace.Item{At: s.At, State: s.State})
+					l.items = append(l.items, trace.Record{At: s.At, Snapshot: s.State})
 					return
 				}
-				l.items = append(l.items, trace.Item{At: s.At, Event: trace.FromEvent(s.Event), Actions: trace.FromActions(s.Actions), Op: s.Operation, First: s.Event == nil})
+				l.items = append(l.items, trace.Record{At: s.At, Event: trace.NewEvent(s.Event), Actions: trace.NewActions(s.Actions), Operation: s.Operation, Initial: s.Event == nil})
 			}
 		}})
 		if err != nil {
@@ -77,10 +77,10 @@
 			if replay.Steps+replay.States != uint64(len(l.items)) {
 				t.Errorf("seed %d: %d of %d steps came back", seed, replay.Steps, len(l.items))
 			}
-			if replay.Differ > 0 {
-				t.Errorf("seed %d, door %d: %s", seed, l.head.Instance, replay.First)
+			if replay.Differences > 0 {
+				t.Errorf("seed %d, door %d: %s", seed, l.head.Instance, replay.FirstDifference)
 			}
-			steps, differ = steps+replay.Steps, differ+replay.Differ
+			steps, differ = steps+replay.Steps, differ+replay.Differences
 		}
 	}
 	t.Logf("%d steps, %d differ, %.1f bytes a step", steps, differ, float64(bytes)/float64(steps))
@@ -114,8 +114,8 @@
 						t.Fatal(err)
 					}
 					w, _ := trace.NewWriter()
-					file, _ := w.Begin(trace.Head{})
-					f, err := w.Frame([]trace.Item{{State: &st}})
+					file, _ := w.Begin(trace.Header{})
+					f, err := w.Frame([]trace.Record{{Snapshot: &st}})
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -128,7 +128,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					if p.b, err = decision.Restore(p.set, *items[0].State); err != nil {
+					if p.b, err = decision.Restore(p.set, *items[0].Snapshot); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/trace/recorded_test.go
+++ b/trace/recorded_test.go
@@ -19,13 +19,13 @@
 )
 
 // each calls f with the items of the recorded trace, and checks that it is read whole.
-func eachRecorded(t *testing.T, f func(Head, Item)) {
+func eachRecorded(t *testing.T, f func(Header, Record)) {
 	t.Helper()
 	b, err := os.ReadFile(recordedTrace)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut, err := Each(b, nil, func(h Head, it Item) error { f(h, it); return nil })
+	cut, err := Each(b, nil, func(h Header, it Record) error { f(h, it); return nil })
 	if err != nil || cut != 0 {
 		t.Fatalf("cut at %d, %v", cut, err)
 	}
@@ -35,16 +35,16 @@
 // silent, failing, cold and draining servers, changes of the list, and a counter that was silent and late) is read whole, and
 // what is told of its requests is what it was: the counts, every 40th request with its explanation, and a digest of all.
 func TestRecordedTraceIsToldAlike(t *testing.T) {
-	var head Head
-	s, states := NewStories(), 0
+	var head Header
+	s, states := NewHistories(), 0
 	kinds := map[string]int{}
-	eachRecorded(t, func(h Head, it Item) {
+	eachRecorded(t, func(h Header, it Record) {
 		head = h
 		s.Add(it)
-		if it.State != nil {
+		if it.Snapshot != nil {
 			states++
 		}
-		if e := it.Event.Choice(); e != nil {
+		if e := it.Event.Decision(); e != nil {
 			kinds["event"]++
 		}
 		kinds["action"] += len(it.Actions)
@@ -67,11 +67,11 @@
 		}
 		outcomes[st.Outcome]++
 		attempts[len(st.Attempts)]++
-		if st.Call != nil {
+		if st.CounterCall != nil {
 			calls++
 		}
 	}
-	counts, err := json.Marshal(map[string]any{"outcomes": outcomes, "requests by attempts": attempts, "calls waited for": calls, "in all": kinds, "servers": s.Names})
+	counts, err := json.Marshal(map[string]any{"outcomes": outcomes, "requests by attempts": attempts, "calls waited for": calls, "in all": kinds, "servers": s.BackendNames})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 	for from := 0; from <= states; from++ { // 0: from the first step; else from the state of this number
 		var r *Replay
 		seen := 0
-		eachRecorded(t, func(h Head, it Item) {
+		eachRecorded(t, func(h Header, it Record) {
 			if from > 0 {
 				h.Part = 1 // as if in a later part, which begins at a state
 			}
@@ -114,10 +114,10 @@
 					t.Fatal(err)
 				}
 			}
-			if it.State != nil {
+			if it.Snapshot != nil {
 				seen++
 			}
-			if from > 0 && (it.First || it.State != nil && seen < from) {
+			if from > 0 && (it.Initial || it.Snapshot != nil && seen < from) {
 				return
 			}
 			if err := r.Step(h, it); err != nil {
@@ -161,7 +161,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	head, err := modes.enc.Marshal(r.Head)
+	head, err := codec.enc.Marshal(r.Head)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,11 +175,11 @@
 			t.Fatal(err)
 		}
 		if frames > 0 {
-			var items []Item
-			if err := modes.dec.Unmarshal(b, &items); err != nil {
+			var items []Record
+			if err := codec.dec.Unmarshal(b, &items); err != nil {
 				t.Fatal(err)
 			}
-			if again, err = modes.enc.Marshal(items); err != nil {
+			if again, err = codec.enc.Marshal(items); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -22,114 +22,114 @@
 // Format is the version of files; readers refuse others.
 const Format = "sandyard-trace 1\n"
 
-const mostFrame = 16 << 20 // bytes of a payload, compressed or not
+const maxFrameBytes = 16 << 20 // bytes of a payload, compressed or not
 
-// Head says who decided, and with what.
-type Head struct {
-	Core     string            `cbor:"1,keyasint"`
-	Config   string            `cbor:"2,keyasint"` // digest of the configuration's files
-	Instance int               `cbor:"3,keyasint"`
-	Seed     uint64            `cbor:"4,keyasint"`
-	Began    time.Duration     `cbor:"5,keyasint"` // the door's time when its module was made
-	Origin   int64             `cbor:"6,keyasint"` // Unix time in nanoseconds at which the door's time was zero
-	Settings decision.Settings `cbor:"7,keyasint"`
-	Classes  []string          `cbor:"8,keyasint"`
-	Plans    []string          `cbor:"9,keyasint"`
-	Ops      []string          `cbor:"10,keyasint"` // operation ids
-	Part     int               `cbor:"11,keyasint"` // number of the file in its series; only part 0 begins at Began
-	Share    float64           `cbor:"12,keyasint"` // of the requests that are recorded; 1: everything
+// Header says who decided, and with what.
+type Header struct {
+	Core       string            `cbor:"1,keyasint"`
+	Config     string            `cbor:"2,keyasint"` // digest of the configuration's files
+	Instance   int               `cbor:"3,keyasint"`
+	Seed       uint64            `cbor:"4,keyasint"`
+	StartedAt  time.Duration     `cbor:"5,keyasint"` // the door's time when its module was made
+	Origin     int64             `cbor:"6,keyasint"` // Unix time in nanoseconds at which the door's time was zero
+	Settings   decision.Settings `cbor:"7,keyasint"`
+	Classes    []string          `cbor:"8,keyasint"`
+	Plans      []string          `cbor:"9,keyasint"`
+	Operations []string          `cbor:"10,keyasint"` // operation ids
+	Part       int               `cbor:"11,keyasint"` // number of the file in its series; only part 0 begins at Began
+	Share      float64           `cbor:"12,keyasint"` // of the requests that are recorded; 1: everything
 }
 
-// Item is one step of the module, or a note about it.
-type Item struct {
-	At      time.Duration   `cbor:"1,keyasint"`
-	Event   Event           `cbor:"2,keyasint,omitempty"`
-	Actions []Action        `cbor:"3,keyasint,omitempty"`
-	Dropped uint64          `cbor:"4,keyasint,omitempty"` // items that were dropped here, for want of room
-	Backend *BackendName    `cbor:"5,keyasint,omitempty"` // a box's name
-	Op      int             `cbor:"6,keyasint,omitempty"` // of an arrival: its operation, from 1
-	First   bool            `cbor:"7,keyasint,omitempty"` // the actions are those of New
-	State   *decision.State `cbor:"8,keyasint,omitempty"` // the module's state before the next step; nothing else is set
+// Record is one step of the module, or a note about it.
+type Record struct {
+	At        time.Duration   `cbor:"1,keyasint"`
+	Event     Event           `cbor:"2,keyasint,omitempty"`
+	Actions   []Action        `cbor:"3,keyasint,omitempty"`
+	Dropped   uint64          `cbor:"4,keyasint,omitempty"` // items that were dropped here, for want of room
+	Backend   *BackendName    `cbor:"5,keyasint,omitempty"` // a box's name
+	Operation int             `cbor:"6,keyasint,omitempty"` // of an arrival: its operation, from 1
+	Initial   bool            `cbor:"7,keyasint,omitempty"` // the actions are those of New
+	Snapshot  *decision.State `cbor:"8,keyasint,omitempty"` // the module's state before the next step; nothing else is set
 }
 
 // BackendName names a server.
 type BackendName struct {
-	Server decision.BackendID `cbor:"1,keyasint"`
-	Name   string             `cbor:"2,keyasint"`
+	Backend decision.BackendID `cbor:"1,keyasint"`
+	Name    string             `cbor:"2,keyasint"`
 }
 
 // Event is a choice.Event as data: one of the fields is set.
 type Event struct {
-	Arrived *decision.RequestArrived     `cbor:"1,keyasint,omitempty"`
-	Left    *decision.ClientDisconnected `cbor:"2,keyasint,omitempty"`
-	Ended   *decision.AttemptEnded       `cbor:"3,keyasint,omitempty"`
-	Stream  *decision.StreamStarted      `cbor:"4,keyasint,omitempty"`
-	Probed  *decision.ProbeEnded         `cbor:"5,keyasint,omitempty"`
-	Counted *decision.CounterReplied     `cbor:"6,keyasint,omitempty"`
-	Servers *decision.EndpointsChanged   `cbor:"7,keyasint,omitempty"`
-	Timer   *decision.TimerFired         `cbor:"8,keyasint,omitempty"`
+	Arrived          *decision.RequestArrived     `cbor:"1,keyasint,omitempty"`
+	Disconnected     *decision.ClientDisconnected `cbor:"2,keyasint,omitempty"`
+	AttemptEnded     *decision.AttemptEnded       `cbor:"3,keyasint,omitempty"`
+	StreamStarted    *decision.StreamStarted      `cbor:"4,keyasint,omitempty"`
+	ProbeEnded       *decision.ProbeEnded         `cbor:"5,keyasint,omitempty"`
+	CounterReplied   *decision.CounterReplied     `cbor:"6,keyasint,omitempty"`
+	EndpointsChanged *decision.EndpointsChanged   `cbor:"7,keyasint,omitempty"`
+	Timer            *decision.TimerFired         `cbor:"8,keyasint,omitempty"`
 }
 
 // Action is a choice.Action as data: one of the fields is set.
 type Action struct {
-	Send      *decision.SendAttempt    `cbor:"1,keyasint,omitempty"`
-	Cancel    *decision.CancelAttempt  `cbor:"2,keyasint,omitempty"`
-	Refuse    *decision.Reject         `cbor:"3,keyasint,omitempty"`
-	Fail      *decision.Fail           `cbor:"4,keyasint,omitempty"`
-	Probe     *decision.Probe          `cbor:"5,keyasint,omitempty"`
-	Count     *decision.AddToCounter   `cbor:"6,keyasint,omitempty"`
-	SetTimer  *decision.SetTimer       `cbor:"7,keyasint,omitempty"`
-	Subscribe *decision.WatchEndpoints `cbor:"8,keyasint,omitempty"`
+	Send           *decision.SendAttempt    `cbor:"1,keyasint,omitempty"`
+	Cancel         *decision.CancelAttempt  `cbor:"2,keyasint,omitempty"`
+	Reject         *decision.Reject         `cbor:"3,keyasint,omitempty"`
+	Fail           *decision.Fail           `cbor:"4,keyasint,omitempty"`
+	Probe          *decision.Probe          `cbor:"5,keyasint,omitempty"`
+	AddToCounter   *decision.AddToCounter   `cbor:"6,keyasint,omitempty"`
+	SetTimer       *decision.SetTimer       `cbor:"7,keyasint,omitempty"`
+	WatchEndpoints *decision.WatchEndpoints `cbor:"8,keyasint,omitempty"`
 }
 
-// FromEvent makes data of an event.
-func FromEvent(e decision.Event) (d Event) {
+// NewEvent makes data of an event.
+func NewEvent(e decision.Event) (d Event) {
 	switch e := e.(type) {
 	case decision.RequestArrived:
 		d.Arrived = &e
 	case decision.ClientDisconnected:
-		d.Left = &e
+		d.Disconnected = &e
 	case decision.AttemptEnded:
-		d.Ended = &e
+		d.AttemptEnded = &e
 	case decision.StreamStarted:
-		d.Stream = &e
+		d.StreamStarted = &e
 	case decision.ProbeEnded:
-		d.Probed = &e
+		d.ProbeEnded = &e
 	case decision.CounterReplied:
-		d.Counted = &e
+		d.CounterReplied = &e
 	case decision.EndpointsChanged:
-		d.Servers = &e
+		d.EndpointsChanged = &e
 	case decision.TimerFired:
 		d.Timer = &e
 	}
 	return d
 }
 
-// Choice is the event itself; nil if there is none.
-func (d Event) Choice() decision.Event {
+// Decision is the event itself; nil if there is none.
+func (d Event) Decision() decision.Event {
 	switch {
 	case d.Arrived != nil:
 		return *d.Arrived
-	case d.Left != nil:
-		return *d.Left
-	case d.Ended != nil:
-		return *d.Ended
-	case d.Stream != nil:
-		return *d.Stream
-	case d.Probed != nil:
-		return *d.Probed
-	case d.Counted != nil:
-		return *d.Counted
-	case d.Servers != nil:
-		return *d.Servers
+	case d.Disconnected != nil:
+		return *d.Disconnected
+	case d.AttemptEnded != nil:
+		return *d.AttemptEnded
+	case d.StreamStarted != nil:
+		return *d.StreamStarted
+	case d.ProbeEnded != nil:
+		return *d.ProbeEnded
+	case d.CounterReplied != nil:
+		return *d.CounterReplied
+	case d.EndpointsChanged != nil:
+		return *d.EndpointsChanged
 	case d.Timer != nil:
 		return *d.Timer
 	}
 	return nil
 }
 
-// FromActions makes data of actions.
-func FromActions(as []decision.Action) []Action {
+// NewActions makes data of actions.
+func NewActions(as []decision.Action) []Action {
 	out := make([]Action, len(as))
 	for i, a := range as {
 		switch a := a.(type) {
@@ -138,46 +138,46 @@
 		case decision.CancelAttempt:
 			out[i].Cancel = &a
 		case decision.Reject:
-			out[i].Refuse = &a
+			out[i].Reject = &a
 		case decision.Fail:
 			out[i].Fail = &a
 		case decision.Probe:
 			out[i].Probe = &a
 		case decision.AddToCounter:
-			out[i].Count = &a
+			out[i].AddToCounter = &a
 		case decision.SetTimer:
 			out[i].SetTimer = &a
 		case decision.WatchEndpoints:
-			out[i].Subscribe = &a
+			out[i].WatchEndpoints = &a
 		}
 	}
 	return out
 }
 
-// Choice is the action itself.
-func (d Action) Choice() decision.Action {
+// Decision is the action itself.
+func (d Action) Decision() decision.Action {
 	switch {
 	case d.Send != nil:
 		return *d.Send
 	case d.Cancel != nil:
 		return *d.Cancel
-	case d.Refuse != nil:
-		return *d.Refuse
+	case d.Reject != nil:
+		return *d.Reject
 	case d.Fail != nil:
 		return *d.Fail
 	case d.Probe != nil:
 		return *d.Probe
-	case d.Count != nil:
-		return *d.Count
+	case d.AddToCounter != nil:
+		return *d.AddToCounter
 	case d.SetTimer != nil:
 		return *d.SetTimer
-	case d.Subscribe != nil:
-		return *d.Subscribe
+	case d.WatchEndpoints != nil:
+		return *d.WatchEndpoints
 	}
 	return nil
 }
 
-var modes = func() (m struct {
+var codec = func() (m struct {
 	enc cbor.EncMode
 	dec cbor.DecMode
 }) {
@@ -205,8 +205,8 @@
 }
 
 // Begin is the start of a file.
-func (w *Writer) Begin(h Head) ([]byte, error) {
-	b, err := modes.enc.Marshal(h)
+func (w *Writer) Begin(h Header) ([]byte, error) {
+	b, err := codec.enc.Marshal(h)
 	if err != nil {
 		return nil, err
 	}
@@ -214,8 +214,8 @@
 }
 
 // Frame is a frame of items.
-func (w *Writer) Frame(items []Item) ([]byte, error) {
-	b, err := modes.enc.Marshal(items)
+func (w *Writer) Frame(items []Record) ([]byte, error) {
+	b, err := codec.enc.Marshal(items)
 	if err != nil {
 		return nil, err
 	}
@@ -231,14 +231,14 @@
 
 // Errors of reading. Cut is no more than the end of what a killed process has written.
 var (
-	ErrFormat = errors.New("trace: not a trace of this version")
-	ErrCut    = errors.New("trace: the file ends within a frame")
-	ErrBroken = errors.New("trace: a frame is broken")
+	ErrFormat    = errors.New("trace: not a trace of this version")
+	ErrTruncated = errors.New("trace: the file ends within a frame")
+	ErrCorrupt   = errors.New("trace: a frame is broken")
 )
 
 // Reader takes a file apart. It has one owner.
 type Reader struct {
-	Head Head
+	Head Header
 	text []byte
 	at   int
 	zip  *zstd.Decoder
@@ -250,14 +250,14 @@
 		first := file[:min(len(file), 24)]
 		return nil, fmt.Errorf("%w: it begins %q, expected %q", ErrFormat, first, Format)
 	}
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(4*mostFrame))
+	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(4*maxFrameBytes))
 	if err != nil {
 		return nil, err
 	}
 	r := &Reader{text: file, at: len(Format), zip: z}
 	b, err := r.frame()
 	if err == nil {
-		err = modes.dec.Unmarshal(b, &r.Head)
+		err = codec.dec.Unmarshal(b, &r.Head)
 	}
 	if err != nil {
 		z.Close()
@@ -269,8 +269,8 @@
 // Close frees what a Reader holds.
 func (r *Reader) Close() { r.zip.Close() }
 
-// Next is the next frame's items; nil at the end. After ErrCut or ErrBroken there is no more.
-func (r *Reader) Next() ([]Item, error) {
+// Next is the next frame's items; nil at the end. After ErrTruncated or ErrCorrupt there is no more.
+func (r *Reader) Next() ([]Record, error) {
 	if r.at == len(r.text) {
 		return nil, nil
 	}
@@ -278,9 +278,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var items []Item
-	if err := modes.dec.Unmarshal(b, &items); err != nil {
-		return nil, fmt.Errorf("%w: at byte %d: %v", ErrBroken, r.at, err)
+	var items []Record
+	if err := codec.dec.Unmarshal(b, &items); err != nil {
+		return nil, fmt.Errorf("%w: at byte %d: %v", ErrCorrupt, r.at, err)
 	}
 	return items, nil
 }
@@ -288,22 +288,22 @@
 func (r *Reader) frame() ([]byte, error) {
 	rest := r.text[r.at:]
 	if len(rest) < 8 {
-		return nil, fmt.Errorf("%w: at byte %d", ErrCut, r.at)
+		return nil, fmt.Errorf("%w: at byte %d", ErrTruncated, r.at)
 	}
 	n, sum := int(binary.BigEndian.Uint32(rest)), binary.BigEndian.Uint32(rest[4:])
-	if n > mostFrame {
-		return nil, fmt.Errorf("%w: at byte %d: %d bytes", ErrBroken, r.at, n)
+	if n > maxFrameBytes {
+		return nil, fmt.Errorf("%w: at byte %d: %d bytes", ErrCorrupt, r.at, n)
 	}
 	if len(rest) < 8+n {
-		return nil, fmt.Errorf("%w: at byte %d", ErrCut, r.at)
+		return nil, fmt.Errorf("%w: at byte %d", ErrTruncated, r.at)
 	}
 	p := rest[8 : 8+n]
 	if crc32.Checksum(p, castagnoli) != sum {
-		return nil, fmt.Errorf("%w: at byte %d: its checksum differs", ErrBroken, r.at)
+		return nil, fmt.Errorf("%w: at byte %d: its checksum differs", ErrCorrupt, r.at)
 	}
 	b, err := r.zip.DecodeAll(p, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: at byte %d: %v", ErrBroken, r.at, err)
+		return nil, fmt.Errorf("%w: at byte %d: %v", ErrCorrupt, r.at, err)
 	}
 	r.at += 8 + n
 	return b, nil
@@ -311,7 +311,7 @@
 
 // Each calls begin, if there is one, with a file's head, and f with every item. A file that a kill cut off is read up to its
 // last whole frame, whose end is then returned as cut; 0 says that it is whole. Errors of begin and f are returned as they are.
-func Each(file []byte, begin func(Head) error, f func(Head, Item) error) (cut int, err error) {
+func Each(file []byte, begin func(Header) error, f func(Header, Record) error) (cut int, err error) {
 	r, err := NewReader(file)
 	if err != nil {
 		return 0, err
@@ -324,7 +324,7 @@
 	}
 	for {
 		items, err := r.Next()
-		if errors.Is(err, ErrCut) {
+		if errors.Is(err, ErrTruncated) {
 			return r.at, nil
 		}
 		if err != nil || items == nil {
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -12,18 +12,18 @@
 	"sandyard/decision"
 )
 
-func items() []Item {
-	return []Item{
-		{At: 1, First: true, Actions: FromActions([]decision.Action{decision.SetTimer{At: 5, Timer: decision.Timer{Kind: decision.TickTimer}}, decision.WatchEndpoints{}})},
-		{At: 2, Event: FromEvent(decision.EndpointsChanged{Full: true, Endpoints: []decision.Endpoint{{Backend: 1, Zone: 2, State: decision.Draining, Weight: 1.5, Started: 7}}})},
-		{At: 3, Event: FromEvent(decision.RequestArrived{Request: 9, Customer: "a\x00\xff\u202e", Units: 0.1, TimeLeft: time.Second}), Op: 3,
-			Actions: FromActions([]decision.Action{decision.SendAttempt{Request: 9, Backend: 1, Timeout: 3}, decision.AddToCounter{Name: "n", Amount: -1e300, TTL: 4}})},
-		{At: 4, Event: FromEvent(decision.AttemptEnded{Request: 9, Outcome: decision.ConnectionReset, Load: []float64{1, 2}}), Actions: FromActions([]decision.Action{
+func items() []Record {
+	return []Record{
+		{At: 1, Initial: true, Actions: NewActions([]decision.Action{decision.SetTimer{At: 5, Timer: decision.Timer{Kind: decision.TickTimer}}, decision.WatchEndpoints{}})},
+		{At: 2, Event: NewEvent(decision.EndpointsChanged{Full: true, Endpoints: []decision.Endpoint{{Backend: 1, Zone: 2, State: decision.Draining, Weight: 1.5, Started: 7}}})},
+		{At: 3, Event: NewEvent(decision.RequestArrived{Request: 9, Customer: "a\x00\xff\u202e", Units: 0.1, TimeLeft: time.Second}), Operation: 3,
+			Actions: NewActions([]decision.Action{decision.SendAttempt{Request: 9, Backend: 1, Timeout: 3}, decision.AddToCounter{Name: "n", Amount: -1e300, TTL: 4}})},
+		{At: 4, Event: NewEvent(decision.AttemptEnded{Request: 9, Outcome: decision.ConnectionReset, Load: []float64{1, 2}}), Actions: NewActions([]decision.Action{
 			decision.CancelAttempt{Request: 9}, decision.Reject{Request: 9, Reason: decision.OverQuota}, decision.Fail{Request: 9}, decision.Probe{Backend: 4}})},
-		{At: 5, Event: FromEvent(decision.CounterReplied{Name: "n", Outcome: decision.TimedOut, Total: 3})},
-		{At: 6, Event: FromEvent(decision.TimerFired{Timer: decision.Timer{Kind: decision.DeadlineTimer, Request: 9}})},
-		{At: 7, Event: FromEvent(decision.ClientDisconnected{Request: 9})}, {At: 8, Event: FromEvent(decision.StreamStarted{Request: 9, Attempt: 1, Backend: 2})},
-		{At: 9, Event: FromEvent(decision.ProbeEnded{Backend: 2})}, {At: 10, Dropped: 7}, {At: 11, Backend: &BackendName{4, "box-4"}},
+		{At: 5, Event: NewEvent(decision.CounterReplied{Name: "n", Outcome: decision.TimedOut, Total: 3})},
+		{At: 6, Event: NewEvent(decision.TimerFired{Timer: decision.Timer{Kind: decision.DeadlineTimer, Request: 9}})},
+		{At: 7, Event: NewEvent(decision.ClientDisconnected{Request: 9})}, {At: 8, Event: NewEvent(decision.StreamStarted{Request: 9, Attempt: 1, Backend: 2})},
+		{At: 9, Event: NewEvent(decision.ProbeEnded{Backend: 2})}, {At: 10, Dropped: 7}, {At: 11, Backend: &BackendName{4, "box-4"}},
 	}
 }
 
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := w.Begin(Head{Core: "c", Instance: 2, Settings: decision.Settings{Instances: 3, Classes: []decision.Class{{LatencyObjective: time.Second}}}, Share: 1})
+	b, err := w.Begin(Header{Core: "c", Instance: 2, Settings: decision.Settings{Instances: 3, Classes: []decision.Class{{LatencyObjective: time.Second}}}, Share: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	return b
 }
 
-func read(b []byte) (got []Item, err error) {
+func read(b []byte) (got []Record, err error) {
 	r, err := NewReader(b)
 	if err != nil {
 		return nil, err
@@ -68,22 +68,22 @@
 		t.Fatalf("%d items, %v", len(got), err)
 	}
 	for i, want := range items() {
-		if g := got[i].Event.Choice(); !reflect.DeepEqual(g, want.Event.Choice()) {
-			t.Errorf("item %d: %+v, want %+v", i, g, want.Event.Choice())
+		if g := got[i].Event.Decision(); !reflect.DeepEqual(g, want.Event.Decision()) {
+			t.Errorf("item %d: %+v, want %+v", i, g, want.Event.Decision())
 		}
 		if len(got[i].Actions) != len(want.Actions) {
 			t.Errorf("item %d: %d actions", i, len(got[i].Actions))
 			continue
 		}
 		for k := range want.Actions {
-			if g := got[i].Actions[k].Choice(); g == nil || !reflect.DeepEqual(g, want.Actions[k].Choice()) {
+			if g := got[i].Actions[k].Decision(); g == nil || !reflect.DeepEqual(g, want.Actions[k].Decision()) {
 				t.Errorf("item %d, action %d: %+v", i, k, g)
 			}
 		}
 	}
-	x, err := modes.enc.Marshal(FromEvent(decision.AttemptEnded{Load: []float64{math.NaN()}}))
+	x, err := codec.enc.Marshal(NewEvent(decision.AttemptEnded{Load: []float64{math.NaN()}}))
 	var e Event
-	if err != nil || modes.dec.Unmarshal(x, &e) != nil || !math.IsNaN(e.Ended.Load[0]) {
+	if err != nil || codec.dec.Unmarshal(x, &e) != nil || !math.IsNaN(e.AttemptEnded.Load[0]) {
 		t.Error("a figure that is none does not come back as none")
 	}
 }
@@ -95,7 +95,7 @@
 	for n := len(Format); n <= len(whole); n++ {
 		got, err := read(whole[:n])
 		switch {
-		case err != nil && !errors.Is(err, ErrCut):
+		case err != nil && !errors.Is(err, ErrTruncated):
 			t.Fatalf("%d bytes: %v", n, err)
 		case len(got) < last:
 			t.Fatalf("%d bytes: %d items, with fewer bytes %d", n, len(got), last)
@@ -127,7 +127,7 @@
 }
 
 func TestReplayStarts(t *testing.T) {
-	if _, err := NewReplay(Head{Share: 0.5}); err == nil {
+	if _, err := NewReplay(Header{Share: 0.5}); err == nil {
 		t.Error("from a sample")
 	}
 }
@@ -135,19 +135,19 @@
 // TestReplayFindsAnotherDecision: a core that would decide otherwise is told, with the first step; behind a gap it is
 // told that the gap may be why.
 func TestReplayFindsAnotherDecision(t *testing.T) {
-	h := Head{Share: 1, Settings: decision.Settings{Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: time.Second}}}}
+	h := Header{Share: 1, Settings: decision.Settings{Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: time.Second}}}}
 	_, first, err := decision.New(h.Settings, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, gap := range []bool{false, true} {
 		r, _ := NewReplay(h)
-		r.Step(h, Item{First: true, Actions: FromActions(first)})
+		r.Step(h, Record{Initial: true, Actions: NewActions(first)})
 		if gap {
-			r.Step(h, Item{Dropped: 1})
+			r.Step(h, Record{Dropped: 1})
 		}
-		r.Step(h, Item{At: 1, Event: FromEvent(decision.RequestArrived{Request: 1, TimeLeft: time.Second}), Actions: FromActions([]decision.Action{decision.Fail{Request: 1}})})
-		if r.Differ != 1 || r.First == "" || (r.Uncertain == 1) != gap {
+		r.Step(h, Record{At: 1, Event: NewEvent(decision.RequestArrived{Request: 1, TimeLeft: time.Second}), Actions: NewActions([]decision.Action{decision.Fail{Request: 1}})})
+		if r.Differences != 1 || r.FirstDifference == "" || (r.Uncertain == 1) != gap {
 			t.Errorf("gap %v: %+v", gap, r)
 		}
 	}
