--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,248 +1,166 @@
-// Package platform is the operators' platform as bytes in and values out: the configuration that a front door is started
-// with, how requests, attempts and answers look, what discovery tells, and the counter's lines. It decides nothing,
-// opens no connection and reads no clock. Its values are immutable and may be shared by goroutines, but for a Counter's.
+// Package platform is the adapter of the operators' platform: the configuration that an instance is started with, how
+// requests, attempts and responses look, the messages of discovery, and the lines of the counter. It decides nothing,
+// opens no connection and reads no clock. Its values are immutable and may be shared by goroutines, except a counter
+// codec, which belongs to one connection. docs/design/platform.md describes the protocol's guards.
 package platform
 
 import (
-	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"math"
 	"net/netip"
 	"slices"
 	"strconv"
-	"strings"
-	"time"
 
 	"sandyard/config"
 	"sandyard/decision"
-	"sandyard/internal/simwire"
-	"sandyard/internal/strictyaml"
+	"sandyard/internal/diagnostic"
+	"sandyard/internal/sitesettings"
 	"sandyard/routes"
 )
 
-// Node is what a front door is told when it starts, and again with SIGHUP.
+// Errors of a configuration. Other faults are *diagnostic.FieldError (a field with a value that can't be taken) or
+// *EndpointError (an entry of the list of endpoints).
+var (
+	ErrNegativeLimit    = errors.New("expected no negative figure")
+	ErrNoClassOrPlan    = errors.New("no class or no plan")
+	ErrDuplicateName    = errors.New("two classes or two plans of one name")
+	ErrSettingsNoObject = errors.New("expected an object")
+)
+
+// Node is the configuration of an instance, read when it starts and again with SIGHUP, and the protocol that the
+// instance speaks by it.
 type Node struct {
-	Name            string
-	Listen          string // host:port
-	Discovery       string // host:port
-	Seed            uint64
-	Limits          Limits
-	CachedEndpoints EndpointList // as this front door had it last; may be old
+	Name            string       // of the instance, for logs
+	Listen          string       // host:port for clients
+	Discovery       string       // host:port of discovery
+	Seed            uint64       // of all random draws
+	Limits          Limits       // of its processes
+	CachedEndpoints EndpointList // as the instance had them last; may be old
 	Config          *config.Config
 
-	operations      map[string]*routes.Operation
-	plans           map[string]decision.PlanID
-	loadReportNames []string // names of the figures of a report, in the order of Settings.LoadFields
-	instances       int      // in the fleet
+	operations      map[string]*routes.Operation // by name of class
+	plans           map[string]decision.PlanID   // by name
+	loadReportNames []string                     // of the figures, in the order of Settings.LoadFields
+	instances       int                          // in the fleet
 }
 
-// Limits are what a front door's processes may take.
+// Limits are what an instance's processes may take.
 type Limits struct {
 	Cores    float64 `json:"cores"`     // of one core
-	MemoryMB int     `json:"memory_mb"` // 0: not limited
+	MemoryMB int     `json:"memory_mb"` // MiB; 0: not limited
 	Sockets  int     `json:"sockets"`   // descriptors; 0: not limited
 }
 
-const (
-	mostBody      = 64 << 10               // bytes, as the protocol says
-	fallback      = 4096                   // descriptors where no limit is told
-	clientShare   = 0.5                    // of the descriptors, for clients: they hold a third, others come besides
-	lineShare     = 0.3                    // of the descriptors, for lines to backends; the rest is for all else
-	idleShare     = 0.6                    // of the time after which a backend's machine closes an idle connection
-	requestTime   = 2 * time.Second        // for a request to come whole; bad senders are owed an end within 3 s
-	answerMargin  = 12 * time.Millisecond  // kept of a client's patience for the way back
-	quiet         = 20 * time.Millisecond  // a backend's line rests between requests, so that what comes behind an answer is seen
-	keeperPending = 1024                   // calls to the counter on their way
-	stopTime      = 600 * time.Millisecond // more than new connections keep coming after SIGTERM
-)
+// configFile is a configuration as operators write it.
+type configFile struct {
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Discovery string          `json:"discovery"`
+	Counter   string          `json:"counter"`
+	Seed      string          `json:"seed"`
+	Limits    Limits          `json:"limits"`
+	Endpoints json.RawMessage `json:"known"`
+	Settings  json.RawMessage `json:"settings"`
+}
 
-// ParseConfig takes a configuration apart.
+// ParseConfig reads a configuration. The error names the first field that is wrong.
 func ParseConfig(text []byte) (*Node, error) {
-	var f struct {
-		Name      string          `json:"name"`
-		Listen    string          `json:"listen"`
-		Discovery string          `json:"discovery"`
-		Counter   string          `json:"counter"`
-		Seed      string          `json:"seed"`
-		Limits    Limits          `json:"limits"`
-		Known     json.RawMessage `json:"known"`
-		Settings  json.RawMessage `json:"settings"`
-	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	n, err := parseConfig(text)
+	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	n := &Node{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits}
-	for name, addr := range map[string]string{"listen": f.Listen, "discovery": f.Discovery, "counter": f.Counter} {
-		if _, err := netip.ParseAddrPort(addr); err != nil && (addr != "" || name != "counter") {
-			return nil, fmt.Errorf("configuration: %s: %q: expected an IP address and a port", name, addr)
-		}
+	return n, nil
+}
+
+func parseConfig(text []byte) (*Node, error) {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		return nil, err
 	}
-	var err error
-	if n.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("configuration: seed: %q: expected up to 16 hex digits", f.Seed)
+	if err := file.checkAddresses(); err != nil {
+		return nil, err
 	}
-	if !(f.Limits.Cores >= 0) || f.Limits.MemoryMB < 0 || f.Limits.Sockets < 0 {
-		return nil, fmt.Errorf("configuration: limits: expected no negative figure")
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
+	if err != nil {
+		return nil, &diagnostic.FieldError{Field: "seed", Value: file.Seed, Want: "up to 16 hex digits"}
 	}
-	if len(f.Known) > 0 {
-		if n.CachedEndpoints, err = ParseEndpointList(f.Known); err != nil {
-			return nil, fmt.Errorf("configuration: known: %w", err)
-		}
-		if len(n.CachedEndpoints.Malformed) > 0 {
-			return nil, fmt.Errorf("configuration: known: %w", n.CachedEndpoints.Malformed[0].Err)
-		}
+	if !(file.Limits.Cores >= 0) || file.Limits.MemoryMB < 0 || file.Limits.Sockets < 0 {
+		return nil, &diagnostic.PlaceError{Place: "limits", Err: ErrNegativeLimit}
 	}
-	pairs, err := flatten(f.Settings)
+	endpoints, err := file.cachedEndpoints()
 	if err != nil {
-		return nil, fmt.Errorf("configuration: settings: %w", err)
+		return nil, &diagnostic.PlaceError{Place: "known", Err: err}
 	}
-	if err := n.settle(pairs, f.Counter); err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+	n := &Node{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Seed: seed, Limits: file.Limits, CachedEndpoints: endpoints}
+	if err := n.applySettings(file.Settings, file.Counter); err != nil {
+		return nil, &diagnostic.PlaceError{Place: "settings", Err: err}
 	}
 	return n, nil
 }
 
-// pair is one setting. A value is text as the wire has it.
-type pair struct{ path, value string }
+// checkAddresses refuses what is no address. An instance may be without a counter.
+func (f *configFile) checkAddresses() error {
+	for _, a := range []struct {
+		field, address string
+		optional       bool
+	}{{"listen", f.Listen, false}, {"discovery", f.Discovery, false}, {"counter", f.Counter, true}} {
+		if a.optional && a.address == "" {
+			continue
+		}
+		if _, err := netip.ParseAddrPort(a.address); err != nil {
+			return &diagnostic.FieldError{Field: a.field, Value: a.address, Want: "an IP address and a port"}
+		}
+	}
+	return nil
+}
 
-// flatten turns nested settings into the pairs that the wire has: a list of plain values is joined by commas, one of
-// objects has its length under .count and its items under .0, .1 and so on.
-func flatten(text []byte) ([]pair, error) {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber()
-	var v any
-	if err := d.Decode(&v); err != nil {
-		return nil, err
+// cachedEndpoints reads the list of endpoints that comes with the configuration. All of its entries have to be right.
+func (f *configFile) cachedEndpoints() (EndpointList, error) {
+	if len(f.Endpoints) == 0 {
+		return EndpointList{}, nil
 	}
-	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("expected one object")
+	list, err := ParseEndpointList(f.Endpoints)
+	if err != nil {
+		return EndpointList{}, err
 	}
-	if _, ok := v.(map[string]any); !ok {
-		return nil, fmt.Errorf("expected an object")
+	if len(list.Malformed) > 0 {
+		return EndpointList{}, &list.Malformed[0]
 	}
-	var out []pair
-	flattenInto(&out, "", v)
-	slices.SortFunc(out, func(a, b pair) int { return strings.Compare(a.path, b.path) })
-	return out, nil
+	return list, nil
 }
 
-func flattenInto(out *[]pair, path string, v any) {
-	at := func(key string) string {
-		if path == "" {
-			return key
-		}
-		return path + "." + key
+// applySettings works out what the instance goes by from the operators' settings. The counter is called only where they
+// allow it.
+func (n *Node) applySettings(text json.RawMessage, counter string) error {
+	lookup, err := settingsLookup(text)
+	if err != nil {
+		return err
 	}
-	switch v := v.(type) {
-	case map[string]any:
-		for key, one := range v {
-			flattenInto(out, at(key), one)
-		}
-	case []any:
-		if len(v) > 0 {
-			if _, ok := v[0].(map[string]any); ok {
-				*out = append(*out, pair{at("count"), strconv.Itoa(len(v))})
-				for i, one := range v {
-					flattenInto(out, at(strconv.Itoa(i)), one)
-				}
-				return
-			}
-		}
-		words := make([]string, len(v))
-		for i, one := range v {
-			words[i] = plain(one)
-		}
-		*out = append(*out, pair{path, strings.Join(words, ",")})
-	default:
-		*out = append(*out, pair{path, plain(v)})
+	s, err := sitesettings.Decode(lookup)
+	if err != nil {
+		return err
 	}
+	if len(s.Classes) == 0 || len(s.Plans) == 0 {
+		return ErrNoClassOrPlan
+	}
+	n.instances = s.Instance.Total
+	n.loadReportNames = slices.Clone(s.LoadReports.Names)
+	n.Config = n.newConfig(s, counter)
+	return n.indexNames(s)
 }
 
-var tidy = strings.NewReplacer(" ", "_", ",", "_")
-
-func plain(v any) string {
-	switch v := v.(type) {
-	case nil:
-		return "-"
-	case string:
-		return tidy.Replace(v)
-	case bool:
-		return strconv.FormatBool(v)
-	case json.Number:
-		return v.String()
-	}
-	return "-"
-}
-
-// settle works out the settings and the bounds. The counter is called only where the settings allow it.
-func (n *Node) settle(pairs []pair, counter string) error {
-	text, at := make([]string, len(pairs)), make(map[string]string, len(pairs))
-	for i, p := range pairs {
-		text[i], at[p.path] = p.path+"="+p.value, p.value
+// indexNames makes classes and plans known by their names, which requests give.
+func (n *Node) indexNames(s *sitesettings.Settings) error {
+	n.operations, n.plans = map[string]*routes.Operation{}, map[string]decision.PlanID{}
+	for i, c := range s.Classes {
+		n.operations[c.Name] = &routes.Operation{ID: c.Name, Class: c.Name, Index: i}
 	}
-	set, err := simwire.Settings(text)
-	if err != nil {
-		return err
+	for i, p := range s.Plans {
+		n.plans[p.Name] = decision.PlanID(i)
 	}
-	if len(set.Classes) == 0 || len(set.Plans) == 0 {
-		return fmt.Errorf("settings: no class or no plan")
+	if len(n.operations) != len(s.Classes) || len(n.plans) != len(s.Plans) {
+		return ErrDuplicateName
 	}
-	millis := func(key string, absent time.Duration) time.Duration {
-		if ms, err := strconv.ParseFloat(at[key], 64); err == nil && ms > 0 && ms < 1e9 {
-			return time.Duration(ms * float64(time.Millisecond))
-		}
-		return absent
-	}
-	n.instances = set.Instances
-	cfg := &config.Config{Settings: set}
-	cfg.Trace.Mode, cfg.Log.Level = "off", "info"
-	n.operations = map[string]*routes.Operation{}
-	for i := range set.Classes {
-		name := at["services."+strconv.Itoa(i)+".name"]
-		n.operations[name] = &routes.Operation{ID: name, Class: name, Index: i}
-		cfg.ClassNames = append(cfg.ClassNames, name)
-		cfg.ClassByOperation = append(cfg.ClassByOperation, decision.ClassID(i))
-	}
-	n.plans = map[string]decision.PlanID{}
-	for i := range set.Plans {
-		n.plans[at["plans."+strconv.Itoa(i)+".name"]] = decision.PlanID(i)
-	}
-	if len(n.operations) != len(set.Classes) || len(n.plans) != len(set.Plans) {
-		return fmt.Errorf("settings: two classes or two plans of one name")
-	}
-	n.loadReportNames = append(n.loadReportNames, strings.Split(at["feedback.names"], ",")...)
-	cfg.Zones = strings.Split(at["localities"], ",")
-	cfg.Instance.Number, cfg.Instance.Total = set.Self, set.Instances
-	cfg.RetryAfter.Enabled = set.RetryAfter
-	if set.Counter {
-		cfg.Counter.Address = counter
-	}
-	cfg.Counter.Timeout, cfg.Counter.MaxPending = strictyaml.Duration(set.CounterTimeout), keeperPending
-	if cfg.Counter.Timeout <= 0 {
-		cfg.Counter.Timeout = strictyaml.Duration(50 * time.Millisecond)
-	}
-	cfg.Endpoints = n.CachedEndpoints.Endpoints
-	sockets := n.Limits.Sockets
-	if sockets == 0 {
-		sockets = fallback
-	}
-	lines := max(2, int(lineShare*float64(sockets)))
-	memory := int64(math.MaxInt32)
-	if n.Limits.MemoryMB > 0 {
-		memory = int64(n.Limits.MemoryMB) << 20 / 4
-	}
-	idle := time.Duration(idleShare * float64(millis("limits.conn-idle-ms", 15*time.Second)))
-	cfg.Limits = config.Limits{Connections: max(4, int(clientShare*float64(sockets))), BackendConns: lines, ConnsPerBackend: lines,
-		Queue: 2048, Memory: strictyaml.Size(memory), Body: mostBody, Head: 16 << 10, Fields: 64, HoldResponse: mostBody, Response: mostBody,
-		HeadTimeout: strictyaml.Duration(requestTime), BodyTimeout: strictyaml.Duration(requestTime), FirstTimeout: strictyaml.Duration(requestTime),
-		WriteTimeout: strictyaml.Duration(3 * time.Second), IdleTimeout: strictyaml.Duration(30 * time.Second),
-		ConnectTimeout:     strictyaml.Duration(millis("limits.connect-timeout-ms", 250*time.Millisecond)),
-		BackendIdleTimeout: strictyaml.Duration(idle), NonIdempotentIdle: 0, ReuseDelay: strictyaml.Duration(quiet),
-		ResponseMargin: strictyaml.Duration(answerMargin), StreamIdleTimeout: strictyaml.Duration(30 * time.Second),
-		ShutdownTimeout: strictyaml.Duration(time.Minute), StopDelay: strictyaml.Duration(stopTime)}
-	n.Config = cfg
 	return nil
 }
--- /dev/null
+++ b/internal/platform/request.go
@@ -0,0 +1,284 @@
+package platform
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"sandyard/config"
+	"sandyard/decision"
+	"sandyard/internal/http1"
+	"sandyard/internal/protocol"
+)
+
+const (
+	apiPath        = "/api"   // of every request that clients make
+	readyPath      = "/ready" // answered by the instance itself
+	requestIDBytes = 16       // hex digits of X-Request-Id
+	customerBytes  = 16       // hex digits of a customer's number
+	maxCustomer    = 1 << 33  // customers have numbers below it
+)
+
+// Responses that the instance gives by itself. Their kinds and texts are part of the protocol.
+var (
+	ready       = protocol.LocalResponse{Status: 200, Kind: "ready"}
+	noRoute     = rejection(404, "no-route", "No such path", "Requests go to "+apiPath+".")
+	noMethod    = rejection(405, "no-method", "No such method", "The class of the request has another method.")
+	badID       = rejection(400, "id", "Bad X-Request-Id", "Expected 16 hex digits.")
+	badClass    = rejection(400, "class", "Bad X-Class", "There is no such class.")
+	badPlan     = rejection(400, "plan", "Bad X-Tier", "There is no such plan.")
+	badCustomer = rejection(400, "client", "Bad client", "Expected one number below 2^33 in 16 hex digits.")
+	badDeadline = rejection(400, "deadline", "Bad X-Deadline-Ms", "Expected whole milliseconds above 0.")
+	badTerms    = rejection(400, "terms", "Bad X-Call-Terms", "Expected units, spread and first within their bounds.")
+	badKey      = rejection(400, "idempotency-key", "Bad Idempotency-Key", "Keyed classes need one, others have none.")
+	badBody     = rejection(400, "body", "Unexpected body", "A GET has none.")
+)
+
+func rejection(status int, kind, title, detail string) protocol.LocalResponse {
+	return protocol.LocalResponse{Status: status, Kind: kind, Title: title, Detail: detail, RetryIsSafe: true}
+}
+
+// requestField is a field of a request's head that the protocol knows.
+type requestField int
+
+const (
+	fieldRequestID requestField = iota
+	fieldClass
+	fieldPlan
+	fieldDeadline
+	fieldTerms
+	fieldIdempotencyKey
+	fieldRetry
+	fieldCount
+)
+
+// fieldNames are the operators' names of the fields.
+var fieldNames = [fieldCount]string{
+	fieldRequestID:      "X-Request-Id",
+	fieldClass:          "X-Class",
+	fieldPlan:           "X-Tier",
+	fieldDeadline:       "X-Deadline-Ms",
+	fieldTerms:          "X-Call-Terms",
+	fieldIdempotencyKey: "Idempotency-Key",
+	fieldRetry:          "X-Retry",
+}
+
+// requestFields are the values of the known fields, "" for one that is not there.
+type requestFields [fieldCount]string
+
+// parse takes the known fields out of a head. It returns false if one of them stands there twice, even with one value:
+// a backend could read the other one.
+func (f *requestFields) parse(fields []http1.Field) bool {
+	var seen [fieldCount]bool
+	for i := range fields {
+		for known, name := range &fieldNames {
+			if !http1.EqualName(fields[i].Name, name) {
+				continue
+			}
+			if seen[known] {
+				return false
+			}
+			seen[known] = true
+			f[known] = fields[i].Value
+			break
+		}
+	}
+	return true
+}
+
+// ParseRequest reads the head of a client's request into info. It returns the instance's own response where the request
+// asks for no backend or can't be taken, else nil. A head that could be read in two ways is refused.
+func (n *Node) ParseRequest(h *http1.Head, info *protocol.RequestInfo) *protocol.LocalResponse {
+	if h.Path == readyPath {
+		if h.Method != "GET" {
+			return &noMethod
+		}
+		return &ready
+	}
+	if h.Path != apiPath || h.Target[0] != '/' {
+		return &noRoute
+	}
+	var fields requestFields
+	if !fields.parse(h.Fields) {
+		return &badID
+	}
+	if response := n.parseIdentity(h, &fields, info); response != nil {
+		return response
+	}
+	if !n.parseTerms(fields[fieldTerms], info) {
+		return &badTerms
+	}
+	return n.checkMethod(h, fields[fieldIdempotencyKey] != "", info)
+}
+
+// parseIdentity reads which request this is, of which class, plan and customer, and how long its client waits. It leaves
+// info as it was if one of them can't be read.
+func (n *Node) parseIdentity(h *http1.Head, fields *requestFields, info *protocol.RequestInfo) *protocol.LocalResponse {
+	id := fields[fieldRequestID]
+	if len(id) != requestIDBytes || !isHex(id) {
+		return &badID
+	}
+	operation := n.operations[wireName.Replace(fields[fieldClass])] // settings have names in that form
+	if operation == nil {
+		return &badClass
+	}
+	plan, ok := n.plans[wireName.Replace(fields[fieldPlan])]
+	if !ok {
+		return &badPlan
+	}
+	customer, ok := parseCustomer(h.Query)
+	if !ok {
+		return &badCustomer
+	}
+	timeout, ok := parseTimeout(fields[fieldDeadline])
+	if !ok {
+		return &badDeadline
+	}
+	info.Operation, info.Class = operation, decision.ClassID(operation.Index)
+	info.Name, info.Retry, info.Timeout = id, fields[fieldRetry] == "1", timeout
+	info.Customer = &config.Customer{Name: customer, Plan: plan, PlanName: fields[fieldPlan]}
+	return nil
+}
+
+// checkMethod refuses a method, key or body that the request's class does not have.
+func (n *Node) checkMethod(h *http1.Head, hasKey bool, info *protocol.RequestInfo) *protocol.LocalResponse {
+	idempotency := n.Config.Settings.Classes[info.Operation.Index].Idempotency
+	method := "POST"
+	if idempotency == decision.Idempotent {
+		method = "GET"
+	}
+	switch {
+	case h.Method != method:
+		return &noMethod
+	case hasKey != (idempotency == decision.IdempotentByKey):
+		return &badKey
+	case h.Method == "GET" && h.Length != 0:
+		return &badBody
+	}
+	return nil
+}
+
+func isHex(s string) bool {
+	for i := 0; i < len(s); i++ {
+		if c := s[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
+			return false
+		}
+	}
+	return true
+}
+
+func parseTimeout(text string) (time.Duration, bool) {
+	ms, err := strconv.ParseUint(text, 10, 32)
+	return time.Duration(ms) * time.Millisecond, err == nil && ms > 0
+}
+
+// parseCustomer finds the customer in a query: one parameter client, and nothing else under that name.
+func parseCustomer(query string) (string, bool) {
+	found := ""
+	for query != "" {
+		var parameter string
+		parameter, query, _ = strings.Cut(query, "&")
+		value, ok := strings.CutPrefix(parameter, "client=")
+		if !ok {
+			continue
+		}
+		if found != "" {
+			return "", false
+		}
+		found = value
+	}
+	if len(found) != customerBytes || !isHex(found) {
+		return "", false
+	}
+	number, err := strconv.ParseUint(found, 16, 64)
+	return found, err == nil && number < maxCustomer
+}
+
+// term is a term of a call that each request has to have once.
+type term uint8
+
+const (
+	termUnits term = 1 << iota
+	termSpread
+	termFirst
+	allTerms = termUnits | termSpread | termFirst
+)
+
+// parseTerms reads "units=2,spread=3,first=1" into info. Terms of other names are ignored.
+func (n *Node) parseTerms(list string, info *protocol.RequestInfo) bool {
+	var seen term
+	for list != "" {
+		var item string
+		item, list, _ = strings.Cut(list, ",")
+		name, value, _ := strings.Cut(strings.Trim(item, " "), "=")
+		this, ok := n.parseTerm(name, value, info)
+		if !ok || seen&this != 0 {
+			return false
+		}
+		seen |= this
+	}
+	return seen == allTerms
+}
+
+// parseTerm reads one term. It is 0 for one that the protocol does not know; ok is false for a value out of bounds.
+func (n *Node) parseTerm(name, value string, info *protocol.RequestInfo) (t term, ok bool) {
+	switch name {
+	case "units":
+		units, err := strconv.ParseFloat(value, 64)
+		if err != nil || !(units > 0) || units > n.Config.Settings.MaxUnits {
+			return 0, false
+		}
+		info.Units, t = units, termUnits
+	case "spread":
+		spread, err := strconv.Atoi(value)
+		if err != nil || spread < 1 || spread > n.instances {
+			return 0, false
+		}
+		info.Customer.Spread, t = spread, termSpread
+	case "first":
+		first, err := strconv.Atoi(value)
+		if err != nil || first < 0 || first >= n.instances {
+			return 0, false
+		}
+		info.Customer.First, t = first, termFirst
+	}
+	return t, true
+}
+
+// RenderRequest appends a request for backends to b: what has to pass through, and no more. It returns where the head's
+// last line begins, at which RenderAttempt adds what differs between attempts.
+func (n *Node) RenderRequest(b []byte, h *http1.Head, body []byte, _ []http1.Field, _ string) ([]byte, int) {
+	b = append(append(append(b, h.Method...), ' '), h.Target...)
+	b = append(b, " HTTP/1.1\r\n"...)
+	b = http1.AppendField(b, "Host", h.Authority)
+	for i := range h.Fields {
+		f := &h.Fields[i]
+		if http1.EqualName(f.Name, fieldNames[fieldRequestID]) || http1.EqualName(f.Name, fieldNames[fieldIdempotencyKey]) {
+			b = http1.AppendField(b, f.Name, f.Value)
+		}
+	}
+	if h.Method == "POST" {
+		b = http1.AppendLength(b, int64(len(body)))
+	}
+	head := len(b)
+	b = append(b, '\r', '\n')
+	return append(b, body...), head
+}
+
+// RenderAttempt gives a rendered request the time for which the instance waits for a response, in whole milliseconds,
+// 1 or more. A probe, whose head is 0, stays as it is.
+func (n *Node) RenderAttempt(wire []byte, head int, left time.Duration) []byte {
+	if head == 0 {
+		return wire
+	}
+	b := make([]byte, 0, len(wire)+32)
+	b = append(append(b, wire[:head]...), "X-Deadline-Ms: "...)
+	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
+	b = append(b, '\r', '\n')
+	return append(b, wire[head:]...)
+}
+
+// RenderProbe renders a request for the load report of the backend at an address.
+func (n *Node) RenderProbe(addr string) []byte {
+	return []byte("GET /status/load HTTP/1.1\r\nHost: " + addr + "\r\n\r\n")
+}
--- /dev/null
+++ b/internal/platform/settings.go
@@ -0,0 +1,101 @@
+package platform
+
+import (
+	"bytes"
+	"encoding/json"
+	"strconv"
+	"strings"
+
+	"sandyard/internal/sitesettings"
+)
+
+// settingsLookup reads settings that are nested JSON objects.
+func settingsLookup(text []byte) (sitesettings.Lookup, error) {
+	d := json.NewDecoder(bytes.NewReader(text))
+	d.UseNumber() // so that a value that is refused is named as it was written
+	var root any
+	if err := d.Decode(&root); err != nil {
+		return nil, err
+	}
+	if _, ok := root.(map[string]any); !ok {
+		return nil, ErrSettingsNoObject
+	}
+	return func(path string) string {
+		text, _ := lookUp(root, path)
+		return text
+	}, nil
+}
+
+// lookUp finds the text at a path below a value. Keys that have dots themselves are found, too.
+func lookUp(v any, path string) (string, bool) {
+	if path == "" {
+		return valueText(v)
+	}
+	switch v := v.(type) {
+	case map[string]any:
+		for end := range len(path) + 1 {
+			if end < len(path) && path[end] != '.' {
+				continue
+			}
+			if child, ok := v[path[:end]]; ok {
+				if text, ok := lookUp(child, strings.TrimPrefix(path[end:], ".")); ok {
+					return text, true
+				}
+			}
+		}
+	case []any:
+		if !isObjectList(v) {
+			return "", false
+		}
+		if path == "count" {
+			return strconv.Itoa(len(v)), true
+		}
+		index, rest, _ := strings.Cut(path, ".")
+		if i, err := strconv.Atoi(index); err == nil && i >= 0 && i < len(v) {
+			return lookUp(v[i], rest)
+		}
+	}
+	return "", false
+}
+
+func isObjectList(list []any) bool {
+	if len(list) == 0 {
+		return false
+	}
+	_, ok := list[0].(map[string]any)
+	return ok
+}
+
+// valueText is the text of a value, or of a list of plain values; objects have none.
+func valueText(v any) (string, bool) {
+	switch v := v.(type) {
+	case map[string]any:
+		return "", false
+	case []any:
+		if isObjectList(v) {
+			return "", false
+		}
+		items := make([]string, len(v))
+		for i, item := range v {
+			items[i] = scalarText(item)
+		}
+		return strings.Join(items, ","), true
+	}
+	return scalarText(v), true
+}
+
+// wireName gives a name the form that it has in settings: the simulator's wire has no spaces and commas in values.
+var wireName = strings.NewReplacer(" ", "_", ",", "_")
+
+// scalarText is the text of a plain value; "-" stands for one that is not there.
+func scalarText(v any) string {
+	switch v := v.(type) {
+	case string:
+		return wireName.Replace(v)
+	case bool:
+		return strconv.FormatBool(v)
+	case json.Number:
+		return v.String()
+	}
+	return "-"
+}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"sandyard/decision"
+	"sandyard/internal/diagnostic"
+	"sandyard/internal/sitesettings"
 )
 
 // Kind tells what an Item is.
@@ -59,7 +61,7 @@
 		return b, err
 	}
 	if f.name() != "clock" {
-		return b, fmt.Errorf("line %d: message %q: expected \"clock\"", r.line, f.name())
+		return b, unexpected(r.line, f.name(), `"clock"`)
 	}
 	b.Now = f.millis("clock")
 	if f.err != nil {
@@ -68,7 +70,7 @@
 	for {
 		f, err := r.fields()
 		if err == io.EOF {
-			return b, fmt.Errorf("line %d: input ended inside a batch: expected \"end\"", r.line)
+			return b, endedInside(r.line, "batch", "end")
 		}
 		if err != nil {
 			return b, err
@@ -101,23 +103,23 @@
 
 func (r *Reader) census(f *fields) error {
 	id, n := f.int("roster-id"), f.int("rows-in")
+	if n < 0 {
+		f.fail("rows-in", strconv.Itoa(n), "a number of rows")
+	}
 	if f.err != nil {
 		return f.err
 	}
-	if n < 0 {
-		return fmt.Errorf("line %d: census: rows-in: %d: expected a number of rows", r.line, n)
-	}
 	var list []decision.Endpoint
 	for range n {
 		f, err := r.fields()
 		if err == io.EOF {
-			return fmt.Errorf("line %d: input ended inside a census: expected \"row\"", r.line)
+			return endedInside(r.line, "census", "row")
 		}
 		if err != nil {
 			return err
 		}
 		if f.name() != "row" {
-			return fmt.Errorf("line %d: message %q: expected \"row\"", r.line, f.name())
+			return unexpected(r.line, f.name(), `"row"`)
 		}
 		var e decision.Endpoint
 		e.Started = f.millis("ready-at-ms")
@@ -141,13 +143,13 @@
 	case "init", "stop", "accept", "left", "reply", "under_way", "probed", "added", "directory_update",
 		"timer", "note_from":
 	default:
-		return Item{}, fmt.Errorf("line %d: message %q: expected an event of the wire", r.line, f.name())
+		return Item{}, unexpected(r.line, f.name(), "an event of the wire")
 	}
 	it := Item{Instance: f.text("who")}
 	switch f.name() {
 	case "init":
 		it.Kind, it.Seed = Start, f.uint("seed", 10)
-		it.Settings = settings(f, f.rest())
+		it.Settings = f.settings()
 	case "stop":
 		it.Kind = Stop
 	case "accept":
@@ -229,8 +231,12 @@
 func (f *fields) name() string { return f.parts[0] }
 
 func (f *fields) fail(field, got, want string) {
+	f.failWith(&diagnostic.FieldError{Field: field, Value: got, Want: want})
+}
+
+func (f *fields) failWith(err error) {
 	if f.err == nil {
-		f.err = fmt.Errorf("line %d: %s: %s: %q: expected %s", f.line, f.name(), field, got, want)
+		f.err = &LineError{Line: f.line, Err: &diagnostic.PlaceError{Place: f.name(), Err: err}}
 	}
 }
 
@@ -302,14 +308,14 @@
 	if s == "" {
 		return 0
 	}
-	x, ok := number(s)
+	x, ok := sitesettings.ParseNumber(s)
 	if !ok {
 		f.fail(field, s, "a number")
 	}
 	return x
 }
 
-func (f *fields) millis(field string) time.Duration { return millis(f.float(field)) }
+func (f *fields) millis(field string) time.Duration { return sitesettings.Millis(f.float(field)) }
 
 func (f *fields) bool(field string) bool {
 	switch s := f.take(field); s {
@@ -329,7 +335,7 @@
 	}
 	var out []float64
 	for _, p := range strings.Split(s, ",") {
-		x, ok := number(p)
+		x, ok := sitesettings.ParseNumber(p)
 		if !ok {
 			f.fail(field, s, "numbers set apart by commas")
 		}
@@ -358,17 +364,6 @@
 	return v
 }
 
-func number(s string) (float64, bool) {
-	x, err := strconv.ParseFloat(s, 64)
-	return x, err == nil && !math.IsNaN(x) && !math.IsInf(x, 0)
-}
-
-// millis turns milliseconds into a duration, to the microsecond, within what a duration holds.
-func millis(ms float64) time.Duration {
-	const most = float64(math.MaxInt64/4) / float64(time.Microsecond)
-	return time.Duration(math.Round(max(-most, min(most, ms*1000)))) * time.Microsecond
-}
-
 // Writer prints replies.
 type Writer struct{ out *bufio.Writer }
 
--- /dev/null
+++ b/internal/sitesettings/decode.go
@@ -0,0 +1,207 @@
+package sitesettings
+
+import (
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"sandyard/decision"
+	"sandyard/internal/diagnostic"
+)
+
+// absentText stands for a value that is not there.
+const absentText = "-"
+
+const (
+	defaultConnectTimeout = 250 * time.Millisecond // as limits.connect-timeout of gateway.yaml has it
+	defaultIdleTimeout    = 15 * time.Second       // as limits.box-idle-timeout of gateway.yaml has it
+	maxConnectionMillis   = 1e9                    // milliseconds; a longer time of a connection is taken for a mistake
+)
+
+// The operators' words for values, and what they mean.
+var (
+	loadFields = map[string]decision.LoadField{
+		"busy_reqs": decision.FieldInFlight,
+		"pending":   decision.FieldQueue,
+		"cpu_share": decision.FieldUtil,
+		"svc_ms":    decision.FieldLatency,
+		"served_ps": decision.FieldServed,
+		"failed_ps": decision.FieldErrors,
+	}
+	idempotencies = map[string]decision.Idempotency{
+		"retryable": decision.Idempotent,
+		"dedup":     decision.IdempotentByKey,
+		"fragile":   decision.NotIdempotent,
+	}
+	keyScopes = map[string]decision.KeyScope{
+		"all":  decision.KeyScopeAll,
+		"zone": decision.KeyScopeZone,
+		"cell": decision.KeyScopeCell,
+	}
+)
+
+// Lookup gives the text of the setting at a path such as "plans.0.refill". A list of plain values is joined by commas,
+// a list of objects has its length at the path with ".count" and its items at ".0", ".1" and so on. A setting that is
+// not there is "" or "-".
+type Lookup func(path string) string
+
+// Decode reads the settings that a lookup has. Settings that nobody asks for are ignored. The error is a
+// *diagnostic.FieldError that names the first setting with a value that can't be read.
+func Decode(lookup Lookup) (*Settings, error) {
+	d := &decoder{lookup: lookup}
+	s := &Settings{
+		Instance:    Instance{Number: d.integer("me", 0), Total: d.integer("peers-total", 1), Zone: d.integer("az", 0)},
+		LoadReports: d.loadReports(),
+		Probes:      Probes{Allowed: d.boolean("limits.probes"), Cost: d.number("prices.probe", 0)},
+		Attempts:    Attempts{Cancel: d.boolean("limits.cancel"), Hedging: d.boolean("limits.may-duplicate")},
+		RetryAfter:  RetryAfter{Enabled: d.boolean("limits.retry-after"), Max: d.millis("limits.max-retry-after-ms")},
+	}
+	s.Attempts.Max = d.integer("limits.max-attempts", 1)
+	s.Discovery = Discovery{Subscribe: d.word("discovery") == "subscribe", PollInterval: d.millis("rules.ask-every-ms"), DrainGrace: d.millis("rules.drain-grace-ms")}
+	s.SlowStart = SlowStart{Share: d.number("rules.cold-from", 1), Time: d.millis("rules.cold-ms")}
+	s.Overload = Overload{Factor: d.number("rules.overload-factor", 0), Time: d.millis("rules.fall-ms")}
+	s.Counter = Counter{Enabled: d.boolean("specifics.shared-counter"), Timeout: d.millis("specifics.count-limit-ms"), Cost: d.number("specifics.count-fee", 0)}
+	s.Units = Units{Max: d.number("specifics.units-top", 1), SettleLater: d.boolean("specifics.settles")}
+	for i := range d.integer("services.count", 0) {
+		s.Classes = append(s.Classes, d.class("services."+strconv.Itoa(i)+"."))
+	}
+	for i := range d.integer("plans.count", 0) {
+		s.Plans = append(s.Plans, d.plan("plans."+strconv.Itoa(i)+"."))
+	}
+	s.ZoneNames = strings.Split(lookup("localities"), ",")
+	s.ConnectTimeout = d.connectionTime("limits.connect-timeout-ms", defaultConnectTimeout)
+	s.IdleTimeout = d.connectionTime("limits.conn-idle-ms", defaultIdleTimeout)
+	if d.err != nil {
+		return nil, d.err
+	}
+	return s, nil
+}
+
+// decoder reads settings one by one and keeps the first fault.
+type decoder struct {
+	lookup Lookup
+	err    error
+}
+
+func (d *decoder) fail(path, value, want string) {
+	if d.err == nil {
+		d.err = &diagnostic.FieldError{Field: path, Value: value, Want: want}
+	}
+}
+
+func (d *decoder) loadReports() LoadReports {
+	via := d.word("feedback.via")
+	return LoadReports{InResponses: via == "piggyback", ByProbe: via == "pull", Names: strings.Split(d.lookup("feedback.names"), ",")}
+}
+
+func (d *decoder) class(at string) Class {
+	return Class{
+		Name:             d.lookup(at + "name"),
+		Idempotency:      oneOf(d, at+"semantics", idempotencies, decision.NotIdempotent),
+		KeyScope:         oneOf(d, at+"dedup-scope", keyScopes, decision.KeyScopeAll),
+		KeyTTL:           d.millis(at + "key-ttl-ms"),
+		LatencyObjective: d.millis(at + "aim-ms"),
+		Deadline:         d.millis(at + "deadline-ms"),
+		PriorityWeight:   d.number(at+"value", 1),
+		LateShare:        d.number(at+"late-share", 0),
+		Stream:           d.boolean(at + "stream"),
+	}
+}
+
+func (d *decoder) plan(at string) Plan {
+	return Plan{
+		Name:           d.lookup(at + "name"),
+		Rate:           d.number(at+"refill", 0),
+		Burst:          d.number(at+"store-size", 0),
+		MaxInFlight:    d.integer(at+"parallel", 0),
+		WeightFactor:   d.number(at+"worth-factor", 1),
+		OverQuotaValue: d.number(at+"over-worth", 0),
+		OverQuotaCost:  d.number(at+"over-cost", 0),
+		CeilingRate:    d.number(at+"never-over-rate", 0),
+		CeilingBurst:   d.number(at+"ceiling-burst", 0),
+		CeilingSlack:   d.number(at+"hard-slack", 0),
+	}
+}
+
+// word is the text of a setting; "" if it is not there.
+func (d *decoder) word(path string) string {
+	if text := d.lookup(path); text != absentText {
+		return text
+	}
+	return ""
+}
+
+// number reads a finite number.
+func (d *decoder) number(path string, absent float64) float64 {
+	text := d.word(path)
+	if text == "" {
+		return absent
+	}
+	x, ok := ParseNumber(text)
+	if !ok {
+		d.fail(path, text, "a number")
+	}
+	return x
+}
+
+func (d *decoder) integer(path string, absent int) int {
+	text := d.word(path)
+	if text == "" {
+		return absent
+	}
+	n, err := strconv.Atoi(text)
+	if err != nil || n < 0 {
+		d.fail(path, text, "a whole number, 0 or more")
+		return 0
+	}
+	return n
+}
+
+// boolean reads true, 1, false or 0; it is false by default.
+func (d *decoder) boolean(path string) bool {
+	switch text := d.word(path); text {
+	case "true", "1":
+		return true
+	case "false", "0", "":
+	default:
+		d.fail(path, text, "true or false")
+	}
+	return false
+}
+
+func (d *decoder) millis(path string) time.Duration { return Millis(d.number(path, 0)) }
+
+// connectionTime reads a time of connections. What can't be one has the default: an instance that can't tell how long
+// a connection lives still has to start.
+func (d *decoder) connectionTime(path string, absent time.Duration) time.Duration {
+	ms, err := strconv.ParseFloat(d.lookup(path), 64)
+	if err != nil || !(ms > 0) || ms >= maxConnectionMillis {
+		return absent
+	}
+	return time.Duration(ms * float64(time.Millisecond))
+}
+
+func oneOf[T any](d *decoder, path string, known map[string]T, absent T) T {
+	text := d.word(path)
+	if text == "" {
+		return absent
+	}
+	value, ok := known[text]
+	if !ok {
+		d.fail(path, text, "a word of the wire")
+	}
+	return value
+}
+
+// ParseNumber reads a finite number.
+func ParseNumber(text string) (float64, bool) {
+	x, err := strconv.ParseFloat(text, 64)
+	return x, err == nil && !math.IsNaN(x) && !math.IsInf(x, 0)
+}
+
+// Millis turns milliseconds into a duration, rounded to the microsecond and kept within what a duration holds.
+func Millis(ms float64) time.Duration {
+	const most = float64(math.MaxInt64/4) / float64(time.Microsecond)
+	return time.Duration(math.Round(max(-most, min(most, ms*1000)))) * time.Microsecond
+}
