--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -48,7 +48,7 @@
 		if c.want != nil {
 			c.want(&want)
 		}
-		if got := read(t, initBatch(c.settings...))[0].Items[0].Settings; !reflect.DeepEqual(got, want) {
+		if got := read(t, initBatch(c.settings...))[0].Messages[0].Settings; !reflect.DeepEqual(got, want) {
 			t.Errorf("%s:\ngot  %+v\nwant %+v", c.name, got, want)
 		}
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -50,10 +50,10 @@
 	}
 	for _, c := range cases {
 		b := read(t, "clock\t8412.25\n"+c.line+"\nend\n")
-		if b[0].Now != 8412250*time.Microsecond || len(b[0].Items) != 1 {
+		if b[0].Now != 8412250*time.Microsecond || len(b[0].Messages) != 1 {
 			t.Fatalf("%s: %+v", c.line, b)
 		}
-		if it := b[0].Items[0]; it.Instance != "door-3" || !reflect.DeepEqual(it.Event, c.want) {
+		if it := b[0].Messages[0]; it.Instance != "door-3" || !reflect.DeepEqual(it.Event, c.want) {
 			t.Errorf("%s:\ngot  %+v\nwant %+v", c.line, it.Event, c.want)
 		}
 	}
@@ -63,11 +63,11 @@
 func TestListsResolveInOrder(t *testing.T) {
 	b := read(t, "clock\t1\ncensus\t0\t1\nrow\t-\t0\t0\t5\t0\tup\t1\ndirectory_update\td\trestored\t0\t1\n"+
 		"census\t0\t1\nrow\t6.5\t1\t0\t6\t2\tdraining\t2\ndirectory_update\td\tupdate\t0\t2\nend\n")
-	first := b[0].Items[0].Event.(decision.EndpointsChanged)
+	first := b[0].Messages[0].Event.(decision.EndpointsChanged)
 	if !first.Full || !first.Cached || first.Endpoints[0].Backend != 5 {
 		t.Errorf("first list: %+v", first)
 	}
-	last := b[0].Items[len(b[0].Items)-1].Event.(decision.EndpointsChanged)
+	last := b[0].Messages[len(b[0].Messages)-1].Event.(decision.EndpointsChanged)
 	want := decision.Endpoint{Backend: 6, Zone: 2, Cell: 1, State: decision.Draining, Weight: 2, Started: 6500 * time.Microsecond}
 	if last.Full || !reflect.DeepEqual(last.Endpoints, []decision.Endpoint{want}) {
 		t.Errorf("last list: %+v", last)
@@ -79,9 +79,9 @@
 		"services.0.dedup-scope=cell\tservices.0.aim-ms=600\tservices.0.value=2\tplans.count=1\tplans.0.refill=1.5\t"+
 		"plans.0.store-size=5\tplans.0.never-over-rate=4\tfeedback.names=busy_reqs,odd,cpu_share\tfeedback.via=pull\t"+
 		"limits.may-duplicate=true\tspecifics.shared-counter=true\nstop\tdoor-0\nend\n")
-	it := b[0].Items[0]
+	it := b[0].Messages[0]
 	s := it.Settings
-	if it.Kind != Start || it.Seed != 51 || b[0].Items[1].Kind != Stop {
+	if it.Kind != Start || it.Seed != 51 || b[0].Messages[1].Kind != Stop {
 		t.Fatalf("%+v", b)
 	}
 	if s.Self != 1 || s.Instances != 2 || !s.Hedging || !s.Counter || !s.LoadByProbe || s.LoadInAnswers {
@@ -164,7 +164,7 @@
 	w.Done()
 	token := strings.Split(strings.Split(out.String(), "\n")[0], "\t")[3]
 	b := read(t, "clock\t1\ntimer\td\t"+token+"\nend\n")
-	if got := b[0].Items[0].Event.(decision.TimerFired).Timer; got != want {
+	if got := b[0].Messages[0].Event.(decision.TimerFired).Timer; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
