--- a/config/config_test.go
+++ b/config/config_test.go
@@ -1,6 +1,8 @@
 package config
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
@@ -8,6 +10,7 @@
 	"time"
 
 	"sandyard/decision"
+	"sandyard/internal/diagnostic"
 	"sandyard/internal/strictyaml"
 )
 
@@ -80,3 +83,17 @@
 		}
 	}
 }
+
+// TestProblemsHaveCauses: a program that runs an instance has to tell a file that is not there yet from one that is wrong.
+// The problems carry their causes, and each can be taken out with its place.
+func TestProblemsHaveCauses(t *testing.T) {
+	_, err := Load(filepath.Join(t.TempDir(), "gateway.yaml"))
+	if !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("a file that is not there: %v", err)
+	}
+	_, err = ParseEndpoints("boxes.yaml", []byte("boxes:\n  - {name: a, address: 'x:1'}\n  - {name: b, address: 'x:1', state: upp, started: now}\n"))
+	var p diagnostic.Problem
+	if !errors.Is(err, ErrEndpointState) || !errors.Is(err, ErrTimestamp) || !errors.As(err, &p) || p.Line != 3 || p.Field != "boxes[1].state" {
+		t.Errorf("a list with a wrong state and time: %v, first %+v", err, p)
+	}
+}
--- a/config/endpoints.go
+++ b/config/endpoints.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"time"
@@ -9,74 +10,88 @@
 	"sandyard/internal/strictyaml"
 )
 
-// Endpoint is one line of the list of boxes.
+// MaxEndpoints bounds a list: a fleet has some thousands, and a list that is none should not fill the memory.
+const MaxEndpoints = 100_000
+
+// Errors of values in a list of endpoints; they come as the cause of a diagnostic.Problem.
+var (
+	ErrEndpointState = errors.New("expected up, draining or gone")
+	ErrTimestamp     = errors.New("expected a time such as 2026-11-30T08:15:00Z")
+)
+
+// Endpoint is one entry of the list of endpoints.
 type Endpoint struct {
-	Name    string        `yaml:"name"`
-	Address string        `yaml:"address"`
-	Zone    string        `yaml:"zone"`
-	Cell    int           `yaml:"cell"`
-	State   EndpointState `yaml:"state"`
-	Weight  float64       `yaml:"weight"`
-	Started Timestamp     `yaml:"started"`
+	Name    string        `yaml:"name"`    // unique in the list
+	Address string        `yaml:"address"` // host:port
+	Zone    string        `yaml:"zone"`    // one of the zones of gateway.yaml; "" if it is in none
+	Cell    int           `yaml:"cell"`    // group of backends that know each other's idempotency keys; 0 by default
+	State   EndpointState `yaml:"state"`   // up by default
+	Weight  float64       `yaml:"weight"`  // size next to other endpoints, 0 or more; 0, the default: not known
+	Started Timestamp     `yaml:"started"` // when its process started; absent: long ago, so that it is warm
 }
 
-// EndpointState is up, draining or gone; a box that is not listed is gone.
+// EndpointState is written up, draining or gone; an endpoint that is not listed is gone.
 type EndpointState decision.EndpointState
 
+// FromText reads a state. The error is ErrEndpointState.
 func (s *EndpointState) FromText(t string) error {
-	state, ok := map[string]decision.EndpointState{"up": decision.Up, "draining": decision.Draining, "gone": decision.Removed}[t]
+	states := map[string]decision.EndpointState{"up": decision.Up, "draining": decision.Draining, "gone": decision.Removed}
+	state, ok := states[t]
 	if !ok {
-		return fmt.Errorf("expected up, draining or gone")
+		return ErrEndpointState
 	}
 	*s = EndpointState(state)
 	return nil
 }
 
-// Timestamp is a time of day on the calendar (RFC 3339).
+// Timestamp is a time of day on the calendar, written as in RFC 3339.
 type Timestamp time.Time
 
+// FromText reads a time. The error is ErrTimestamp.
 func (w *Timestamp) FromText(t string) error {
 	at, err := time.Parse(time.RFC3339Nano, t)
 	if err != nil {
-		return fmt.Errorf("expected a time such as 2026-11-30T08:15:00Z")
+		return ErrTimestamp
 	}
 	*w = Timestamp(at)
 	return nil
 }
 
-// MaxEndpoints bounds a list.
-const MaxEndpoints = 100_000
-
-// ParseEndpoints reads a list of boxes.
+// ParseEndpoints reads a list of endpoints. The error is a diagnostic.Problems with all that is wrong; a list with
+// problems is refused as a whole.
 func ParseEndpoints(path string, text []byte) ([]Endpoint, error) {
 	var f struct {
-		Boxes []Endpoint `yaml:"boxes"`
+		Endpoints []Endpoint `yaml:"boxes"`
 	}
 	d := strictyaml.Read(path, text, &f)
 	if !d.Has("boxes") && len(d.Problems) == 0 {
 		d.Reportf("boxes", "missing; an empty list is written as boxes: []")
 	}
-	if len(f.Boxes) > MaxEndpoints {
-		d.Reportf("boxes", "%d boxes: expected at most %d", len(f.Boxes), MaxEndpoints)
+	if len(f.Endpoints) > MaxEndpoints {
+		d.Reportf("boxes", "%d boxes: expected at most %d", len(f.Endpoints), MaxEndpoints)
+	}
+	validateEndpoints(d, f.Endpoints)
+	if err := d.Problems.Err(); err != nil {
+		return nil, err
 	}
+	return f.Endpoints, nil
+}
+
+func validateEndpoints(d *strictyaml.Document, endpoints []Endpoint) {
 	names := map[string]bool{}
-	for i, b := range f.Boxes {
+	for i, e := range endpoints {
 		at := fmt.Sprintf("boxes[%d]", i)
-		if b.Name == "" {
+		if e.Name == "" {
 			d.Reportf(at+".name", "missing")
-		} else if names[b.Name] {
-			d.Reportf(at+".name", "%q stands twice", b.Name)
+		} else if names[e.Name] {
+			d.Reportf(at+".name", "%q stands twice", e.Name)
 		}
-		names[b.Name] = true
-		if _, _, err := net.SplitHostPort(b.Address); err != nil {
-			d.Reportf(at+".address", "%q: expected host:port", b.Address)
+		names[e.Name] = true
+		if _, _, err := net.SplitHostPort(e.Address); err != nil {
+			d.Reportf(at+".address", "%q: expected host:port", e.Address)
 		}
-		if b.Weight < 0 {
-			d.Reportf(at+".weight", "%g: expected 0 or more", b.Weight)
+		if e.Weight < 0 {
+			d.Reportf(at+".weight", "%g: expected 0 or more", e.Weight)
 		}
 	}
-	if err := d.Problems.Err(); err != nil {
-		return nil, err
-	}
-	return f.Boxes, nil
 }
--- a/internal/diagnostic/diagnostic.go
+++ b/internal/diagnostic/diagnostic.go
@@ -1,4 +1,5 @@
-// Package diagnostic holds what is wrong with files that people write: all of it at once, each with its place.
+// Package diagnostic holds the errors of inputs: problems of files that people write, all at once and each with its place,
+// and fields of messages with values that can't be taken.
 package diagnostic
 
 import (
@@ -8,12 +9,13 @@
 	"strings"
 )
 
-// Problem is one mistake in a file. Line and Column count from 1; 0 stands for the file as a whole.
+// Problem is one thing that is wrong in a file. Line and Column count from 1; 0 stands for the file as a whole.
 type Problem struct {
 	File         string
 	Line, Column int
 	Field        string // dotted, with indexes: plans[2].rate
 	Message      string // what is wrong and what would be right
+	Cause        error  // behind the message; nil if there is none
 }
 
 func (p Problem) Error() string {
@@ -27,7 +29,10 @@
 	return s + ": " + p.Message
 }
 
-// Problems is an error when it is not empty.
+// Unwrap gives the cause.
+func (p Problem) Unwrap() error { return p.Cause }
+
+// Problems is an error when it is not empty. errors.As finds each Problem and its cause.
 type Problems []Problem
 
 func (ps Problems) Error() string {
@@ -38,7 +43,16 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err is ps in the order of the files, or nil if there are none.
+// Unwrap gives the problems one by one.
+func (ps Problems) Unwrap() []error {
+	errs := make([]error, len(ps))
+	for i, p := range ps {
+		errs[i] = p
+	}
+	return errs
+}
+
+// Err sorts ps by file, line and column and returns it, or nil if there are no problems.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"errors"
 	"math"
 	"reflect"
 	"strings"
@@ -9,6 +10,7 @@
 
 	"sandyard/config"
 	"sandyard/decision"
+	"sandyard/internal/diagnostic"
 )
 
 // settingsCase is one change to the settings of a configuration that is accepted as it stands.
@@ -116,3 +118,26 @@
 		}
 	}
 }
+
+// TestErrorsAreTyped: what a configuration or a list is refused for can be told apart without reading the message.
+func TestErrorsAreTyped(t *testing.T) {
+	var field *diagnostic.FieldError
+	if _, err := (settingsCase{"", `"max-attempts":3`, `"max-attempts":"x"`}).parse(t); !errors.As(err, &field) || field.Field != "limits.max-attempts" || field.Value != "x" {
+		t.Errorf("a setting that is no number: %v", err)
+	}
+	var endpoint *EndpointError
+	if _, err := (settingsCase{"", `"leaving"`, `"away"`}).parse(t); !errors.As(err, &endpoint) || endpoint.Host != "s-1" || !errors.As(err, &field) || field.Field != "health" {
+		t.Errorf("an endpoint in no known state: %v", err)
+	}
+	for want, c := range map[error]settingsCase{
+		ErrNoClassOrPlan:      {"", `"plans":[`, `"x":[`},
+		ErrDuplicateName:      {"", `"name":"book"`, `"name":"pay"`},
+		ErrNegativeLimit:      {"", `"memory_mb":64`, `"memory_mb":-1`},
+		ErrSettingsNoObject:   {"", `"settings":{`, `"settings":[],"x":{`},
+		diagnostic.ErrMissing: {"", `"seq":41`, `"sea":41`},
+	} {
+		if _, err := c.parse(t); !errors.Is(err, want) {
+			t.Errorf("%s: %v, want %v", c.replacement, err, want)
+		}
+	}
+}
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -111,7 +111,7 @@
 	s := defaults()
 	s.Version = 0
 	d := strictyaml.Read(file, text, &s)
-	if d.Whole() && s.Version != Version {
+	if d.Readable() && s.Version != Version {
 		d.Reportf("version", "%d: this program reads scripts of version %d; write the script anew from its seed, or with the program that wrote it", s.Version, Version)
 	}
 	s.Seed = uint64(s.Number)
--- /dev/null
+++ b/internal/strictyaml/decode.go
@@ -0,0 +1,185 @@
+package strictyaml
+
+import (
+	"math"
+	"reflect"
+	"strconv"
+
+	"github.com/goccy/go-yaml/ast"
+)
+
+// Text is a value with a form of its own, such as Duration.
+type Text interface {
+	// FromText reads the value; the error says what is expected, as in "expected a time such as 600ms".
+	FromText(string) error
+}
+
+// decode reads a node into a value; field is its dotted name.
+func (d *Document) decode(n ast.Node, v reflect.Value, field string) {
+	d.setPlace(n, field)
+	switch m := n.(type) {
+	case *ast.AnchorNode:
+		d.decode(m.Value, v, field)
+		return
+	case *ast.AliasNode, *ast.TagNode, *ast.MergeKeyNode:
+		d.Reportf(field, "anchors, aliases and tags are not taken here")
+		return
+	}
+	if t, ok := v.Addr().Interface().(Text); ok {
+		d.text(n, t, field)
+		return
+	}
+	switch v.Kind() {
+	case reflect.Struct:
+		d.structure(n, v, field)
+	case reflect.Slice:
+		d.list(n, v, field)
+	case reflect.Map:
+		d.mapping(n, v, field)
+	default:
+		d.scalar(n, v, field)
+	}
+}
+
+func (d *Document) text(n ast.Node, t Text, field string) {
+	s, ok := scalar(n)
+	if !ok {
+		d.Reportf(field, "expected a single value")
+		return
+	}
+	if err := t.FromText(s); err != nil {
+		d.Report(field, strconv.Quote(s)+": "+err.Error(), err)
+	}
+}
+
+func (d *Document) list(n ast.Node, v reflect.Value, field string) {
+	sequence, ok := n.(*ast.SequenceNode)
+	if !ok {
+		d.Reportf(field, "expected a list")
+		return
+	}
+	for i, item := range sequence.Values {
+		e := reflect.New(v.Type().Elem()).Elem()
+		d.decode(item, e, field+"["+strconv.Itoa(i)+"]")
+		v.Set(reflect.Append(v, e))
+	}
+}
+
+func (d *Document) mapping(n ast.Node, v reflect.Value, field string) {
+	pairs, ok := mappingPairs(n)
+	if !ok {
+		d.Reportf(field, "expected a mapping")
+		return
+	}
+	v.Set(reflect.MakeMap(v.Type()))
+	for _, p := range pairs {
+		e := reflect.New(v.Type().Elem()).Elem()
+		key := p.Key.String()
+		if v.MapIndex(reflect.ValueOf(key)).IsValid() {
+			d.reportAt(p.Key, join(field, key), "stands twice")
+		}
+		d.decode(p.Value, e, join(field, key))
+		v.SetMapIndex(reflect.ValueOf(key), e)
+	}
+}
+
+// join is the dotted name of a field below another.
+func join(a, b string) string {
+	if a == "" {
+		return b
+	}
+	return a + "." + b
+}
+
+// mappingPairs are the pairs of a mapping; a mapping of one pair is a node of its own kind.
+func mappingPairs(n ast.Node) ([]*ast.MappingValueNode, bool) {
+	switch m := n.(type) {
+	case *ast.MappingNode:
+		return m.Values, true
+	case *ast.MappingValueNode:
+		return []*ast.MappingValueNode{m}, true
+	}
+	return nil, false
+}
+
+// structure reads a mapping into a struct; keys that no field is tagged with are problems.
+func (d *Document) structure(n ast.Node, v reflect.Value, field string) {
+	pairs, ok := mappingPairs(n)
+	if !ok {
+		if _, null := n.(*ast.NullNode); !null {
+			d.Reportf(field, "expected a mapping")
+		}
+		return
+	}
+	fields := map[string]int{}
+	for i := range v.NumField() {
+		if name := v.Type().Field(i).Tag.Get("yaml"); name != "" {
+			fields[name] = i
+		}
+	}
+	seen := map[string]int{}
+	for _, p := range pairs {
+		key, _ := scalar(p.Key)
+		at := join(field, key)
+		line := p.Key.GetToken().Position.Line
+		if first, ok := seen[key]; ok {
+			d.reportAt(p.Key, at, "stands twice, first in line %d", first)
+			continue
+		}
+		seen[key] = line
+		i, ok := fields[key]
+		if !ok {
+			d.reportAt(p.Key, at, "unknown key%s", nearest(key, fields))
+			continue
+		}
+		d.decode(p.Value, v.Field(i), at)
+	}
+}
+
+// scalar is the text of a plain value.
+func scalar(n ast.Node) (string, bool) {
+	switch m := n.(type) {
+	case *ast.StringNode:
+		return m.Value, true
+	case *ast.LiteralNode:
+		return m.Value.Value, true
+	case *ast.IntegerNode, *ast.FloatNode, *ast.BoolNode, *ast.InfinityNode, *ast.NanNode:
+		return n.GetToken().Value, true
+	}
+	return "", false
+}
+
+// scalar reads a plain value into a string, bool, int or float64.
+func (d *Document) scalar(n ast.Node, v reflect.Value, field string) {
+	s, ok := scalar(n)
+	if !ok {
+		d.Reportf(field, "expected a single value")
+		return
+	}
+	switch v.Kind() {
+	case reflect.String:
+		v.SetString(s)
+	case reflect.Bool:
+		if _, ok := n.(*ast.BoolNode); !ok {
+			d.Reportf(field, "%q: expected true or false", s)
+			return
+		}
+		v.SetBool(s == "true")
+	case reflect.Int:
+		x, err := strconv.Atoi(s)
+		if err != nil {
+			d.Reportf(field, "%q: expected a whole number", s)
+			return
+		}
+		v.SetInt(int64(x))
+	case reflect.Float64:
+		x, err := strconv.ParseFloat(s, 64)
+		if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
+			d.Reportf(field, "%q: expected a number", s)
+			return
+		}
+		v.SetFloat(x)
+	default:
+		panic("strictyaml: a field has a type that is not supported: " + v.Kind().String())
+	}
+}
--- a/routes/text.go
+++ b/routes/text.go
@@ -1,12 +1,30 @@
 package routes
 
-import _ "embed"
+import (
+	"embed"
+	"strings"
+)
 
-//go:embed table.go
-var tableText string
+//go:embed *.go
+var source embed.FS
 
-//go:embed compile.go
-var compileText string
-
-// Text is the source of the rules by which a call finds its operation and its cost.
-func Text() string { return tableText + compileText }
+// Text is the package's own source without its tests, file by file in the order of their names: two builds with the
+// same text route and charge alike. Files that are added are taken in by themselves.
+func Text() string {
+	var text strings.Builder
+	files, err := source.ReadDir(".")
+	if err != nil {
+		panic(err) // the files are part of the program
+	}
+	for _, f := range files {
+		if strings.HasSuffix(f.Name(), "_test.go") {
+			continue
+		}
+		b, err := source.ReadFile(f.Name())
+		if err != nil {
+			panic(err)
+		}
+		text.Write(b)
+	}
+	return text.String()
+}
