--- a/config/derive.go
+++ b/config/derive.go
@@ -168,7 +168,7 @@
 			c.ClassByOperation = append(c.ClassByOperation, 0)
 			continue
 		}
-		if units := max(op.Units.Fixed, op.Units.Most); units > max(1, c.Units.Max) {
+		if units := max(op.Units.Fixed, op.Units.Max); units > max(1, c.Units.Max) {
 			c.reportOperation(d, op, fmt.Sprintf("up to %g units, more than units.most of %s (%g)", units, c.Path, c.Units.Max))
 		}
 		use := classUse{i, op.Repeat}
@@ -186,7 +186,7 @@
 	k := &c.Classes[use.index]
 	class := k.decision()
 	if use.repeat.Given {
-		class.Idempotency, class.KeyScope, class.KeyTTL = use.repeat.Kind, use.repeat.Scope, use.repeat.TTL
+		class.Idempotency, class.KeyScope, class.KeyTTL = use.repeat.Idempotency, use.repeat.KeyScope, use.repeat.KeyTTL
 	}
 	id := decision.ClassID(len(c.Settings.Classes))
 	c.Settings.Classes = append(c.Settings.Classes, class)
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -250,5 +250,5 @@
 	if u.In == "" {
 		return fmt.Sprintf("%g units", u.Fixed)
 	}
-	return fmt.Sprintf("units by %s %s, %g if absent, at most %g", u.In, u.Name, u.Default, u.Most)
+	return fmt.Sprintf("units by %s %s, %g if absent, at most %g", u.In, u.Name, u.Default, u.Max)
 }
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -147,10 +147,10 @@
 	units := op.Units.Fixed
 	switch op.Units.In {
 	case "query":
-		units = min(op.Units.Most, float64(1+t.rng.IntN(3)))
+		units = min(op.Units.Max, float64(1+t.rng.IntN(3)))
 		path += "?" + op.Units.Name + "=" + strconv.FormatFloat(units, 'g', -1, 64)
 	case "header":
-		units = min(op.Units.Most, float64(1+t.rng.IntN(3)))
+		units = min(op.Units.Max, float64(1+t.rng.IntN(3)))
 	}
 	t.Units = units
 	h := s.cfg.Headers
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -28,12 +28,12 @@
 		method, path, want string
 		v                  MatchResult
 	}{
-		{"GET", "/a", "GET /a", Found}, {"HEAD", "/a", "GET /a", Found}, {"POST", "/a", "", NoMethod},
+		{"GET", "/a", "GET /a", Found}, {"HEAD", "/a", "GET /a", Found}, {"POST", "/a", "", MethodNotAllowed},
 		{"GET", "/a/7", "GET /a/{x}", Found}, {"GET", "/a/new", "GET /a/new", Found}, {"GET", "/a/new/b", "GET /a/{x}/b", Found},
-		{"GET", "/a/c/d", "GET /{y}/c/d", Found}, {"GET", "/a/", "", NoPath}, {"GET", "/", "", NoPath}, {"GET", "/b", "", NoPath},
-		{"GET", "//a", "", NoPath}, {"GET", "/a/../a", "", BadPath}, {"GET", "/a/%2e%2e/a", "", BadPath}, {"GET", "/a/..", "", BadPath},
+		{"GET", "/a/c/d", "GET /{y}/c/d", Found}, {"GET", "/a/", "", PathNotFound}, {"GET", "/", "", PathNotFound}, {"GET", "/b", "", PathNotFound},
+		{"GET", "//a", "", PathNotFound}, {"GET", "/a/../a", "", BadPath}, {"GET", "/a/%2e%2e/a", "", BadPath}, {"GET", "/a/..", "", BadPath},
 		{"GET", "/%61", "", BadPath}, {"GET", "/a/x%2Fb", "", BadPath}, {"GET", "/a/%zz", "", BadPath}, {"GET", "/a/%", "", BadPath},
-		{"GET", "/a/x%20y", "GET /a/{x}", Found}, {"GET", "*", "", NoPath},
+		{"GET", "/a/x%20y", "GET /a/{x}", Found}, {"GET", "*", "", PathNotFound},
 	} {
 		op, v := table.Match(c.method, c.path)
 		if v != c.v || op != nil && op.ID != c.want {
@@ -41,7 +41,7 @@
 		}
 	}
 	op, _ := table.Match("POST", "/units")
-	if op.Repeat.Kind != decision.IdempotentByKey || op.Repeat.Scope != decision.KeyScopeZone || op.Repeat.TTL.Seconds() != 6 {
+	if op.Repeat.Idempotency != decision.IdempotentByKey || op.Repeat.KeyScope != decision.KeyScopeZone || op.Repeat.KeyTTL.Seconds() != 6 {
 		t.Errorf("repeat: %+v", op.Repeat)
 	}
 	none := func(string) (string, bool) { return "", false }
--- /dev/null
+++ b/routes/units.go
@@ -0,0 +1,90 @@
+package routes
+
+import (
+	"strconv"
+	"strings"
+)
+
+// Units is what a call of an operation costs: a fixed number, or one that a parameter carries.
+type Units struct {
+	Fixed   float64 // without a parameter
+	In      string  // "query" or "header"; "" if fixed
+	Name    string  // of the parameter
+	Default float64 // if the parameter is absent
+	Max     float64 // a larger value is an error of the client's
+}
+
+// Of is what a call costs, given the query and a way to read header fields; ok is false if its parameter is no number
+// from 0 to Max, or comes twice in the query. It allocates nothing, but for a parameter's name with escapes.
+func (u *Units) Of(query string, header func(name string) (string, bool)) (units float64, ok bool) {
+	var value string
+	found := false
+	switch u.In {
+	case "":
+		return u.Fixed, true
+	case "header":
+		value, found = header(u.Name)
+	case "query":
+		if value, found, ok = findParameter(query, u.Name); !ok {
+			return 0, false
+		}
+	}
+	if !found {
+		return u.Default, true
+	}
+	x, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(x >= 0) || x > u.Max {
+		return 0, false
+	}
+	return x, true
+}
+
+// findParameter finds a parameter of a query. ok is false if it stands there twice, or with escapes in its name: a backend
+// could read another value than the one that was charged.
+func findParameter(query, name string) (value string, found, ok bool) {
+	for query != "" {
+		var pair string
+		pair, query, _ = strings.Cut(query, "&")
+		key, text, _ := strings.Cut(pair, "=")
+		if key != name {
+			if decodesTo(key, name) {
+				return "", false, false
+			}
+			continue
+		}
+		if found {
+			return "", false, false
+		}
+		value, found = text, true
+	}
+	return value, found, true
+}
+
+// decodesTo says whether a parameter's name is another one with escapes, or can't be decoded.
+func decodesTo(key, name string) bool {
+	if strings.IndexByte(key, '%') < 0 && strings.IndexByte(key, '+') < 0 {
+		return false
+	}
+	decoded, ok := unescape(key)
+	return !ok || decoded == name
+}
+
+// unescape decodes a name of a query; ok is false if an escape is broken.
+func unescape(s string) (decoded string, ok bool) {
+	out := make([]byte, 0, len(s))
+	for i := 0; i < len(s); i++ {
+		c := s[i]
+		switch c {
+		case '%':
+			if i+2 >= len(s) || hexDigit(s[i+1]) < 0 || hexDigit(s[i+2]) < 0 {
+				return "", false
+			}
+			c = byte(hexDigit(s[i+1])<<4 | hexDigit(s[i+2]))
+			i += 2
+		case '+':
+			c = ' '
+		}
+		out = append(out, c)
+	}
+	return string(out), true
+}
