--- a/internal/simulation/replay_test.go
+++ b/internal/simulation/replay_test.go
@@ -55,7 +55,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			replay, err := trace.NewReplay(r.Head)
+			replay, err := trace.NewReplay(r.Header)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -68,7 +68,7 @@
 					break
 				}
 				for _, it := range items {
-					if err := replay.Step(r.Head, it); err != nil {
+					if err := replay.Step(r.Header, it); err != nil {
 						t.Fatal(err)
 					}
 				}
--- /dev/null
+++ b/trace/history.go
@@ -0,0 +1,173 @@
+package trace
+
+import (
+	"time"
+
+	"sandyard/decision"
+)
+
+// Attempt is one attempt of a request.
+type Attempt struct {
+	Backend decision.BackendID `json:"server"`
+	SentAt  time.Duration      `json:"sent_ns"`
+	EndedAt time.Duration      `json:"ended_ns"` // since the instance's time began; 0: not within the trace
+	Outcome decision.Outcome   `json:"outcome"`
+}
+
+// CounterCall is a call of the counter that a request waited for.
+type CounterCall struct {
+	Name      string           `json:"name"`
+	Amount    float64          `json:"amount"`
+	SentAt    time.Duration    `json:"asked_ns"`
+	RepliedAt time.Duration    `json:"heard_ns"` // 0: not before the request's decision
+	Outcome   decision.Outcome `json:"how"`
+	Total     float64          `json:"total"`
+}
+
+// RequestHistory is what became of one request. Times are since the instance's time began.
+type RequestHistory struct {
+	Request     decision.RequestID    `json:"request"`
+	At          time.Duration         `json:"at_ns"`
+	Customer    string                `json:"customer"`
+	Class       decision.ClassID      `json:"class"`
+	Plan        decision.PlanID       `json:"plan"`
+	Operation   int                   `json:"op"` // its operation in Header.Operations, from 1; 0: not known
+	Units       float64               `json:"units"`
+	TimeLeft    time.Duration         `json:"left_ns"`
+	Retry       bool                  `json:"retry"`
+	Attempts    []Attempt             `json:"attempts"`
+	CounterCall *CounterCall          `json:"call"`
+	Outcome     Outcome               `json:"outcome"`
+	Ended       time.Duration         `json:"ended_ns"`
+	Reason      decision.RejectReason `json:"why"`
+}
+
+// Outcome is how a request ended.
+type Outcome string
+
+// The outcomes of requests, as tools print them.
+const (
+	Open               Outcome = "open" // the trace ends first
+	Served             Outcome = "served"
+	Rejected           Outcome = "refused"
+	Failed             Outcome = "failed"
+	ClientDisconnected Outcome = "left"
+)
+
+// Histories puts records together by request. It belongs to one goroutine.
+type Histories struct {
+	All          []*RequestHistory // in the order of arrival
+	BackendNames map[decision.BackendID]string
+	Dropped      uint64 // records that the trace lacks
+	Steps        uint64 // of the decisions
+
+	byID         map[decision.RequestID]*RequestHistory
+	pendingCalls map[string][]*CounterCall // that wait for a reply, by name, in order
+}
+
+// NewHistories begins without any request.
+func NewHistories() *Histories {
+	return &Histories{
+		BackendNames: map[decision.BackendID]string{},
+		byID:         map[decision.RequestID]*RequestHistory{},
+		pendingCalls: map[string][]*CounterCall{},
+	}
+}
+
+// Find is a request's history, nil if the trace has none.
+func (s *Histories) Find(id decision.RequestID) *RequestHistory { return s.byID[id] }
+
+// Add takes the next record in.
+func (s *Histories) Add(r Record) {
+	s.Dropped += r.Dropped
+	if r.Backend != nil {
+		s.BackendNames[r.Backend.Backend] = r.Backend.Name
+	}
+	if r.Initial || r.Event.Decision() != nil {
+		s.Steps++
+	}
+	arrived := s.addEvent(r)
+	for _, a := range r.Actions {
+		s.addAction(a, r.At, arrived)
+	}
+}
+
+// addEvent takes a record's event in. It returns the history that begins with it, nil if none does.
+func (s *Histories) addEvent(r Record) *RequestHistory {
+	switch e := r.Event; {
+	case e.Arrived != nil:
+		return s.begin(r)
+	case e.Disconnected != nil:
+		s.end(e.Disconnected.Request, ClientDisconnected, r.At)
+	case e.StreamStarted != nil:
+		s.end(e.StreamStarted.Request, Served, r.At)
+	case e.AttemptEnded != nil:
+		s.endAttempt(e.AttemptEnded, r.At)
+	case e.CounterReplied != nil:
+		s.endCall(e.CounterReplied, r.At)
+	}
+	return nil
+}
+
+// addAction takes an action in; arrived is the request that arrived with the same record, nil if none did.
+func (s *Histories) addAction(a Action, at time.Duration, arrived *RequestHistory) {
+	switch {
+	case a.Send != nil:
+		if h := s.byID[a.Send.Request]; h != nil {
+			h.Attempts = append(h.Attempts, Attempt{Backend: a.Send.Backend, SentAt: at})
+		}
+	case a.Reject != nil:
+		if h := s.end(a.Reject.Request, Rejected, at); h != nil {
+			h.Reason = a.Reject.Reason
+		}
+	case a.Fail != nil:
+		s.end(a.Fail.Request, Failed, at)
+	case a.AddToCounter != nil:
+		call := &CounterCall{Name: a.AddToCounter.Name, Amount: a.AddToCounter.Amount, SentAt: at}
+		s.pendingCalls[call.Name] = append(s.pendingCalls[call.Name], call)
+		if arrived != nil && arrived.CounterCall == nil && call.Amount > 0 {
+			arrived.CounterCall = call
+		}
+	}
+}
+
+func (s *Histories) begin(r Record) *RequestHistory {
+	a := r.Event.Arrived
+	h := &RequestHistory{Request: a.Request, At: r.At, Customer: a.Customer, Class: a.Class, Plan: a.Plan, Operation: r.Operation,
+		Units: a.Units, TimeLeft: a.TimeLeft, Retry: a.Retry, Outcome: Open}
+	s.All = append(s.All, h)
+	s.byID[a.Request] = h
+	return h
+}
+
+// end ends a request that is open; it returns nil for one that is not. The first end holds.
+func (s *Histories) end(id decision.RequestID, outcome Outcome, at time.Duration) *RequestHistory {
+	h := s.byID[id]
+	if h == nil || h.Outcome != Open {
+		return nil
+	}
+	h.Outcome, h.Ended = outcome, at
+	return h
+}
+
+func (s *Histories) endAttempt(e *decision.AttemptEnded, at time.Duration) {
+	h := s.byID[e.Request]
+	if h == nil || e.Attempt >= len(h.Attempts) {
+		return
+	}
+	attempt := &h.Attempts[e.Attempt]
+	attempt.EndedAt, attempt.Outcome = at, e.Outcome
+	if e.Outcome == decision.OK {
+		s.end(e.Request, Served, at)
+	}
+}
+
+func (s *Histories) endCall(e *decision.CounterReplied, at time.Duration) {
+	pending := s.pendingCalls[e.Name]
+	if len(pending) == 0 {
+		return
+	}
+	call := pending[0]
+	call.RepliedAt, call.Outcome, call.Total = at, e.Outcome, e.Total
+	s.pendingCalls[e.Name] = pending[1:]
+}
--- a/trace/recorded_test.go
+++ b/trace/recorded_test.go
@@ -161,14 +161,14 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	head, err := codec.enc.Marshal(r.Head)
+	head, err := codec.enc.Marshal(r.Header)
 	if err != nil {
 		t.Fatal(err)
 	}
 	frames, size := 0, 0
 	for again := head; ; frames++ {
 		if frames == 0 {
-			r.at = len(Format)
+			r.offset = len(Format)
 		}
 		b, err := r.frame()
 		if err != nil {
@@ -187,7 +187,7 @@
 			t.Fatalf("frame %d is written as other bytes:\n%q\nrecorded was\n%q", frames, clip(again, b), clip(b, again))
 		}
 		size += len(b)
-		if r.at == len(file) {
+		if r.offset == len(file) {
 			break
 		}
 	}
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"math"
 	"reflect"
@@ -10,94 +11,110 @@
 	"sandyard/decision"
 )
 
-// Replay feeds recorded events to this program's module and compares each step's actions. It has one owner.
+// Errors of traces that can't be replayed.
+var (
+	ErrSampled     = errors.New("trace: a sample of the requests can't be replayed: what the module decided depends on all")
+	ErrNoFirstStep = errors.New("trace: an event before the module's first step")
+)
+
+// Replay hands recorded events to this program's decisions and compares each step's actions. It belongs to one goroutine.
 type Replay struct {
 	Steps             uint64        `json:"steps"`
-	Differences       uint64        `json:"differ"`
-	FirstDifference   string        `json:"first"`       // the first difference, in words
+	Differences       uint64        `json:"differ"`      // steps and states that differ
+	FirstDifference   string        `json:"first"`       // in words; "" if there is none
 	FirstDifferenceAt time.Duration `json:"first_at_ns"` // when it was
 	Dropped           uint64        `json:"dropped"`     // steps that the trace lacks
 	Uncertain         uint64        `json:"uncertain"`   // differing steps behind a gap, which the gap may explain
 	Skipped           uint64        `json:"skipped"`     // steps before the first state, in a series that does not begin with part 0
 	States            uint64        `json:"states"`      // recorded states that were compared with, or gone on from
 
-	gw  *decision.Gateway
-	gap bool // steps are missing since the last state
+	gateway  *decision.Gateway
+	afterGap bool // steps are missing since the last state
 }
 
-// NewReplay begins where the recorded module began, or in a later part at the first state that it holds.
+// NewReplay begins where the recorded gateway began, or in a later part at the first state that it holds. The error is
+// ErrSampled.
 func NewReplay(h Header) (*Replay, error) {
-	switch {
-	case h.Share < 1:
-		return nil, fmt.Errorf("trace: a sample of the requests can't be replayed: what the module decided depends on all")
+	if h.Share < 1 {
+		return nil, ErrSampled
 	}
 	return &Replay{}, nil
 }
 
-// Step takes the next item.
-func (r *Replay) Step(h Header, it Record) error {
-	if it.Dropped > 0 {
-		r.Dropped += it.Dropped
-		r.gap = true
+// Step takes the next record. The error says that the replay can't go on; differences are counted.
+func (r *Replay) Step(h Header, record Record) error {
+	if record.Dropped > 0 {
+		r.Dropped += record.Dropped
+		r.afterGap = true
 	}
-	if it.Snapshot != nil {
-		return r.state(h, it)
+	if record.Snapshot != nil {
+		return r.state(h, record)
 	}
-	var got []decision.Action
-	switch e := it.Event.Decision(); {
-	case it.Initial:
-		gw, first, err := decision.New(h.Settings, h.Seed, h.StartedAt)
+	if record.Initial {
+		gateway, first, err := decision.New(h.Settings, h.Seed, h.StartedAt)
 		if err != nil {
 			return err
 		}
-		r.gw, got = gw, first
-	case e == nil:
+		r.gateway = gateway
+		r.compareStep(record, first)
 		return nil
-	case r.gw == nil && h.Part == 0:
-		return fmt.Errorf("trace: an event before the module's first step")
-	case r.gw == nil:
+	}
+	event := record.Event.Decision()
+	switch {
+	case event == nil:
+		return nil
+	case r.gateway == nil && h.Part == 0:
+		return ErrNoFirstStep
+	case r.gateway == nil:
 		r.Skipped++
 		return nil
-	default:
-		got = r.gw.Handle(e, it.At)
 	}
+	r.compareStep(record, r.gateway.Handle(event, record.At))
+	return nil
+}
+
+// compareStep holds the actions of a step against the recorded ones.
+func (r *Replay) compareStep(record Record, actions []decision.Action) {
 	r.Steps++
-	if what, same := compare(it.Actions, got); !same {
-		r.Differences++
-		if r.gap {
-			r.Uncertain++
-		}
-		if r.FirstDifference == "" {
-			r.FirstDifference, r.FirstDifferenceAt = fmt.Sprintf("%T: %s", it.Event.Decision(), what), it.At
-		}
+	difference, same := compare(record.Actions, actions)
+	if same {
+		return
 	}
-	return nil
+	if r.afterGap {
+		r.Uncertain++
+	}
+	r.addDifference(fmt.Sprintf("%T: %s", record.Event.Decision(), difference), record.At)
 }
 
-// state holds a recorded state against the module's; behind a gap, or at the start of a later part, it goes on from it.
-func (r *Replay) state(h Header, it Record) error {
+func (r *Replay) addDifference(text string, at time.Duration) {
+	r.Differences++
+	if r.FirstDifference == "" {
+		r.FirstDifference, r.FirstDifferenceAt = text, at
+	}
+}
+
+// state compares a recorded state with the gateway's; behind a gap, or at the start of a later part, it goes on from it.
+func (r *Replay) state(h Header, record Record) error {
 	r.States++
-	if r.gw != nil && !r.gap {
-		mine, err := r.gw.Snapshot()
+	if r.gateway == nil || r.afterGap {
+		gateway, err := decision.Restore(h.Settings, *record.Snapshot)
 		if err != nil {
 			return err
 		}
-		if a, b := encoded(mine), encoded(*it.Snapshot); !bytes.Equal(a, b) {
-			r.Differences++
-			if r.FirstDifference == "" {
-				r.FirstDifference, r.FirstDifferenceAt = "the module's state is another than the recorded one", it.At
-			}
-		}
+		r.gateway, r.afterGap = gateway, false
 		return nil
 	}
-	gw, err := decision.Restore(h.Settings, *it.Snapshot)
+	own, err := r.gateway.Snapshot()
 	if err != nil {
 		return err
 	}
-	r.gw, r.gap = gw, false
+	if !bytes.Equal(encoded(own), encoded(*record.Snapshot)) {
+		r.addDifference("the module's state is another than the recorded one", record.At)
+	}
 	return nil
 }
 
+// encoded is the stored form of a state.
 func encoded(s decision.State) []byte {
 	b, err := codec.enc.Marshal(s)
 	if err != nil {
@@ -106,6 +123,7 @@
 	return b
 }
 
+// compare returns the first difference between recorded and present actions, in words.
 func compare(recorded []Action, got []decision.Action) (string, bool) {
 	for i := range max(len(recorded), len(got)) {
 		switch {
@@ -122,6 +140,7 @@
 	return "", true
 }
 
+// equal compares two actions; amounts that are both no number are alike.
 func equal(a, b decision.Action) bool {
 	if x, ok := a.(decision.AddToCounter); ok {
 		if y, ok := b.(decision.AddToCounter); ok && math.IsNaN(x.Amount) && math.IsNaN(y.Amount) {
@@ -132,5 +151,5 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// Gateway is the module as it stands; nil before the first step or state. It must be handed no event.
-func (r *Replay) Gateway() *decision.Gateway { return r.gw }
+// Gateway is the gateway as it stands; nil before the first step or state. It must be handed no event.
+func (r *Replay) Gateway() *decision.Gateway { return r.gateway }
