--- a/config/config_test.go
+++ b/config/config_test.go
@@ -11,12 +11,13 @@
 
 	"sandyard/decision"
 	"sandyard/internal/diagnostic"
-	"sandyard/internal/strictyaml"
 )
 
 const example = "../examples/kilns/gateway.yaml"
 
-func TestExample(t *testing.T) {
+// TestExampleConfigurationLoads: newcomers start from the example. It has to load, with the settings of the decisions that
+// its comments promise, and to find customers by their whole keys alone.
+func TestExampleConfigurationLoads(t *testing.T) {
 	c, err := Load(example)
 	if err != nil {
 		t.Fatal(err)
@@ -31,8 +32,9 @@
 	}
 }
 
-// TestAllMistakesAtOnce: each with file, line and field.
-func TestAllMistakesAtOnce(t *testing.T) {
+// TestAllProblemsAreReportedAtOnce: an operator who sees one problem per start needs as many starts as there are
+// problems. All of them, of all three files, are reported at once, each with file, line and field.
+func TestAllProblemsAreReportedAtOnce(t *testing.T) {
 	text, err := os.ReadFile(example)
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +62,9 @@
 	}
 }
 
-func TestHostileYAML(t *testing.T) {
+// TestMalformedYAMLIsReported: a file that is cut off, hand-edited into another shape or made to exhaust memory by aliases
+// is reported by its name; reading it neither panics nor accepts a part of it.
+func TestMalformedYAMLIsReported(t *testing.T) {
 	for _, text := range []string{"", "[", "- a", "a: &x [*x]", "listen: [1]", "plans: {a: b}", "studios: [1, 2]", "plans: [{name: {a: b}}]", "\x00", "a: b: c",
 		"listen: x\nlisten: y", "? [a]: b", "plans:\n - name: &a x\n   rate: *a"} {
 		if _, err := Parse("g.yaml", []byte(text), nil, nil); err == nil || !strings.Contains(err.Error(), "g.yaml") {
@@ -69,21 +73,6 @@
 	}
 }
 
-func TestUnits(t *testing.T) {
-	var r strictyaml.Rate
-	var z strictyaml.Size
-	for s, want := range map[string]float64{"12/s": 12, "30/min": 0.5, "0.5/s": 0.5, "12": -1, "-1/s": -1, "x/s": -1, "1/day": -1, "Inf/s": -1} {
-		if err := r.FromText(s); (err == nil) != (want >= 0) || err == nil && float64(r) != want {
-			t.Errorf("%s: %v %v", s, r, err)
-		}
-	}
-	for s, want := range map[string]int{"64KiB": 65536, "1MiB": 1 << 20, "7B": 7, "64": -1, "x": -1, "-1KiB": -1, "99999999999999GiB": -1} {
-		if err := z.FromText(s); (err == nil) != (want >= 0) || err == nil && int(z) != want {
-			t.Errorf("%s: %v %v", s, z, err)
-		}
-	}
-}
-
 // TestProblemsHaveCauses: a program that runs an instance has to tell a file that is not there yet from one that is wrong.
 // The problems carry their causes, and each can be taken out with its place.
 func TestProblemsHaveCauses(t *testing.T) {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -32,7 +32,9 @@
 	return n
 }
 
-func TestConfiguration(t *testing.T) {
+// TestConfigurationIsParsed: an instance takes its settings, its limits and the list that it had last from one file. A
+// counter that the settings don't allow is not called, and descriptors are left for all else.
+func TestConfigurationIsParsed(t *testing.T) {
 	n := newNode(t)
 	s, c := n.Config.Settings, n.Config
 	if s.Zone != 1 || s.Instances != 4 || s.Self != 2 || !s.LoadInAnswers || s.MaxAttempts != 3 || !s.RetryAfter || !s.Counter || s.MaxUnits != 6 {
@@ -59,7 +61,9 @@
 	}
 }
 
-func TestBadConfigurationsNameThePlace(t *testing.T) {
+// TestMalformedConfigurationsNameTheField: an operator whose instance does not start has only the message, which names the
+// field.
+func TestMalformedConfigurationsNameTheField(t *testing.T) {
 	for _, c := range [][3]string{{`"127.0.0.2:8500"`, `"nowhere"`, "discovery"}, {`"8c1f30d27a5be964"`, `"seed"`, "seed"}, {`"leaving"`, `"away"`, "hosts[0].health"},
 		{`"retryable"`, `"often"`, "services.0.semantics"}, {`"max-attempts":3`, `"max-attempts":"x"`, "limits.max-attempts"}, {`"name":"book"`, `"name":"pay"`, "two classes"},
 		{`"memory_mb":64`, `"memory_mb":-1`, "limits"}, {`"seq":41`, `"sea":41`, "seq"}, {`"settings":{`, `"settings":[{`, "configuration"}} {
@@ -69,7 +73,7 @@
 	}
 }
 
-func head(t *testing.T, text string) *http1.Head {
+func parseHead(t *testing.T, text string) *http1.Head {
 	t.Helper()
 	_, p, err := http1.NewRequests(http1.Limits{}).Feed([]byte(text))
 	if err != nil || p.Kind != http1.HeadEnd {
@@ -84,19 +88,21 @@
 const postRequest = "POST /api?x=1&client=00000000b4d65521 HTTP/1.1\r\nHost: o\r\nX-Request-Id: 9b1f03aa5c7e2d42\r\nX-Class: book\r\nX-Tier: free\r\n" +
 	"Idempotency-Key: k1\r\nX-Deadline-Ms: 480\r\nContent-Length: 3\r\nX-Call-Terms: units=1,spread=4,first=0\r\n\r\n"
 
-func TestRequests(t *testing.T) {
+// TestRequestsAreParsedAndRendered: all that a request says reaches the decisions, and a backend gets what has to pass
+// through, the time that is left, and no more.
+func TestRequestsAreParsedAndRendered(t *testing.T) {
 	n := newNode(t)
-	var ask protocol.RequestInfo
-	if own := n.ParseRequest(head(t, getRequest), &ask); own != nil {
-		t.Fatal(own)
+	var info protocol.RequestInfo
+	if response := n.ParseRequest(parseHead(t, getRequest), &info); response != nil {
+		t.Fatal(response)
 	}
-	if ask.Class != 0 || ask.Customer.Plan != 1 || ask.Customer.Name != "00000000b4d65521" || ask.Customer.Spread != 3 || ask.Customer.First != 1 ||
-		ask.Units != 2 || ask.Timeout != 480*time.Millisecond || !ask.Retry || ask.Name != "9b1f03aa5c7e2d41" {
-		t.Errorf("%+v %+v", ask, ask.Customer)
+	if info.Class != 0 || info.Customer.Plan != 1 || info.Customer.Name != "00000000b4d65521" || info.Customer.Spread != 3 || info.Customer.First != 1 ||
+		info.Units != 2 || info.Timeout != 480*time.Millisecond || !info.Retry || info.Name != "9b1f03aa5c7e2d41" {
+		t.Errorf("%+v %+v", info, info.Customer)
 	}
-	h := head(t, postRequest)
-	if own := n.ParseRequest(h, &ask); own != nil {
-		t.Fatal(own)
+	h := parseHead(t, postRequest)
+	if response := n.ParseRequest(h, &info); response != nil {
+		t.Fatal(response)
 	}
 	wire, at := n.RenderRequest(nil, h, []byte("abc"), nil, "")
 	want := "POST /api?x=1&client=00000000b4d65521 HTTP/1.1\r\nHost: o\r\nX-Request-Id: 9b1f03aa5c7e2d42\r\nIdempotency-Key: k1\r\nContent-Length: 3\r\nX-Deadline-Ms: 250\r\n\r\nabc"
@@ -106,13 +112,13 @@
 	if p := n.RenderProbe("a:1"); string(n.RenderAttempt(p, 0, time.Second)) != "GET /status/load HTTP/1.1\r\nHost: a:1\r\n\r\n" {
 		t.Errorf("a probe is sent as %q", n.RenderAttempt(p, 0, time.Second))
 	}
-	if own := n.ParseRequest(head(t, "GET /ready HTTP/1.1\r\nHost: o\r\n\r\n"), &ask); own == nil || own.Status != 200 {
-		t.Errorf("ready: %+v", own)
+	if response := n.ParseRequest(parseHead(t, "GET /ready HTTP/1.1\r\nHost: o\r\n\r\n"), &info); response == nil || response.Status != 200 {
+		t.Errorf("ready: %+v", response)
 	}
 }
 
-// TestBadRequests: whatever is not as the protocol says gets a 4xx of its own and no decision.
-func TestBadRequests(t *testing.T) {
+// TestMalformedRequestsAreRejected: whatever is not as the protocol says gets a 4xx of its own and no decision.
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	n := newNode(t)
 	for _, c := range [][3]string{{getRequest, "GET /api", "GET /other"}, {getRequest, "GET ", "POST "}, {getRequest, "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d4"}, {getRequest, "9b1f", "ZZZZ"},
 		{getRequest, "X-Request-Id: 9b1f03aa5c7e2d41\r\n", ""}, {getRequest, "X-Retry: 1", "X-Request-Id: 0000000000000000"}, {getRequest, "look_up", "lookup"}, {getRequest, "team", "none"},
@@ -120,14 +126,16 @@
 		{getRequest, ": 480", ": 4e2"}, {getRequest, ": 480", ": 0"}, {getRequest, ": 480", ": -1"}, {getRequest, "units=2", "units=7"}, {getRequest, "units=2", "units=-1"}, {getRequest, "units=2", "units=NaN"},
 		{getRequest, "spread=3", "spread=5"}, {getRequest, "spread=3", "spread=0"}, {getRequest, "first=1", "first=4"}, {getRequest, ",first=1", ""}, {getRequest, "first=1", "first=1,first=2"},
 		{getRequest, "X-Retry: 1", "Idempotency-Key: k"}, {getRequest, "X-Retry: 1", "Content-Length: 1"}, {postRequest, "POST", "PUT"}, {postRequest, "Idempotency-Key: k1\r\n", ""}, {postRequest, "POST", "GET"}} {
-		var ask protocol.RequestInfo
-		if own := n.ParseRequest(head(t, strings.Replace(c[0], c[1], c[2], 1)), &ask); own == nil || own.Status < 400 || own.Status > 499 {
-			t.Errorf("%q for %q: %+v", c[2], c[1], own)
+		var info protocol.RequestInfo
+		if response := n.ParseRequest(parseHead(t, strings.Replace(c[0], c[1], c[2], 1)), &info); response == nil || response.Status < 400 || response.Status > 499 {
+			t.Errorf("%q for %q: %+v", c[2], c[1], response)
 		}
 	}
 }
 
-func TestReports(t *testing.T) {
+// TestOutcomesAndLoadReportsAreParsed: only a backend that says so has not run a request. An error without the mark that
+// was taken for a rejection would be sent again and could act twice. Figures that can't be read are missing, not zero.
+func TestOutcomesAndLoadReportsAreParsed(t *testing.T) {
 	n := newNode(t)
 	for _, c := range []struct {
 		text, body string
@@ -160,8 +168,8 @@
 	}
 }
 
-// TestCounterLines: replies are read alike however they are split, and what has no number ends the connection.
-func TestCounterLines(t *testing.T) {
+// TestCounterRepliesAreParsedHoweverTheyAreSplit: replies are read alike however they are split, and what has no number ends the connection.
+func TestCounterRepliesAreParsedHoweverTheyAreSplit(t *testing.T) {
 	n := newNode(t)
 	if b := n.NewCounterCodec().AppendCall(nil, "a.1", -2.5, 4*time.Second); string(b) != "add a.1 -2.5 4000\r\n" {
 		t.Errorf("%q", b)
@@ -194,7 +202,9 @@
 	}
 }
 
-func TestLists(t *testing.T) {
+// TestMalformedEndpointsSpoilNoOthers: an instance that dropped a whole list for one broken entry would go on with
+// backends that have left. The others are taken, and the broken one is named with its place.
+func TestMalformedEndpointsSpoilNoOthers(t *testing.T) {
 	l, err := ParseEndpointList([]byte(`{"seq":43,"whole":false,"hosts":[{"host":"s","health":"left"}]}`))
 	if err != nil || l.Full || l.Version != 43 || l.Endpoints[0].State != config.EndpointState(decision.Removed) {
 		t.Errorf("%+v %v", l, err)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-func TestEvents(t *testing.T) {
+// TestEventsAreDecoded: every message of the wire becomes the event it stands for, with absent values as zero.
+func TestEventsAreDecoded(t *testing.T) {
 	cases := []struct {
 		line string
 		want decision.Event
@@ -60,7 +61,7 @@
 }
 
 // A list's number may be used again within a batch: the events before keep the list they named.
-func TestListsResolveInOrder(t *testing.T) {
+func TestEndpointListsResolveInOrder(t *testing.T) {
 	b := read(t, "clock\t1\ncensus\t0\t1\nrow\t-\t0\t0\t5\t0\tup\t1\ndirectory_update\td\trestored\t0\t1\n"+
 		"census\t0\t1\nrow\t6.5\t1\t0\t6\t2\tdraining\t2\ndirectory_update\td\tupdate\t0\t2\nend\n")
 	first := b[0].Messages[0].Event.(decision.EndpointsChanged)
@@ -74,7 +75,8 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
+// TestInitCarriesSettings: an instance starts with the seed and the settings of its init message.
+func TestInitCarriesSettings(t *testing.T) {
 	b := read(t, "clock\t1\ninit\tdoor-0\t51\tme=1\tpeers-total=2\tnew.key=x\tservices.count=1\tservices.0.semantics=dedup\t"+
 		"services.0.dedup-scope=cell\tservices.0.aim-ms=600\tservices.0.value=2\tplans.count=1\tplans.0.refill=1.5\t"+
 		"plans.0.store-size=5\tplans.0.never-over-rate=4\tfeedback.names=busy_reqs,odd,cpu_share\tfeedback.via=pull\t"+
@@ -98,7 +100,9 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+// TestMalformedInputNamesLineAndField: the simulator ends a run on the first error, which has to say where the two sides
+// disagree.
+func TestMalformedInputNamesLineAndField(t *testing.T) {
 	cases := []struct{ text, line, field string }{
 		{"tock\t1\n", "line 1", "tock"},
 		{"clock\tx\nend\n", "line 1", "clock"},
@@ -128,7 +132,8 @@
 	}
 }
 
-func TestActions(t *testing.T) {
+// TestActionsArePrinted: each action has the form of the wire, with times in milliseconds.
+func TestActionsArePrinted(t *testing.T) {
 	cases := []struct {
 		action decision.Action
 		want   string
@@ -156,7 +161,7 @@
 }
 
 // A timer comes back as it was set.
-func TestTimerRoundTrip(t *testing.T) {
+func TestTimerTokenRoundTrip(t *testing.T) {
 	want := decision.Timer{Kind: decision.DeadlineTimer, Request: 0xfedcba9876543210}
 	var out strings.Builder
 	w := NewWriter(&out)
--- a/internal/sitesettings/decode.go
+++ b/internal/sitesettings/decode.go
@@ -47,7 +47,7 @@
 type Lookup func(path string) string
 
 // Decode reads the settings that a lookup has. Settings that nobody asks for are ignored. The error is a
-// *diagnostic.FieldError that names the first setting with a value that can't be read.
+// *diagnostic.FieldError that names the first setting with a value that can't be read, in the order below.
 func Decode(lookup Lookup) (*Settings, error) {
 	d := &decoder{lookup: lookup}
 	s := &Settings{
@@ -58,10 +58,18 @@
 		RetryAfter:  RetryAfter{Enabled: d.boolean("limits.retry-after"), Max: d.millis("limits.max-retry-after-ms")},
 	}
 	s.Attempts.Max = d.integer("limits.max-attempts", 1)
-	s.Discovery = Discovery{Subscribe: d.word("discovery") == "subscribe", PollInterval: d.millis("rules.ask-every-ms"), DrainGrace: d.millis("rules.drain-grace-ms")}
+	s.Discovery = Discovery{
+		Subscribe:    d.word("discovery") == "subscribe",
+		PollInterval: d.millis("rules.ask-every-ms"),
+		DrainGrace:   d.millis("rules.drain-grace-ms"),
+	}
 	s.SlowStart = SlowStart{Share: d.number("rules.cold-from", 1), Time: d.millis("rules.cold-ms")}
 	s.Overload = Overload{Factor: d.number("rules.overload-factor", 0), Time: d.millis("rules.fall-ms")}
-	s.Counter = Counter{Enabled: d.boolean("specifics.shared-counter"), Timeout: d.millis("specifics.count-limit-ms"), Cost: d.number("specifics.count-fee", 0)}
+	s.Counter = Counter{
+		Enabled: d.boolean("specifics.shared-counter"),
+		Timeout: d.millis("specifics.count-limit-ms"),
+		Cost:    d.number("specifics.count-fee", 0),
+	}
 	s.Units = Units{Max: d.number("specifics.units-top", 1), SettleLater: d.boolean("specifics.settles")}
 	for i := range d.integer("services.count", 0) {
 		s.Classes = append(s.Classes, d.class("services."+strconv.Itoa(i)+"."))
@@ -202,6 +210,6 @@
 
 // Millis turns milliseconds into a duration, rounded to the microsecond and kept within what a duration holds.
 func Millis(ms float64) time.Duration {
-	const most = float64(math.MaxInt64/4) / float64(time.Microsecond)
-	return time.Duration(math.Round(max(-most, min(most, ms*1000)))) * time.Microsecond
+	const limit = float64(math.MaxInt64/4) / float64(time.Microsecond) // leaves room for sums of durations
+	return time.Duration(math.Round(max(-limit, min(limit, ms*1000)))) * time.Microsecond
 }
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -17,7 +17,10 @@
 	return "  " + path + ":\n    get:\n      x-sandyard-class: c\n      responses: {}\n"
 }
 
-func TestLook(t *testing.T) {
+// TestMatchAndCost: literals go before parameters, HEAD is matched as GET, and a path or a cost that two parsers could read
+// differently is refused: a client that got another operation than the one it was charged for would pass its quota. A
+// match allocates nothing, since it is made for every request.
+func TestMatchAndCost(t *testing.T) {
 	table, err := Compile("api.yaml", []byte(head+get("/a")+get("/a/{x}")+get("/a/new")+get("/a/{x}/b")+get("/{y}/c/d")+
 		"  /units:\n    x-sandyard-class: c\n    post:\n      x-sandyard-units: {in: query, name: n, default: 2, most: 8}\n"+
 		"      x-sandyard-repeat: {kind: keyed, ttl: 6s, scope: zone}\n      responses: {}\n"))
@@ -56,8 +59,9 @@
 	}
 }
 
-// TestMistakes: each is told with its line, and all at once.
-func TestMistakes(t *testing.T) {
+// TestProblemsAreReportedWithTheirLines: an author sees every problem of a description with its line, all at
+// once, and no description with a problem is served.
+func TestProblemsAreReportedWithTheirLines(t *testing.T) {
 	for _, c := range []struct {
 		text  string
 		wants []string
@@ -88,8 +92,8 @@
 	}
 }
 
-// TestLookAgainstList: the tree finds what trying all templates finds, literals first.
-func TestLookAgainstList(t *testing.T) {
+// TestMatchAgreesWithTryingEveryTemplate: the tree finds what trying all templates finds, literals first.
+func TestMatchAgreesWithTryingEveryTemplate(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "b", "{x}"})
 	rapid.Check(t, func(t *rapid.T) {
 		seen, text := map[string]bool{}, head
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -12,7 +12,7 @@
 	"sandyard/decision"
 )
 
-func items() []Record {
+func sampleRecords() []Record {
 	return []Record{
 		{At: 1, Initial: true, Actions: NewActions([]decision.Action{decision.SetTimer{At: 5, Timer: decision.Timer{Kind: decision.TickTimer}}, decision.WatchEndpoints{}})},
 		{At: 2, Event: NewEvent(decision.EndpointsChanged{Full: true, Endpoints: []decision.Endpoint{{Backend: 1, Zone: 2, State: decision.Draining, Weight: 1.5, Started: 7}}})},
@@ -27,7 +27,7 @@
 	}
 }
 
-func file(t *testing.T) []byte {
+func sampleFile(t *testing.T) []byte {
 	w, err := NewWriter()
 	if err != nil {
 		t.Fatal(err)
@@ -36,8 +36,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range items() {
-		f, err := w.Frame(items()[i : i+1])
+	for i := range sampleRecords() {
+		f, err := w.Frame(sampleRecords()[i : i+1])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,7 +46,7 @@
 	return b
 }
 
-func read(b []byte) (got []Record, err error) {
+func readAll(b []byte) (got []Record, err error) {
 	r, err := NewReader(b)
 	if err != nil {
 		return nil, err
@@ -61,13 +61,13 @@
 	}
 }
 
-// TestNothingIsLost: every kind of event and action comes back as it was.
-func TestNothingIsLost(t *testing.T) {
-	got, err := read(file(t))
-	if err != nil || len(got) != len(items()) {
+// TestEveryEventAndActionSurvivesEncoding: every kind of event and action comes back as it was.
+func TestEveryEventAndActionSurvivesEncoding(t *testing.T) {
+	got, err := readAll(sampleFile(t))
+	if err != nil || len(got) != len(sampleRecords()) {
 		t.Fatalf("%d items, %v", len(got), err)
 	}
-	for i, want := range items() {
+	for i, want := range sampleRecords() {
 		if g := got[i].Event.Decision(); !reflect.DeepEqual(g, want.Event.Decision()) {
 			t.Errorf("item %d: %+v, want %+v", i, g, want.Event.Decision())
 		}
@@ -88,12 +88,13 @@
 	}
 }
 
-// TestCutAnywhere: a file that ends anywhere is read up to its last whole frame, and says that it was cut.
-func TestCutAnywhere(t *testing.T) {
-	whole := file(t)
+// TestTruncatedFileIsReadToItsLastFrame: a file that ends anywhere is read up to its last complete
+// frame, and the error says that it was cut.
+func TestTruncatedFileIsReadToItsLastFrame(t *testing.T) {
+	whole := sampleFile(t)
 	last := -1
 	for n := len(Format); n <= len(whole); n++ {
-		got, err := read(whole[:n])
+		got, err := readAll(whole[:n])
 		switch {
 		case err != nil && !errors.Is(err, ErrTruncated):
 			t.Fatalf("%d bytes: %v", n, err)
@@ -102,38 +103,41 @@
 		}
 		last = len(got)
 	}
-	if last != len(items()) {
+	if last != len(sampleRecords()) {
 		t.Errorf("%d items at the end", last)
 	}
 }
 
-// TestBrokenBytes: a changed byte is found, or changes nothing; it never panics.
-func TestBrokenBytes(t *testing.T) {
-	whole := file(t)
+// TestCorruptBytesAreFound: a disk that changes a byte must not make a trace say something else. A changed byte is
+// found, or changes nothing; reading never panics.
+func TestCorruptBytesAreFound(t *testing.T) {
+	whole := sampleFile(t)
 	rapid.Check(t, func(t *rapid.T) {
 		b := append([]byte(nil), whole...)
 		at := rapid.IntRange(0, len(b)-1).Draw(t, "at")
 		b[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
-		got, err := read(b)
-		if err == nil && len(got) == len(items()) {
+		got, err := readAll(b)
+		if err == nil && len(got) == len(sampleRecords()) {
 			t.Fatalf("byte %d changed and nobody noticed", at)
 		}
 	})
 	for _, s := range []string{"", "sandyard-trace 2\n", "x", Format} {
-		if _, err := read([]byte(s)); err == nil {
+		if _, err := readAll([]byte(s)); err == nil {
 			t.Errorf("%q is read", s)
 		}
 	}
 }
 
-func TestReplayStarts(t *testing.T) {
-	if _, err := NewReplay(Header{Share: 0.5}); err == nil {
-		t.Error("from a sample")
+// TestSampledTraceIsNotReplayed: what was decided on a request depends on all others. Replaying a sample would report
+// differences that are none.
+func TestSampledTraceIsNotReplayed(t *testing.T) {
+	if _, err := NewReplay(Header{Share: 0.5}); !errors.Is(err, ErrSampled) {
+		t.Errorf("a replay of a sample: %v", err)
 	}
 }
 
-// TestReplayFindsAnotherDecision: a core that would decide otherwise is told, with the first step; behind a gap it is
-// told that the gap may be why.
+// TestReplayFindsAnotherDecision: a build that would decide otherwise is reported, with the first step; behind a gap the
+// difference counts as uncertain, since the missing steps may be its reason.
 func TestReplayFindsAnotherDecision(t *testing.T) {
 	h := Header{Share: 1, Settings: decision.Settings{Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: time.Second}}}}
 	_, first, err := decision.New(h.Settings, 0, 0)
