--- a/proxy/configured.go
+++ b/proxy/configured.go
@@ -11,7 +11,6 @@
 	"sandyard/decision"
 	"sandyard/internal/http1"
 	"sandyard/internal/protocol"
-	"sandyard/internal/resp"
 )
 
 // configuredProtocol is the dialect of the configuration file: routes and costs come from the OpenAPI description, customers are
@@ -213,29 +212,3 @@
 	}
 	return load
 }
-
-// NewCounterCodec speaks RESP. A call is two commands in one round trip: INCRBYFLOAT, and PEXPIRE with NX so that a name's life
-// begins with its first use.
-func (p *configuredProtocol) NewCounterCodec() protocol.CounterCodec { return &respCounterCodec{} }
-
-type respCounterCodec struct {
-	reader            resp.Reader
-	expectExpiryReply bool // the next reply is that of PEXPIRE
-}
-
-func (r *respCounterCodec) AppendCall(b []byte, name string, amount float64, ttl time.Duration) []byte {
-	b = resp.AppendCommand(b, "INCRBYFLOAT", name, strconv.FormatFloat(amount, 'g', -1, 64))
-	return resp.AppendCommand(b, "PEXPIRE", name, strconv.FormatInt(ttl.Milliseconds(), 10), "NX")
-}
-
-func (r *respCounterCodec) Feed(b []byte) (int, protocol.CounterReply, error) {
-	n, v, whole, err := r.reader.Feed(b)
-	if err != nil || !whole {
-		return n, protocol.CounterReply{}, err
-	}
-	if r.expectExpiryReply = !r.expectExpiryReply; !r.expectExpiryReply {
-		return n, protocol.CounterReply{}, nil
-	}
-	sum, ok := v.Float()
-	return n, protocol.CounterReply{Complete: true, Added: ok && v.Type != resp.Failed, Total: sum}, nil
-}
--- a/proxy/counter.go
+++ b/proxy/counterclient.go
@@ -173,3 +173,22 @@
 		counter.oldest = 0
 	}
 }
+
+// SetCounter from now on at another counter; its connection is made anew.
+func (inst *Instance) SetCounter(now time.Duration, addr string) {
+	inst.advanceTo(now)
+	counter := &inst.counter
+	if addr == counter.addr {
+		return
+	}
+	counter.addr = addr
+	if counter.connected || counter.dialing {
+		inst.emit(Effect{Kind: CloseCounter})
+		inst.counterLost()
+	}
+	counter.backoff = 0
+	if addr != "" {
+		inst.dialCounter()
+	}
+	inst.drainEvents()
+}
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -93,15 +93,6 @@
 	reservedBytes    int         // bytes reserved in Shared.Memory
 }
 
-// attempt is one send of an exchange.
-type attempt struct {
-	conn        *BackendConn
-	decidedAt   time.Duration
-	deadline    time.Duration // when it is given up
-	firstByteAt time.Duration // when it went out on its line; 0: it has not
-	open        bool
-}
-
 // apply carries out a step on the state and tells whether it acts.
 func (ex *Exchange) apply(event exchangeEvent) bool {
 	transition := transitions[ex.state][event]
--- /dev/null
+++ b/proxy/respcounter.go
@@ -0,0 +1,35 @@
+package proxy
+
+import (
+	"strconv"
+	"time"
+
+	"sandyard/internal/protocol"
+	"sandyard/internal/resp"
+)
+
+// NewCounterCodec speaks RESP. A call is two commands in one round trip: INCRBYFLOAT, and PEXPIRE with NX so that a name's life
+// begins with its first use.
+func (p *configuredProtocol) NewCounterCodec() protocol.CounterCodec { return &respCounterCodec{} }
+
+type respCounterCodec struct {
+	reader            resp.Reader
+	expectExpiryReply bool // the next reply is that of PEXPIRE
+}
+
+func (r *respCounterCodec) AppendCall(b []byte, name string, amount float64, ttl time.Duration) []byte {
+	b = resp.AppendCommand(b, "INCRBYFLOAT", name, strconv.FormatFloat(amount, 'g', -1, 64))
+	return resp.AppendCommand(b, "PEXPIRE", name, strconv.FormatInt(ttl.Milliseconds(), 10), "NX")
+}
+
+func (r *respCounterCodec) Feed(b []byte) (int, protocol.CounterReply, error) {
+	n, v, whole, err := r.reader.Feed(b)
+	if err != nil || !whole {
+		return n, protocol.CounterReply{}, err
+	}
+	if r.expectExpiryReply = !r.expectExpiryReply; !r.expectExpiryReply {
+		return n, protocol.CounterReply{}, nil
+	}
+	sum, ok := v.Float()
+	return n, protocol.CounterReply{Complete: true, Added: ok && v.Type != resp.Failed, Total: sum}, nil
+}
--- a/proxy/responsereader.go
+++ b/proxy/responsereader.go
@@ -1,9 +1,6 @@
 package proxy
 
 import (
-	"time"
-
-	"sandyard/config"
 	"sandyard/internal/http1"
 	"sandyard/internal/protocol"
 )
@@ -214,28 +211,3 @@
 func (r *ResponseReader) newResponse(kind ResponseKind) Response {
 	return Response{Kind: kind, Status: r.head.Status, ResponseReport: r.shared.Protocol.ParseResponse(r.head, r.body, r.exchange.isProbe)}
 }
-
-// BackendConn is a connection to a box as the core knows it.
-type BackendConn struct {
-	Owner any // the runtime's connection; set by the runtime when it is told to dial
-	Addr  string
-
-	backend        *backendEntry
-	processStarted config.Timestamp // of the process that it is made to, as the list told
-	state          connState
-	exchange       *Exchange // whose attempt it carries
-	attempt        int       // the attempt's number
-	id             uint64
-	lastUsedAt     time.Duration // when it last ended an attempt; before that, when it was begun to be made
-	reportedLoad   []float64     // told by the head of an answer that flows
-	reportedUnits  float64
-}
-
-type connState uint8
-
-const (
-	connDialing connState = iota
-	connIdle
-	connBusy
-	connClosed
-)
--- a/proxy/timers.go
+++ b/proxy/timers.go
@@ -75,3 +75,45 @@
 		i = least
 	}
 }
+
+// NextTimer is when Tick has to be called if nothing else happens.
+func (inst *Instance) NextTimer() time.Duration { return inst.timers.heap[0].at }
+
+// Tick takes note of the time.
+func (inst *Instance) Tick(now time.Duration) {
+	inst.advanceTo(now)
+	for len(inst.timers.heap) > 0 && inst.timers.heap[0].at <= inst.now {
+		due := inst.timers.pop()
+		switch due.kind {
+		case gatewayTimer:
+			inst.queueEvent(decision.TimerFired{Timer: decision.Timer{Kind: due.gatewayKind, Request: due.request}})
+		case attemptTimer:
+			ex := inst.requests[due.request]
+			if ex == nil || !ex.attempts[due.attempt].open || ex.state == Streaming && ex.streamingAttempt == int(due.attempt) {
+				break
+			}
+			inst.abandonAttempt(ex, int(due.attempt), decision.TimedOut)
+		case dialTimer:
+			if conn := due.conn; conn.state == connDialing {
+				ex, index := conn.exchange, conn.attempt
+				inst.closeConn(conn)
+				if ex != nil {
+					inst.failAttempt(ex, index, decision.ConnectFailed)
+				}
+			}
+		case counterTimer:
+			inst.reportLateCounterCalls()
+		case counterDialTimer:
+			inst.dialCounter()
+		case streamTimer: // its client is about to give up: it is told that the answer failed, rather than left waiting
+			if ex := inst.requests[due.request]; ex != nil && ex.state == Streaming {
+				inst.closeConn(ex.streamingConn)
+				inst.failAttempt(ex, ex.streamingAttempt, decision.TimedOut)
+			}
+		case idleSweepTimer:
+			inst.closeExpiredIdleConns()
+			inst.timers.push(timer{at: inst.now + idleSweepInterval, kind: idleSweepTimer})
+		}
+		inst.drainEvents()
+	}
+}
