--- a/proxy/clientconn.go
+++ b/proxy/clientconn.go
@@ -9,82 +9,97 @@
 // phase is where a client's connection stands.
 type phase uint8
 
+// The phases of a client's connection.
 const (
 	phaseIdle          phase = iota // between requests
-	phaseHead                       // a request has begun
-	phaseBody                       // its head is whole
-	phaseSkipBody                   // it is answered already; its body is read and dropped
-	phaseAwaitResponse              // it is whole and its answer is awaited
+	phaseHead                       // a request has begun, and its head is not complete
+	phaseBody                       // its head is complete
+	phaseSkipBody                   // it gets a local response; its body is read and dropped
+	phaseAwaitResponse              // it is complete, and its response is awaited or under way
 	phaseClosing                    // no more requests are read
 )
 
-const (
-	maxSkippedBody = 64 << 10 // bytes of a refused request's body that are read rather than closing on it
-)
-
-// ClientConn is a client's connection. It reads one request at a time; what comes while an answer is awaited is kept,
-// up to a bound, and read after it, so that answers go out in the order of the requests.
+// ClientConn is a client's connection. It belongs to one owner at a time, and no method blocks.
 //
-// A client that closes its side is taken to have left, as most servers do: a half-closed connection can't be told
-// from a closed one until something is written to it.
+// It parses one request at a time. Bytes that come while a response is awaited are kept, up to a bound, and parsed after
+// it, so that responses go out in the order of the requests.
+//
+// A client that closes its side counts as gone, as with most servers: a half-closed connection can't be told from a
+// closed one until something is written to it.
 type ClientConn struct {
-	Outgoing      []byte // bytes for the client, to be written and cut off by the owner
-	LocalStatuses []int  // statuses of answers that no decision is behind, to be noted and cut off by the owner
-
-	shared              *Shared
-	owner               any
-	clientAddr          string
-	reader              *http1.Reader
-	phase               phase
-	phaseSince          time.Duration // when the phase began
-	exchange            *Exchange
-	head                *http1.Head
-	body                []byte
-	trailers            []http1.Field
-	bytesToSkip         int64 // bytes of a skipped body that are still read
-	localResponse       *localResponse
-	readAhead           []byte
-	readAheadSince      time.Duration // when its first byte came
-	receivedAt          time.Duration // when the bytes that are read did
-	linger              bool
-	closeAfterResponse  bool // the answer under way is the connection's last
-	readAheadOverflowed bool // more came than is kept: what is kept is answered, and then the connection ends
-	mustReset           bool
-	openedAt            time.Duration
-	hadRequest          bool // a request has been whole
+	Outgoing      []byte // bytes for the client; the owner writes and removes them
+	LocalStatuses []int  // statuses of local responses that no decision is behind; the owner counts and removes them
+
+	shared     *Shared
+	owner      any
+	clientAddr string // IP address without a port
+	reader     *http1.Reader
+	openedAt   time.Duration
+	phase      phase
+	phaseSince time.Duration // when the phase began
+
+	// The request under way.
+	receivedAt    time.Duration // when the bytes that are being parsed were received
+	exchange      *Exchange     // from the end of its head until its response is out
+	head          *http1.Head
+	body          []byte // its capacity is reserved in Shared.ReservedBytes
+	trailers      []http1.Field
+	bytesToSkip   int64          // of phaseSkipBody: how much of the body is still read
+	localResponse *localResponse // that it gets without a decision; nil: none
+	hadRequest    bool           // a request has been complete on this connection
+
+	// What came while a response was awaited.
+	readAhead           []byte        // reserved in Shared.ReservedBytes
+	readAheadSince      time.Duration // when its first byte was received
+	readAheadOverflowed bool          // more came than is kept; what is kept is answered, and then the connection ends
+
+	// The connection's end.
+	closeAfterResponse bool // the response under way is its last
+	linger             bool // see Closing
+	mustReset          bool // see MustReset
 }
 
-// NewClientConn begins a connection. owner is handed on with exchanges; remote is the client's address without a port.
+// NewClientConn returns the machine of a new connection. owner becomes the Owner of its exchanges; clientAddr is the client's
+// IP address without a port.
 func NewClientConn(shared *Shared, owner any, clientAddr string, now time.Duration) *ClientConn {
-	limits := shared.Config.Limits
-	return &ClientConn{shared: shared, owner: owner, clientAddr: clientAddr, phaseSince: now, openedAt: now,
-		reader: http1.NewRequests(http1.Limits{Head: int(limits.Head), Fields: limits.Fields})}
+	limits := &shared.Config.Limits
+	return &ClientConn{
+		shared:     shared,
+		owner:      owner,
+		clientAddr: clientAddr,
+		phaseSince: now,
+		openedAt:   now,
+		reader:     http1.NewRequests(http1.Limits{Head: int(limits.Head), Fields: limits.Fields}),
+	}
 }
 
-// Closing tells that the connection is to be closed once Out is written. Linger tells that an answer may still be on its
-// way: what comes should be read and dropped for a while, since closing on unread bytes would reset the connection and
-// could take the answer with it.
+// Closing reports whether the connection is to be closed once Outgoing is written. linger says that a response may still be
+// on its way: the owner then reads and drops what comes for a while before it closes, since closing over unread bytes
+// resets the connection and could take the response with it.
 func (c *ClientConn) Closing() (closing, linger bool) {
 	return c.phase == phaseClosing, c.linger || c.hadRequest
 }
 
-// MustReset tells that a connection that closes must be reset, once Out is written, rather than ended.
+// MustReset reports whether a connection that closes must be reset once Outgoing is written: its response broke off, and a
+// regular end would look like the end of the response.
 func (c *ClientConn) MustReset() bool { return c.mustReset }
 
-// AwaitingResponse tells that an answer is awaited.
+// AwaitingResponse reports whether a request is complete and its response is not.
 func (c *ClientConn) AwaitingResponse() bool { return c.phase == phaseAwaitResponse }
 
-// Idle tells that nothing of a request has come.
+// Idle reports whether nothing of a request was received since the last response.
 func (c *ClientConn) Idle() bool { return c.phase == phaseIdle && len(c.readAhead) == 0 }
 
-// IdleSince tells whether nothing of a request has come, since when, and whether there was one before.
+// IdleSince reports, with Idle, since when the phase lasts and whether there was a request before.
 func (c *ClientConn) IdleSince() (since time.Duration, hadRequest, idle bool) {
 	return c.phaseSince, c.hadRequest, c.Idle()
 }
 
-// Deadline is when Expired should be called if nothing else happens; 0 is never.
+// Deadline returns when DeadlinePassed should be called if nothing else happens; 0 is never. A new connection has
+// limits.first-timeout in all until its first request is complete.
 func (c *ClientConn) Deadline() time.Duration {
-	limits, deadline := c.shared.Config.Limits, time.Duration(0)
+	limits := &c.shared.Config.Limits
+	deadline := time.Duration(0)
 	switch c.phase {
 	case phaseIdle:
 		deadline = c.phaseSince + time.Duration(limits.IdleTimeout)
@@ -101,20 +116,20 @@
 	return deadline
 }
 
-// DeadlinePassed takes note of the time: slow senders get 408, idle connections are closed.
+// DeadlinePassed closes the connection if its deadline has passed. A client that was sending a request gets 408.
 func (c *ClientConn) DeadlinePassed(now time.Duration) {
 	if deadline := c.Deadline(); deadline == 0 || now < deadline {
 		return
 	}
 	if c.phase == phaseHead || c.phase == phaseBody || c.phase == phaseSkipBody {
-		c.setLocalResponse(now, requestTimeout, true)
+		c.setLocalResponse(requestTimeout, true)
 		c.sendLocalResponse(now)
 	}
 	c.close()
 }
 
-// Feed takes bytes in. It returns an exchange when a request is whole and for the core to decide; until that is
-// answered no other follows.
+// Feed takes all of b in. It returns an exchange when a request is complete and for the instance to decide; until its
+// response is out no other follows, and nil is returned.
 func (c *ClientConn) Feed(now time.Duration, b []byte) *Exchange {
 	if c.phase == phaseAwaitResponse {
 		if len(c.readAhead) == 0 {
@@ -123,7 +138,7 @@
 		c.storeReadAhead(b)
 		return nil
 	}
-	if len(c.readAhead) > 0 { // its answer is not all out yet, and what came before comes first
+	if len(c.readAhead) > 0 { // the owner has not resumed yet, and what came before comes first
 		c.storeReadAhead(b)
 		return c.Resume(now)
 	}
@@ -131,7 +146,7 @@
 	return c.parse(now, b)
 }
 
-// Resume goes on with what was kept. Call it after an answer is out.
+// Resume parses what was kept while a response was awaited. The owner calls it after each response until it returns nil.
 func (c *ClientConn) Resume(now time.Duration) *Exchange {
 	if c.phase == phaseAwaitResponse || len(c.readAhead) == 0 {
 		return nil
@@ -140,15 +155,15 @@
 	c.receivedAt = c.readAheadSince
 	c.dropReadAhead()
 	ex := c.parse(now, b)
-	if ex == nil && c.readAheadOverflowed { // what would come next was dropped
+	if ex == nil && c.readAheadOverflowed { // the bytes that would come next were dropped
 		c.linger = true
 		c.close()
 	}
 	return ex
 }
 
-// Disconnected ends the connection from the client's side. It returns the exchange that has lost its client, if any; from here
-// on no attempt of it begins, however late the core is told.
+// Disconnected reports that the client closed the connection, or that it is lost. It returns the exchange that waits for
+// its response, if any, for Instance.ClientLeft. From here on no attempt of that begins, however late the instance hears.
 func (c *ClientConn) Disconnected() *Exchange {
 	ex := c.exchange
 	if c.phase != phaseAwaitResponse {
@@ -161,28 +176,32 @@
 	return ex
 }
 
+// close ends the connection: nothing more is parsed, and the memory of what was is given back.
 func (c *ClientConn) close() {
 	c.phase, c.exchange = phaseClosing, nil
 	c.dropReadAhead()
 	c.releaseBody()
 }
 
-// storeReadAhead keeps bytes that come while an answer is awaited: as many as one request may have, and as limits.memory has room for.
-// Beyond that they are dropped rather than left unread, since the end of the connection would not be seen behind them.
+// storeReadAhead keeps bytes that come while a response is awaited: as many as one request may have, and as limits.memory
+// allows. Beyond that they are dropped rather than left unread, since a client that leaves is not seen behind unread bytes.
 func (c *ClientConn) storeReadAhead(b []byte) {
-	limits := c.shared.Config.Limits
-	if c.readAheadOverflowed = c.readAheadOverflowed || len(c.readAhead)+len(b) > int(limits.Head)+int(limits.Body) || !c.shared.reserve(len(b)); !c.readAheadOverflowed {
-		c.readAhead = append(c.readAhead, b...)
+	limits := &c.shared.Config.Limits
+	largest := int(limits.Head) + int(limits.Body)
+	if c.readAheadOverflowed || len(c.readAhead)+len(b) > largest || !c.shared.reserve(len(b)) {
+		c.readAheadOverflowed = true
+		return
 	}
+	c.readAhead = append(c.readAhead, b...)
 }
 
-// dropReadAhead lets go of them.
+// dropReadAhead forgets what was kept and gives its memory back.
 func (c *ClientConn) dropReadAhead() {
 	c.shared.release(len(c.readAhead))
 	c.readAhead = nil
 }
 
-// Drain closes an idle connection and lets others end with their answer.
+// Drain closes an idle connection. Others end with their response, if Shared.CloseAfterResponses was called.
 func (c *ClientConn) Drain() {
 	if c.Idle() {
 		c.close()
--- a/proxy/clientrequest.go
+++ b/proxy/clientrequest.go
@@ -6,7 +6,17 @@
 	"sandyard/internal/http1"
 )
 
-// parse takes bytes apart until a request is whole, all are used or the connection ends.
+// maxSkippedBody is how much of a rejected request's body is read so that the connection can be kept, in bytes. Beyond it
+// closing the connection costs less than reading on.
+const maxSkippedBody = 64 << 10
+
+// minBodySize is the least memory that is reserved for a body, in bytes, so that small bodies are not copied several times.
+const minBodySize = 512
+
+// addedHeadSize is the room left in a rendered request for what the instance adds to its head, in bytes.
+const addedHeadSize = 512
+
+// parse takes b in until a request is complete, whose exchange it returns, or all is used, or the connection ends.
 func (c *ClientConn) parse(now time.Duration, b []byte) *Exchange {
 	for c.phase != phaseClosing {
 		if c.phase == phaseIdle && len(b) > 0 {
@@ -37,27 +47,19 @@
 	return nil
 }
 
-// releaseBody lets go of a body.
-func (c *ClientConn) releaseBody() {
-	if c.body != nil {
-		c.shared.release(cap(c.body))
-	}
-	c.body, c.head, c.trailers = nil, nil, nil
-}
-
-// headRead takes a whole head in.
+// headRead takes a complete head in: the request is identified, and gets a local response where that fails. Its body is
+// skipped then, or the connection closed where the body is large or the client waits to be told to send it.
 func (c *ClientConn) headRead(now time.Duration, h *http1.Head) {
 	c.phase, c.phaseSince, c.head = phaseBody, now, h
 	c.exchange = &Exchange{Owner: c.owner, Method: h.Method, MinorVersion: h.Minor, CloseAfterResponse: h.Close}
 	if response := c.identifyRequest(h); response != nil {
-		c.setLocalResponse(now, *response, false)
+		c.setLocalResponse(*response, false)
 	}
 	hasBody := h.Length != 0
 	switch {
 	case c.localResponse == nil && h.Length > int64(c.shared.Config.Limits.Body):
-		c.setLocalResponse(now, bodyTooLarge, true)
-		c.sendLocalResponse(now)
-	case c.localResponse != nil && (h.Continue && hasBody || h.Length > maxSkippedBody): // the body is not wanted
+		c.rejectAndClose(now, bodyTooLarge)
+	case c.localResponse != nil && (h.Continue && hasBody || h.Length > maxSkippedBody):
 		c.exchange.CloseAfterResponse = true
 		c.sendLocalResponse(now)
 	case c.localResponse != nil:
@@ -67,7 +69,7 @@
 	}
 }
 
-// bodyRead takes a piece of a body in.
+// bodyRead takes a piece of a body in, which is kept or skipped.
 func (c *ClientConn) bodyRead(now time.Duration, b []byte) {
 	if c.phase == phaseSkipBody {
 		if c.bytesToSkip -= int64(len(b)); c.bytesToSkip < 0 {
@@ -78,43 +80,49 @@
 	}
 	need := len(c.body) + len(b)
 	if need > int(c.shared.Config.Limits.Body) {
-		c.setLocalResponse(now, bodyTooLarge, true)
-		c.sendLocalResponse(now)
+		c.rejectAndClose(now, bodyTooLarge)
 		return
 	}
-	if need > cap(c.body) { // grown by what has come, not by what was promised
-		size := max(need, 2*cap(c.body), 512)
-		if c.head.Length > 0 {
-			size = min(size, int(c.head.Length))
-		}
-		if !c.shared.reserve(size) {
-			c.setLocalResponse(now, outOfMemory, true)
-			c.sendLocalResponse(now)
-			return
-		}
-		grown := make([]byte, len(c.body), size)
-		copy(grown, c.body)
-		if c.body != nil {
-			c.shared.release(cap(c.body))
-		}
-		c.body = grown
+	if need > cap(c.body) && !c.growBody(need) {
+		c.rejectAndClose(now, outOfMemory)
+		return
 	}
 	c.body = append(c.body, b...)
 }
 
-// requestRead takes the end of a request in.
+// growBody makes room for a body of need bytes, and reports false where limits.memory does not allow it. Room grows with what
+// was received, not with what the head claims: clients that claim much and send nothing must not use the memory up.
+func (c *ClientConn) growBody(need int) bool {
+	size := max(need, 2*cap(c.body), minBodySize)
+	if c.head.Length > 0 {
+		size = min(size, int(c.head.Length))
+	}
+	if !c.shared.reserve(size) {
+		return false
+	}
+	grown := make([]byte, len(c.body), size)
+	copy(grown, c.body)
+	if c.body != nil {
+		c.shared.release(cap(c.body))
+	}
+	c.body = grown
+	return true
+}
+
+// requestRead takes the end of a request in. It returns its exchange, ready for the instance, or nil where the request got
+// a local response.
 func (c *ClientConn) requestRead(now time.Duration) *Exchange {
 	if c.localResponse != nil {
 		c.sendLocalResponse(now)
 		return nil
 	}
 	ex := c.exchange
-	size := len(c.body) + 512
+	size := len(c.body) + addedHeadSize
 	for i := range c.head.Fields {
 		size += len(c.head.Fields[i].Name) + len(c.head.Fields[i].Value) + 4
 	}
 	if !c.shared.reserve(size) {
-		c.setLocalResponse(now, outOfMemory, false)
+		c.setLocalResponse(outOfMemory, false)
 		c.sendLocalResponse(now)
 		return nil
 	}
@@ -122,12 +130,12 @@
 	ex.RenderedRequest, ex.attemptFieldsAt = c.shared.Protocol.RenderRequest(make([]byte, 0, size), c.head, c.body, c.trailers, c.clientAddr)
 	c.releaseBody()
 	c.hadRequest = true
-	ex.Arrived = min(now, c.receivedAt) // its client has waited since its bytes came, not since the answer before it
+	ex.Arrived = min(now, c.receivedAt) // the client waits since its bytes came, not since the response before it
 	c.phase, c.phaseSince = phaseAwaitResponse, now
 	return ex
 }
 
-// identifyRequest finds the route, the studio, the units and the patience of a request.
+// identifyRequest fills the exchange's RequestInfo. It returns a local response where the request needs no decision.
 func (c *ClientConn) identifyRequest(h *http1.Head) *localResponse {
 	if c.shared.Draining() {
 		c.exchange.CloseAfterResponse = true
@@ -138,3 +146,11 @@
 	}
 	return c.shared.Protocol.ParseRequest(h, &c.exchange.RequestInfo)
 }
+
+// releaseBody forgets the request under way and gives its body's memory back.
+func (c *ClientConn) releaseBody() {
+	if c.body != nil {
+		c.shared.release(cap(c.body))
+	}
+	c.body, c.head, c.trailers = nil, nil, nil
+}
--- a/proxy/clientresponse.go
+++ b/proxy/clientresponse.go
@@ -1,14 +1,19 @@
 package proxy
 
 import (
+	"errors"
 	"time"
 
 	"sandyard/internal/http1"
 )
 
-// Respond appends an answer of ours or of a box. more tells that the rest follows by Relay; else the exchange is
-// over and the connection goes on, with Resume, or closes.
-// closes tells that it is the connection's last: it says so, or only the connection's end can end it.
+// localRetryAfter is the Retry-After of local responses 503 that no decision is behind. What they are for, memory, a full
+// queue or a start, is over within about that time; less would bring the load back at once.
+const localRetryAfter = time.Second
+
+// Respond appends the response to an exchange, or its beginning, as the effects Respond and StreamResponse give it. more says
+// that the rest follows by ContinueResponse; else the exchange is over, and the connection goes on, with Resume, or closes.
+// closeAfterResponse says that it is the connection's last. For an exchange that is not the one under way it does nothing.
 func (c *ClientConn) Respond(now time.Duration, ex *Exchange, b []byte, more, closeAfterResponse bool) {
 	if c.exchange != ex || c.phase != phaseAwaitResponse {
 		return
@@ -20,15 +25,17 @@
 	}
 }
 
-// RejectOverload answers an exchange that the core's queue has no room for.
+// RejectOverload answers 503 to an exchange that the instance's queue has no room for. It was not handed to the instance.
 func (c *ClientConn) RejectOverload(now time.Duration, ex *Exchange) {
 	c.shared.release(ex.reservedBytes)
 	ex.reservedBytes = 0
 	closeAfterResponse := ex.CloseAfterResponse || c.shared.closesAfterResponse()
-	c.Respond(now, ex, c.shared.appendLocalResponse(nil, &queueFull, ex.Method, ex.MinorVersion, closeAfterResponse, time.Second), false, closeAfterResponse)
+	rendered := c.shared.appendLocalResponse(nil, &queueFull, ex.Method, ex.MinorVersion, closeAfterResponse, localRetryAfter)
+	c.Respond(now, ex, rendered, false, closeAfterResponse)
 }
 
-// ContinueResponse appends more of an answer; end tells that it is over, broken that it must be cut off.
+// ContinueResponse appends more of a streamed response. end says that it is complete, broken that it broke off: the
+// connection is closed, so that the client sees that the response is not complete.
 func (c *ClientConn) ContinueResponse(now time.Duration, ex *Exchange, b []byte, end, broken bool) {
 	if c.exchange != ex || c.phase != phaseAwaitResponse {
 		return
@@ -36,13 +43,14 @@
 	c.Outgoing = append(c.Outgoing, b...)
 	switch {
 	case broken:
-		c.mustReset = c.closeAfterResponse // the end of the connection would look like the end of the answer
+		c.mustReset = c.closeAfterResponse // the end of the connection would look like the end of the response
 		c.close()
 	case end:
 		c.finishResponse(now)
 	}
 }
 
+// finishResponse ends the exchange: the connection goes on with the next request, or closes.
 func (c *ClientConn) finishResponse(now time.Duration) {
 	ex := c.exchange
 	c.exchange, c.phase, c.phaseSince = nil, phaseIdle, now
@@ -52,21 +60,27 @@
 	}
 }
 
-// rejectMalformed answers what can't be read, and closes: nobody knows where the next request would begin.
+// rejectMalformed answers bytes that are no request, and closes: it can't be known where the next request begins.
 func (c *ClientConn) rejectMalformed(now time.Duration, err error) {
 	response := malformedRequest
-	if e, ok := err.(*http1.Error); ok {
+	var e *http1.Error
+	if errors.As(err, &e) {
 		response.Status, response.Detail = e.Status, "The request has "+e.Reason+"."
 		if e.Status != 400 {
 			response.Kind, response.Title = "unsupported", http1.StatusText(e.Status)
 		}
 	}
-	c.setLocalResponse(now, response, true)
+	c.rejectAndClose(now, response)
+}
+
+// rejectAndClose sends a local response at once and closes the connection after it.
+func (c *ClientConn) rejectAndClose(now time.Duration, response localResponse) {
+	c.setLocalResponse(response, true)
 	c.sendLocalResponse(now)
 }
 
-// setLocalResponse settles that the request gets an answer of ours that no decision is behind.
-func (c *ClientConn) setLocalResponse(now time.Duration, response localResponse, closeAfterResponse bool) {
+// setLocalResponse notes that the request under way gets a local response, unless it has one; sendLocalResponse sends it.
+func (c *ClientConn) setLocalResponse(response localResponse, closeAfterResponse bool) {
 	if c.localResponse == nil {
 		c.localResponse = &response
 	}
@@ -76,13 +90,13 @@
 	c.exchange.CloseAfterResponse = c.exchange.CloseAfterResponse || closeAfterResponse
 }
 
-// sendLocalResponse writes the settled refusal.
+// sendLocalResponse sends the local response that was set, and ends the request.
 func (c *ClientConn) sendLocalResponse(now time.Duration) {
 	ex, response := c.exchange, c.localResponse
 	closeAfterResponse := ex.CloseAfterResponse || c.shared.closesAfterResponse()
 	retryAfter := time.Duration(0)
 	if response.Status == 503 {
-		retryAfter = time.Second
+		retryAfter = localRetryAfter
 	}
 	c.Outgoing = c.shared.appendLocalResponse(c.Outgoing, response, ex.Method, ex.MinorVersion, closeAfterResponse, retryAfter)
 	c.LocalStatuses = append(c.LocalStatuses, response.Status)
--- a/proxy/counterclient.go
+++ b/proxy/counterclient.go
@@ -7,38 +7,61 @@
 	"sandyard/internal/protocol"
 )
 
+// counterSilenceLimit is how long the oldest call may be without a reply, in counter timeouts, before the connection is
+// given up. It is long enough for a counter that is merely slow to catch up, and a connection that is dead without a sign
+// is replaced within a second at the usual timeout of 50 ms.
+const counterSilenceLimit = 20
+
+// Backoff between dials to a counter that can't be reached. The least spares a counter that restarts a storm of dials;
+// the most bounds how long an instance goes without the counter once that is back.
 const (
-	counterSilenceLimit = 20 // silence after which the connection is given up, in time-outs
-	minCounterBackoff   = 50 * time.Millisecond
-	maxCounterBackoff   = 2 * time.Second // tries to reach a lost keeper are no further apart
+	minCounterBackoff = 50 * time.Millisecond
+	maxCounterBackoff = 2 * time.Second
 )
 
-// counterCall is one Count on its way.
+// compactCalls is the number of unused places in the list of calls from which it is compacted.
+const compactCalls = 1024
+
+// counterCall is a call to the counter whose reply has not come.
 type counterCall struct {
 	name     string
 	sentAt   time.Duration
-	reported bool // its end was reported: it timed out
+	reported bool // the decision gateway was told that it timed out; its reply will be dropped
 }
 
-// counterClient is the connection to the tally keeper: one pipeline of calls, answered in order.
+// counterClient is the connection to the shared counter: one pipeline of calls, answered in their order.
 //
-// It is bounded by keeper.pending: calls beyond it are told as Full, not added. A keeper that is silent is told as
-// TimedOut call by call; its connection is given up after a while, and tried again with jitter.
+// It holds at most Config.Counter.MaxPending calls; those beyond are reported as rejected, not added. When the counter is
+// silent each call is reported as timed out, and after counterSilenceLimit the connection is closed and made anew.
 type counterClient struct {
 	connected  bool
 	dialing    bool
-	addr       string
-	codec      protocol.CounterCodec
-	calls      []counterCall // oldest first, from head on
-	oldest     int
-	outgoing   []byte
-	backoff    time.Duration
-	timerArmed bool // a counterTimer is set
+	addr       string                // host:port; empty: there is no counter
+	codec      protocol.CounterCodec // of the connection
+	calls      []counterCall         // pending ones from oldest on, in the order in which they were sent
+	oldest     int                   // index in calls
+	outgoing   []byte                // calls that were not handed to the runtime yet
+	backoff    time.Duration         // before the next dial; 0: the last one succeeded
+	timerArmed bool                  // a counterTimer is set
 }
 
+// pending returns how many calls wait for a reply.
 func (counter *counterClient) pending() int { return len(counter.calls) - counter.oldest }
 
-// addToCounter starts a call, or tells how it ended at once.
+// dropOldest removes the oldest call. Its place is reused once the list is empty, or when more than compactCalls places and
+// half of the list are unused, so that a pipeline that never runs empty takes bounded memory and time.
+func (counter *counterClient) dropOldest() {
+	counter.calls[counter.oldest] = counterCall{}
+	counter.oldest++
+	if counter.oldest == len(counter.calls) {
+		counter.calls, counter.oldest = counter.calls[:0], 0
+	} else if counter.oldest > compactCalls && counter.oldest > len(counter.calls)/2 {
+		counter.calls = append(counter.calls[:0], counter.calls[counter.oldest:]...)
+		counter.oldest = 0
+	}
+}
+
+// addToCounter carries out the decision gateway's action: it sends a call, or reports at once that it can't be sent.
 func (inst *Instance) addToCounter(action decision.AddToCounter) {
 	counter, cfg := &inst.counter, inst.shared.Config
 	switch {
@@ -53,6 +76,8 @@
 	}
 }
 
+// armCounterTimer sets the timer for what happens next without a reply: the timeout of the oldest call that is not reported,
+// or, where all are, the end of the counter's silence. There is at most one timer.
 func (inst *Instance) armCounterTimer() {
 	counter := &inst.counter
 	if counter.timerArmed {
@@ -65,13 +90,14 @@
 			return
 		}
 	}
-	if counter.pending() > 0 { // all told, none answered
+	if counter.pending() > 0 {
 		counter.timerArmed = true
 		inst.timers.push(timer{at: counter.calls[counter.oldest].sentAt + counterSilenceLimit*time.Duration(inst.shared.Config.Counter.Timeout), kind: counterTimer})
 	}
 }
 
-// reportLateCounterCalls reports the calls whose time is up, oldest first, so that answers for one name keep their order.
+// reportLateCounterCalls reports the calls whose time is up, oldest first, so that the outcomes for one name keep their
+// order, and gives up the connection to a counter that is silent for too long.
 func (inst *Instance) reportLateCounterCalls() {
 	counter := &inst.counter
 	counter.timerArmed = false
@@ -94,7 +120,7 @@
 	inst.armCounterTimer()
 }
 
-// CounterConnected tells that the connection stands.
+// CounterConnected reports that the connection to the counter is made.
 func (inst *Instance) CounterConnected(now time.Duration) {
 	inst.advanceTo(now)
 	counter := &inst.counter
@@ -104,7 +130,7 @@
 	}
 }
 
-// CounterDisconnected tells that the connection could not be made, or is lost.
+// CounterDisconnected reports that the connection to the counter could not be made, or is lost.
 func (inst *Instance) CounterDisconnected(now time.Duration) {
 	inst.advanceTo(now)
 	if inst.counter.connected || inst.counter.dialing {
@@ -113,8 +139,9 @@
 	inst.drainEvents()
 }
 
-// counterLost ends all calls, which may have been added, and plans the next try. Front doors that lose one keeper
-// together come back apart: each waits a random share of a growing time.
+// counterLost ends all calls, each of which may have been added, and sets the timer of the next dial. Instances that lose
+// the counter together must not come back together: each waits a random share, from a half to the whole, of a backoff that
+// doubles.
 func (inst *Instance) counterLost() {
 	counter := &inst.counter
 	counter.connected, counter.dialing, counter.outgoing = false, false, nil
@@ -129,6 +156,7 @@
 	inst.timers.push(timer{at: inst.now + wait, kind: counterDialTimer})
 }
 
+// dialCounter asks for a connection to the counter, unless there is one, none is wanted or the instance is stopped.
 func (inst *Instance) dialCounter() {
 	if counter := &inst.counter; !counter.connected && !counter.dialing && !inst.stopped && counter.addr != "" {
 		counter.dialing = true
@@ -136,14 +164,14 @@
 	}
 }
 
-// CounterReceived takes the keeper's bytes in.
+// CounterReceived reports bytes of the counter. What is not its protocol, or answers no call, ends the connection.
 func (inst *Instance) CounterReceived(now time.Duration, b []byte) {
 	inst.advanceTo(now)
 	counter := &inst.counter
 	for counter.connected && len(b) > 0 {
 		n, reply, err := counter.codec.Feed(b)
 		b = b[n:]
-		if err != nil || reply.Complete && counter.pending() == 0 { // not the protocol, or an answer to nothing
+		if err != nil || reply.Complete && counter.pending() == 0 {
 			inst.Stats.CounterMalformed++
 			inst.emit(Effect{Kind: CloseCounter})
 			inst.counterLost()
@@ -156,25 +184,21 @@
 	inst.drainEvents()
 }
 
+// handleCounterReply reports the end of the oldest call, unless it was reported as timed out.
 func (inst *Instance) handleCounterReply(reply protocol.CounterReply) {
 	counter := &inst.counter
 	if call := &counter.calls[counter.oldest]; !call.reported {
 		outcome := decision.OK
 		if !reply.Added {
-			outcome = decision.Rejected // the keeper said no: not added
+			outcome = decision.Rejected // not added
 		}
 		inst.queueEvent(decision.CounterReplied{Name: call.name, Outcome: outcome, Total: reply.Total})
 	}
-	counter.calls[counter.oldest] = counterCall{}
-	if counter.oldest++; counter.oldest == len(counter.calls) {
-		counter.calls, counter.oldest = counter.calls[:0], 0
-	} else if counter.oldest > 1024 && counter.oldest > len(counter.calls)/2 {
-		counter.calls = append(counter.calls[:0], counter.calls[counter.oldest:]...)
-		counter.oldest = 0
-	}
+	counter.dropOldest()
 }
 
-// SetCounter from now on at another counter; its connection is made anew.
+// SetCounter moves to the counter at another address (host:port; empty: none). Calls under way at the old one are reported
+// as timed out, since they may have been added, and the connection is made anew.
 func (inst *Instance) SetCounter(now time.Duration, addr string) {
 	inst.advanceTo(now)
 	counter := &inst.counter
--- a/proxy/localresponse.go
+++ b/proxy/localresponse.go
@@ -8,26 +8,36 @@
 	"sandyard/internal/protocol"
 )
 
-// localResponse is one of this program's own answers.
+// localResponse is one of the gateway's own responses.
 type localResponse = protocol.LocalResponse
 
+// newLocalResponse returns a response with a problem's URN, title and detail, which are format: clients may rely on them.
 func newLocalResponse(status int, kind, title, detail string, retryIsSafe bool) localResponse {
 	return localResponse{Status: status, Kind: kind, Title: title, Detail: detail, RetryIsSafe: retryIsSafe}
 }
 
+// Responses that the decision gateway asks for.
+var (
+	overQuota        = newLocalResponse(429, "beyond-quota", "Beyond the quota", "The studio's plan allows no more now.", true)
+	noCapacity       = newLocalResponse(503, "no-room", "No room", "The boxes have no room for this request in time.", true)
+	attemptFailed    = newLocalResponse(502, "failed", "Failed", "A box was tried; whether it acted is not known.", false)
+	deadlineExceeded = newLocalResponse(504, "late", "No answer in time", "A box was tried; whether it acted is not known.", false)
+)
+
+// Responses of an instance that can't take a request, whatever it is.
 var (
-	overQuota          = newLocalResponse(429, "beyond-quota", "Beyond the quota", "The studio's plan allows no more now.", true)
-	noCapacity         = newLocalResponse(503, "no-room", "No room", "The boxes have no room for this request in time.", true)
-	attemptFailed      = newLocalResponse(502, "failed", "Failed", "A box was tried; whether it acted is not known.", false)
-	deadlineExceeded   = newLocalResponse(504, "late", "No answer in time", "A box was tried; whether it acted is not known.", false)
 	shuttingDown       = newLocalResponse(503, "shutting-down", "Shutting down", "This front door takes no more requests.", true)
 	notReady           = newLocalResponse(503, "starting", "Starting", "This front door has no list of boxes yet.", true)
 	outOfMemory        = newLocalResponse(503, "no-memory", "No room", "This front door holds as many bodies as it may.", true)
 	tooManyConnections = newLocalResponse(503, "connections", "Too many connections", "This front door has as many as it may.", true)
 	queueFull          = newLocalResponse(503, "queue", "Too busy", "This front door has more to decide than it may queue.", true)
+)
 
-	duplicateName = newLocalResponse(409, "same-name", "Open already", "A request of this name is open.", true)
+// duplicateName answers a request whose unique name another one has that is open.
+var duplicateName = newLocalResponse(409, "same-name", "Open already", "A request of this name is open.", true)
 
+// Responses to a request that is wrong in itself.
+var (
 	missingKey            = newLocalResponse(401, "no-key", "No key", "The request carries no key of a studio.", true)
 	unknownKey            = newLocalResponse(401, "unknown-key", "Unknown key", "The key belongs to no studio.", true)
 	pathNotFound          = newLocalResponse(404, "no-route", "No such path", "The description has no such path.", true)
@@ -41,14 +51,15 @@
 	bodyTooLarge          = newLocalResponse(413, "too-large", "Too large", "The body is larger than this front door holds.", true)
 )
 
-// appendLocalResponse appends an answer of this program to a request of the given method.
+// appendLocalResponse appends a response to a request of the given method and HTTP/1 version. A status of 400 or more has
+// a problem of RFC 9457 as its body. retryAfter, if above 0, becomes a Retry-After field where the configuration has that.
 func (s *Shared) appendLocalResponse(b []byte, response *localResponse, method string, minorVersion int, closeAfterResponse bool, retryAfter time.Duration) []byte {
 	b = http1.AppendStatus(b, response.Status, http1.StatusText(response.Status))
 	if retryAfter > 0 && s.Config.RetryAfter.Enabled {
 		b = append(b, "Retry-After: "...)
 		b = append(s.Protocol.AppendRetryAfter(b, retryAfter), '\r', '\n')
 	}
-	if response.Status < 400 { // nothing is wrong, and there is nothing more to say
+	if response.Status < 400 { // no problem to describe
 		b = http1.AppendLength(b, 0)
 		return append(appendConnectionField(b, minorVersion, closeAfterResponse), '\r', '\n')
 	}
@@ -56,32 +67,53 @@
 	if response.Status == 401 {
 		b = append(b, "WWW-Authenticate: Bearer\r\n"...)
 	}
-	retryField := "unknown"
+	retryAdvice := "unknown"
 	if response.RetryIsSafe {
-		retryField = "harmless"
+		retryAdvice = "harmless"
 	}
-	const a, c, d, e, f, z = `{"type":"urn:sandyard:problem:`, `","title":"`, `","status":`, `,"detail":"`, `","retry":"`, "\"}\n"
-	length := len(a) + len(response.Kind) + len(c) + len(response.Title) + len(d) + 3 + len(e) + len(response.Detail) + len(f) + len(retryField) + len(z)
-	b = http1.AppendLength(b, int64(length))
+	b = http1.AppendLength(b, int64(problemLength(response, retryAdvice)))
 	b = appendConnectionField(b, minorVersion, closeAfterResponse)
 	b = append(b, '\r', '\n')
 	if method == "HEAD" {
 		return b
 	}
-	b = append(b, a...)
+	return appendProblem(b, response, retryAdvice)
+}
+
+// The pieces of a problem's JSON between its values, which hold nothing that JSON escapes.
+const (
+	problemType   = `{"type":"urn:sandyard:problem:`
+	problemTitle  = `","title":"`
+	problemStatus = `","status":`
+	problemDetail = `,"detail":"`
+	problemRetry  = `","retry":"`
+	problemEnd    = "\"}\n"
+
+	statusDigits = 3
+)
+
+// problemLength returns the length of what appendProblem appends, in bytes.
+func problemLength(response *localResponse, retryAdvice string) int {
+	pieces := len(problemType) + len(problemTitle) + len(problemStatus) + len(problemDetail) + len(problemRetry) + len(problemEnd)
+	return pieces + len(response.Kind) + len(response.Title) + statusDigits + len(response.Detail) + len(retryAdvice)
+}
+
+// appendProblem appends a response's body.
+func appendProblem(b []byte, response *localResponse, retryAdvice string) []byte {
+	b = append(b, problemType...)
 	b = append(b, response.Kind...)
-	b = append(b, c...)
+	b = append(b, problemTitle...)
 	b = append(b, response.Title...)
-	b = append(b, d...)
+	b = append(b, problemStatus...)
 	b = strconv.AppendInt(b, int64(response.Status), 10)
-	b = append(b, e...)
+	b = append(b, problemDetail...)
 	b = append(b, response.Detail...)
-	b = append(b, f...)
-	b = append(b, retryField...)
-	return append(b, z...)
+	b = append(b, problemRetry...)
+	b = append(b, retryAdvice...)
+	return append(b, problemEnd...)
 }
 
-// appendConnectionField says what becomes of the connection, where it is not what the version says by itself.
+// appendConnectionField appends a Connection field where what becomes of the connection is not the version's default.
 func appendConnectionField(b []byte, minorVersion int, closeAfterResponse bool) []byte {
 	switch {
 	case closeAfterResponse:
@@ -92,7 +124,7 @@
 	return b
 }
 
-// TooManyConnections is the answer to a connection beyond limits.connections, which is closed after it.
+// TooManyConnections returns the response to a connection beyond limits.connections, which is closed after it.
 func (s *Shared) TooManyConnections() []byte {
-	return s.appendLocalResponse(nil, &tooManyConnections, "GET", 1, true, time.Second)
+	return s.appendLocalResponse(nil, &tooManyConnections, "GET", 1, true, localRetryAfter)
 }
--- a/proxy/roundtrip.go
+++ b/proxy/roundtrip.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// roundTripMemory is how long a shortest round trip stands: a route that became longer is believed after one to two of it. Long
-// enough that a box whose connections are slow to be made for being overloaded is not taken to be far away meanwhile.
+// roundTripMemory is how long a shortest round trip holds; a route that became longer is believed after one to two of it. It
+// is long enough that a backend whose connections are slow to be made because it is overloaded is not taken to be far away.
 const roundTripMemory = time.Minute
 
-// roundTripEstimate knows how long the network takes to a box and back: the least time in which a line to it was made lately. Making
-// one is up to the box's system, not to what waits at the box, so that the least of many is the round trip alone.
+// roundTripEstimate estimates the network's round trip to a backend: the shortest time in which a connection to it was made
+// lately. Connections are made by the backend's operating system, not by the process with its queue, so that the shortest
+// of many is the round trip alone.
 type roundTripEstimate struct {
-	least       [2]time.Duration // of the running minute, and of the one before it; 0: no line was made
-	windowStart time.Duration
+	least       [2]time.Duration // of the window under way, and of the one before it; 0: no connection was made
+	windowStart time.Duration    // a window lasts roundTripMemory
 }
 
-// add takes in how long a line took to be made.
+// add takes in how long a connection took to be made.
 func (estimate *roundTripEstimate) add(took, now time.Duration) {
 	if now-estimate.windowStart >= roundTripMemory {
 		estimate.least[1], estimate.least[0], estimate.windowStart = estimate.least[0], 0, now
@@ -23,7 +24,7 @@
 	}
 }
 
-// shortest is the round trip; 0 if no line was made yet.
+// shortest returns the estimate; 0 if no connection was made yet.
 func (estimate *roundTripEstimate) shortest() time.Duration {
 	if estimate.least[0] == 0 || estimate.least[1] > 0 && estimate.least[1] < estimate.least[0] {
 		return estimate.least[1]
--- a/proxy/shared.go
+++ b/proxy/shared.go
@@ -8,43 +8,44 @@
 	"sandyard/internal/protocol"
 )
 
-// Start is the time at which a front door's clock begins in virtual time, and a stand-in's: well above zero, so that what happened before its
-// process started (a box's start, above all) has a time, too.
+// Start is the time at which an instance's clock begins in virtual time, and an emulator's. It is well above zero, so that
+// what happened before the process started, above all the start of a backend's process, has a time above zero, too.
 const Start = 24 * time.Hour
 
-// Shared is what the parts of one front door have in common. Its counters may be used by all goroutines.
+// Shared is what the parts of one instance have in common. All goroutines may use it; Config and Protocol are not changed
+// once the instance runs.
 type Shared struct {
 	Config                *config.Config
 	Protocol              protocol.Protocol
-	ReservedBytes         atomic.Int64 // bytes of bodies held
-	ClientConns           atomic.Int64 // connections
+	ReservedBytes         atomic.Int64 // memory held for requests, in bytes; bounded by limits.memory
+	ClientConns           atomic.Int64 // open client connections; counted by the runtime
 	starting              atomic.Bool
 	closingAfterResponses atomic.Bool
 	draining              atomic.Bool
 }
 
-// MarkStarting says that the front door has no list yet that it may go by: requests are refused, and it is not ready.
+// MarkStarting says that the instance has no endpoint list yet that it may go by: requests are answered 503.
 func (s *Shared) MarkStarting() { s.starting.Store(true) }
 
-// MarkStarted ends that.
+// MarkStarted ends what MarkStarting began.
 func (s *Shared) MarkStarted() { s.starting.Store(false) }
 
-// CloseAfterResponses begins the end: answers close their connections, but requests are still taken.
+// CloseAfterResponses begins the graceful shutdown: responses close their connections, and requests are still accepted.
 func (s *Shared) CloseAfterResponses() { s.closingAfterResponses.Store(true) }
 
-// closesAfterResponse tells whether answers close their connections.
+// closesAfterResponse reports whether responses close their connections.
 func (s *Shared) closesAfterResponse() bool { return s.closingAfterResponses.Load() }
 
-// Draining tells whether the front door is shutting down: it takes no more requests.
+// Draining reports whether requests are not accepted any more.
 func (s *Shared) Draining() bool { return s.draining.Load() }
 
-// RejectNewRequests ends the taking of requests: new ones are refused, and answers close their connections.
+// RejectNewRequests continues the graceful shutdown: new requests are answered 503, and responses close their connections.
 func (s *Shared) RejectNewRequests() {
 	s.closingAfterResponses.Store(true)
 	s.draining.Store(true)
 }
 
-// reserve takes room for n bytes, if limits.memory has it.
+// reserve reserves n bytes of limits.memory, and reports false where less is left.
 func (s *Shared) reserve(n int) bool {
 	if s.ReservedBytes.Add(int64(n)) > int64(s.Config.Limits.Memory) {
 		s.ReservedBytes.Add(-int64(n))
@@ -53,4 +54,5 @@
 	return true
 }
 
+// release gives n reserved bytes back.
 func (s *Shared) release(n int) { s.ReservedBytes.Add(-int64(n)) }
