--- a/internal/codecheck/main.go
+++ b/internal/codecheck/main.go
@@ -1,6 +1,6 @@
 // Command codecheck reads the Go files below a folder and refuses what readers of the code should not meet: identifiers
-// with words that were withdrawn in favour of the field's terms (docs/glossary.md), and exported items without a doc
-// comment. It prints the counts that the project watches: long functions, long files and errors without a type.
+// with words that were withdrawn in favour of the field's terms (docs/glossary.md), exported items without a doc comment, and
+// pages that name tests or Go files that are not there. It prints the counts that the project watches: long functions, long files and errors without a type.
 //
 //	go run ./internal/codecheck [-exceptions FILE] [FOLDER]
 //
@@ -45,6 +45,9 @@
 	if err := report.readFolder(folder); err != nil {
 		return err
 	}
+	if err := report.readPages(folder); err != nil {
+		return err
+	}
 	refused := false
 	for _, use := range report.wordUses {
 		if !allowed.allow(use) {
@@ -60,6 +63,10 @@
 		refused = true
 		fmt.Fprintf(out, "%s:%d: exported %s has no doc comment\n", item.file, item.line, item.name)
 	}
+	for _, missing := range report.missing {
+		refused = true
+		fmt.Fprintf(out, "%s:%d: the code has no %s\n", missing.page, missing.line, missing.name)
+	}
 	report.printCounts(out)
 	if refused {
 		return errRefused
--- a/internal/codecheck/main_test.go
+++ b/internal/codecheck/main_test.go
@@ -99,3 +99,27 @@
 		}
 	}
 }
+
+// TestPagesNameWhatIsThere: a test that was renamed leaves a page that names nothing behind; pages that record what was once
+// measured keep the names of then.
+func TestPagesNameWhatIsThere(t *testing.T) {
+	folder := folderWith(t, map[string]string{
+		"a/a.go":                 "// Package a is one.\npackage a\n",
+		"a/a_test.go":            "package a\n\nfunc TestOne(t int) {}\n",
+		"docs/page.md":           "TestOne and TestGone\n`a/a.go`, `a/b.go`\n",
+		"docs/measurements/m.md": "TestFormer in `b/c.go`\n",
+		"CHANGELOG.md":           "TestFormer\n",
+	})
+	var out strings.Builder
+	if err := run(folder, "", &out); !errors.Is(err, errRefused) {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"docs/page.md:1: the code has no TestGone", "docs/page.md:2: the code has no a/b.go"} {
+		if !strings.Contains(out.String(), want) {
+			t.Errorf("expected %q in\n%s", want, &out)
+		}
+	}
+	if n := strings.Count(out.String(), "the code has no"); n != 2 {
+		t.Errorf("%d names are missing, expected 2:\n%s", n, &out)
+	}
+}
--- a/internal/codecheck/report.go
+++ b/internal/codecheck/report.go
@@ -50,9 +50,11 @@
 	errorsInPlace int // calls of errors.New and fmt.Errorf within functions
 	namedErrors   int // variables of a package that errors.New or fmt.Errorf made
 	errorTypes    int // types with a method Error
+	testNames     map[string]bool
+	missing       []missingName
 }
 
-func newReport() *report { return &report{files: token.NewFileSet()} }
+func newReport() *report { return &report{files: token.NewFileSet(), testNames: map[string]bool{}} }
 
 // readFolder takes in all Go files below a folder, but for those in testdata and in folders whose names begin with a dot.
 func (r *report) readFolder(folder string) error {
@@ -84,6 +86,7 @@
 	}
 	r.findWords(file, name)
 	if strings.HasSuffix(name, "_test.go") {
+		r.noteTests(file)
 		return nil
 	}
 	if r.files.Position(file.FileEnd).Line > longFile {
