--- a/decision/gateway.go
+++ b/decision/gateway.go
@@ -14,72 +14,72 @@
 
 // Tuned constants. Those that the design leaves open were set by measurement; docs/design.md has the record.
 const (
-	tick           = 50 * time.Millisecond  // housekeeping; well under any aim
-	period         = 300 * time.Millisecond // T of the loops: several service times, few per trouble
-	margin         = 20.0                   // G, gain margin of the loops
-	offeredOver    = 2 * time.Second        // smoothing of the work asked for and granted
-	justBelow      = 0.95                   // set point, as a share of the load where servers refuse
-	mostOver       = 1.3                    // U is read up to this: a jam is not more urgent for being long
-	slowest        = 0.4                    // expected wait, as a share of the aim, that counts as full load
-	tooSlow        = 0.8                    // the same at which an attempt is not begun
-	fullUse        = 1.0                    // reported use of processors that counts as full load
-	mostBad        = 0.35                   // share of bad attempts that counts as full load
-	window         = time.Second            // of the averages of the sensor
-	fewest         = 12.0                   // events that they hold at least: fewer are noise
-	slower         = 4.0                    // multiple of that for what a place in line takes
-	firstShare     = 0.15                   // first guess of a latency, as a share of the aim
-	leastOwn       = 0.1                    // share of an attempt's time that is the server's at least
-	mostUse        = 1.2                    // reports above these are taken as these
-	mostLine       = 1000.0                 // requests in work; reports above are taken as this
-	probeDear      = 0.05                   // price of a probe a request above which none is sent
-	reportLife     = 4 * time.Second        // without reports for this long there are none
-	linger         = time.Second            // how fast news fades
-	ownFew         = 5.0                    // own attempts out that weigh as much as the reports
-	trust          = 0.5                    // how long the rest of a quota is relied on, in its times
-	openFade       = 1.0                    // fading time of attempts out that were never taken back, in aims
-	askedPart      = 0.35                   // share of a ceiling that may be passed on by asking alone
-	forgotten      = 0.5                    // share of a total as heard, faded, below which it was lost
-	mostFades      = 45.0                   // life of a counter name in fading times, short of overflow
-	mostLife       = 50 * time.Second       // but no longer
-	awayShare      = 0.1                    // most of an aim that a client is told to stay away
-	mostWait       = 1.0                    // seconds until a customer beyond its quota is asked about again
-	addEvery       = 250 * time.Millisecond // how long use is kept before it is added
-	worthTelling   = 0.1                    // share of a quota from which use waits for a call
-	askLess        = 0.85                   // factor on the chance of a call after a refused answer
-	askSlow        = 0.6                    // and after a slow one or none: the counter works for nobody
-	askMore        = 1.06                   // and after a good one
-	askFast        = 1.25                   // and when the last slow or refused one is past by askCalm
-	askCalm        = 4 * time.Second        // long enough for the counter to have recovered
-	blind          = 0.4                    // share of its chance to be inside that a blind try counts
-	memory         = 5 * time.Second        // over which a gateway remembers what was asked of it
-	prior          = 0.5                    // requests that the pool counts beside what was asked here
-	leastAsking    = 0.15                   // least chance of a call
-	bearable       = 0.3                    // share of what pushes a cold server over that it is sent at most
-	luck           = 4.0                    // roots of what a cold server gets, left free for chance
-	works          = 12.0                   // times the share of good answers: from 1 on a server works
-	atOnce         = 0.3                    // of that in the stated time, what may come at once
-	otherZone      = 1.005                  // factor on the expected wait in another zone
-	choices        = 3                      // servers compared for one attempt
-	mostDraws      = 24                     // draws to find them
-	moreChoices    = 6.0                    // further ones, times the share of attempts that fail
-	healthMemory   = 10 * time.Second       // how long a server's failures and answers are remembered
-	healthPrior    = 0.5                    // attempts that the rate of failures anywhere counts beside them
-	riskCost       = 1.0                    // a sure failure as a wait, in aims
-	stallTimes     = 4.0                    // silence, in usual latencies, after which a server is suspected
-	patience       = 8.0                    // deviations above the mean latency that an attempt may take
-	keySafe        = 0.9                    // share of a key's life that is relied on, for drift and the way
-	smoothing      = 0.05                   // weight of a new latency
-	mostSlow       = 10.0                   // a server is taken to be slower by this at most
-	slownessWeight = 0.03                   // weight of one latency in a server's slowness
-	nameLife       = time.Minute            // life of a counter name, more than mostLife
-	sweepAtOnce    = 20                     // customers looked at in a tick
-	customerTTL    = 60 * time.Second       // a customer idle for this long is forgotten
-	leftover       = 30 * time.Second       // an attempt never heard of is forgotten this long after its end
+	housekeepingInterval   = 50 * time.Millisecond  // housekeeping; well under any aim
+	controlPeriod          = 300 * time.Millisecond // T of the loops: several service times, few per trouble
+	controlGainMargin      = 20.0                   // G, gain margin of the loops
+	workAverageTime        = 2 * time.Second        // smoothing of the work asked for and granted
+	utilizationSetPoint    = 0.95                   // set point, as a share of the load where servers refuse
+	maxUtilization         = 1.3                    // U is read up to this: a jam is not more urgent for being long
+	fullLoadWait           = 0.4                    // expected wait, as a share of the aim, that counts as full load
+	maxExpectedWait        = 0.8                    // the same at which an attempt is not begun
+	fullLoadCPU            = 1.0                    // reported use of processors that counts as full load
+	fullLoadBadShare       = 0.35                   // share of bad attempts that counts as full load
+	loadWindow             = time.Second            // of the averages of the sensor
+	minSamples             = 12.0                   // events that they hold at least: fewer are noise
+	latencySampleFactor    = 4.0                    // multiple of that for what a place in line takes
+	initialLatencyShare    = 0.15                   // first guess of a latency, as a share of the aim
+	minBackendTimeShare    = 0.1                    // share of an attempt's time that is the server's at least
+	maxReportedCPU         = 1.2                    // reports above these are taken as these
+	maxReportedInFlight    = 1000.0                 // requests in work; reports above are taken as this
+	maxProbeCost           = 0.05                   // price of a probe a request above which none is sent
+	loadReportTTL          = 4 * time.Second        // without reports for this long there are none
+	loadFadeTime           = time.Second            // how fast news fades
+	ownInFlightPrior       = 5.0                    // own attempts out that weigh as much as the reports
+	quotaTrustFactor       = 0.5                    // how long the rest of a quota is relied on, in its times
+	inFlightFadeFactor     = 1.0                    // fading time of attempts out that were never taken back, in aims
+	ceilingCounterShare    = 0.35                   // share of a ceiling that may be passed on by asking alone
+	counterResetRatio      = 0.5                    // share of a total as heard, faded, below which it was lost
+	maxCounterNameFades    = 45.0                   // life of a counter name in fading times, short of overflow
+	maxCounterNamePeriod   = 50 * time.Second       // but no longer
+	maxRetryAfterShare     = 0.1                    // most of an aim that a client is told to stay away
+	maxOverQuotaWait       = 1.0                    // seconds until a customer beyond its quota is asked about again
+	pendingUseDelay        = 250 * time.Millisecond // how long use is kept before it is added
+	pendingUseKeepShare    = 0.1                    // share of a quota from which use waits for a call
+	rejectedCallFactor     = 0.85                   // factor on the chance of a call after a refused answer
+	slowCallFactor         = 0.6                    // and after a slow one or none: the counter works for nobody
+	goodCallFactor         = 1.06                   // and after a good one
+	recoveryCallFactor     = 1.25                   // and when the last slow or refused one is past by counterRecoveryTime
+	counterRecoveryTime    = 4 * time.Second        // long enough for the counter to have recovered
+	unconfirmedQuotaWeight = 0.4                    // share of its chance to be inside that a blind try counts
+	demandMemory           = 5 * time.Second        // over which a gateway remembers what was asked of it
+	demandPrior            = 0.5                    // requests that the pool counts beside what was asked here
+	minCallProbability     = 0.15                   // least chance of a call
+	slowStartLoadShare     = 0.3                    // share of what pushes a cold server over that it is sent at most
+	confidenceMargin       = 4.0                    // roots of what a cold server gets, left free for chance
+	workingBackendFactor   = 12.0                   // times the share of good answers: from 1 on a server works
+	slowStartBurstShare    = 0.3                    // of that in the stated time, what may come at once
+	otherZoneFactor        = 1.005                  // factor on the expected wait in another zone
+	candidatesPerChoice    = 3                      // servers compared for one attempt
+	maxDraws               = 24                     // draws to find them
+	extraCandidates        = 6.0                    // further ones, times the share of attempts that fail
+	failureMemory          = 10 * time.Second       // how long a server's failures and answers are remembered
+	failurePrior           = 0.5                    // attempts that the rate of failures anywhere counts beside them
+	failureCost            = 1.0                    // a sure failure as a wait, in aims
+	suspectLatencies       = 4.0                    // silence, in usual latencies, after which a server is suspected
+	timeoutDeviations      = 8.0                    // deviations above the mean latency that an attempt may take
+	keyTTLShare            = 0.9                    // share of a key's life that is relied on, for drift and the way
+	latencySmoothing       = 0.05                   // weight of a new latency
+	maxSlowness            = 10.0                   // a server is taken to be slower by this at most
+	slownessWeight         = 0.03                   // weight of one latency in a server's slowness
+	counterNameTTL         = time.Minute            // life of a counter name, more than maxCounterNamePeriod
+	customersPerSweep      = 20                     // customers looked at in a tick
+	customerIdleTTL        = 60 * time.Second       // a customer idle for this long is forgotten
+	lostAttemptTTL         = 30 * time.Second       // an attempt never heard of is forgotten this long after its end
 )
 
 // New makes a gateway. The actions are its first ones.
 func New(set Settings, seed uint64, now time.Duration) (*Gateway, []Action, error) {
-	if err := check(set); err != nil {
+	if err := validate(set); err != nil {
 		return nil, nil, err
 	}
 	if !(set.SlowStartShare > 0) || set.SlowStartShare > 1 {
@@ -89,472 +89,472 @@
 	set.MaxUnits = max(1, set.MaxUnits)
 	set.Plans = append(slices.Clone(set.Plans), Plan{WeightFactor: 1}) // for plans that were not described
 	random := rand.NewPCG(seed, 0)
-	g := &Gateway{set: set, random: random, rng: rand.New(random), now: now,
-		asking: 1, customers: map[string]*customer{}, calls: map[string][]call{},
-		servers: map[BackendID]*server{}, requests: map[RequestID]*request{}}
-	few := average{least: fewest, window: window.Seconds(), fade: linger.Seconds(), at: now}
+	g := &Gateway{settings: set, randomSource: random, rng: rand.New(random), now: now,
+		callProbability: 1, customers: map[string]*customerRecord{}, counterCalls: map[string][]counterCall{},
+		backends: map[BackendID]*backendRecord{}, requests: map[RequestID]*requestRecord{}}
+	few := movingAverage{minSamples: minSamples, window: loadWindow.Seconds(), fadeTime: loadFadeTime.Seconds(), updatedAt: now}
 	many := few
-	many.least *= slower
+	many.minSamples *= latencySampleFactor
 	for _, c := range set.Classes {
-		g.failing = append(g.failing, many)
-		first := c.LatencyObjective.Seconds() * firstShare
-		g.latency = append(g.latency, latency{mean: first, dev: first})
-	}
-	g.sensor = sensor{sampled: now, line: few, use: few, bad: few, took: many, place: many}
-	g.sensor.took.value, g.sensor.took.weight = firstShare, 1
-	g.sensor.place.value, g.sensor.place.weight = 1, 1
-	g.told, g.borne, g.able, g.picked, g.tried = many, few, few, few, few
-	g.told.add(1, now)
+		g.classFailureRate = append(g.classFailureRate, many)
+		first := c.LatencyObjective.Seconds() * initialLatencyShare
+		g.classLatency = append(g.classLatency, latencyEstimate{mean: first, deviation: first})
+	}
+	g.load = loadEstimator{sampledAt: now, reportedInFlight: few, reportedCPU: few, badShare: few, latencyRatio: many, queuePosition: many}
+	g.load.latencyRatio.value, g.load.latencyRatio.weight = initialLatencyShare, 1
+	g.load.queuePosition.value, g.load.queuePosition.weight = 1, 1
+	g.reportedUseShare, g.throughput, g.effectiveCapacity, g.pickRate, g.choiceRate = many, few, few, few, few
+	g.reportedUseShare.add(1, now)
 	// until more is known, all gateways together send a server one after the other
-	g.pace = 1 / (max(tick, set.Classes[0].LatencyObjective).Seconds() * firstShare * float64(set.Instances))
-	g.borne.add(g.pace, now)
-	g.able.add(1, now)
-	for _, p := range g.set.Plans {
-		g.dear = max(g.dear, p.WeightFactor)
-		g.quotas, g.lets = append(g.quotas, g.quotaOf(p)), append(g.lets, many)
-	}
-	g.rankClasses()
-	g.subscribe = set.Subscribe
-	g.tick()
-	return g, g.out, nil
+	g.serviceRate = 1 / (max(housekeepingInterval, set.Classes[0].LatencyObjective).Seconds() * initialLatencyShare * float64(set.Instances))
+	g.throughput.add(g.serviceRate, now)
+	g.effectiveCapacity.add(1, now)
+	for _, p := range g.settings.Plans {
+		g.maxPlanWeight = max(g.maxPlanWeight, p.WeightFactor)
+		g.planQuotas, g.insideShare = append(g.planQuotas, g.planQuotaOf(p)), append(g.insideShare, many)
+	}
+	g.buildControllers()
+	g.watchPending = set.Subscribe
+	g.housekeeping()
+	return g, g.actions, nil
 }
 
 // Handle takes in an event and returns what to do now. Events that name what is unknown or over are ignored.
 func (g *Gateway) Handle(e Event, now time.Duration) []Action {
-	g.now, g.out = max(g.now, now), nil
+	g.now, g.actions = max(g.now, now), nil
 	switch e := e.(type) {
 	case RequestArrived:
-		g.arrived(e)
+		g.handleRequest(e)
 	case ClientDisconnected:
 		if r := g.requests[e.Request]; r != nil && !r.ended {
-			g.end(r, false)
+			g.finish(r, false)
 		}
 	case AttemptEnded:
-		g.attemptEnded(e)
+		g.handleAttemptEnd(e)
 	case StreamStarted:
 		if r := g.requests[e.Request]; r != nil && !r.ended {
 			r.streaming = true
 		}
 	case ProbeEnded:
-		if g.servers[e.Backend] != nil && e.Outcome == OK {
-			g.report(e.Load)
+		if g.backends[e.Backend] != nil && e.Outcome == OK {
+			g.recordLoadReport(e.Load)
 		}
 	case CounterReplied:
-		g.counted(e)
+		g.handleCounterReply(e)
 	case EndpointsChanged:
-		g.serversChanged(e)
+		g.handleEndpoints(e)
 	case TimerFired:
 		switch e.Timer.Kind {
 		case TickTimer:
-			g.tick()
+			g.housekeeping()
 		case DeadlineTimer:
-			g.deadline(e.Timer.Request)
+			g.handleDeadline(e.Timer.Request)
 		}
 	}
-	return g.out
+	return g.actions
 }
 
-func (g *Gateway) do(a Action) { g.out = append(g.out, a) }
+func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
-func (g *Gateway) tick() {
-	g.do(SetTimer{At: g.now + tick, Timer: Timer{Kind: TickTimer}})
-	g.addUse()
-	g.sweep()
-	if g.now-g.sensor.sampled < period {
+func (g *Gateway) housekeeping() {
+	g.emit(SetTimer{At: g.now + housekeepingInterval, Timer: Timer{Kind: TickTimer}})
+	g.flushPendingUse()
+	g.sweepIdleCustomers()
+	if g.now-g.load.sampledAt < controlPeriod {
 		return
 	}
-	g.control()
-	if g.subscribe { // not at once after a failure: many gateways hear of it together
-		g.subscribe = false
-		g.do(WatchEndpoints{})
+	g.updateControllers()
+	if g.watchPending { // not at once after a failure: many gateways hear of it together
+		g.watchPending = false
+		g.emit(WatchEndpoints{})
 	}
 	// one probe at a time, so that each server is heard of within a report's life
-	if n := len(g.list); n > 0 && g.set.Probes && g.set.LoadByProbe && g.set.ProbeCost < probeDear {
-		g.turn++
-		g.do(Probe{Backend: g.list[g.turn%n].Backend})
+	if n := len(g.upBackends); n > 0 && g.settings.Probes && g.settings.LoadByProbe && g.settings.ProbeCost < maxProbeCost {
+		g.probeTurn++
+		g.emit(Probe{Backend: g.upBackends[g.probeTurn%n].Backend})
 	}
 }
 
 // 1. Sensor: how loaded the back end is.
 
-// report takes in a server's load. Figures that no server can have are not taken.
-func (g *Gateway) report(load []float64) {
-	for i, f := range g.set.LoadFields {
-		if i >= len(load) || anyBad(load[i]) {
+// recordLoadReport takes in a server's load. Figures that no server can have are not taken.
+func (g *Gateway) recordLoadReport(load []float64) {
+	for i, f := range g.settings.LoadFields {
+		if i >= len(load) || anyInvalid(load[i]) {
 			continue
 		}
 		switch f {
 		case FieldUtil:
-			g.sensor.use.add(min(load[i], mostUse), g.now)
+			g.load.reportedCPU.add(min(load[i], maxReportedCPU), g.now)
 		case FieldInFlight:
-			g.sensor.line.add(min(load[i], mostLine), g.now)
+			g.load.reportedInFlight.add(min(load[i], maxReportedInFlight), g.now)
 		}
 	}
 }
 
-// inLine is the number of requests in work at a server: what was reported lately, and what this gateway has
+// queueLength is the number of requests in work at a server: what was reported lately, and what this gateway has
 // out, taken as its share. That is known at once but says little where it is few.
-func (g *Gateway) inLine() float64 {
-	told, out := g.sensor.line.now(g.now), float64(g.open)
-	own := out * float64(g.set.Instances) / float64(max(1, len(g.list)))
-	return told + (own-told)*out/(out+ownFew)
+func (g *Gateway) queueLength() float64 {
+	told, out := g.load.reportedInFlight.current(g.now), float64(g.inFlight)
+	own := out * float64(g.settings.Instances) / float64(max(1, len(g.upBackends)))
+	return told + (own-told)*out/(out+ownInFlightPrior)
 }
 
-// wait is what to expect of a new attempt anywhere, as a share of its aim: what a place in line takes, times
+// expectedWait is what to expect of a new attempt anywhere, as a share of its aim: what a place in line takes, times
 // the line that servers report. It rises with the line at once, long before slow answers come back. Without
 // reports it is what attempts took.
-func (g *Gateway) wait() float64 {
-	return g.sensor.took.value * (g.inLine() + 1) / g.sensor.place.value
+func (g *Gateway) expectedWait() float64 {
+	return g.load.latencyRatio.value * (g.queueLength() + 1) / g.load.queuePosition.value
 }
 
-// lineAt is the number of requests in work at one server: the mean, and what this gateway has there. What a
+// queueLengthAt is the number of requests in work at one server: the mean, and what this gateway has there. What a
 // server reported of itself is not used: many would go where the line was short.
-func (g *Gateway) lineAt(s *server) float64 {
-	n := float64(g.set.Instances)
-	others := g.inLine()
-	others += (float64(s.open)*n - others) / n
-	return others*(n-1)/n + float64(s.open)
+func (g *Gateway) queueLengthAt(backend *backendRecord) float64 {
+	instances := float64(g.settings.Instances)
+	others := g.queueLength()
+	others += (float64(backend.inFlight)*instances - others) / instances
+	return others*(instances-1)/instances + float64(backend.inFlight)
 }
 
-// expect is what to expect of a new attempt at one server, as a share of its aim.
-func (g *Gateway) expect(s *server) float64 {
-	return g.sensor.took.value / g.sensor.place.value * (g.lineAt(s) + 1) * s.slowness
+// expectedWaitAt is what to expect of a new attempt at one server, as a share of its aim.
+func (g *Gateway) expectedWaitAt(backend *backendRecord) float64 {
+	return g.load.latencyRatio.value / g.load.queuePosition.value * (g.queueLengthAt(backend) + 1) * backend.slowness
 }
 
-// estimate gives U, where 1 is the load at which servers refuse or are too slow: halfway between the wait to
+// utilization gives U, where 1 is the load at which servers refuse or are too slow: halfway between the wait to
 // expect and the use that servers report, or the wait alone where none do. What is refused, timed out or
 // late counts whatever they say.
-func (g *Gateway) estimate() float64 {
-	u := g.wait() / slowest
-	if use := &g.sensor.use; use.weight > 0 && g.now-use.at < reportLife {
-		u = (u + use.value/fullUse) / 2
+func (g *Gateway) utilization() float64 {
+	utilization := g.expectedWait() / fullLoadWait
+	if use := &g.load.reportedCPU; use.weight > 0 && g.now-use.updatedAt < loadReportTTL {
+		utilization = (utilization + use.value/fullLoadCPU) / 2
 	}
-	return max(u, g.sensor.bad.now(g.now)/mostBad)
+	return max(utilization, g.load.badShare.current(g.now)/fullLoadBadShare)
 }
 
 // 2. Loops: the fraction of customers admitted, by priority class.
 
-// rankClasses gives each worth that a class under a plan can have its loop, and use beyond soft quotas the
+// buildControllers gives each worth that a class under a plan can have its loop, and use beyond soft quotas the
 // last.
-func (g *Gateway) rankClasses() {
+func (g *Gateway) buildControllers() {
 	var worths []float64
-	for _, c := range g.set.Classes {
-		for _, p := range g.set.Plans {
+	for _, c := range g.settings.Classes {
+		for _, p := range g.settings.Plans {
 			worths = append(worths, -c.PriorityWeight*p.WeightFactor)
 		}
 	}
 	slices.Sort(worths)
 	worths = slices.Compact(worths)
-	g.loops = slices.Repeat([]loop{{f: 1}}, len(worths)+1)
-	for _, c := range g.set.Classes {
+	g.controllers = slices.Repeat([]piController{{admitRatio: 1}}, len(worths)+1)
+	for _, c := range g.settings.Classes {
 		var row []int
-		for _, p := range g.set.Plans {
+		for _, p := range g.settings.Plans {
 			row = append(row, slices.Index(worths, -c.PriorityWeight*p.WeightFactor))
 		}
-		g.rank = append(g.rank, row)
+		g.controllerIndex = append(g.controllerIndex, row)
 	}
 }
 
-// control moves every f once a period. A class's set point is what the classes above it leave (section 5 of
+// updateControllers moves every f once a period. A class's set point is what the classes above it leave (section 5 of
 // the paper); U is split by the work admitted. In this incremental form the integrator halts at the bounds
 // of f. p_max, U over f at the set point, is the set point times what a class asks for over what all are
 // granted.
-func (g *Gateway) control() {
-	u := min(mostOver, g.estimate())
-	t := (g.now - g.sensor.sampled).Seconds()
-	g.sensor.sampled = g.now
-	g.learnPace(t)
-	ki := 5 * math.Pi / (3 * t) / math.Sqrt(3) // w over the root of 3
-	total := 0.0
-	for _, l := range g.loops {
-		total += l.work
-	}
-	keep := math.Exp(-t / offeredOver.Seconds())
-	left := justBelow
-	for i := range g.loops {
-		l := &g.loops[i]
-		own := 0.0
-		if total > 0 {
-			own = u * l.work / total
+func (g *Gateway) updateControllers() {
+	utilization := min(maxUtilization, g.utilization())
+	elapsed := (g.now - g.load.sampledAt).Seconds()
+	g.load.sampledAt = g.now
+	g.updateServiceRate(elapsed)
+	integralGain := 5 * math.Pi / (3 * elapsed) / math.Sqrt(3) // w over the root of 3
+	totalWork := 0.0
+	for _, controller := range g.controllers {
+		totalWork += controller.admittedWork
+	}
+	decay := math.Exp(-elapsed / workAverageTime.Seconds())
+	available := utilizationSetPoint
+	for i := range g.controllers {
+		controller := &g.controllers[i]
+		share := 0.0
+		if totalWork > 0 {
+			share = utilization * controller.admittedWork / totalWork
 		}
-		e := left - own
-		pmax := justBelow * max(l.asked, total/20) / max(total, 1e-9)
-		kp := math.Sqrt(3) / (2 * margin * pmax)
-		l.f = min(1, max(0, l.f+kp*(e-l.err+ki*t*e)))
-		l.err, l.work, l.asked = e, l.work*keep, l.asked*keep
-		left -= own
+		controlError := available - share
+		peakUtilization := utilizationSetPoint * max(controller.offeredWork, totalWork/20) / max(totalWork, 1e-9)
+		proportionalGain := math.Sqrt(3) / (2 * controlGainMargin * peakUtilization)
+		controller.admitRatio = min(1, max(0, controller.admitRatio+proportionalGain*(controlError-controller.lastError+integralGain*elapsed*controlError)))
+		controller.lastError, controller.admittedWork, controller.offeredWork = controlError, controller.admittedWork*decay, controller.offeredWork*decay
+		available -= share
 	}
 }
 
 // 3. Quota: each customer's plan, shared by its gateways through the counter.
 
 // planIndex is the plan of a request; the last, without limits, is for those that were not described.
-func (g *Gateway) planIndex(p PlanID) int { return int(min(uint(p), uint(len(g.set.Plans)-1))) }
+func (g *Gateway) planIndex(p PlanID) int { return int(min(uint(p), uint(len(g.settings.Plans)-1))) }
 
-// customer finds or makes the record. A new one gets the split of its burst, and of a ceiling the split of
+// findOrAddCustomer finds or makes the record. A new one gets the split of its burst, and of a ceiling the split of
 // its slack: it may have been drawn on until a moment ago.
-func (g *Gateway) customer(e RequestArrived) *customer {
-	c := g.customers[e.Customer]
-	if c == nil {
-		c = &customer{id: e.Customer, hash: hash(e.Customer), at: g.now, plan: g.planIndex(e.Plan)}
-		c.quota = &g.quotas[c.plan]
-		c.spread = float64(min(max(1, e.Spread), g.set.Instances))
-		c.asks = g.set.Counter && c.spread > 1 && c.quota.most > 0
-		c.level, c.ceiling = c.quota.burst/c.spread, g.set.Plans[c.plan].CeilingSlack/c.spread
-		g.customers[e.Customer] = c
-		g.roll = append(g.roll, c)
-	}
-	c.used = g.now
-	g.settle(c)
-	return c
+func (g *Gateway) findOrAddCustomer(event RequestArrived) *customerRecord {
+	customer := g.customers[event.Customer]
+	if customer == nil {
+		customer = &customerRecord{id: event.Customer, admissionHash: admissionHash(event.Customer), refilledAt: g.now, plan: g.planIndex(event.Plan)}
+		customer.quota = &g.planQuotas[customer.plan]
+		customer.instances = float64(min(max(1, event.Spread), g.settings.Instances))
+		customer.usesCounter = g.settings.Counter && customer.instances > 1 && customer.quota.maxTotal > 0
+		customer.tokens, customer.ceilingTokens = customer.quota.burst/customer.instances, g.settings.Plans[customer.plan].CeilingSlack/customer.instances
+		g.customers[event.Customer] = customer
+		g.customerList = append(g.customerList, customer)
+	}
+	customer.lastUsedAt = g.now
+	g.refillTokens(customer)
+	return customer
 }
 
-// quotaOf says how the use of a plan's customers is counted: as a total that fades so fast that a customer
+// planQuotaOf says how the use of a plan's customers is counted: as a total that fades so fast that a customer
 // who spends at the rate of the plan keeps it at the burst; for a plan that limits attempts out, so fast that
 // it stands for those. Then one answer of the counter tells the customer's recent use by all gateways.
-func (g *Gateway) quotaOf(p Plan) quota {
-	q := quota{rate: p.Rate, burst: p.Burst}
-	if p.CeilingRate > 0 && q.rate == 0 {
-		q.rate, q.burst = p.CeilingRate, p.CeilingBurst
-	}
-	q.most = q.burst
-	if q.rate == 0 {
-		q.most = float64(p.MaxInFlight)
-		for _, c := range g.set.Classes {
-			q.fade += openFade * max(c.LatencyObjective, tick).Seconds() / float64(len(g.set.Classes))
+func (g *Gateway) planQuotaOf(plan Plan) planQuota {
+	quota := planQuota{rate: plan.Rate, burst: plan.Burst}
+	if plan.CeilingRate > 0 && quota.rate == 0 {
+		quota.rate, quota.burst = plan.CeilingRate, plan.CeilingBurst
+	}
+	quota.maxTotal = quota.burst
+	if quota.rate == 0 {
+		quota.maxTotal = float64(plan.MaxInFlight)
+		for _, class := range g.settings.Classes {
+			quota.fadeTime += inFlightFadeFactor * max(class.LatencyObjective, housekeepingInterval).Seconds() / float64(len(g.settings.Classes))
 		}
-		return q
+		return quota
 	}
-	q.fade = max(tick.Seconds(), q.burst/q.rate)
-	return q
+	quota.fadeTime = max(housekeepingInterval.Seconds(), quota.burst/quota.rate)
+	return quota
 }
 
-// settle fills the splits of a customer's stores up to now. Of a ceiling, a part is kept for what is passed
+// refillTokens fills the splits of a customer's stores up to now. Of a ceiling, a part is kept for what is passed
 // on by asking when the split is empty.
-func (g *Gateway) settle(c *customer) {
-	dt, p, part := (g.now - c.at).Seconds(), g.set.Plans[c.plan], 1.0
-	if c.asks {
-		part -= askedPart
-	}
-	c.level = min(max(c.quota.burst/c.spread, g.set.MaxUnits), c.level+c.quota.rate/c.spread*dt)
-	c.ceiling = min(part*p.CeilingBurst/c.spread, c.ceiling+part*p.CeilingRate/c.spread*dt)
-	c.seen *= math.Exp(-dt / memory.Seconds())
-	c.at = g.now
+func (g *Gateway) refillTokens(customer *customerRecord) {
+	elapsed, plan, splitShare := (g.now - customer.refilledAt).Seconds(), g.settings.Plans[customer.plan], 1.0
+	if customer.usesCounter {
+		splitShare -= ceilingCounterShare
+	}
+	customer.tokens = min(max(customer.quota.burst/customer.instances, g.settings.MaxUnits), customer.tokens+customer.quota.rate/customer.instances*elapsed)
+	customer.ceilingTokens = min(splitShare*plan.CeilingBurst/customer.instances, customer.ceilingTokens+splitShare*plan.CeilingRate/customer.instances*elapsed)
+	customer.recentDemand *= math.Exp(-elapsed / demandMemory.Seconds())
+	customer.refilledAt = g.now
 }
 
-// weight is what a unit counts now in the total of a customer, and the name of that. Names change before
+// currentCounterName is what a unit counts now in the total of a customer, and the name of that. Names change before
 // numbers grow too large or are forgotten, those of different customers at different times.
-func (g *Gateway) weight(c *customer) (float64, string) {
-	life := min(mostLife.Seconds(), mostFades*c.quota.fade)
-	epoch, age := math.Modf(g.now.Seconds()/life + c.hash)
-	name := c.id
+func (g *Gateway) currentCounterName(customer *customerRecord) (float64, string) {
+	life := min(maxCounterNamePeriod.Seconds(), maxCounterNameFades*customer.quota.fadeTime)
+	epoch, age := math.Modf(g.now.Seconds()/life + customer.admissionHash)
+	name := customer.id
 	if len(name) > 40 { // names are bounded
-		name = strconv.FormatUint(math.Float64bits(c.hash), 36)
+		name = strconv.FormatUint(math.Float64bits(customer.admissionHash), 36)
 	}
-	return math.Exp(age * life / c.quota.fade), name + "." + strconv.FormatInt(int64(epoch), 36)
+	return math.Exp(age * life / customer.quota.fadeTime), name + "." + strconv.FormatInt(int64(epoch), 36)
 }
 
-// call adds units to a customer's total, with those that were not added before; r, if any, waits for it.
-func (g *Gateway) call(c *customer, units float64, r *request) {
-	w, name := g.weight(c)
-	rest := c.fresh
-	c.fresh = 0
-	if r != nil {
-		r.name, r.weight = name, w
-	}
-	g.calls[name] = append(g.calls[name], call{c: c, r: r, weight: w, units: rest, at: g.now})
-	g.do(AddToCounter{Name: name, Amount: (units + rest) * w, TTL: nameLife})
+// callCounter adds units to a customer's total, with those that were not added before; r, if any, waits for it.
+func (g *Gateway) callCounter(customer *customerRecord, units float64, request *requestRecord) {
+	unitWeight, name := g.currentCounterName(customer)
+	pending := customer.pendingUse
+	customer.pendingUse = 0
+	if request != nil {
+		request.counterName, request.counterWeight = name, unitWeight
+	}
+	g.counterCalls[name] = append(g.counterCalls[name], counterCall{customer: customer, request: request, unitWeight: unitWeight, pendingUnits: pending, sentAt: g.now})
+	g.emit(AddToCounter{Name: name, Amount: (units + pending) * unitWeight, TTL: counterNameTTL})
 }
 
-// takeBack undoes what was added for a request: refused in the end, or an attempt that is no longer out.
-func (g *Gateway) takeBack(r *request) {
-	r.told = false
-	k := call{c: r.customer, weight: r.weight, units: -r.units, at: g.now}
-	g.calls[r.name] = append(g.calls[r.name], k)
-	g.do(AddToCounter{Name: r.name, Amount: -r.units * r.weight, TTL: nameLife})
+// takeBackUnits undoes what was added for a request: refused in the end, or an attempt that is no longer out.
+func (g *Gateway) takeBackUnits(request *requestRecord) {
+	request.addedToCounter = false
+	call := counterCall{customer: request.customer, unitWeight: request.counterWeight, pendingUnits: -request.units, sentAt: g.now}
+	g.counterCalls[request.counterName] = append(g.counterCalls[request.counterName], call)
+	g.emit(AddToCounter{Name: request.counterName, Amount: -request.units * request.counterWeight, TTL: counterNameTTL})
 }
 
-// mayCall spends calls by chance when the counter is crowded: refused and slow answers lower the chance.
-func (g *Gateway) mayCall(worth float64) bool {
-	return g.asking == 1 || g.rng.Float64() < g.asking*worth
+// mayCallCounter spends calls by chance when the counter is crowded: refused and slow answers lower the chance.
+func (g *Gateway) mayCallCounter(priority float64) bool {
+	return g.callProbability == 1 || g.rng.Float64() < g.callProbability*priority
 }
 
-// standing judges a try by what is known: beyond the quota, until the total last heard can have faded enough;
+// checkQuota judges a try by what is known: beyond the quota, until the total last heard can have faded enough;
 // inside it, while others could not have used up the rest even at several times the rate.
-func (g *Gateway) standing(c *customer, units float64) standing {
-	p := g.set.Plans[c.plan]
-	left := (c.quota.most - c.total/g.told.value - c.fresh - units) / c.quota.most
+func (g *Gateway) checkQuota(customer *customerRecord, units float64) quotaVerdict {
+	plan := g.settings.Plans[customer.plan]
+	remaining := (customer.quota.maxTotal - customer.counterTotal/g.reportedUseShare.value - customer.pendingUse - units) / customer.quota.maxTotal
 	switch {
-	case p.MaxInFlight > 0 && c.open >= p.MaxInFlight:
-		return beyond
-	case !c.asks:
-		if p.Rate > 0 && c.level < units || p.MaxInFlight > 0 && float64(c.open) >= float64(p.MaxInFlight)/c.spread {
-			return beyond
+	case plan.MaxInFlight > 0 && customer.inFlight >= plan.MaxInFlight:
+		return quotaExceeded
+	case !customer.usesCounter:
+		if plan.Rate > 0 && customer.tokens < units || plan.MaxInFlight > 0 && float64(customer.inFlight) >= float64(plan.MaxInFlight)/customer.instances {
+			return quotaExceeded
 		}
-		return inside
-	case g.now < c.next:
-		return beyond
-	case c.quota.rate == 0 || c.heard == 0 || !c.ceilingHolds(p, units):
-	case (g.now - c.heard).Seconds() < trust*c.quota.fade*left:
-		return inside
-	}
-	return unknown
+		return quotaInside
+	case g.now < customer.overQuotaUntil:
+		return quotaExceeded
+	case customer.quota.rate == 0 || customer.counterTotalAt == 0 || !customer.ceilingAllows(plan, units):
+	case (g.now - customer.counterTotalAt).Seconds() < quotaTrustFactor*customer.quota.fadeTime*remaining:
+		return quotaInside
+	}
+	return quotaUnknown
 }
 
-// chance is how likely a try is inside the quota if nothing is asked: this gateway's split of the quota over
+// insideProbability is how likely a try is inside the quota if nothing is asked: this gateway's split of the quota over
 // the time of its memory, against what it was asked in that time; where attempts out are limited, as many as
 // can be over in that time. Where it hardly ever sees the customer, as many as the counter lets in of all
 // such tries.
-func (g *Gateway) chance(c *customer, class ClassID) float64 {
-	share := c.quota.rate / c.spread * memory.Seconds()
-	if c.quota.rate == 0 {
-		share = c.quota.most / max(tick.Seconds(), g.latency[class].mean) / c.spread * memory.Seconds()
+func (g *Gateway) insideProbability(customer *customerRecord, class ClassID) float64 {
+	share := customer.quota.rate / customer.instances * demandMemory.Seconds()
+	if customer.quota.rate == 0 {
+		share = customer.quota.maxTotal / max(housekeepingInterval.Seconds(), g.classLatency[class].mean) / customer.instances * demandMemory.Seconds()
 	}
-	return min(1, (prior*g.lets[c.plan].value+share)/(prior+c.seen))
+	return min(1, (demandPrior*g.insideShare[customer.plan].value+share)/(demandPrior+customer.recentDemand))
 }
 
-// guess decides on a try of which the counter tells nothing: let in where that is worth more than it costs.
-func (g *Gateway) guess(c *customer, class ClassID, units float64) bool {
-	p, chance := g.set.Plans[c.plan], g.chance(c, class)
+// decideWithoutCounter decides on a try of which the counter tells nothing: let in where that is worth more than it costs.
+func (g *Gateway) decideWithoutCounter(customer *customerRecord, class ClassID, units float64) bool {
+	plan, chance := g.settings.Plans[customer.plan], g.insideProbability(customer, class)
 	switch {
-	case !c.ceilingHolds(p, units):
+	case !customer.ceilingAllows(plan, units):
 		return false
-	case p.Rate == 0 && float64(p.MaxInFlight) >= c.spread:
-		return float64(c.open) < float64(p.MaxInFlight)/c.spread
-	case p.Rate > 0 && c.quota.burst >= c.spread*units:
-		return c.level >= units
+	case plan.Rate == 0 && float64(plan.MaxInFlight) >= customer.instances:
+		return float64(customer.inFlight) < float64(plan.MaxInFlight)/customer.instances
+	case plan.Rate > 0 && customer.quota.burst >= customer.instances*units:
+		return customer.tokens >= units
 	}
-	return chance*blind > (1-chance)*p.OverQuotaCost
+	return chance*unconfirmedQuotaWeight > (1-chance)*plan.OverQuotaCost
 }
 
-// ceilingHolds tells whether the split of a ceiling has room.
-func (c *customer) ceilingHolds(p Plan, units float64) bool {
-	return p.CeilingRate == 0 || units <= c.ceiling
+// ceilingAllows tells whether the split of a ceiling has room.
+func (customer *customerRecord) ceilingAllows(plan Plan, units float64) bool {
+	return plan.CeilingRate == 0 || units <= customer.ceilingTokens
 }
 
-// spend books the units of a first attempt that the counter has not been told of.
-func (g *Gateway) spend(c *customer, units float64) {
-	c.level = max(0, c.level-units)
-	c.ceiling -= units
-	if !c.asks || c.quota.rate == 0 {
+// spendTokens books the units of a first attempt that the counter has not been told of.
+func (g *Gateway) spendTokens(customer *customerRecord, units float64) {
+	customer.tokens = max(0, customer.tokens-units)
+	customer.ceilingTokens -= units
+	if !customer.usesCounter || customer.quota.rate == 0 {
 		return
 	}
-	g.addLater(c, units)
+	g.queuePendingUse(customer, units)
 }
 
-// addLater keeps units until they may be added.
-func (g *Gateway) addLater(c *customer, units float64) {
-	if c.fresh += units; !c.queued {
-		c.queued, c.addAt = true, g.now+addEvery
-		g.due = append(g.due, c)
+// queuePendingUse keeps units until they may be added.
+func (g *Gateway) queuePendingUse(customer *customerRecord, units float64) {
+	if customer.pendingUse += units; !customer.pendingUseQueued {
+		customer.pendingUseQueued, customer.pendingUseDueAt = true, g.now+pendingUseDelay
+		g.pendingUseQueue = append(g.pendingUseQueue, customer)
 	}
 }
 
-// addUse tells the counter what was spent without asking.
-func (g *Gateway) addUse() {
-	g.due = slices.DeleteFunc(g.due, func(c *customer) bool {
-		if g.now < c.addAt {
+// flushPendingUse tells the counter what was spent without asking.
+func (g *Gateway) flushPendingUse() {
+	g.pendingUseQueue = slices.DeleteFunc(g.pendingUseQueue, func(customer *customerRecord) bool {
+		if g.now < customer.pendingUseDueAt {
 			return false
 		}
-		if c.fresh != 0 {
-			told := g.mayCall(1)
-			if !told && c.fresh > worthTelling*c.quota.most { // it is kept, and fades as it would there
-				c.fresh *= math.Exp(-(g.now + addEvery - c.addAt).Seconds() / c.quota.fade)
-				c.addAt = g.now + addEvery
+		if customer.pendingUse != 0 {
+			reported := g.mayCallCounter(1)
+			if !reported && customer.pendingUse > pendingUseKeepShare*customer.quota.maxTotal { // it is kept, and fades as it would there
+				customer.pendingUse *= math.Exp(-(g.now + pendingUseDelay - customer.pendingUseDueAt).Seconds() / customer.quota.fadeTime)
+				customer.pendingUseDueAt = g.now + pendingUseDelay
 				return false
 			}
-			if g.told.add(one(told), g.now); told {
-				g.call(c, 0, nil)
+			if g.reportedUseShare.add(indicator(reported), g.now); reported {
+				g.callCounter(customer, 0, nil)
 			}
-			c.fresh = 0
+			customer.pendingUse = 0
 		}
-		c.queued = false
+		customer.pendingUseQueued = false
 		return true
 	})
 }
 
-func (g *Gateway) counted(e CounterReplied) {
-	line := g.calls[e.Name]
-	if len(line) == 0 {
+func (g *Gateway) handleCounterReply(event CounterReplied) {
+	calls := g.counterCalls[event.Name]
+	if len(calls) == 0 {
 		return
 	}
-	k := line[0]
-	if g.calls[e.Name] = line[1:]; len(line) == 1 {
-		delete(g.calls, e.Name)
+	call := calls[0]
+	if g.counterCalls[event.Name] = calls[1:]; len(calls) == 1 {
+		delete(g.counterCalls, event.Name)
 	}
-	total := max(0, e.Total) // what was taken back may leave a trace below nothing
-	c, ok := k.c, e.Outcome == OK && !anyBad(total)
-	if e.Outcome == TimedOut || g.now-k.at > g.set.CounterTimeout/2 {
-		g.asking, g.crowded = max(leastAsking, g.asking*askSlow), g.now
+	total := max(0, event.Total) // what was taken back may leave a trace below nothing
+	customer, ok := call.customer, event.Outcome == OK && !anyInvalid(total)
+	if event.Outcome == TimedOut || g.now-call.sentAt > g.settings.CounterTimeout/2 {
+		g.callProbability, g.counterOverloadedAt = max(minCallProbability, g.callProbability*slowCallFactor), g.now
 	} else if !ok {
-		g.asking, g.crowded = max(leastAsking, g.asking*askLess), g.now
-	} else if g.now-g.crowded > askCalm {
-		g.asking = min(1, g.asking*askFast)
+		g.callProbability, g.counterOverloadedAt = max(minCallProbability, g.callProbability*rejectedCallFactor), g.now
+	} else if g.now-g.counterOverloadedAt > counterRecoveryTime {
+		g.callProbability = min(1, g.callProbability*recoveryCallFactor)
 	} else {
-		g.asking = min(1, g.asking*askMore)
+		g.callProbability = min(1, g.callProbability*goodCallFactor)
 	}
-	if r := k.r; r != nil && r.ended && ok {
-		g.takeBack(r) // its client is gone
+	if request := call.request; request != nil && request.ended && ok {
+		g.takeBackUnits(request) // its client is gone
 	}
-	g.settle(c)
-	if k.units != 0 && (e.Outcome == Rejected || e.Outcome == ConnectFailed) {
-		g.addLater(c, k.units*math.Exp(-(g.now-k.at).Seconds()/c.quota.fade))
+	g.refillTokens(customer)
+	if call.pendingUnits != 0 && (event.Outcome == Rejected || event.Outcome == ConnectFailed) {
+		g.queuePendingUse(customer, call.pendingUnits*math.Exp(-(g.now-call.sentAt).Seconds()/customer.quota.fadeTime))
 	}
 	if !ok {
-		if k.r == nil || k.r.ended {
+		if call.request == nil || call.request.ended {
 			return
 		}
-		in := g.guess(c, k.r.class, k.r.units)
-		if e.Outcome == TimedOut && !in { // may have been added
-			g.takeBack(k.r)
+		inside := g.decideWithoutCounter(customer, call.request.class, call.request.units)
+		if event.Outcome == TimedOut && !inside { // may have been added
+			g.takeBackUnits(call.request)
 		}
-		g.admit(k.r, in, false)
+		g.admitOrShed(call.request, inside, false)
 		return
 	}
-	last := c.total * math.Exp(-(g.now-c.heard).Seconds()/c.quota.fade)
-	if c.heard > 0 && total/k.weight < forgotten*last { // it lets in too much until earlier use has faded
-		c.wary = g.now + time.Duration(c.quota.fade*float64(time.Second))
+	expected := customer.counterTotal * math.Exp(-(g.now-customer.counterTotalAt).Seconds()/customer.quota.fadeTime)
+	if customer.counterTotalAt > 0 && total/call.unitWeight < counterResetRatio*expected { // it lets in too much until earlier use has faded
+		customer.counterDistrustedUntil = g.now + time.Duration(customer.quota.fadeTime*float64(time.Second))
 	}
-	c.total, c.heard = total/k.weight, g.now
-	if k.r == nil || k.r.ended {
+	customer.counterTotal, customer.counterTotalAt = total/call.unitWeight, g.now
+	if call.request == nil || call.request.ended {
 		return
 	}
-	units := k.r.units
-	before := c.total - units
-	in := before/g.told.value+units/2 <= c.quota.most // half a request above as often as below
-	g.lets[c.plan].add(one(in), g.now)
-	if !in {
-		c.total = before
-		room := max(c.quota.most-units/2, units/2) * g.told.value
-		if c.quota.rate > 0 {
-			wait := min(mostWait, c.quota.fade*math.Log(max(1, before/room)))
-			c.next = g.now + time.Duration(wait*float64(time.Second))
+	units := call.request.units
+	before := customer.counterTotal - units
+	inside := before/g.reportedUseShare.value+units/2 <= customer.quota.maxTotal // half a request above as often as below
+	g.insideShare[customer.plan].add(indicator(inside), g.now)
+	if !inside {
+		customer.counterTotal = before
+		room := max(customer.quota.maxTotal-units/2, units/2) * g.reportedUseShare.value
+		if customer.quota.rate > 0 {
+			wait := min(maxOverQuotaWait, customer.quota.fadeTime*math.Log(max(1, before/room)))
+			customer.overQuotaUntil = g.now + time.Duration(wait*float64(time.Second))
 		}
-		if g.mayCall(1) {
-			g.takeBack(k.r)
+		if g.mayCallCounter(1) {
+			g.takeBackUnits(call.request)
 		}
 	}
-	p := g.set.Plans[c.plan]
-	if in && !c.ceilingHolds(p, units) && (g.now < c.wary || before+units > askedPart*p.CeilingBurst) {
-		k.r.why = OverQuota
-		g.takeBack(k.r)
-		g.end(k.r, true)
+	plan := g.settings.Plans[customer.plan]
+	if inside && !customer.ceilingAllows(plan, units) && (g.now < customer.counterDistrustedUntil || before+units > ceilingCounterShare*plan.CeilingBurst) {
+		call.request.rejectReason = OverQuota
+		g.takeBackUnits(call.request)
+		g.finish(call.request, true)
 		return
 	}
-	g.admit(k.r, in, true)
+	g.admitOrShed(call.request, inside, true)
 }
 
-// sweep forgets customers long idle, a few at a time.
-func (g *Gateway) sweep() {
-	for range min(sweepAtOnce, len(g.roll)) {
-		if g.swept++; g.swept >= len(g.roll) { // a remainder would stand still while the roll grows
-			g.swept = 0
+// sweepIdleCustomers forgets customers long idle, a few at a time.
+func (g *Gateway) sweepIdleCustomers() {
+	for range min(customersPerSweep, len(g.customerList)) {
+		if g.sweepPosition++; g.sweepPosition >= len(g.customerList) { // a remainder would stand still while the roll grows
+			g.sweepPosition = 0
 		}
-		i, last := g.swept, len(g.roll)-1
-		if c := g.roll[i]; g.now-c.used > customerTTL && c.open == 0 && !c.queued {
-			delete(g.customers, c.id)
-			g.roll[i] = g.roll[last]
-			if g.roll = g.roll[:last]; last == 0 {
+		i, last := g.sweepPosition, len(g.customerList)-1
+		if customer := g.customerList[i]; g.now-customer.lastUsedAt > customerIdleTTL && customer.inFlight == 0 && !customer.pendingUseQueued {
+			delete(g.customers, customer.id)
+			g.customerList[i] = g.customerList[last]
+			if g.customerList = g.customerList[:last]; last == 0 {
 				return
 			}
 		}
@@ -563,90 +563,90 @@
 
 // 4. Server choice and health.
 
-func (g *Gateway) serversChanged(e EndpointsChanged) {
-	if e.Failed {
-		g.subscribe = g.set.Subscribe
+func (g *Gateway) handleEndpoints(event EndpointsChanged) {
+	if event.Failed {
+		g.watchPending = g.settings.Subscribe
 		return
 	}
-	if e.Full {
-		for _, s := range g.list {
-			s.State = Removed
+	if event.Full {
+		for _, backend := range g.upBackends {
+			backend.State = Removed
 		}
 	}
-	for _, n := range e.Endpoints {
-		s := g.servers[n.Backend]
-		if s == nil && n.State == Removed {
+	for _, endpoint := range event.Endpoints {
+		backend := g.backends[endpoint.Backend]
+		if backend == nil && endpoint.State == Removed {
 			continue
 		}
-		if s == nil {
-			s = &server{slowness: 1, health: make([]health, len(g.set.Classes))}
-			g.servers[n.Backend] = s
+		if backend == nil {
+			backend = &backendRecord{slowness: 1, outcomes: make([]outcomeHistory, len(g.settings.Classes))}
+			g.backends[endpoint.Backend] = backend
 		}
-		if n.Started > s.Started && n.Started > 0 && n.Started+g.set.SlowStartTime > g.now {
-			s.cold, s.coldAt = true, n.Started
-			s.room, s.roomAt, s.need = 0, 0, g.rng.Float64()
-			clear(s.health)
+		if endpoint.Started > backend.Started && endpoint.Started > 0 && endpoint.Started+g.settings.SlowStartTime > g.now {
+			backend.warmingUp, backend.startedAt = true, endpoint.Started
+			backend.slowStartTokens, backend.slowStartRefilledAt, backend.slowStartThreshold = 0, 0, g.rng.Float64()
+			clear(backend.outcomes)
 		}
-		s.Endpoint = n
-		if n.State == Up && !slices.Contains(g.list, s) {
-			g.list = append(g.list, s)
+		backend.Endpoint = endpoint
+		if endpoint.State == Up && !slices.Contains(g.upBackends, backend) {
+			g.upBackends = append(g.upBackends, backend)
 		}
 	}
-	g.list = slices.DeleteFunc(g.list, func(s *server) bool {
-		if s.State == Removed && s.open == 0 {
-			delete(g.servers, s.Backend)
+	g.upBackends = slices.DeleteFunc(g.upBackends, func(backend *backendRecord) bool {
+		if backend.State == Removed && backend.inFlight == 0 {
+			delete(g.backends, backend.Backend)
 		}
-		return s.State != Up
+		return backend.State != Up
 	})
 }
 
-// warmth is the share of its capacity that a server is sure to have. It counts as cold for as long after it
+// capacityShare is the share of its capacity that a server is sure to have. It counts as cold for as long after it
 // is warm as is looked back on what it was sent.
-func (g *Gateway) warmth(s *server) float64 {
-	if !s.cold {
+func (g *Gateway) capacityShare(backend *backendRecord) float64 {
+	if !backend.warmingUp {
 		return 1
 	}
-	age := g.now - s.coldAt
-	s.cold = age < g.set.SlowStartTime+g.set.OverloadTime
-	return g.set.SlowStartShare + (1-g.set.SlowStartShare)*min(1, max(0, float64(age)/float64(max(1, g.set.SlowStartTime))))
+	age := g.now - backend.startedAt
+	backend.warmingUp = age < g.settings.SlowStartTime+g.settings.OverloadTime
+	return g.settings.SlowStartShare + (1-g.settings.SlowStartShare)*min(1, max(0, float64(age)/float64(max(1, g.settings.SlowStartTime))))
 }
 
-// risk is how likely an attempt of a class fails at a server: what it did to the last ones, an overdue answer
+// failureRisk is how likely an attempt of a class fails at a server: what it did to the last ones, an overdue answer
 // counted as a failure, weighed against how often they fail anywhere. Where failures are rare, one tells
 // much. Where many servers fail a class, those that answered it stand out. What all suffer changes nothing.
-func (g *Gateway) risk(s *server, class ClassID) float64 {
-	h := &s.health[class]
-	keep := math.Exp(-(g.now - h.at).Seconds() / healthMemory.Seconds())
-	fails, n := h.fails*keep, h.n*keep
-	if s.open > 0 && g.now > s.due {
-		fails, n = fails+1, n+1
-	}
-	return (g.failing[class].value*healthPrior + fails) / (healthPrior + n)
+func (g *Gateway) failureRisk(backend *backendRecord, class ClassID) float64 {
+	history := &backend.outcomes[class]
+	decay := math.Exp(-(g.now - history.updatedAt).Seconds() / failureMemory.Seconds())
+	failures, attempts := history.failures*decay, history.attempts*decay
+	if backend.inFlight > 0 && g.now > backend.answerDueAt {
+		failures, attempts = failures+1, attempts+1
+	}
+	return (g.classFailureRate[class].value*failurePrior + failures) / (failurePrior + attempts)
 }
 
-// judge takes an attempt's end into the health of its server: for its class, and a failure half for the
+// recordOutcome takes an attempt's end into the health of its server: for its class, and a failure half for the
 // others, since a server that hangs fails all.
-func (g *Gateway) judge(s *server, class ClassID, o Outcome) {
-	fail := 1.0
-	switch o {
+func (g *Gateway) recordOutcome(backend *backendRecord, class ClassID, outcome Outcome) {
+	failure := 1.0
+	switch outcome {
 	case OK:
-		fail = 0
+		failure = 0
 	case BackendError, TimedOut, ConnectFailed, ConnectionReset:
 	default:
 		return
 	}
-	g.failing[class].add(fail, g.now)
-	for i := range s.health {
-		h, w := &s.health[i], 1.0
+	g.classFailureRate[class].add(failure, g.now)
+	for i := range backend.outcomes {
+		history, weight := &backend.outcomes[i], 1.0
 		if ClassID(i) != class {
-			w = fail / 2
+			weight = failure / 2
 		}
-		keep := math.Exp(-(g.now - h.at).Seconds() / healthMemory.Seconds())
-		h.fails, h.n, h.at = h.fails*keep+fail*w, h.n*keep+w, g.now
+		decay := math.Exp(-(g.now - history.updatedAt).Seconds() / failureMemory.Seconds())
+		history.failures, history.attempts, history.updatedAt = history.failures*decay+failure*weight, history.attempts*decay+weight, g.now
 	}
 }
 
-// bears tells whether a cold server can bear one more attempt. All gateways together send it at most a share
+// slowStartAllows tells whether a cold server can bear one more attempt. All gateways together send it at most a share
 // of what pushes it over, in terms of the pace that servers are known to bear; less where that is so few
 // attempts that their number and work, up to chance, may come to several times what is meant. This one's part
 // is a bucket that fills at that rate. Where it never holds one attempt, chance decides each time that the
@@ -654,404 +654,406 @@
 // it allows, however seldom this gateway meets the server. That time counts up to what passes between two
 // attempts that meet it, and the first time as what passes between two picks, so that many gateways do not
 // come at once with what they saved up.
-func (g *Gateway) bears(s *server) bool {
-	if !s.cold || g.set.OverloadFactor <= 0 || g.set.OverloadTime <= 0 {
+func (g *Gateway) slowStartAllows(backend *backendRecord) bool {
+	if !backend.warmingUp || g.settings.OverloadFactor <= 0 || g.settings.OverloadTime <= 0 {
 		return true
 	}
-	limit := g.set.OverloadFactor * g.warmth(s) * g.pace // this one's part, in attempts a second
-	all := limit * float64(g.set.Instances) * g.set.OverloadTime.Seconds()
-	few := math.Sqrt(luck*luck+4*all) - luck // twice the root of what leaves room for luck
-	rate := limit * min(bearable, few*few/4/max(all, 1e-9))
-	most := rate * atOnce * g.set.OverloadTime.Seconds()
-	past := (g.now - s.roomAt).Seconds()
-	if most >= 1 {
-		s.room = min(most, s.room+rate*past*one(s.roomAt > 0))
+	limit := g.settings.OverloadFactor * g.capacityShare(backend) * g.serviceRate // this one's part, in attempts a second
+	all := limit * float64(g.settings.Instances) * g.settings.OverloadTime.Seconds()
+	few := math.Sqrt(confidenceMargin*confidenceMargin+4*all) - confidenceMargin // twice the root of what leaves room for luck
+	rate := limit * min(slowStartLoadShare, few*few/4/max(all, 1e-9))
+	maxTokens := rate * slowStartBurstShare * g.settings.OverloadTime.Seconds()
+	elapsed := (g.now - backend.slowStartRefilledAt).Seconds()
+	if maxTokens >= 1 {
+		backend.slowStartTokens = min(maxTokens, backend.slowStartTokens+rate*elapsed*indicator(backend.slowStartRefilledAt > 0))
 	} else {
-		between := g.allWarmth() / g.warmth(s)
-		if s.roomAt == 0 {
-			past = between / max(g.picked.value, g.picks/period.Seconds())
+		between := g.totalCapacityShare() / g.capacityShare(backend)
+		if backend.slowStartRefilledAt == 0 {
+			elapsed = between / max(g.pickRate.value, g.picksInPeriod/controlPeriod.Seconds())
 		} else {
-			past = min(past, between/max(g.tried.value, g.tries/period.Seconds()))
+			elapsed = min(elapsed, between/max(g.choiceRate.value, g.choicesInPeriod/controlPeriod.Seconds()))
 		}
-		s.room, s.need = one(g.rng.Float64() < rate*past), 1
+		backend.slowStartTokens, backend.slowStartThreshold = indicator(g.rng.Float64() < rate*elapsed), 1
 	}
-	s.roomAt = g.now
-	if s.room < s.need {
-		g.short = g.now + healthMemory
+	backend.slowStartRefilledAt = g.now
+	if backend.slowStartTokens < backend.slowStartThreshold {
+		g.heldBackUntil = g.now + failureMemory
 		return false
 	}
 	return true
 }
 
-// learnPace takes in what servers bore in a period: the good answers of those that work, for each of full
+// updateServiceRate takes in what servers bore in a period: the good answers of those that work, for each of full
 // warmth. One that is only overloaded still answers many; one that hangs, none. While attempts are held back
 // their number is no measure: then only failures make the pace smaller.
-func (g *Gateway) learnPace(t float64) {
-	sum := 0.0
-	for _, s := range g.list {
-		fails, n := healthPrior, 2*healthPrior
-		for _, h := range s.health {
-			fails, n = fails+h.fails, n+h.n
+func (g *Gateway) updateServiceRate(elapsed float64) {
+	capacity := 0.0
+	for _, backend := range g.upBackends {
+		failures, attempts := failurePrior, 2*failurePrior
+		for _, history := range backend.outcomes {
+			failures, attempts = failures+history.failures, attempts+history.attempts
 		}
-		sum += g.warmth(s) * min(1, works*(1-max(0, fails-healthPrior)/n))
+		capacity += g.capacityShare(backend) * min(1, workingBackendFactor*(1-max(0, failures-failurePrior)/attempts))
 	}
-	g.picked.add(g.picks/t, g.now)
-	g.tried.add(g.tries/t, g.now)
-	g.borne.add(g.good/t, g.now)
-	g.able.add(sum, g.now)
+	g.pickRate.add(g.picksInPeriod/elapsed, g.now)
+	g.choiceRate.add(g.choicesInPeriod/elapsed, g.now)
+	g.throughput.add(g.successesInPeriod/elapsed, g.now)
+	g.effectiveCapacity.add(capacity, g.now)
 	switch {
-	case g.now < g.short:
-		g.pace *= 1 - (1-(g.good+healthPrior)/(g.ends+healthPrior))/fewest
-	case g.able.value > 0:
-		g.pace = g.borne.value / g.able.value
+	case g.now < g.heldBackUntil:
+		g.serviceRate *= 1 - (1-(g.successesInPeriod+failurePrior)/(g.attemptsEndedInPeriod+failurePrior))/minSamples
+	case g.effectiveCapacity.value > 0:
+		g.serviceRate = g.throughput.value / g.effectiveCapacity.value
 	}
-	g.good, g.ends, g.picks, g.tries = 0, 0, 0, 0
+	g.successesInPeriod, g.attemptsEndedInPeriod, g.picksInPeriod, g.choicesInPeriod = 0, 0, 0, 0
 }
 
-// allWarmth is that of all servers together.
-func (g *Gateway) allWarmth() (sum float64) {
-	for _, s := range g.list {
-		sum += g.warmth(s)
+// totalCapacityShare is that of all servers together.
+func (g *Gateway) totalCapacityShare() (total float64) {
+	for _, backend := range g.upBackends {
+		total += g.capacityShare(backend)
 	}
-	return sum
+	return total
 }
 
-// choose picks a server for the next attempt of r, or nil: of a few drawn at random, the one with the least
+// chooseBackend picks a server for the next attempt of r, or nil: of a few drawn at random, the one with the least
 // wait and risk. A cold one is drawn as often as its warmth says, so that all gateways together give it its
 // share however many they are, and an empty line attracts nobody who has not drawn it.
-func (g *Gateway) choose(r *request) *server {
-	class := g.set.Classes[r.class]
-	g.tries++
-	var spare *server
-	drawn := make([]draw, 0, choices+moreChoices)
-	most := choices + int(g.failing[r.class].value*moreChoices)
-	for tries := 0; tries < mostDraws && len(g.list) > 0; tries++ {
-		s := g.list[g.rng.IntN(len(g.list))]
-		if g.rng.Float64() >= g.warmth(s) || !inScope(r, class, s) {
+func (g *Gateway) chooseBackend(request *requestRecord) *backendRecord {
+	class := g.settings.Classes[request.class]
+	g.choicesInPeriod++
+	var spare *backendRecord
+	drawn := make([]scoredBackend, 0, candidatesPerChoice+extraCandidates)
+	most := candidatesPerChoice + int(g.classFailureRate[request.class].value*extraCandidates)
+	for tries := 0; tries < maxDraws && len(g.upBackends) > 0; tries++ {
+		backend := g.upBackends[g.rng.IntN(len(g.upBackends))]
+		if g.rng.Float64() >= g.capacityShare(backend) || !keyKnownAt(request, class, backend) {
 			continue
 		}
-		if r.triedAt(s) {
-			spare = s
+		if request.attemptedAt(backend) {
+			spare = backend
 			continue
 		}
-		cost := g.expect(s)
-		if s.Zone != g.set.Zone {
-			cost *= otherZone
+		cost := g.expectedWaitAt(backend)
+		if backend.Zone != g.settings.Zone {
+			cost *= otherZoneFactor
 		}
-		if drawn = append(drawn, draw{s, cost + g.risk(s, r.class)*riskCost}); len(drawn) == most {
-			if s := g.pick(drawn); s != nil {
-				return s
+		if drawn = append(drawn, scoredBackend{backend, cost + g.failureRisk(backend, request.class)*failureCost}); len(drawn) == most {
+			if backend := g.pickCandidate(drawn); backend != nil {
+				return backend
 			}
 			drawn = drawn[:0]
 		}
 	}
-	if s := g.pick(drawn); s != nil {
-		return s
+	if backend := g.pickCandidate(drawn); backend != nil {
+		return backend
 	}
-	if spare != nil && !g.bears(spare) {
+	if spare != nil && !g.slowStartAllows(spare) {
 		spare = nil
 	}
 	return spare
 }
 
-// pick takes the best of those drawn that bears one more attempt.
-func (g *Gateway) pick(drawn []draw) *server {
-	slices.SortStableFunc(drawn, func(a, b draw) int { return cmp.Compare(a.cost, b.cost) })
-	for _, d := range drawn {
-		if g.picks++; g.bears(d.s) {
-			return d.s
+// pickCandidate takes the best of those drawn that bears one more attempt.
+func (g *Gateway) pickCandidate(drawn []scoredBackend) *backendRecord {
+	slices.SortStableFunc(drawn, func(a, b scoredBackend) int { return cmp.Compare(a.cost, b.cost) })
+	for _, candidate := range drawn {
+		if g.picksInPeriod++; g.slowStartAllows(candidate.backend) {
+			return candidate.backend
 		}
 	}
 	return nil
 }
 
-// inScope tells whether a server discards repeats of what r may have run already.
-func inScope(r *request, class Class, s *server) bool {
-	if class.Idempotency != IdempotentByKey || r.ranAt == nil || class.KeyScope == KeyScopeAll {
+// keyKnownAt tells whether a server discards repeats of what r may have run already.
+func keyKnownAt(request *requestRecord, class Class, backend *backendRecord) bool {
+	if class.Idempotency != IdempotentByKey || request.firstRunBackend == nil || class.KeyScope == KeyScopeAll {
 		return true
 	}
-	return class.KeyScope == KeyScopeZone && s.Zone == r.ranAt.Zone ||
-		class.KeyScope == KeyScopeCell && s.Cell == r.ranAt.Cell
+	return class.KeyScope == KeyScopeZone && backend.Zone == request.firstRunBackend.Zone ||
+		class.KeyScope == KeyScopeCell && backend.Cell == request.firstRunBackend.Cell
 }
 
 // 5. Attempts and answers.
 
-func (g *Gateway) arrived(e RequestArrived) {
-	if g.requests[e.Request] != nil {
+func (g *Gateway) handleRequest(event RequestArrived) {
+	if g.requests[event.Request] != nil {
 		return
 	}
-	if e.Class < 0 || int(e.Class) >= len(g.set.Classes) {
-		g.do(Fail{Request: e.Request})
+	if event.Class < 0 || int(event.Class) >= len(g.settings.Classes) {
+		g.emit(Fail{Request: event.Request})
 		return
 	}
-	c := g.customer(e)
-	r := &request{id: e.Request, class: e.Class, customer: c, units: e.Units, arrived: g.now,
-		deadline: g.now + max(0, e.TimeLeft)}
-	if anyBad(e.Units) {
-		r.units = 1
-	}
-	if c.quota.rate == 0 {
-		r.units = 1 // attempts are counted
-	}
-	g.requests[r.id] = r
-	g.do(SetTimer{At: r.deadline, Timer: Timer{Kind: DeadlineTimer, Request: r.id}})
-	switch g.standing(c, r.units) {
-	case inside:
-		g.admit(r, true, false)
-	case beyond:
-		g.admit(r, false, false)
+	customer := g.findOrAddCustomer(event)
+	request := &requestRecord{id: event.Request, class: event.Class, customer: customer, units: event.Units, arrivedAt: g.now,
+		deadline: g.now + max(0, event.TimeLeft)}
+	if anyInvalid(event.Units) {
+		request.units = 1
+	}
+	if customer.quota.rate == 0 {
+		request.units = 1 // attempts are counted
+	}
+	g.requests[request.id] = request
+	g.emit(SetTimer{At: request.deadline, Timer: Timer{Kind: DeadlineTimer, Request: request.id}})
+	switch g.checkQuota(customer, request.units) {
+	case quotaInside:
+		g.admitOrShed(request, true, false)
+	case quotaExceeded:
+		g.admitOrShed(request, false, false)
 	default:
-		switch l := g.loops[g.rank[e.Class][c.plan]]; {
-		case c.hash >= l.f: // not worth a call
-			g.admit(r, true, false)
-		case g.mayCall(g.chance(c, e.Class) * g.set.Plans[c.plan].WeightFactor / g.dear):
-			g.call(c, r.units, r)
+		switch controller := g.controllers[g.controllerIndex[event.Class][customer.plan]]; {
+		case customer.admissionHash >= controller.admitRatio: // not worth a call
+			g.admitOrShed(request, true, false)
+		case g.mayCallCounter(g.insideProbability(customer, event.Class) * g.settings.Plans[customer.plan].WeightFactor / g.maxPlanWeight):
+			g.callCounter(customer, request.units, request)
 		default:
-			g.admit(r, g.guess(c, r.class, r.units), false)
+			g.admitOrShed(request, g.decideWithoutCounter(customer, request.class, request.units), false)
 		}
 	}
-	if !e.Retry {
-		c.seen += r.units
+	if !event.Retry {
+		customer.recentDemand += request.units
 	}
 }
 
-// admit decides on a request that is inside or beyond its quota, and told to the counter or not.
-func (g *Gateway) admit(r *request, inside, told bool) {
-	c := r.customer
-	p := g.set.Plans[c.plan]
-	l := &g.loops[g.rank[r.class][c.plan]]
+// admitOrShed decides on a request that is inside or beyond its quota, and told to the counter or not.
+func (g *Gateway) admitOrShed(request *requestRecord, inside, counted bool) {
+	customer := request.customer
+	plan := g.settings.Plans[customer.plan]
+	controller := &g.controllers[g.controllerIndex[request.class][customer.plan]]
 	if !inside {
-		l, r.why = &g.loops[len(g.loops)-1], OverQuota
-		if p.OverQuotaValue <= p.OverQuotaCost {
-			g.end(r, true)
+		controller, request.rejectReason = &g.controllers[len(g.controllers)-1], OverQuota
+		if plan.OverQuotaValue <= plan.OverQuotaCost {
+			g.finish(request, true)
 			return
 		}
 	}
-	l.asked += g.latency[r.class].mean
-	held := !(told && inside) && !c.ceilingHolds(p, r.units)
-	if held {
-		r.why = OverQuota
+	controller.offeredWork += g.classLatency[request.class].mean
+	ceilingExceeded := !(counted && inside) && !customer.ceilingAllows(plan, request.units)
+	if ceilingExceeded {
+		request.rejectReason = OverQuota
 	}
-	if c.hash >= l.f || held || !g.send(r) {
-		if told && inside {
-			g.takeBack(r)
+	if customer.admissionHash >= controller.admitRatio || ceilingExceeded || !g.sendAttempt(request) {
+		if counted && inside {
+			g.takeBackUnits(request)
 		}
-		if !r.ended {
-			g.end(r, true)
+		if !request.ended {
+			g.finish(request, true)
 		}
 		return
 	}
-	l.work += g.latency[r.class].mean
-	if told && inside {
-		g.told.add(1, g.now)
-		r.told = true
-		c.level = max(0, c.level-r.units)
-		c.ceiling = max(0, c.ceiling-r.units)
+	controller.admittedWork += g.classLatency[request.class].mean
+	if counted && inside {
+		g.reportedUseShare.add(1, g.now)
+		request.addedToCounter = true
+		customer.tokens = max(0, customer.tokens-request.units)
+		customer.ceilingTokens = max(0, customer.ceilingTokens-request.units)
 	} else {
-		g.spend(c, r.units)
+		g.spendTokens(customer, request.units)
 	}
 }
 
-// send starts the next attempt, or ends the request for want of a server.
-func (g *Gateway) send(r *request) bool {
-	s := g.choose(r)
-	left := r.deadline - g.now
-	if s == nil || left <= 0 || g.expect(s) > tooSlow && !r.ran {
-		g.end(r, true)
+// sendAttempt starts the next attempt, or ends the request for want of a server.
+func (g *Gateway) sendAttempt(request *requestRecord) bool {
+	backend := g.chooseBackend(request)
+	left := request.deadline - g.now
+	if backend == nil || left <= 0 || g.expectedWaitAt(backend) > maxExpectedWait && !request.mayHaveRun {
+		g.finish(request, true)
 		return false
 	}
-	place := g.lineAt(s) + 1
-	r.attempts = append(r.attempts, attempt{server: s, sent: g.now, place: place, open: true})
-	r.customer.open++
-	if !slices.Contains(g.set.LoadFields, FieldInFlight) { // the line as this gateway's share of it tells
-		g.sensor.line.add(float64(g.open*g.set.Instances)/float64(max(1, len(g.list))), g.now)
+	queuePosition := g.queueLengthAt(backend) + 1
+	request.attempts = append(request.attempts, attemptRecord{backend: backend, sentAt: g.now, queuePosition: queuePosition, open: true})
+	request.customer.inFlight++
+	if !slices.Contains(g.settings.LoadFields, FieldInFlight) { // the line as this gateway's share of it tells
+		g.load.reportedInFlight.add(float64(g.inFlight*g.settings.Instances)/float64(max(1, len(g.upBackends))), g.now)
 	}
-	g.open++
-	if s.open == 0 {
-		s.due = g.now + g.overdue(r.class)
+	g.inFlight++
+	if backend.inFlight == 0 {
+		backend.answerDueAt = g.now + g.suspectAfter(request.class)
 	}
-	s.open++
-	if s.cold {
-		s.room--
-		s.need = g.rng.Float64()
+	backend.inFlight++
+	if backend.warmingUp {
+		backend.slowStartTokens--
+		backend.slowStartThreshold = g.rng.Float64()
 	}
-	g.do(SendAttempt{Request: r.id, Backend: s.Backend, Timeout: g.timeout(r, left)})
+	g.emit(SendAttempt{Request: request.id, Backend: backend.Backend, Timeout: g.attemptTimeout(request, left)})
 	return true
 }
 
-// timeout gives up an attempt when another could still be in time, and else leaves it all that is left.
-func (g *Gateway) timeout(r *request, left time.Duration) time.Duration {
-	class := g.set.Classes[r.class]
-	if class.Idempotency == NotIdempotent || class.Stream || len(r.attempts) >= g.set.MaxAttempts {
+// attemptTimeout gives up an attempt when another could still be in time, and else leaves it all that is left.
+func (g *Gateway) attemptTimeout(request *requestRecord, left time.Duration) time.Duration {
+	class := g.settings.Classes[request.class]
+	if class.Idempotency == NotIdempotent || class.Stream || len(request.attempts) >= g.settings.MaxAttempts {
 		return left
 	}
-	l := g.latency[r.class]
-	t := max(time.Duration((l.mean+patience*l.dev)*float64(time.Second)), class.LatencyObjective)
-	if class.Idempotency == IdempotentByKey && g.now+t > r.arrived+safe(class) {
+	latency := g.classLatency[request.class]
+	timeout := max(time.Duration((latency.mean+timeoutDeviations*latency.deviation)*float64(time.Second)), class.LatencyObjective)
+	if class.Idempotency == IdempotentByKey && g.now+timeout > request.arrivedAt+reliableKeyLifetime(class) {
 		return left
 	}
-	return min(t, left)
+	return min(timeout, left)
 }
 
-func (g *Gateway) attemptEnded(e AttemptEnded) {
-	r := g.requests[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].open {
+func (g *Gateway) handleAttemptEnd(event AttemptEnded) {
+	request := g.requests[event.Request]
+	if request == nil || event.Attempt < 0 || event.Attempt >= len(request.attempts) || !request.attempts[event.Attempt].open {
 		return
 	}
-	a := &r.attempts[e.Attempt]
-	s := a.server
-	g.close(r, e.Attempt)
-	g.report(e.Load)
-	class := g.set.Classes[r.class]
-	took := (g.now - a.sent).Seconds()
-	if e.Outcome == OK || e.Outcome == TimedOut {
-		g.learn(s, a, max(took-e.RoundTrip.Seconds(), took*leastOwn)/max(class.LatencyObjective, tick).Seconds())
-	}
-	if l := &g.latency[r.class]; e.Outcome == OK {
-		l.dev += (math.Abs(took-l.mean) - l.dev) * smoothing
-		l.mean += (took - l.mean) * smoothing
-	}
-	g.judge(s, r.class, e.Outcome)
-	if s.State == Up {
-		g.ends++
-		g.good += one(e.Outcome == OK)
-	}
-	if e.Outcome != NotSent && e.Outcome != Cancelled {
+	attempt := &request.attempts[event.Attempt]
+	backend := attempt.backend
+	g.closeAttempt(request, event.Attempt)
+	g.recordLoadReport(event.Load)
+	class := g.settings.Classes[request.class]
+	took := (g.now - attempt.sentAt).Seconds()
+	if event.Outcome == OK || event.Outcome == TimedOut {
+		g.recordLatency(backend, attempt, max(took-event.RoundTrip.Seconds(), took*minBackendTimeShare)/max(class.LatencyObjective, housekeepingInterval).Seconds())
+	}
+	if l := &g.classLatency[request.class]; event.Outcome == OK {
+		l.deviation += (math.Abs(took-l.mean) - l.deviation) * latencySmoothing
+		l.mean += (took - l.mean) * latencySmoothing
+	}
+	g.recordOutcome(backend, request.class, event.Outcome)
+	if backend.State == Up {
+		g.attemptsEndedInPeriod++
+		g.successesInPeriod += indicator(event.Outcome == OK)
+	}
+	if event.Outcome != NotSent && event.Outcome != Cancelled {
 		bad := 0.0
-		if e.Outcome == Rejected || e.Outcome == TimedOut || took > class.LatencyObjective.Seconds() {
+		if event.Outcome == Rejected || event.Outcome == TimedOut || took > class.LatencyObjective.Seconds() {
 			bad = 1
 		}
-		g.sensor.bad.add(bad, g.now)
+		g.load.badShare.add(bad, g.now)
 	}
-	if !r.ran && e.Outcome != Rejected && e.Outcome != ConnectFailed && e.Outcome != NotSent {
-		r.ran, r.ranAt, r.ranSent = true, s, a.sent
+	if !request.mayHaveRun && event.Outcome != Rejected && event.Outcome != ConnectFailed && event.Outcome != NotSent {
+		request.mayHaveRun, request.firstRunBackend, request.firstRunSentAt = true, backend, attempt.sentAt
 	}
 	switch {
-	case r.ended:
-		g.drop(r)
-	case e.Answered || e.Outcome == OK:
-		g.end(r, false)
-	case g.mayRetry(r, class):
-		g.send(r)
+	case request.ended:
+		g.forgetIfOver(request)
+	case event.Answered || event.Outcome == OK:
+		g.finish(request, false)
+	case g.mayRetry(request, class):
+		g.sendAttempt(request)
 	default:
-		g.end(r, true)
+		g.finish(request, true)
 	}
 }
 
-// learn takes a latency, as a share of its aim, into what a place in line takes, and into how slow the server
+// recordLatency takes a latency, as a share of its aim, into what a place in line takes, and into how slow the server
 // is beside the others: a few attempts tell little of that.
-func (g *Gateway) learn(s *server, a *attempt, took float64) {
-	m := &g.sensor
-	s.slowness += (min(mostSlow, took*m.place.value/(m.took.value*a.place)) - s.slowness) * slownessWeight
-	m.took.add(took, g.now)
-	m.place.add(a.place, g.now)
+func (g *Gateway) recordLatency(backend *backendRecord, attempt *attemptRecord, ratio float64) {
+	load := &g.load
+	backend.slowness += (min(maxSlowness, ratio*load.queuePosition.value/(load.latencyRatio.value*attempt.queuePosition)) - backend.slowness) * slownessWeight
+	load.latencyRatio.add(ratio, g.now)
+	load.queuePosition.add(attempt.queuePosition, g.now)
 }
 
-// overdue is the silence after which an attempt's server is suspected.
-func (g *Gateway) overdue(class ClassID) time.Duration {
-	return time.Duration(stallTimes * g.latency[class].mean * float64(time.Second))
+// suspectAfter is the silence after which an attempt's server is suspected.
+func (g *Gateway) suspectAfter(class ClassID) time.Duration {
+	return time.Duration(suspectLatencies * g.classLatency[class].mean * float64(time.Second))
 }
 
-// safe is how long a keyed class's repeats are sure to be discarded.
-func safe(c Class) time.Duration { return time.Duration(keySafe * float64(c.KeyTTL)) }
+// reliableKeyLifetime is how long a keyed class's repeats are sure to be discarded.
+func reliableKeyLifetime(c Class) time.Duration {
+	return time.Duration(keyTTLShare * float64(c.KeyTTL))
+}
 
 // mayRetry tells whether a further attempt is harmless and of use. What it adds to the load, the loops see.
-func (g *Gateway) mayRetry(r *request, class Class) bool {
-	if len(r.attempts) >= g.set.MaxAttempts || r.streaming {
+func (g *Gateway) mayRetry(request *requestRecord, class Class) bool {
+	if len(request.attempts) >= g.settings.MaxAttempts || request.streaming {
 		return false
 	}
-	if r.ran && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && g.now >= r.ranSent+safe(class)) {
+	if request.mayHaveRun && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && g.now >= request.firstRunSentAt+reliableKeyLifetime(class)) {
 		return false
 	}
-	useful := r.deadline
+	useful := request.deadline
 	if class.LateShare == 0 {
-		useful = min(useful, r.arrived+class.LatencyObjective)
+		useful = min(useful, request.arrivedAt+class.LatencyObjective)
 	}
-	return (useful - g.now).Seconds() > g.latency[r.class].mean/2
+	return (useful - g.now).Seconds() > g.classLatency[request.class].mean/2
 }
 
-// end is the only place where a request ends; an answer is owed unless the client has it or is gone. A
+// finish is the only place where a request ends; an answer is owed unless the client has it or is gone. A
 // refusal that could mislead becomes a failure: what may have run and must not again, or whose repeats only
 // some discard.
-func (g *Gateway) end(r *request, owed bool) {
-	r.ended = true
-	class := g.set.Classes[r.class]
-	out := false
-	for i := range r.attempts {
-		if r.attempts[i].open {
-			out = true
-			if g.set.Cancel && !r.streaming {
-				g.do(CancelAttempt{Request: r.id, Attempt: i})
+func (g *Gateway) finish(request *requestRecord, owed bool) {
+	request.ended = true
+	class := g.settings.Classes[request.class]
+	inFlight := false
+	for i := range request.attempts {
+		if request.attempts[i].open {
+			inFlight = true
+			if g.settings.Cancel && !request.streaming {
+				g.emit(CancelAttempt{Request: request.id, Attempt: i})
 			}
 		}
 	}
-	promise := class.Idempotency == Idempotent || !r.ran && !out || class.Idempotency == IdempotentByKey && class.KeyScope == KeyScopeAll
+	harmless := class.Idempotency == Idempotent || !request.mayHaveRun && !inFlight || class.Idempotency == IdempotentByKey && class.KeyScope == KeyScopeAll
 	switch {
-	case owed && promise && len(r.attempts) == 0:
-		g.do(Reject{Request: r.id, Reason: r.why, RetryAfter: g.comeBack(r)})
-	case owed && promise:
-		r.why = NoCapacity
-		g.do(Reject{Request: r.id, Reason: r.why, RetryAfter: g.comeBack(r)})
+	case owed && harmless && len(request.attempts) == 0:
+		g.emit(Reject{Request: request.id, Reason: request.rejectReason, RetryAfter: g.retryAfter(request)})
+	case owed && harmless:
+		request.rejectReason = NoCapacity
+		g.emit(Reject{Request: request.id, Reason: request.rejectReason, RetryAfter: g.retryAfter(request)})
 	case owed:
-		g.do(Fail{Request: r.id})
+		g.emit(Fail{Request: request.id})
 	}
-	g.drop(r)
+	g.forgetIfOver(request)
 }
 
-// comeBack is when another try has a chance: beyond the quota, when the counter may be asked or the split
+// retryAfter is when another try has a chance: beyond the quota, when the counter may be asked or the split
 // has filled, or an attempt that is out is likely over; for want of room, when the loops have moved.
-func (g *Gateway) comeBack(r *request) time.Duration {
-	if !g.set.RetryAfter {
+func (g *Gateway) retryAfter(request *requestRecord) time.Duration {
+	if !g.settings.RetryAfter {
 		return 0
 	}
-	c, wait := r.customer, period
+	customer, wait := request.customer, controlPeriod
 	switch {
-	case r.why != OverQuota:
-	case c.next > g.now:
-		wait = c.next - g.now
-	case c.quota.rate > 0:
-		short := max(0, r.units-c.level) / (c.quota.rate / c.spread)
-		wait = time.Duration(min(mostWait, short) * float64(time.Second))
+	case request.rejectReason != OverQuota:
+	case customer.overQuotaUntil > g.now:
+		wait = customer.overQuotaUntil - g.now
+	case customer.quota.rate > 0:
+		short := max(0, request.units-customer.tokens) / (customer.quota.rate / customer.instances)
+		wait = time.Duration(min(maxOverQuotaWait, short) * float64(time.Second))
 	default:
-		wait = time.Duration(g.latency[r.class].mean * float64(time.Second))
+		wait = time.Duration(g.classLatency[request.class].mean * float64(time.Second))
 	}
-	most := time.Duration(awayShare * float64(g.set.Classes[r.class].LatencyObjective))
-	return min(max(tick, min(wait, most)), max(0, g.set.MaxRetryAfter))
+	most := time.Duration(maxRetryAfterShare * float64(g.settings.Classes[request.class].LatencyObjective))
+	return min(max(housekeepingInterval, min(wait, most)), max(0, g.settings.MaxRetryAfter))
 }
 
-// deadline is the backstop: an answer while the client still waits, and later an end to attempts never heard
+// handleDeadline is the backstop: an answer while the client still waits, and later an end to attempts never heard
 // of.
-func (g *Gateway) deadline(id RequestID) {
-	r := g.requests[id]
-	if r == nil || g.now < r.deadline {
+func (g *Gateway) handleDeadline(id RequestID) {
+	request := g.requests[id]
+	if request == nil || g.now < request.deadline {
 		return
 	}
-	if !r.ended && !r.streaming {
-		g.end(r, true)
-	} else if r.ended && g.now >= r.deadline+leftover {
-		for i := range r.attempts {
-			g.close(r, i)
+	if !request.ended && !request.streaming {
+		g.finish(request, true)
+	} else if request.ended && g.now >= request.deadline+lostAttemptTTL {
+		for i := range request.attempts {
+			g.closeAttempt(request, i)
 		}
-		g.drop(r)
+		g.forgetIfOver(request)
 	}
 	if g.requests[id] != nil {
-		g.do(SetTimer{At: g.now + leftover, Timer: Timer{Kind: DeadlineTimer, Request: id}})
+		g.emit(SetTimer{At: g.now + lostAttemptTTL, Timer: Timer{Kind: DeadlineTimer, Request: id}})
 	}
 }
 
-// close marks an attempt as over.
-func (g *Gateway) close(r *request, i int) {
-	if a := &r.attempts[i]; a.open {
-		a.open = false
-		g.open--
-		a.server.open--
-		a.server.due = g.now + g.overdue(r.class)
-		c := r.customer
-		if c.open--; r.told && c.quota.rate == 0 {
-			g.takeBack(r)
+// closeAttempt marks an attempt as over.
+func (g *Gateway) closeAttempt(request *requestRecord, i int) {
+	if attempt := &request.attempts[i]; attempt.open {
+		attempt.open = false
+		g.inFlight--
+		attempt.backend.inFlight--
+		attempt.backend.answerDueAt = g.now + g.suspectAfter(request.class)
+		customer := request.customer
+		if customer.inFlight--; request.addedToCounter && customer.quota.rate == 0 {
+			g.takeBackUnits(request)
 		}
-		if s := a.server; s.State == Removed && s.open == 0 {
-			delete(g.servers, s.Backend)
+		if backend := attempt.backend; backend.State == Removed && backend.inFlight == 0 {
+			delete(g.backends, backend.Backend)
 		}
 	}
 }
--- a/decision/snapshot.go
+++ b/decision/snapshot.go
@@ -47,18 +47,25 @@
 // LoopState is a control loop.
 type LoopState struct{ F, Err, Work, Asked float64 }
 
-// CustomerState is a customer.
+// CustomerState is a customer. Tags keep the names under which recorded traces hold the fields.
 type CustomerState struct {
-	ID                    string
-	Spread                float64
-	Plan                  int
-	Asks, Queued          bool
-	Used, At              time.Duration
-	Level, Ceiling, Total float64
-	Heard, Next, Wary     time.Duration
-	Fresh, Seen           float64
-	AddAt                 time.Duration
-	Open                  int
+	ID                     string
+	Instances              float64 `json:"Spread"` // proxy instances that share its quota
+	Plan                   int
+	UsesCounter            bool          `json:"Asks"`
+	PendingUseQueued       bool          `json:"Queued"`
+	LastUsedAt             time.Duration `json:"Used"`
+	RefilledAt             time.Duration `json:"At"`
+	Tokens                 float64       `json:"Level"`   // units left of this instance's split of the quota
+	CeilingTokens          float64       `json:"Ceiling"` // and of the ceiling
+	CounterTotal           float64       `json:"Total"`   // units, faded, as of CounterTotalAt
+	CounterTotalAt         time.Duration `json:"Heard"`   // 0: never
+	OverQuotaUntil         time.Duration `json:"Next"`
+	CounterDistrustedUntil time.Duration `json:"Wary"`
+	PendingUse             float64       `json:"Fresh"` // units spent here that the counter has not
+	RecentDemand           float64       `json:"Seen"`  // units asked for here lately
+	PendingUseDueAt        time.Duration `json:"AddAt"`
+	InFlight               int           `json:"Open"` // attempts
 }
 
 // BackendState is a server.
@@ -111,10 +118,12 @@
 	At       time.Duration
 }
 
-func (a *average) state() AverageState { return AverageState{a.value, a.weight, a.gap, a.at} }
+func (a *movingAverage) state() AverageState {
+	return AverageState{a.value, a.weight, a.gap, a.updatedAt}
+}
 
-func (a *average) restore(s AverageState) {
-	a.value, a.weight, a.gap, a.at = s.Value, s.Weight, s.Gap, s.At
+func (a *movingAverage) restore(s AverageState) {
+	a.value, a.weight, a.gap, a.updatedAt = s.Value, s.Weight, s.Gap, s.At
 }
 
 // table numbers things in the order in which they are first met.
@@ -147,62 +156,62 @@
 // Snapshot is the gateway's state between two events. Only the goroutine that owns the gateway may call it; it takes
 // time in proportion to the customers and requests that are known.
 func (g *Gateway) Snapshot() (State, error) {
-	random, err := g.random.MarshalBinary()
-	m := &g.sensor
-	s := State{Random: random, Now: g.now, Sampled: m.sampled, Asking: g.asking, Crowded: g.crowded, Open: g.open,
-		Turn: g.turn, Swept: g.swept, Subscribe: g.subscribe, Told: g.told.state(), Borne: g.borne.state(), Able: g.able.state(), Picked: g.picked.state(), Picks: g.picks, Tried: g.tried.state(), Tries: g.tries, Pace: g.pace,
-		Good: g.good, Ends: g.ends, Short: g.short,
-		Sensor: [5]AverageState{m.line.state(), m.use.state(), m.took.state(), m.place.state(), m.bad.state()}}
-	for _, l := range g.loops {
-		s.Loops = append(s.Loops, LoopState{l.f, l.err, l.work, l.asked})
-	}
-	for i := range g.lets {
-		s.Lets = append(s.Lets, g.lets[i].state())
-	}
-	for i := range g.failing {
-		s.Failing = append(s.Failing, g.failing[i].state())
-	}
-	for _, l := range g.latency {
-		s.Latency = append(s.Latency, [2]float64{l.mean, l.dev})
-	}
-	var customers table[*customer]
-	var servers table[*server]
-	var requests table[*request]
-	for _, c := range g.roll {
+	random, err := g.randomSource.MarshalBinary()
+	m := &g.load
+	s := State{Random: random, Now: g.now, Sampled: m.sampledAt, Asking: g.callProbability, Crowded: g.counterOverloadedAt, Open: g.inFlight,
+		Turn: g.probeTurn, Swept: g.sweepPosition, Subscribe: g.watchPending, Told: g.reportedUseShare.state(), Borne: g.throughput.state(), Able: g.effectiveCapacity.state(), Picked: g.pickRate.state(), Picks: g.picksInPeriod, Tried: g.choiceRate.state(), Tries: g.choicesInPeriod, Pace: g.serviceRate,
+		Good: g.successesInPeriod, Ends: g.attemptsEndedInPeriod, Short: g.heldBackUntil,
+		Sensor: [5]AverageState{m.reportedInFlight.state(), m.reportedCPU.state(), m.latencyRatio.state(), m.queuePosition.state(), m.badShare.state()}}
+	for _, l := range g.controllers {
+		s.Loops = append(s.Loops, LoopState{l.admitRatio, l.lastError, l.admittedWork, l.offeredWork})
+	}
+	for i := range g.insideShare {
+		s.Lets = append(s.Lets, g.insideShare[i].state())
+	}
+	for i := range g.classFailureRate {
+		s.Failing = append(s.Failing, g.classFailureRate[i].state())
+	}
+	for _, l := range g.classLatency {
+		s.Latency = append(s.Latency, [2]float64{l.mean, l.deviation})
+	}
+	var customers table[*customerRecord]
+	var servers table[*backendRecord]
+	var requests table[*requestRecord]
+	for _, c := range g.customerList {
 		customers.of(c)
 	}
-	s.Roll = len(g.roll)
-	for _, id := range sorted(g.servers) {
-		servers.of(g.servers[id])
+	s.Roll = len(g.customerList)
+	for _, id := range sorted(g.backends) {
+		servers.of(g.backends[id])
 	}
-	s.Known = len(g.servers)
+	s.Known = len(g.backends)
 	for _, id := range sorted(g.requests) {
 		requests.of(g.requests[id])
 	}
 	s.Held = len(g.requests)
-	for _, c := range g.due {
+	for _, c := range g.pendingUseQueue {
 		s.Due = append(s.Due, customers.of(c))
 	}
-	for _, v := range g.list {
+	for _, v := range g.upBackends {
 		s.List = append(s.List, servers.of(v))
 	}
-	for _, name := range sorted(g.calls) {
-		for _, k := range g.calls[name] {
-			c := CallState{Name: name, Customer: customers.of(k.c), Weight: k.weight, Units: k.units, At: k.at}
-			if k.r != nil {
-				c.Request = requests.of(k.r) + 1
+	for _, name := range sorted(g.counterCalls) {
+		for _, k := range g.counterCalls[name] {
+			c := CallState{Name: name, Customer: customers.of(k.customer), Weight: k.unitWeight, Units: k.pendingUnits, At: k.sentAt}
+			if k.request != nil {
+				c.Request = requests.of(k.request) + 1
 			}
 			s.Calls = append(s.Calls, c)
 		}
 	}
 	for _, r := range requests.all {
-		q := RequestState{ID: r.id, Class: r.class, Customer: customers.of(r.customer), Units: r.units, Arrived: r.arrived, Deadline: r.deadline,
-			Ran: r.ran, Ended: r.ended, Streaming: r.streaming, RanSent: r.ranSent, Name: r.name, Weight: r.weight, Told: r.told, Why: r.why}
-		if r.ranAt != nil {
-			q.RanAt = servers.of(r.ranAt) + 1
+		q := RequestState{ID: r.id, Class: r.class, Customer: customers.of(r.customer), Units: r.units, Arrived: r.arrivedAt, Deadline: r.deadline,
+			Ran: r.mayHaveRun, Ended: r.ended, Streaming: r.streaming, RanSent: r.firstRunSentAt, Name: r.counterName, Weight: r.counterWeight, Told: r.addedToCounter, Why: r.rejectReason}
+		if r.firstRunBackend != nil {
+			q.RanAt = servers.of(r.firstRunBackend) + 1
 		}
 		for _, a := range r.attempts {
-			q.Attempts = append(q.Attempts, AttemptState{servers.of(a.server), a.sent, a.place, a.open})
+			q.Attempts = append(q.Attempts, AttemptState{servers.of(a.backend), a.sentAt, a.queuePosition, a.open})
 		}
 		s.Requests = append(s.Requests, q)
 	}
@@ -210,17 +219,17 @@
 		s.Customers = append(s.Customers, customerState(c))
 	}
 	for _, v := range servers.all {
-		q := BackendState{Entry: v.Endpoint, Open: v.open, Due: v.due, Slowness: v.slowness, Cold: v.cold, ColdAt: v.coldAt,
-			Room: v.room, Need: v.need, RoomAt: v.roomAt}
-		for _, h := range v.health {
-			q.Fails, q.N, q.HealthAt = append(q.Fails, h.fails), append(q.N, h.n), append(q.HealthAt, h.at)
+		q := BackendState{Entry: v.Endpoint, Open: v.inFlight, Due: v.answerDueAt, Slowness: v.slowness, Cold: v.warmingUp, ColdAt: v.startedAt,
+			Room: v.slowStartTokens, Need: v.slowStartThreshold, RoomAt: v.slowStartRefilledAt}
+		for _, h := range v.outcomes {
+			q.Fails, q.N, q.HealthAt = append(q.Fails, h.failures), append(q.N, h.attempts), append(q.HealthAt, h.updatedAt)
 		}
 		s.Servers = append(s.Servers, q)
 	}
 	return s, err
 }
 
-var errState = errors.New("choice: a state that is not of these settings")
+var ErrStateMismatch = errors.New("choice: a state that is not of these settings")
 
 // Restore makes a gateway of a state that Snapshot took of one with the same settings. It goes on as that one would
 // have; its timers are those that were set.
@@ -230,95 +239,95 @@
 		return nil, err
 	}
 	within := func(i, n int) bool { return i >= 0 && i < n }
-	if len(s.Loops) != len(g.loops) || len(s.Lets) != len(g.lets) || len(s.Failing) != len(g.failing) || len(s.Latency) != len(g.latency) ||
+	if len(s.Loops) != len(g.controllers) || len(s.Lets) != len(g.insideShare) || len(s.Failing) != len(g.classFailureRate) || len(s.Latency) != len(g.classLatency) ||
 		s.Roll > len(s.Customers) || s.Known > len(s.Servers) || s.Held > len(s.Requests) || s.Roll < 0 || s.Known < 0 || s.Held < 0 {
-		return nil, errState
+		return nil, ErrStateMismatch
 	}
-	if err := g.random.UnmarshalBinary(s.Random); err != nil {
+	if err := g.randomSource.UnmarshalBinary(s.Random); err != nil {
 		return nil, err
 	}
-	g.rng, g.out = rand.New(g.random), nil
-	m := &g.sensor
-	m.sampled = s.Sampled
-	for i, a := range [5]*average{&m.line, &m.use, &m.took, &m.place, &m.bad} {
+	g.rng, g.actions = rand.New(g.randomSource), nil
+	m := &g.load
+	m.sampledAt = s.Sampled
+	for i, a := range [5]*movingAverage{&m.reportedInFlight, &m.reportedCPU, &m.latencyRatio, &m.queuePosition, &m.badShare} {
 		a.restore(s.Sensor[i])
 	}
 	for i, l := range s.Loops {
-		g.loops[i] = loop{l.F, l.Err, l.Work, l.Asked}
+		g.controllers[i] = piController{l.F, l.Err, l.Work, l.Asked}
 	}
 	for i := range s.Lets {
-		g.lets[i].restore(s.Lets[i])
+		g.insideShare[i].restore(s.Lets[i])
 	}
 	for i := range s.Failing {
-		g.failing[i].restore(s.Failing[i])
+		g.classFailureRate[i].restore(s.Failing[i])
 	}
 	for i, l := range s.Latency {
-		g.latency[i] = latency{mean: l[0], dev: l[1]}
-	}
-	g.told.restore(s.Told)
-	g.borne.restore(s.Borne)
-	g.able.restore(s.Able)
-	g.picked.restore(s.Picked)
-	g.tried.restore(s.Tried)
-	g.picks, g.tries = s.Picks, s.Tries
-	g.pace = s.Pace
-	g.good, g.ends, g.short = s.Good, s.Ends, s.Short
-	g.asking, g.crowded, g.open, g.turn, g.swept, g.subscribe = s.Asking, s.Crowded, s.Open, s.Turn, s.Swept, s.Subscribe
-	customers := make([]*customer, len(s.Customers))
+		g.classLatency[i] = latencyEstimate{mean: l[0], deviation: l[1]}
+	}
+	g.reportedUseShare.restore(s.Told)
+	g.throughput.restore(s.Borne)
+	g.effectiveCapacity.restore(s.Able)
+	g.pickRate.restore(s.Picked)
+	g.choiceRate.restore(s.Tried)
+	g.picksInPeriod, g.choicesInPeriod = s.Picks, s.Tries
+	g.serviceRate = s.Pace
+	g.successesInPeriod, g.attemptsEndedInPeriod, g.heldBackUntil = s.Good, s.Ends, s.Short
+	g.callProbability, g.counterOverloadedAt, g.inFlight, g.probeTurn, g.sweepPosition, g.watchPending = s.Asking, s.Crowded, s.Open, s.Turn, s.Swept, s.Subscribe
+	customers := make([]*customerRecord, len(s.Customers))
 	for i, c := range s.Customers {
-		if !within(c.Plan, len(g.quotas)) {
-			return nil, errState
+		if !within(c.Plan, len(g.planQuotas)) {
+			return nil, ErrStateMismatch
 		}
-		customers[i] = &customer{id: c.ID, hash: hash(c.ID), spread: c.Spread, plan: c.Plan, quota: &g.quotas[c.Plan], asks: c.Asks, queued: c.Queued,
-			used: c.Used, at: c.At, level: c.Level, ceiling: c.Ceiling, total: c.Total, heard: c.Heard, next: c.Next, wary: c.Wary, fresh: c.Fresh, seen: c.Seen,
-			addAt: c.AddAt, open: c.Open}
+		customers[i] = &customerRecord{id: c.ID, admissionHash: admissionHash(c.ID), instances: c.Instances, plan: c.Plan, quota: &g.planQuotas[c.Plan], usesCounter: c.UsesCounter, pendingUseQueued: c.PendingUseQueued,
+			lastUsedAt: c.LastUsedAt, refilledAt: c.RefilledAt, tokens: c.Tokens, ceilingTokens: c.CeilingTokens, counterTotal: c.CounterTotal, counterTotalAt: c.CounterTotalAt, overQuotaUntil: c.OverQuotaUntil, counterDistrustedUntil: c.CounterDistrustedUntil, pendingUse: c.PendingUse, recentDemand: c.RecentDemand,
+			pendingUseDueAt: c.PendingUseDueAt, inFlight: c.InFlight}
 		if i < s.Roll {
-			g.roll = append(g.roll, customers[i])
+			g.customerList = append(g.customerList, customers[i])
 			g.customers[c.ID] = customers[i]
 		}
 	}
-	servers := make([]*server, len(s.Servers))
+	servers := make([]*backendRecord, len(s.Servers))
 	for i, v := range s.Servers {
 		if len(v.Fails) != len(set.Classes) || len(v.N) != len(v.Fails) || len(v.HealthAt) != len(v.Fails) {
-			return nil, errState
+			return nil, ErrStateMismatch
 		}
-		o := &server{Endpoint: v.Entry, open: v.Open, due: v.Due, slowness: v.Slowness, cold: v.Cold, coldAt: v.ColdAt,
-			room: v.Room, need: v.Need, roomAt: v.RoomAt}
+		o := &backendRecord{Endpoint: v.Entry, inFlight: v.Open, answerDueAt: v.Due, slowness: v.Slowness, warmingUp: v.Cold, startedAt: v.ColdAt,
+			slowStartTokens: v.Room, slowStartThreshold: v.Need, slowStartRefilledAt: v.RoomAt}
 		for k := range v.Fails {
-			o.health = append(o.health, health{v.Fails[k], v.N[k], v.HealthAt[k]})
+			o.outcomes = append(o.outcomes, outcomeHistory{v.Fails[k], v.N[k], v.HealthAt[k]})
 		}
 		servers[i] = o
 		if i < s.Known {
-			g.servers[v.Entry.Backend] = o
+			g.backends[v.Entry.Backend] = o
 		}
 	}
 	for _, i := range s.List {
 		if !within(i, len(servers)) {
-			return nil, errState
+			return nil, ErrStateMismatch
 		}
-		g.list = append(g.list, servers[i])
+		g.upBackends = append(g.upBackends, servers[i])
 	}
 	for _, i := range s.Due {
 		if !within(i, len(customers)) {
-			return nil, errState
+			return nil, ErrStateMismatch
 		}
-		g.due = append(g.due, customers[i])
+		g.pendingUseQueue = append(g.pendingUseQueue, customers[i])
 	}
-	requests := make([]*request, len(s.Requests))
+	requests := make([]*requestRecord, len(s.Requests))
 	for i, q := range s.Requests {
 		if !within(q.Customer, len(customers)) || !within(q.RanAt, len(servers)+1) || !within(int(q.Class), len(set.Classes)) {
-			return nil, errState
+			return nil, ErrStateMismatch
 		}
-		r := &request{id: q.ID, class: q.Class, customer: customers[q.Customer], units: q.Units, arrived: q.Arrived, deadline: q.Deadline, ran: q.Ran,
-			ranSent: q.RanSent, ended: q.Ended, streaming: q.Streaming, name: q.Name, weight: q.Weight, told: q.Told, why: q.Why}
+		r := &requestRecord{id: q.ID, class: q.Class, customer: customers[q.Customer], units: q.Units, arrivedAt: q.Arrived, deadline: q.Deadline, mayHaveRun: q.Ran,
+			firstRunSentAt: q.RanSent, ended: q.Ended, streaming: q.Streaming, counterName: q.Name, counterWeight: q.Weight, addedToCounter: q.Told, rejectReason: q.Why}
 		if q.RanAt > 0 {
-			r.ranAt = servers[q.RanAt-1]
+			r.firstRunBackend = servers[q.RanAt-1]
 		}
 		for _, a := range q.Attempts {
 			if !within(a.Server, len(servers)) {
-				return nil, errState
+				return nil, ErrStateMismatch
 			}
-			r.attempts = append(r.attempts, attempt{servers[a.Server], a.Sent, a.Place, a.Open})
+			r.attempts = append(r.attempts, attemptRecord{servers[a.Server], a.Sent, a.Place, a.Open})
 		}
 		requests[i] = r
 		if i < s.Held {
@@ -327,13 +336,13 @@
 	}
 	for _, k := range s.Calls {
 		if !within(k.Customer, len(customers)) || !within(k.Request, len(requests)+1) {
-			return nil, errState
+			return nil, ErrStateMismatch
 		}
-		c := call{c: customers[k.Customer], weight: k.Weight, units: k.Units, at: k.At}
+		c := counterCall{customer: customers[k.Customer], unitWeight: k.Weight, pendingUnits: k.Units, sentAt: k.At}
 		if k.Request > 0 {
-			c.r = requests[k.Request-1]
+			c.request = requests[k.Request-1]
 		}
-		g.calls[k.Name] = append(g.calls[k.Name], c)
+		g.counterCalls[k.Name] = append(g.counterCalls[k.Name], c)
 	}
 	return g, nil
 }
@@ -352,14 +361,14 @@
 // ok is false for a customer that is not known or not shared. Only the owner of the gateway may ask.
 func (g *Gateway) CounterName(id string) (name string, weight float64, ok bool) {
 	c := g.customers[id]
-	if c == nil || !c.asks {
+	if c == nil || !c.usesCounter {
 		return "", 0, false
 	}
-	weight, name = g.weight(c)
+	weight, name = g.currentCounterName(c)
 	return name, weight, true
 }
 
-func customerState(c *customer) CustomerState {
-	return CustomerState{c.id, c.spread, c.plan, c.asks, c.queued, c.used, c.at, c.level, c.ceiling, c.total, c.heard, c.next, c.wary, c.fresh, c.seen,
-		c.addAt, c.open}
+func customerState(c *customerRecord) CustomerState {
+	return CustomerState{c.id, c.instances, c.plan, c.usesCounter, c.pendingUseQueued, c.lastUsedAt, c.refilledAt, c.tokens, c.ceilingTokens, c.counterTotal, c.counterTotalAt, c.overQuotaUntil, c.counterDistrustedUntil, c.pendingUse, c.recentDemand,
+		c.pendingUseDueAt, c.inFlight}
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -37,11 +37,11 @@
 	if !known {
 		return v
 	}
-	v.Spread, v.UsesCounter, v.SplitTokens, v.SplitCeilingTokens, v.CounterTotal, v.RecentDemand, v.PendingUse, v.InFlight = c.Spread, c.Asks, c.Level, c.Ceiling, c.Total, c.Seen, c.Fresh, c.Open
-	if c.Heard > 0 {
-		v.CounterTotalAge = (now - c.Heard).Seconds()
+	v.Spread, v.UsesCounter, v.SplitTokens, v.SplitCeilingTokens, v.CounterTotal, v.RecentDemand, v.PendingUse, v.InFlight = c.Instances, c.UsesCounter, c.Tokens, c.CeilingTokens, c.CounterTotal, c.RecentDemand, c.PendingUse, c.InFlight
+	if c.CounterTotalAt > 0 {
+		v.CounterTotalAge = (now - c.CounterTotalAt).Seconds()
 	}
-	v.OverQuotaFor = max(0, (c.Next - now).Seconds())
+	v.OverQuotaFor = max(0, (c.OverQuotaUntil - now).Seconds())
 	return v
 }
 
