--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -132,7 +132,7 @@
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(told)
-	at, stop, err := server.Control(control, f)
+	at, stop, err := server.ServeFaultControl(control, f)
 	if err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 }
 
 func (s standInSet) Run(c *Console) error {
-	if err := server.SetFault(s.Control, "set "+strings.Join(s.Fault, " ")); err != nil {
+	if err := server.SendFaultCommand(s.Control, "set "+strings.Join(s.Fault, " ")); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(c.Out, "ok")
@@ -177,7 +177,7 @@
 }
 
 func (s standInClear) Run(c *Console) error {
-	if err := server.SetFault(s.Control, "clear "+s.Fault); err != nil {
+	if err := server.SendFaultCommand(s.Control, "clear "+s.Fault); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(c.Out, "ok")
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -130,12 +130,12 @@
 		cfg.Listen = s.Listen
 	}
 	if s.WithStandIns {
-		at, stop, err := startStandIns(cfg, s.StandInWork, log)
+		at, stop, err := startEmulators(cfg, s.StandInWork, log)
 		if err != nil {
 			return err
 		}
 		defer stop()
-		opt.Addresses = at
+		opt.BackendAddresses = at
 	}
 	if s.Seed == 0 {
 		s.Seed = rand.Uint64()
@@ -161,11 +161,11 @@
 	return slog.New(slog.NewJSONHandler(w, opt))
 }
 
-// startStandIns starts a keeper and the listed boxes at the addresses that the configuration gives them, or at others
+// startEmulators starts a keeper and the listed boxes at the addresses that the configuration gives them, or at others
 // of this machine where those are taken. It returns the addresses of the boxes by name.
-func startStandIns(cfg *config.Config, work time.Duration, log *slog.Logger) (map[string]string, func(), error) {
+func startEmulators(cfg *config.Config, work time.Duration, log *slog.Logger) (map[string]string, func(), error) {
 	const any = "127.0.0.1:0"
-	at := map[string]string{}
+	addresses := map[string]string{}
 	var stops []func()
 	stop := func() {
 		for _, f := range stops {
@@ -185,18 +185,18 @@
 		log.Info("stand-in keeper", "addr", k.Addr())
 	}
 	for i, b := range cfg.Endpoints {
-		like := emulator.BackendConfig{Name: b.Name, Work: work, Spread: 1, Seed: uint64(i)}
-		box, err := server.StartBackend(b.Address, like, nil)
+		backend := emulator.BackendConfig{Name: b.Name, Work: work, Spread: 1, Seed: uint64(i)}
+		box, err := server.StartBackend(b.Address, backend, nil)
 		if errors.Is(err, syscall.EADDRINUSE) {
-			box, err = server.StartBackend(any, like, nil)
+			box, err = server.StartBackend(any, backend, nil)
 		}
 		if err != nil {
 			stop()
 			return nil, nil, fmt.Errorf("stand-in box %s: %w", b.Name, err)
 		}
 		stops = append(stops, box.Close)
-		at[b.Name] = box.Addr()
+		addresses[b.Name] = box.Addr()
 		log.Info("stand-in box", "name", b.Name, "addr", box.Addr())
 	}
-	return at, stop, nil
+	return addresses, stop, nil
 }
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -15,7 +15,7 @@
 	"sandyard/internal/server"
 )
 
-const heapShare = 0.7 // of the memory limit, for the collector; stacks, code and the kernel's part come besides
+const heapShareOfMemoryLimit = 0.7 // of the memory limit, for the collector; stacks, code and the kernel's part come besides
 
 type node struct {
 	Config string `env:"NODE_CONFIG" required:"" type:"path" help:"The platform's configuration." placeholder:"FILE"`
@@ -23,27 +23,27 @@
 
 // Run runs one front door on the platform, until SIGTERM. SIGHUP reads the configuration anew.
 func (k node) Run(c *Console) error {
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP) // to the end: one that comes while the front door ends must not kill it
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP) // to the end: one that comes while the front door ends must not kill it
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	n, err := k.read()
+	settings, err := k.read()
 	if err != nil {
 		return err
 	}
-	if n.Limits.Cores > 0 {
-		runtime.GOMAXPROCS(int(math.Ceil(n.Limits.Cores)))
+	if settings.Limits.Cores > 0 {
+		runtime.GOMAXPROCS(int(math.Ceil(settings.Limits.Cores)))
 	}
-	if n.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(n.Limits.MemoryMB<<20)))
+	if settings.Limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(heapShareOfMemoryLimit * float64(settings.Limits.MemoryMB<<20)))
 	}
 	log := slog.New(slog.NewTextHandler(c.Errs, nil))
-	server, err := server.Listen(n.Config, n.Listen, server.Options{Log: log, Seed: n.Seed, Protocol: n, Discovery: n.Discovery, Seq: n.Known.Seq})
+	server, err := server.Listen(settings.Config, settings.Listen, server.Options{Log: log, Seed: settings.Seed, Protocol: settings, DiscoveryAddress: settings.Discovery, EndpointsVersion: settings.Known.Seq})
 	if err != nil {
 		return err
 	}
-	log.Info("listening", "addr", server.Addr().String(), "name", n.Name, "cores", n.Limits.Cores, "memory_mb", n.Limits.MemoryMB,
-		"sockets", n.Limits.Sockets, "seq", n.Known.Seq, "boxes", len(n.Known.Boxes))
+	log.Info("listening", "addr", server.Addr().String(), "name", settings.Name, "cores", settings.Limits.Cores, "memory_mb", settings.Limits.MemoryMB,
+		"sockets", settings.Limits.Sockets, "seq", settings.Known.Seq, "boxes", len(settings.Known.Boxes))
 	done := make(chan struct{})
 	defer close(done)
 	go func() { // ends with Run
@@ -51,14 +51,14 @@
 			select {
 			case <-done:
 				return
-			case <-again:
+			case <-reloads:
 			}
-			if m, err := k.read(); err != nil {
+			if reloaded, err := k.read(); err != nil {
 				log.Error("reload: the last configuration stays in force", "error", err)
 			} else {
-				counter := m.Config.Counter.Address // none where the settings allow none
-				log.Info("reload", "discovery", m.Discovery, "counter", counter)
-				server.Move(m.Discovery, counter)
+				counter := reloaded.Config.Counter.Address // none where the settings allow none
+				log.Info("reload", "discovery", reloaded.Discovery, "counter", counter)
+				server.SetAddresses(reloaded.Discovery, counter)
 			}
 		}
 	}()
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -37,8 +37,8 @@
 const nodeRequest = "GET /api?client=0000000000000001 HTTP/1.1\r\nHost: o\r\nX-Request-Id: %016x\r\nX-Class: look\r\nX-Tier: team\r\n" +
 	"X-Deadline-Ms: 4000\r\nX-Call-Terms: units=1,spread=2,first=0\r\n\r\n"
 
-// peer accepts connections and handles each until it returns.
-func peer(t *testing.T, handle func(net.Conn, *bufio.Reader)) string {
+// startPeer accepts connections and handles each until it returns.
+func startPeer(t *testing.T, handle func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,7 +67,7 @@
 	log    *bufio.Scanner
 	file   string
 	listen string
-	ended  chan error
+	exited chan error
 }
 
 func startProcess(t *testing.T, text func(listen string) string) *nodeProcess {
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &nodeProcess{t: t, listen: ln.Addr().String(), file: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1)}
+	p := &nodeProcess{t: t, listen: ln.Addr().String(), file: filepath.Join(t.TempDir(), "config.json"), exited: make(chan error, 1)}
 	ln.Close()
 	p.configure(text(p.listen))
 	p.cmd = exec.Command(os.Args[0])
@@ -96,7 +96,7 @@
 		p.cmd.Process.Kill()
 		errs.Close()
 	})
-	go func() { p.ended <- p.cmd.Wait() }()
+	go func() { p.exited <- p.cmd.Wait() }()
 	return p
 }
 
@@ -107,8 +107,8 @@
 	}
 }
 
-// logs reads the log up to a line that has all of what.
-func (p *nodeProcess) logs(what ...string) {
+// waitForLog reads the log up to a line that has all of what.
+func (p *nodeProcess) waitForLog(what ...string) {
 	p.t.Helper()
 next:
 	for p.log.Scan() {
@@ -122,8 +122,8 @@
 	p.t.Fatalf("not logged: %v (%v)", what, p.log.Err())
 }
 
-// ask sends a request on a new connection that stays open, and returns the status.
-func (p *nodeProcess) ask(request string) (int, net.Conn) {
+// request sends a request on a new connection that stays open, and returns the status.
+func (p *nodeProcess) request(request string) (int, net.Conn) {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.listen)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return resp.StatusCode, c
 }
 
-func good(c net.Conn, in *bufio.Reader) {
+func serveHTTP(c net.Conn, in *bufio.Reader) {
 	for {
 		if _, err := http.ReadRequest(in); err != nil {
 			return
@@ -149,9 +149,9 @@
 	}
 }
 
-func silent(_ net.Conn, in *bufio.Reader) { io.Copy(io.Discard, in) }
+func discardInput(_ net.Conn, in *bufio.Reader) { io.Copy(io.Discard, in) }
 
-func adds(c net.Conn, in *bufio.Reader) {
+func serveCounter(c net.Conn, in *bufio.Reader) {
 	for {
 		if _, err := in.ReadString('\n'); err != nil {
 			return
@@ -160,20 +160,20 @@
 	}
 }
 
-// TestProcessWithFewDescriptors: idle clients take all connections that there may be while discovery is silent; requests are
+// TestNodeWithFewDescriptors: idle clients take all connections that there may be while discovery is silent; requests are
 // still served, the configuration is read at SIGHUP, and the new discovery and counter are reached.
-func TestProcessWithFewDescriptors(t *testing.T) {
-	box, other := peer(t, good), peer(t, good)
+func TestNodeWithFewDescriptors(t *testing.T) {
+	box, other := startPeer(t, serveHTTP), startPeer(t, serveHTTP)
 	text := func(disco, counter, box string) func(string) string {
 		return func(listen string) string {
 			return fmt.Sprintf(nodeText, listen, disco, counter, nodeSockets, box, false)
 		}
 	}
-	p := startProcess(t, text(peer(t, silent), peer(t, adds), box))
-	p.logs("msg=listening")
+	p := startProcess(t, text(startPeer(t, discardInput), startPeer(t, serveCounter), box))
+	p.waitForLog("msg=listening")
 	for s := 0; s != 200; { // with the list that it was started with
 		var c net.Conn
-		s, c = p.ask("GET /ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
+		s, c = p.request("GET /ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
 		c.Close()
 	}
 	for range 3 * nodeSockets { // more than may be held
@@ -185,7 +185,7 @@
 	}
 	for id := range 10 {
 		for try := 0; ; try++ { // in a crowd a new connection may be turned away
-			s, _ := p.ask(fmt.Sprintf(nodeRequest, 100*id+try))
+			s, _ := p.request(fmt.Sprintf(nodeRequest, 100*id+try))
 			if s == 200 {
 				break
 			}
@@ -194,49 +194,49 @@
 			}
 		}
 	}
-	lists := peer(t, func(c net.Conn, in *bufio.Reader) {
+	lists := startPeer(t, func(c net.Conn, in *bufio.Reader) {
 		http.ReadRequest(in)
 		body := fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"b","dial":"%s","health":"active","share":1}]}`, other)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body)
-		silent(c, in)
+		discardInput(c, in)
 	})
-	counter := peer(t, adds)
+	counter := startPeer(t, serveCounter)
 	p.configure(text(lists, counter, box)(p.listen))
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.logs("msg=reload", lists)
-	p.logs("list of boxes", "seq=9")
+	p.waitForLog("msg=reload", lists)
+	p.waitForLog("list of boxes", "seq=9")
 }
 
-// TestSignals: SIGHUP with a broken file leaves all as it was; SIGHUP twice at once, SIGTERM right behind one, and SIGTERM twice
+// TestNodeSignals: SIGHUP with a broken file leaves all as it was; SIGHUP twice at once, SIGTERM right behind one, and SIGTERM twice
 // end in order; a broken file at the start is one line with the field, and status 1.
-func TestSignals(t *testing.T) {
-	disco := peer(t, func(c net.Conn, in *bufio.Reader) {
+func TestNodeSignals(t *testing.T) {
+	disco := startPeer(t, func(c net.Conn, in *bufio.Reader) {
 		http.ReadRequest(in)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-		silent(c, in)
+		discardInput(c, in)
 	})
-	counter, box := peer(t, adds), peer(t, good)
+	counter, box := startPeer(t, serveCounter), startPeer(t, serveHTTP)
 	text := func(listen string) string {
 		return fmt.Sprintf(nodeText, listen, disco, counter, nodeSockets, box, false)
 	}
 	p := startProcess(t, text)
-	p.logs("msg=listening")
+	p.waitForLog("msg=listening")
 	p.configure("{")
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.logs("the last configuration stays")
+	p.waitForLog("the last configuration stays")
 	p.configure(text(p.listen))
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.logs("msg=reload")
-	if s, _ := p.ask(fmt.Sprintf(nodeRequest, 1)); s != 200 {
+	p.waitForLog("msg=reload")
+	if s, _ := p.request(fmt.Sprintf(nodeRequest, 1)); s != 200 {
 		t.Errorf("served: %d", s)
 	}
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.logs("msg=stopped")
-	if err := <-p.ended; err != nil {
+	p.waitForLog("msg=stopped")
+	if err := <-p.exited; err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -566,7 +566,7 @@
 		return fmt.Errorf("no such target")
 	}
 	for _, c := range controls {
-		if err := server.SetFault(c, fmt.Sprintf("set %s %g", e.Verb, e.Value)); err != nil {
+		if err := server.SendFaultCommand(c, fmt.Sprintf("set %s %g", e.Verb, e.Value)); err != nil {
 			return err
 		}
 	}
@@ -576,7 +576,7 @@
 	sleep(ctx, e.For)
 	for _, c := range controls {
 		// a box that has gone meanwhile has taken its fault along
-		_ = server.SetFault(c, "clear "+string(e.Verb))
+		_ = server.SendFaultCommand(c, "clear "+string(e.Verb))
 	}
 	return nil
 }
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -29,23 +29,23 @@
 //	GET /v1/match?method=M&target=T&...  what it makes of a request before it decides (see door.Look)
 //
 // Its cost to requests is bounded: a look at a studio is one look-up between two events; a copy is taken at most once in
-// copyEvery, for all tools together, and used outside the loop.
+// minSnapshotInterval, for all tools together, and used outside the loop.
 const (
-	mostAdmins = 8
-	adminTime  = 5 * time.Second
-	copyEvery  = 250 * time.Millisecond
+	maxAdminConns       = 8
+	adminTimeout        = 5 * time.Second
+	minSnapshotInterval = 250 * time.Millisecond
 )
 
-type admin struct {
-	s    *Server
-	ln   net.Listener
-	wg   sync.WaitGroup
-	mu   sync.Mutex
-	open map[net.Conn]struct{}
-	over bool
+type adminServer struct {
+	server   *Server
+	listener net.Listener
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	open     map[net.Conn]struct{}
+	closed   bool
 
-	copyMu sync.Mutex
-	copied time.Time
+	snapshotMu   sync.Mutex
+	lastSnapshot time.Time
 }
 
 // Identity is the answer to /v1/identity.
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin socket: %w", err)
 	}
-	a := &admin{s: s, ln: ln, open: map[net.Conn]struct{}{}}
+	a := &adminServer{server: s, listener: ln, open: map[net.Conn]struct{}{}}
 	a.wg.Go(a.accept)
 	s.log.Info("admin socket", "path", path)
 	return a.close, nil
@@ -99,14 +99,14 @@
 	return net.Listen("unix", path)
 }
 
-func (a *admin) accept() {
+func (a *adminServer) accept() {
 	for {
-		c, err := a.ln.Accept()
+		c, err := a.listener.Accept()
 		if err != nil {
 			return
 		}
 		a.mu.Lock()
-		if a.over || len(a.open) >= mostAdmins {
+		if a.closed || len(a.open) >= maxAdminConns {
 			a.mu.Unlock()
 			c.Close()
 			continue
@@ -123,10 +123,10 @@
 	}
 }
 
-func (a *admin) close() {
-	a.ln.Close()
+func (a *adminServer) close() {
+	a.listener.Close()
 	a.mu.Lock()
-	a.over = true
+	a.closed = true
 	for c := range a.open {
 		c.Close()
 	}
@@ -135,8 +135,8 @@
 }
 
 // serve answers one request; tools need no more.
-func (a *admin) serve(c net.Conn) {
-	c.SetDeadline(time.Now().Add(adminTime))
+func (a *adminServer) serve(c net.Conn) {
+	c.SetDeadline(time.Now().Add(adminTimeout))
 	rd := http1.NewRequests(http1.Limits{Line: 16 << 10, Head: 20 << 10})
 	b := make([]byte, 4096)
 	for {
@@ -170,15 +170,15 @@
 	}
 }
 
-func (a *admin) answer(h *http1.Head) (int, any) {
+func (a *adminServer) answer(h *http1.Head) (int, any) {
 	fail := func(status int, format string, args ...any) (int, any) {
 		return status, map[string]string{"error": fmt.Sprintf(format, args...)}
 	}
-	q, err := query(h.Query)
+	q, err := parseQuery(h.Query)
 	if err != nil {
 		return fail(400, "%v", err)
 	}
-	cfg := a.s.cfg
+	cfg := a.server.cfg
 	if h.Path == "/v1/identity" {
 		return 200, Identity{coreid.Core(), cfg.Digest, cfg.Instance.Number, cfg.Instance.Total}
 	}
@@ -194,7 +194,7 @@
 	}
 	if h.Path == "/v1/studio" {
 		var v quota.View
-		if !a.ask(func(c *proxy.Instance, now time.Duration) {
+		if !a.runInLoop(func(c *proxy.Instance, now time.Duration) {
 			st, known := c.Gateway().Customer(studio.Name)
 			v = quota.Inspect(cfg.Settings, studio.Plan, studio.Name, st, known, now)
 		}) {
@@ -204,7 +204,7 @@
 	}
 	if h.Path == "/v1/counted" {
 		n := CounterEntry{CounterAddr: cfg.Counter.Address}
-		if !a.ask(func(c *proxy.Instance, _ time.Duration) {
+		if !a.runInLoop(func(c *proxy.Instance, _ time.Duration) {
 			n.Name, n.Weight, n.Known = c.Gateway().CounterName(studio.Name)
 		}) {
 			return fail(503, "the front door is ending")
@@ -218,15 +218,15 @@
 	if err != nil || !(units >= 0) || units > 1e9 {
 		return fail(400, "units %q: expected a number, 0 or more", q["units"])
 	}
-	a.copyMu.Lock() // one copy at a time, and not more often than every copyEvery
-	defer a.copyMu.Unlock()
-	if wait := copyEvery - time.Since(a.copied); wait > 0 {
+	a.snapshotMu.Lock() // one copy at a time, and not more often than every minSnapshotInterval
+	defer a.snapshotMu.Unlock()
+	if wait := minSnapshotInterval - time.Since(a.lastSnapshot); wait > 0 {
 		time.Sleep(wait)
 	}
-	a.copied = time.Now()
+	a.lastSnapshot = time.Now()
 	var st decision.State
 	var at time.Duration
-	if !a.ask(func(c *proxy.Instance, now time.Duration) { st, err = c.Gateway().Snapshot(); at = now }) {
+	if !a.runInLoop(func(c *proxy.Instance, now time.Duration) { st, err = c.Gateway().Snapshot(); at = now }) {
 		return fail(503, "the front door is ending")
 	}
 	if err != nil {
@@ -239,21 +239,21 @@
 	return 200, w
 }
 
-// ask runs a look in the loop and waits for it; false: the loop has ended.
-func (a *admin) ask(look func(*proxy.Instance, time.Duration)) bool {
+// runInLoop runs a look in the loop and waits for it; false: the loop has ended.
+func (a *adminServer) runInLoop(inspect func(*proxy.Instance, time.Duration)) bool {
 	done := make(chan struct{})
-	if !a.s.post(post{kind: inquiry, look: func(c *proxy.Instance, now time.Duration) { look(c, now); close(done) }}) {
+	if !a.server.post(post{kind: inquiry, look: func(c *proxy.Instance, now time.Duration) { inspect(c, now); close(done) }}) {
 		return false
 	}
 	select {
 	case <-done:
 		return true
-	case <-a.s.hard.Done():
+	case <-a.server.connectionsCtx.Done():
 		return false
 	}
 }
 
-func query(s string) (map[string]string, error) {
+func parseQuery(s string) (map[string]string, error) {
 	q := map[string]string{}
 	for _, pair := range strings.Split(s, "&") {
 		k, v, _ := strings.Cut(pair, "=")
@@ -261,7 +261,7 @@
 			v = strings.ReplaceAll(v, "+", " ")
 		}
 		var err error
-		if v, err = unescape(v); err != nil {
+		if v, err = unescapePercent(v); err != nil {
 			return nil, err
 		}
 		q[k] = v
@@ -269,7 +269,7 @@
 	return q, nil
 }
 
-func unescape(s string) (string, error) {
+func unescapePercent(s string) (string, error) {
 	out := make([]byte, 0, len(s))
 	for i := 0; i < len(s); i++ {
 		if s[i] != '%' {
--- a/internal/server/backendconn.go
+++ b/internal/server/backendconn.go
@@ -10,25 +10,25 @@
 	"sandyard/proxy"
 )
 
-// lineConn is a connection to a box. Whoever holds mu owns the machine.
-type lineConn struct {
-	s      *Server
-	line   *proxy.BackendConn
-	cancel context.CancelFunc
-	grant  chan bool // a begun answer may flow, or is not wanted
+// backendConn is a connection to a box. Whoever holds mu owns the machine.
+type backendConn struct {
+	server       *Server
+	conn         *proxy.BackendConn
+	cancel       context.CancelFunc
+	streamPermit chan bool // a begun answer may flow, or is not wanted
 
-	mu   sync.Mutex
-	m    *proxy.ResponseReader
-	link *link
-	ex   *proxy.Exchange // whose answer is awaited
-	dead bool            // closed, or its end was told
+	mu        sync.Mutex
+	responses *proxy.ResponseReader
+	socket    *socket
+	exchange  *proxy.Exchange // whose answer is awaited
+	closed    bool            // closed, or its end was told
 }
 
-func (s *Server) dial(l *proxy.BackendConn) {
-	ctx, cancel := context.WithTimeout(s.hard, time.Duration(s.cfg.Limits.ConnectTimeout))
-	lc := &lineConn{s: s, line: l, cancel: cancel, m: proxy.NewResponseReader(s.shared), grant: make(chan bool, 1)}
-	l.Owner = lc
-	s.conns.Go(func() error {
+func (s *Server) dialBackend(conn *proxy.BackendConn) {
+	ctx, cancel := context.WithTimeout(s.connectionsCtx, time.Duration(s.cfg.Limits.ConnectTimeout))
+	lc := &backendConn{server: s, conn: conn, cancel: cancel, responses: proxy.NewResponseReader(s.shared), streamPermit: make(chan bool, 1)}
+	conn.Owner = lc
+	s.goroutines.Go(func() error {
 		defer cancel()
 		lc.run(ctx)
 		return nil
@@ -36,102 +36,102 @@
 }
 
 // dialTCP connects, and hands over what can be written without blocking.
-func dialTCP(ctx context.Context, addr string, timeout time.Duration) (*link, error) {
+func dialTCP(ctx context.Context, addr string, timeout time.Duration) (*socket, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	l, err := newLink(conn.(*net.TCPConn), timeout)
+	socket, err := newSocket(conn.(*net.TCPConn), timeout)
 	if err != nil {
 		conn.Close()
 	}
-	return l, err
+	return socket, err
 }
 
-func (lc *lineConn) run(ctx context.Context) {
-	l, err := dialTCP(ctx, lc.line.Addr, time.Duration(lc.s.cfg.Limits.WriteTimeout))
+func (lc *backendConn) run(ctx context.Context) {
+	socket, err := dialTCP(ctx, lc.conn.Addr, time.Duration(lc.server.cfg.Limits.WriteTimeout))
 	lc.mu.Lock()
-	if lc.dead || err != nil {
-		told := lc.dead
-		lc.dead = true
+	if lc.closed || err != nil {
+		reported := lc.closed
+		lc.closed = true
 		lc.mu.Unlock()
-		if !told {
-			lc.s.post(post{kind: lineDown, line: lc.line, unsent: true})
+		if !reported {
+			lc.server.post(post{kind: lineDown, line: lc.conn, unsent: true})
 		}
 		if err == nil {
-			l.close()
+			socket.close()
 		}
 		return
 	}
-	lc.link = l
+	lc.socket = socket
 	lc.mu.Unlock()
-	lc.s.post(post{kind: lineUp, line: lc.line})
-	defer l.close()
-	defer l.done()
-	for lc.turn(l) {
+	lc.server.post(post{kind: lineUp, line: lc.conn})
+	defer socket.close()
+	defer socket.releaseBuffer()
+	for lc.readOnce(socket) {
 	}
 }
 
-// turn reads once and hands on what came; false ends the connection.
-func (lc *lineConn) turn(l *link) bool {
-	b, err := l.read()
+// readOnce reads once and hands on what came; false ends the connection.
+func (lc *backendConn) readOnce(socket *socket) bool {
+	b, err := socket.read()
 	lc.mu.Lock()
-	if lc.dead {
+	if lc.closed {
 		lc.mu.Unlock()
 		return false
 	}
-	ex := lc.ex
+	ex := lc.exchange
 	if ex == nil { // its end, or bytes that nobody asked for: it is of no use, and nothing of a request was written
-		lc.dead = true
+		lc.closed = true
 		lc.mu.Unlock()
-		lc.s.post(post{kind: lineDown, line: lc.line, unsent: true})
+		lc.server.post(post{kind: lineDown, line: lc.conn, unsent: true})
 		return false
 	}
-	var a proxy.Response
+	var response proxy.Response
 	switch {
 	case err == nil:
-		a = lc.m.Feed(b)
+		response = lc.responses.Feed(b)
 	case err == io.EOF:
-		a = lc.m.EOF()
+		response = lc.responses.EOF()
 	default:
-		a = lc.m.Lost()
+		response = lc.responses.Lost()
 	}
-	if a.Kind == proxy.Complete || a.Kind == proxy.Ended || a.Kind == proxy.Malformed {
-		lc.ex = nil
-		a.Reuse = a.Reuse && l.pending() == 0
+	if response.Kind == proxy.Complete || response.Kind == proxy.Ended || response.Kind == proxy.Malformed {
+		lc.exchange = nil
+		response.Reuse = response.Reuse && socket.unwrittenBytes() == 0
 	}
-	if a.Kind == proxy.Malformed {
-		lc.dead = true
+	if response.Kind == proxy.Malformed {
+		lc.closed = true
 	}
 	lc.mu.Unlock()
-	switch a.Kind {
+	switch response.Kind {
 	case proxy.NeedMore:
 	case proxy.Complete:
-		lc.s.post(post{kind: answer, line: lc.line, answer: a})
+		lc.server.post(post{kind: answer, line: lc.conn, answer: response})
 	case proxy.Started:
-		lc.s.post(post{kind: answer, line: lc.line, answer: a})
+		lc.server.post(post{kind: answer, line: lc.conn, answer: response})
 		select {
-		case ok := <-lc.grant:
+		case ok := <-lc.streamPermit:
 			if !ok {
 				return false
 			}
-		case <-lc.s.hard.Done():
+		case <-lc.server.connectionsCtx.Done():
 			return false
 		}
-		l.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.s.cfg.Limits.StreamIdleTimeout)))
+		socket.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.server.cfg.Limits.StreamIdleTimeout)))
 	case proxy.Continued:
-		ex.Owner.(*clientConn).relay(lc.s.now(), ex, a.Bytes, false, false)
-		l.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.s.cfg.Limits.StreamIdleTimeout)))
+		ex.Owner.(*clientConn).relayBody(lc.server.now(), ex, response.Bytes, false, false)
+		socket.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.server.cfg.Limits.StreamIdleTimeout)))
 	case proxy.Ended:
-		l.conn.SetReadDeadline(time.Time{})
-		ex.Owner.(*clientConn).relay(lc.s.now(), ex, a.Bytes, true, false)
-		lc.s.post(post{kind: answer, line: lc.line, answer: a})
+		socket.conn.SetReadDeadline(time.Time{})
+		ex.Owner.(*clientConn).relayBody(lc.server.now(), ex, response.Bytes, true, false)
+		lc.server.post(post{kind: answer, line: lc.conn, answer: response})
 	case proxy.Malformed:
-		if !l.end() { // the request's last byte never went out: the box can't have begun on it
-			lc.s.post(post{kind: lineDown, line: lc.line, unsent: true})
+		if !socket.closeAndFlushed() { // the request's last byte never went out: the box can't have begun on it
+			lc.server.post(post{kind: lineDown, line: lc.conn, unsent: true})
 			return false
 		}
-		lc.s.post(post{kind: answer, line: lc.line, answer: a})
+		lc.server.post(post{kind: answer, line: lc.conn, answer: response})
 		return false
 	}
 	return err == nil
@@ -139,38 +139,38 @@
 
 // write sends a request; it never blocks. A line on which something lies to be read, which would be taken for the answer,
 // or on which not all of the request goes out, is of no use: the box can't have begun.
-func (lc *lineConn) write(ex *proxy.Exchange, wire []byte) {
+func (lc *backendConn) write(ex *proxy.Exchange, request []byte) {
 	lc.mu.Lock()
-	if lc.dead { // its end is on its way to the core, as that of a line on which nothing was sent
+	if lc.closed { // its end is on its way to the core, as that of a line on which nothing was sent
 		lc.mu.Unlock()
 		return
 	}
-	unsent := !lc.link.quiet()
-	if !unsent {
-		lc.m.Expect(ex)
-		lc.ex = ex
-		unsent = lc.link.write(wire)
+	notSent := !lc.socket.nothingToRead()
+	if !notSent {
+		lc.responses.Expect(ex)
+		lc.exchange = ex
+		notSent = lc.socket.write(request)
 	}
-	lc.dead = unsent
+	lc.closed = notSent
 	lc.mu.Unlock()
-	if unsent {
-		lc.s.post(post{kind: lineDown, line: lc.line, unsent: true})
-		lc.link.close()
+	if notSent {
+		lc.server.post(post{kind: lineDown, line: lc.conn, unsent: true})
+		lc.socket.close()
 	}
 }
 
-// hang closes the connection; nothing more is told of it.
-func (lc *lineConn) hang() {
+// close closes the connection; nothing more is told of it.
+func (lc *backendConn) close() {
 	lc.mu.Lock()
-	lc.dead, lc.ex = true, nil
-	l := lc.link
+	lc.closed, lc.exchange = true, nil
+	socket := lc.socket
 	lc.mu.Unlock()
 	lc.cancel()
 	select {
-	case lc.grant <- false:
+	case lc.streamPermit <- false:
 	default:
 	}
-	if l != nil {
-		l.close()
+	if socket != nil {
+		socket.close()
 	}
 }
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -9,118 +9,118 @@
 )
 
 const (
-	lingerTime  = time.Second // how long a client that still sends is read after its last answer
-	lingerBytes = 256 << 10   // and how much
-	mostPending = 64 << 10    // bytes that a client has not taken; a flowing answer pauses there
+	lingeringCloseTimeout   = time.Second // how long a client that still sends is read after its last answer
+	maxLingeringCloseBytes  = 256 << 10   // and how much
+	maxUnwrittenClientBytes = 64 << 10    // bytes that a client has not taken; a flowing answer pauses there
 )
 
 // clientConn is a client's connection. Whoever holds mu owns the machine.
 type clientConn struct {
-	s    *Server
-	link *link
-
-	mu     sync.Mutex
-	resume sync.Cond // signalled when reading may go on
-	m      *proxy.ClientConn
-	armed  time.Duration // the read deadline that is set, 0: none
-	closed bool          // the last bytes are out
-	linger bool
-	ending bool // it is to end if nothing of a request has been read; its reader sees to that
-	brief  bool // and at once: another needs the room, and its last answer arrived long ago
+	server *Server
+	socket *socket
+
+	mu             sync.Mutex
+	readable       sync.Cond // signalled when reading may go on
+	client         *proxy.ClientConn
+	readDeadline   time.Duration // the read deadline that is set, 0: none
+	closed         bool          // the last bytes are out
+	lingers        bool
+	closeRequested bool // it is to end if nothing of a request has been read; its reader sees to that
+	evicted        bool // and at once: another needs the room, and its last answer arrived long ago
 }
 
-func (s *Server) newClient(conn *net.TCPConn) (*clientConn, error) {
-	l, err := newLink(conn, time.Duration(s.cfg.Limits.WriteTimeout))
+func (s *Server) newClientConn(conn *net.TCPConn) (*clientConn, error) {
+	l, err := newSocket(conn, time.Duration(s.cfg.Limits.WriteTimeout))
 	if err != nil {
 		return nil, err
 	}
-	cc := &clientConn{s: s, link: l}
-	cc.resume.L = &cc.mu
+	cc := &clientConn{server: s, socket: l}
+	cc.readable.L = &cc.mu
 	host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
-	cc.m = proxy.NewClientConn(s.shared, cc, host, s.now())
-	l.flushed = cc.flushed
+	cc.client = proxy.NewClientConn(s.shared, cc, host, s.now())
+	l.onFlushed = cc.flushed
 	return cc, nil
 }
 
 // run reads until the connection is over.
 func (cc *clientConn) run() {
-	defer cc.link.done()
-	defer cc.link.close()
+	defer cc.socket.releaseBuffer()
+	defer cc.socket.close()
 	for {
 		cc.mu.Lock()
-		for cc.link.pending() > mostPending && !cc.closed && !cc.link.broken() {
-			cc.resume.Wait()
+		for cc.socket.unwrittenBytes() > maxUnwrittenClientBytes && !cc.closed && !cc.socket.writeFailed() {
+			cc.readable.Wait()
 		}
-		cc.arm()
+		cc.setReadDeadline()
 		closed := cc.closed
 		cc.mu.Unlock()
 		if closed {
-			cc.drain()
+			cc.closeGracefully()
 			return
 		}
-		b, err := cc.link.read()
-		now := cc.s.now()
+		b, err := cc.socket.read()
+		now := cc.server.now()
 		cc.mu.Lock()
 		switch {
-		case isTimeout(err) && !cc.link.broken() && cc.ending && !cc.closed:
-			cc.rest(now)
-		case isTimeout(err) && !cc.link.broken():
-			cc.armed = 0
-			cc.s.expiries.Add(1)
-			cc.link.unarm() // a deadline that has passed would end every read from now on at once
-			cc.m.Expired(now)
-			cc.after(now, nil)
+		case isTimeout(err) && !cc.socket.writeFailed() && cc.closeRequested && !cc.closed:
+			cc.closeIfIdle(now)
+		case isTimeout(err) && !cc.socket.writeFailed():
+			cc.readDeadline = 0
+			cc.server.expiredReads.Add(1)
+			cc.socket.clearReadDeadline() // a deadline that has passed would end every read from now on at once
+			cc.client.Expired(now)
+			cc.advance(now, nil)
 		case err != nil:
-			ex := cc.m.Gone()
+			ex := cc.client.Gone()
 			cc.closed = true
 			cc.mu.Unlock()
 			if ex != nil {
-				cc.s.post(post{kind: leave, ex: ex})
+				cc.server.post(post{kind: leave, ex: ex})
 			}
 			return
 		default:
-			cc.after(now, cc.m.Feed(now, b))
+			cc.advance(now, cc.client.Feed(now, b))
 		}
 		cc.mu.Unlock()
 	}
 }
 
-// rest ends a connection that was asked to end, if nothing of a request has been read by now. What lies there unread is
+// closeIfIdle ends a connection that was asked to end, if nothing of a request has been read by now. What lies there unread is
 // read first: a request that came before the end is answered. mu is held, by the reader, so that nothing is read and then
 // dropped unseen.
-func (cc *clientConn) rest(now time.Duration) {
-	cc.ending, cc.armed = false, 0
-	cc.link.unarm()
-	if cc.m.Idle() {
-		if b := cc.link.poll(); len(b) > 0 {
-			cc.brief = false
-			cc.after(now, cc.m.Feed(now, b))
+func (cc *clientConn) closeIfIdle(now time.Duration) {
+	cc.closeRequested, cc.readDeadline = false, 0
+	cc.socket.clearReadDeadline()
+	if cc.client.Idle() {
+		if b := cc.socket.readAvailable(); len(b) > 0 {
+			cc.evicted = false
+			cc.advance(now, cc.client.Feed(now, b))
 			return
 		}
-		cc.m.Drain()
+		cc.client.Drain()
 	} else {
-		cc.brief = false // it is in use
+		cc.evicted = false // it is in use
 	}
-	cc.after(now, nil)
+	cc.advance(now, nil)
 }
 
-// drain reads what a client still sends after its last answer, since closing on it could take the answer along.
-func (cc *clientConn) drain() {
+// closeGracefully reads what a client still sends after its last answer, since closing on it could take the answer along.
+func (cc *clientConn) closeGracefully() {
 	cc.mu.Lock()
-	linger := cc.linger && !cc.brief
-	if cc.m.Aborts() {
-		cc.link.conn.SetLinger(0)
+	linger := cc.lingers && !cc.evicted
+	if cc.client.Aborts() {
+		cc.socket.conn.SetLinger(0)
 		cc.mu.Unlock()
 		return
 	}
 	cc.mu.Unlock()
-	cc.link.conn.CloseWrite()
-	if !linger || cc.link.broken() {
+	cc.socket.conn.CloseWrite()
+	if !linger || cc.socket.writeFailed() {
 		return
 	}
-	cc.link.conn.SetReadDeadline(time.Now().Add(lingerTime))
-	for left := lingerBytes; left > 0; {
-		b, err := cc.link.read()
+	cc.socket.conn.SetReadDeadline(time.Now().Add(lingeringCloseTimeout))
+	for left := maxLingeringCloseBytes; left > 0; {
+		b, err := cc.socket.read()
 		if err != nil {
 			return
 		}
@@ -128,65 +128,65 @@
 	}
 }
 
-// arm sets the read deadline when the one that is set would come too late. One that comes too early is looked at
+// setReadDeadline sets the read deadline when the one that is set would come too late. One that comes too early is looked at
 // when it comes; so a busy connection sets none from request to request.
-func (cc *clientConn) arm() {
-	d := cc.m.Deadline()
-	if d != 0 && !cc.ending && (cc.armed == 0 || cc.armed > d) {
-		cc.armed = d
-		cc.link.conn.SetReadDeadline(cc.s.origin().Add(d))
+func (cc *clientConn) setReadDeadline() {
+	d := cc.client.Deadline()
+	if d != 0 && !cc.closeRequested && (cc.readDeadline == 0 || cc.readDeadline > d) {
+		cc.readDeadline = d
+		cc.socket.conn.SetReadDeadline(cc.server.clockOrigin().Add(d))
 	}
 }
 
-// after carries out what the machine wants; mu is held.
-func (cc *clientConn) after(now time.Duration, ex *proxy.Exchange) {
+// advance carries out what the machine wants; mu is held.
+func (cc *clientConn) advance(now time.Duration, ex *proxy.Exchange) {
 	for {
-		if ex != nil && !cc.s.post(post{kind: arrive, ex: ex}) {
-			cc.m.RejectOverload(now, ex)
+		if ex != nil && !cc.server.post(post{kind: arrive, ex: ex}) {
+			cc.client.RejectOverload(now, ex)
 		} else if ex != nil {
 			break
 		}
-		if len(cc.m.OwnStatuses) > 0 {
-			if cc.s.debug {
-				for _, status := range cc.m.OwnStatuses {
-					cc.s.log.Debug("answer", "status", status, "client", cc.link.conn.RemoteAddr().String())
+		if len(cc.client.OwnStatuses) > 0 {
+			if cc.server.debug {
+				for _, status := range cc.client.OwnStatuses {
+					cc.server.log.Debug("answer", "status", status, "client", cc.socket.conn.RemoteAddr().String())
 				}
 			}
-			cc.m.OwnStatuses = cc.m.OwnStatuses[:0]
+			cc.client.OwnStatuses = cc.client.OwnStatuses[:0]
 		}
-		if len(cc.m.Out) > 0 {
-			cc.link.write(cc.m.Out)
-			if cc.m.Out = cc.m.Out[:0]; cap(cc.m.Out) > 16<<10 {
-				cc.m.Out = nil
+		if len(cc.client.Out) > 0 {
+			cc.socket.write(cc.client.Out)
+			if cc.client.Out = cc.client.Out[:0]; cap(cc.client.Out) > 16<<10 {
+				cc.client.Out = nil
 			}
 		}
-		if cc.link.pending() > 0 { // the flusher goes on
+		if cc.socket.unwrittenBytes() > 0 { // the flusher goes on
 			break
 		}
-		if cc.finished() {
+		if cc.markClosedIfFinished() {
 			return
 		}
-		if ex = cc.m.Resume(now); ex == nil && len(cc.m.Out) == 0 {
-			if cc.finished() {
+		if ex = cc.client.Resume(now); ex == nil && len(cc.client.Out) == 0 {
+			if cc.markClosedIfFinished() {
 				return
 			}
 			break
 		}
 	}
-	cc.arm()
-	cc.resume.Signal()
+	cc.setReadDeadline()
+	cc.readable.Signal()
 }
 
-// finished tells whether the connection is over, and lets its reader know; mu is held and nothing is unwritten.
-func (cc *clientConn) finished() bool {
-	closes, linger := cc.m.Closing()
-	if !closes || len(cc.m.Out) > 0 {
+// markClosedIfFinished tells whether the connection is over, and lets its reader know; mu is held and nothing is unwritten.
+func (cc *clientConn) markClosedIfFinished() bool {
+	closes, linger := cc.client.Closing()
+	if !closes || len(cc.client.Out) > 0 {
 		return false
 	}
 	if !cc.closed {
-		cc.closed, cc.linger = true, linger
-		cc.link.conn.SetReadDeadline(time.Unix(1, 0))
-		cc.resume.Signal()
+		cc.closed, cc.lingers = true, linger
+		cc.socket.conn.SetReadDeadline(time.Unix(1, 0))
+		cc.readable.Signal()
 	}
 	return true
 }
@@ -195,43 +195,43 @@
 func (cc *clientConn) flushed() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	if cc.link.broken() {
-		cc.s.log.Debug("client took too long, or went", "client", cc.link.conn.RemoteAddr().String())
-		cc.resume.Signal()
+	if cc.socket.writeFailed() {
+		cc.server.log.Debug("client took too long, or went", "client", cc.socket.conn.RemoteAddr().String())
+		cc.readable.Signal()
 		return
 	}
-	cc.after(cc.s.now(), nil)
+	cc.advance(cc.server.now(), nil)
 }
 
-// answered hands an answer, or its beginning, to the client.
-func (cc *clientConn) answered(now time.Duration, ex *proxy.Exchange, b []byte, more, closes bool) {
+// respond hands an answer, or its beginning, to the client.
+func (cc *clientConn) respond(now time.Duration, ex *proxy.Exchange, b []byte, more, closes bool) {
 	cc.mu.Lock()
-	cc.m.Answered(now, ex, b, more, closes)
-	cc.after(now, nil)
+	cc.client.Answered(now, ex, b, more, closes)
+	cc.advance(now, nil)
 	cc.mu.Unlock()
 }
 
-// relay hands on more of an answer and waits until the client has taken enough of it.
-func (cc *clientConn) relay(now time.Duration, ex *proxy.Exchange, b []byte, end, broken bool) {
+// relayBody hands on more of an answer and waits until the client has taken enough of it.
+func (cc *clientConn) relayBody(now time.Duration, ex *proxy.Exchange, b []byte, end, broken bool) {
 	cc.mu.Lock()
-	cc.m.Relay(now, ex, b, end, broken)
-	cc.after(now, nil)
+	cc.client.Relay(now, ex, b, end, broken)
+	cc.advance(now, nil)
 	cc.mu.Unlock()
 	if !end && !broken {
-		cc.link.waitRoom(mostPending)
+		cc.socket.waitUnwrittenBelow(maxUnwrittenClientBytes)
 	}
 }
 
-// shut asks for the connection's end if it is idle. Its reader ends it: what has been read by then is no idle connection.
-func (cc *clientConn) shut() {
+// requestClose asks for the connection's end if it is idle. Its reader ends it: what has been read by then is no idle connection.
+func (cc *clientConn) requestClose() {
 	cc.mu.Lock()
-	cc.shutLocked()
+	cc.requestCloseLocked()
 	cc.mu.Unlock()
 }
 
-func (cc *clientConn) shutLocked() {
-	if cc.m.Idle() && !cc.closed && !cc.ending {
-		cc.ending = true
-		cc.link.conn.SetReadDeadline(time.Unix(1, 0))
+func (cc *clientConn) requestCloseLocked() {
+	if cc.client.Idle() && !cc.closed && !cc.closeRequested {
+		cc.closeRequested = true
+		cc.socket.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -17,139 +17,139 @@
 )
 
 const (
-	watchSilence = 3 * time.Second        // half as much again as the time between the empty lines by which a watch shows that it stands
-	watchDial    = time.Second            // for the connection of a watch; the agent is on this machine
-	leastRewatch = 100 * time.Millisecond // until a watch that ended is begun again; doubled up to the most
-	mostRewatch  = time.Second
-	firstList    = 2 * time.Second // that a new front door waits for its first list; then it goes on with the one it was started with
+	watchSilenceTimeout   = 3 * time.Second        // half as much again as the time between the empty lines by which a watch shows that it stands
+	watchDialTimeout      = time.Second            // for the connection of a watch; the agent is on this machine
+	minWatchBackoff       = 100 * time.Millisecond // until a watch that ended is begun again; doubled up to the most
+	maxWatchBackoff       = time.Second
+	firstEndpointsTimeout = 2 * time.Second // that a new front door waits for its first list; then it goes on with the one it was started with
 )
 
-// discovery watches the list of boxes. One watch stands at a time; one that ends or falls silent is begun again from
+// endpointWatch watches the list of boxes. One watch stands at a time; one that ends or falls silent is begun again from
 // the version that was seen last, so that no change is missed.
 //
 // Versions: changes up to an older version than the one held are an echo, and are dropped; those up to the same one are
 // taken again, which changes nothing. Gaps mean nothing, since each message tells all that changed since the one before it.
 // A whole list holds whatever its version is: discovery may have begun to count anew.
-type discovery struct {
-	s *Server
+type endpointWatch struct {
+	server *Server
 
-	mu    sync.Mutex
-	addr  string
-	moved chan struct{} // closed when addr is another
+	mu             sync.Mutex
+	addr           string
+	addressChanged chan struct{} // closed when addr is another
 
 	// the watch's alone
-	seq   uint64                     // of the list as it was told to the core
-	boxes map[string]config.Endpoint // that list, without what is gone
+	version   uint64                     // of the list as it was told to the core
+	endpoints map[string]config.Endpoint // that list, without what is gone
 }
 
-func newDiscovery(s *Server, addr string, seq uint64) *discovery {
-	d := &discovery{s: s, addr: addr, seq: seq, moved: make(chan struct{}), boxes: map[string]config.Endpoint{}}
+func newEndpointWatch(s *Server, addr string, seq uint64) *endpointWatch {
+	d := &endpointWatch{server: s, addr: addr, version: seq, addressChanged: make(chan struct{}), endpoints: map[string]config.Endpoint{}}
 	for _, b := range s.cfg.Endpoints {
-		d.boxes[b.Name] = b
+		d.endpoints[b.Name] = b
 	}
 	return d
 }
 
-// move goes on at another address.
-func (d *discovery) move(addr string) {
+// setAddress goes on at another address.
+func (d *endpointWatch) setAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if addr != d.addr {
 		d.addr = addr
-		close(d.moved)
-		d.moved = make(chan struct{})
+		close(d.addressChanged)
+		d.addressChanged = make(chan struct{})
 	}
 }
 
-// watch goes on until its context ends.
-func (d *discovery) watch(ctx context.Context) error {
-	wait := leastRewatch
+// run goes on until its context ends.
+func (d *endpointWatch) run(ctx context.Context) error {
+	backoff := minWatchBackoff
 	for ctx.Err() == nil {
 		d.mu.Lock()
-		addr, moved := d.addr, d.moved
+		addr, addressChanged := d.addr, d.addressChanged
 		d.mu.Unlock()
-		one, cancel := context.WithCancel(ctx)
+		watchCtx, cancel := context.WithCancel(ctx)
 		go func() { // ends with one
 			select {
-			case <-moved:
+			case <-addressChanged:
 				cancel()
-			case <-one.Done():
+			case <-watchCtx.Done():
 			}
 		}()
-		told, err := d.once(one, addr)
+		received, err := d.watchOnce(watchCtx, addr)
 		cancel()
-		if told {
-			wait = leastRewatch
+		if received {
+			backoff = minWatchBackoff
 		}
 		select {
-		case <-moved:
-			wait = leastRewatch
+		case <-addressChanged:
+			backoff = minWatchBackoff
 			continue
 		case <-ctx.Done():
 			return nil
-		case <-time.After(time.Duration((0.5 + rand.Float64()/2) * float64(wait))):
+		case <-time.After(time.Duration((0.5 + rand.Float64()/2) * float64(backoff))):
 		}
-		d.s.log.Warn("watch of discovery", "addr", addr, "error", err, "seq", d.seq)
-		wait = min(2*wait, mostRewatch)
+		d.server.log.Warn("watch of discovery", "addr", addr, "error", err, "seq", d.version)
+		backoff = min(2*backoff, maxWatchBackoff)
 	}
 	return nil
 }
 
-// once runs one watch until it ends, and tells whether it told anything.
-func (d *discovery) once(ctx context.Context, addr string) (told bool, err error) {
-	dial, cancel := context.WithTimeout(ctx, watchDial)
-	l, err := dialTCP(dial, addr, watchSilence)
+// watchOnce runs one watch until it ends, and tells whether it told anything.
+func (d *endpointWatch) watchOnce(ctx context.Context, addr string) (received bool, err error) {
+	dial, cancel := context.WithTimeout(ctx, watchDialTimeout)
+	socket, err := dialTCP(dial, addr, watchSilenceTimeout)
 	cancel()
 	if err != nil {
 		return false, err
 	}
-	defer l.close()
-	defer l.done()
-	stop := context.AfterFunc(ctx, l.close)
+	defer socket.close()
+	defer socket.releaseBuffer()
+	stop := context.AfterFunc(ctx, socket.close)
 	defer stop()
-	l.write(fmt.Appendf(nil, "GET /v1/endpoints?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n\r\n", d.seq, addr))
-	body := &watchBody{link: l, rd: http1.NewResponses(http1.Limits{})}
-	body.rd.Expect("GET")
-	body.empty = func() { // an empty line in the first place: nothing has changed
-		told = true
-		d.s.post(post{kind: begin})
+	socket.write(fmt.Appendf(nil, "GET /v1/endpoints?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n\r\n", d.version, addr))
+	body := &watchBody{socket: socket, responses: http1.NewResponses(http1.Limits{})}
+	body.responses.Expect("GET")
+	body.onHeartbeat = func() { // an empty line in the first place: nothing has changed
+		received = true
+		d.server.post(post{kind: begin})
 	}
 	messages := json.NewDecoder(body)
 	for {
 		var text json.RawMessage
 		if err := messages.Decode(&text); err != nil {
-			return told, err
+			return received, err
 		}
-		body.size = 0
-		if err := d.take(text); err != nil {
-			return told, err
+		body.messageBytes = 0
+		if err := d.handleEvent(text); err != nil {
+			return received, err
 		}
-		told = true
+		received = true
 	}
 }
 
 // watchBody is the body of a watch's answer as a stream, for as long as something comes: a message is one JSON value,
 // however it is laid out and wherever it is cut, with empty lines between.
 type watchBody struct {
-	link  *link
-	rd    *http1.Reader
-	in    []byte // of the connection, not yet taken apart
-	data  []byte // of the body, not yet read
-	size  int    // read of the message that is being read, and of what came after it
-	empty func() // called for each part that is blank while no message has begun
+	socket       *socket
+	responses    *http1.Reader
+	unparsed     []byte // of the connection, not yet taken apart
+	unread       []byte // of the body, not yet read
+	messageBytes int    // read of the message that is being read, and of what came after it
+	onHeartbeat  func() // called for each part that is blank while no message has begun
 }
 
 func (w *watchBody) Read(p []byte) (int, error) {
-	for len(w.data) == 0 {
-		n, part, err := w.rd.Feed(w.in)
-		w.in = w.in[n:]
+	for len(w.unread) == 0 {
+		n, part, err := w.responses.Feed(w.unparsed)
+		w.unparsed = w.unparsed[n:]
 		if err != nil {
 			return 0, err
 		}
 		switch part.Kind {
 		case http1.More:
-			w.link.conn.SetReadDeadline(time.Now().Add(watchSilence))
-			if w.in, err = w.link.read(); err != nil {
+			w.socket.conn.SetReadDeadline(time.Now().Add(watchSilenceTimeout))
+			if w.unparsed, err = w.socket.read(); err != nil {
 				return 0, err
 			}
 		case http1.HeadEnd:
@@ -157,61 +157,61 @@
 				return 0, fmt.Errorf("status %d", s)
 			}
 		case http1.Data:
-			if w.data = part.Data; w.size == 0 {
-				if w.data = bytes.TrimLeft(w.data, " \t\r\n"); len(w.data) == 0 {
-					w.empty()
+			if w.unread = part.Data; w.messageBytes == 0 {
+				if w.unread = bytes.TrimLeft(w.unread, " \t\r\n"); len(w.unread) == 0 {
+					w.onHeartbeat()
 				}
 			}
 		case http1.End:
 			return 0, errors.New("the watch ended")
 		}
 	}
-	if w.size += len(w.data); w.size > platform.MaxListBytes {
+	if w.messageBytes += len(w.unread); w.messageBytes > platform.MaxListBytes {
 		return 0, fmt.Errorf("a message of more than %d bytes", platform.MaxListBytes)
 	}
-	n := copy(p, w.data)
-	w.data = w.data[n:]
-	w.size -= len(w.data)
+	n := copy(p, w.unread)
+	w.unread = w.unread[n:]
+	w.messageBytes -= len(w.unread)
 	return n, nil
 }
 
-// take tells the core of a message.
-func (d *discovery) take(text []byte) error {
-	news, err := platform.ParseList(text)
+// handleEvent tells the core of a message.
+func (d *endpointWatch) handleEvent(text []byte) error {
+	update, err := platform.ParseList(text)
 	if err != nil {
 		return err
 	}
-	if !news.Whole && news.Seq < d.seq {
-		d.s.log.Warn("list of boxes: changes of an older version are dropped", "seq", news.Seq, "held", d.seq)
+	if !update.Whole && update.Seq < d.version {
+		d.server.log.Warn("list of boxes: changes of an older version are dropped", "seq", update.Seq, "held", d.version)
 		return nil
 	}
-	for _, w := range news.Wrong { // what is held of such a box stays
-		d.s.log.Warn("list of boxes: an entry is not taken", "seq", news.Seq, "error", w.Err)
-		if held, ok := d.boxes[w.Host]; ok && news.Whole {
-			news.Boxes = append(news.Boxes, held)
+	for _, w := range update.Wrong { // what is held of such a box stays
+		d.server.log.Warn("list of boxes: an entry is not taken", "seq", update.Seq, "error", w.Err)
+		if held, ok := d.endpoints[w.Host]; ok && update.Whole {
+			update.Boxes = append(update.Boxes, held)
 		}
 	}
 	kind := changes
-	if news.Whole {
+	if update.Whole {
 		kind = list
-		clear(d.boxes)
+		clear(d.endpoints)
 	}
-	for _, b := range news.Boxes {
-		if d.boxes[b.Name] = b; decision.EndpointState(b.State) == decision.Removed {
-			delete(d.boxes, b.Name)
+	for _, b := range update.Boxes {
+		if d.endpoints[b.Name] = b; decision.EndpointState(b.State) == decision.Removed {
+			delete(d.endpoints, b.Name)
 		}
 	}
-	d.seq = news.Seq
-	d.s.post(post{kind: kind, boxes: news.Boxes})
-	d.s.post(post{kind: begin})
-	d.s.log.Info("list of boxes", "seq", news.Seq, "whole", news.Whole, "entries", len(news.Boxes))
+	d.version = update.Seq
+	d.server.post(post{kind: kind, boxes: update.Boxes})
+	d.server.post(post{kind: begin})
+	d.server.log.Info("list of boxes", "seq", update.Seq, "whole", update.Whole, "entries", len(update.Boxes))
 	return nil
 }
 
-// Move goes on with a discovery and a counter at other addresses. Any goroutine may call it.
-func (s *Server) Move(discovery, keeper string) {
-	if s.disco != nil {
-		s.disco.move(discovery)
+// SetAddresses goes on with a discovery and a counter at other addresses. Any goroutine may call it.
+func (s *Server) SetAddresses(discovery, counter string) {
+	if s.discovery != nil {
+		s.discovery.setAddress(discovery)
 	}
-	s.post(post{kind: counter, bytes: []byte(keeper)})
+	s.post(post{kind: counterAddress, bytes: []byte(counter)})
 }
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -15,9 +15,9 @@
 	"sandyard/internal/platform"
 )
 
-// TestTimesOfTheList adds up what a change of the list waits for on its way here, row by row of the table in
+// TestEndpointUpdateDeadlines adds up what a change of the list waits for on its way here, row by row of the table in
 // docs/design/platform.md: each has to stay a margin under the time after which it counts as told.
-func TestTimesOfTheList(t *testing.T) {
+func TestEndpointUpdateDeadlines(t *testing.T) {
 	const (
 		margin = 500 * time.Millisecond // for reading, handing over and closing what is out, on a part of a core
 		silent = 6 * time.Second        // after a watch fell silent, and after discovery could be reached
@@ -29,16 +29,16 @@
 		bound time.Duration
 		waits []time.Duration
 	}{
-		{"a watch falls silent", silent, []time.Duration{watchSilence, leastRewatch, watchDial}},
-		{"a watch falls silent, and the next one is refused or ends", silent, []time.Duration{watchSilence, leastRewatch, watchDial, 2 * leastRewatch, watchDial}},
-		{"a watch ends", silent, []time.Duration{leastRewatch, watchDial}},
-		{"refused for long, until discovery can be reached", silent, []time.Duration{mostRewatch, watchDial}},
-		{"a connection that never comes up, until discovery can be reached", silent, []time.Duration{watchDial, mostRewatch, watchDial}},
-		{"a watch opened while discovery is down that never says anything", silent, []time.Duration{watchSilence, mostRewatch, watchDial}},
-		{"SIGHUP", moved, []time.Duration{watchDial}},
-		{"SIGHUP, and the first connection never comes up", moved, []time.Duration{watchDial, leastRewatch, watchDial}},
-		{"a new process, discovery down", ready, []time.Duration{firstList}},
-		{"a new process, its first watch is silent", ready, []time.Duration{watchSilence, leastRewatch, watchDial}},
+		{"a watch falls silent", silent, []time.Duration{watchSilenceTimeout, minWatchBackoff, watchDialTimeout}},
+		{"a watch falls silent, and the next one is refused or ends", silent, []time.Duration{watchSilenceTimeout, minWatchBackoff, watchDialTimeout, 2 * minWatchBackoff, watchDialTimeout}},
+		{"a watch ends", silent, []time.Duration{minWatchBackoff, watchDialTimeout}},
+		{"refused for long, until discovery can be reached", silent, []time.Duration{maxWatchBackoff, watchDialTimeout}},
+		{"a connection that never comes up, until discovery can be reached", silent, []time.Duration{watchDialTimeout, maxWatchBackoff, watchDialTimeout}},
+		{"a watch opened while discovery is down that never says anything", silent, []time.Duration{watchSilenceTimeout, maxWatchBackoff, watchDialTimeout}},
+		{"SIGHUP", moved, []time.Duration{watchDialTimeout}},
+		{"SIGHUP, and the first connection never comes up", moved, []time.Duration{watchDialTimeout, minWatchBackoff, watchDialTimeout}},
+		{"a new process, discovery down", ready, []time.Duration{firstEndpointsTimeout}},
+		{"a new process, its first watch is silent", ready, []time.Duration{watchSilenceTimeout, minWatchBackoff, watchDialTimeout}},
 	} {
 		sum := margin
 		for _, w := range r.waits {
@@ -48,16 +48,16 @@
 			t.Errorf("%s: %v with the margin, told after %v", r.name, sum, r.bound)
 		}
 	}
-	if least := 2 * time.Second; watchSilence < least+margin {
-		t.Errorf("silence of %v: a watch shows every %v that it stands", watchSilence, least)
+	if least := 2 * time.Second; watchSilenceTimeout < least+margin {
+		t.Errorf("silence of %v: a watch shows every %v that it stands", watchSilenceTimeout, least)
 	}
 }
 
-// agent is discovery as a function of the number of the watch; it has read the request.
-func agent(t *testing.T, answer func(n int, c net.Conn, since string)) string {
+// startAgent is discovery as a function of the number of the watch; it has read the request.
+func startAgent(t *testing.T, answer func(n int, c net.Conn, since string)) string {
 	calls := make(chan int, 1)
 	calls <- 0
-	return rawBox(t, func(c net.Conn, in *bufio.Reader) {
+	return startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -69,41 +69,50 @@
 	})
 }
 
-func chunk(c net.Conn, s string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
+func writeChunk(c net.Conn, s string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
 
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// TestListsInAllForms: a message is one JSON value, however it is laid out and wherever it is cut.
-func TestListsInAllForms(t *testing.T) {
+// TestWatchEventsInAnyFraming: a message is one JSON value, however it is laid out and wherever it is cut.
+func TestWatchEventsInAnyFraming(t *testing.T) {
 	host := func(seq int, name, addr string) string {
 		return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":"%s","dial":"%s","health":"active","share":1}]}`, seq, name, addr)
 	}
 	spread := strings.NewReplacer("{", "{\n  ", ",", ",\n\r\n  ", "}", "\n}")
 	for name, send := range map[string]func(c net.Conn, one, two string){
-		"a line each": func(c net.Conn, one, two string) { chunk(c, one+"\n"); chunk(c, "\n"); chunk(c, two+"\n") },
+		"a line each": func(c net.Conn, one, two string) {
+			writeChunk(c, one+"\n")
+			writeChunk(c, "\n")
+			writeChunk(c, two+"\n")
+		},
 		"indented": func(c net.Conn, one, two string) {
-			chunk(c, spread.Replace(one)+"\n")
-			chunk(c, "\r\n"+spread.Replace(two))
+			writeChunk(c, spread.Replace(one)+"\n")
+			writeChunk(c, "\r\n"+spread.Replace(two))
 		},
-		"no newline at the end": func(c net.Conn, one, two string) { chunk(c, one); chunk(c, two) },
-		"both in one chunk":     func(c net.Conn, one, two string) { chunk(c, "\n\n"+one+two) },
+		"no newline at the end": func(c net.Conn, one, two string) { writeChunk(c, one); writeChunk(c, two) },
+		"both in one chunk":     func(c net.Conn, one, two string) { writeChunk(c, "\n\n"+one+two) },
 		"cut within a chunk": func(c net.Conn, one, two string) {
-			chunk(c, one[:20])
-			chunk(c, one[20:]+"\n"+two[:1])
-			chunk(c, two[1:])
+			writeChunk(c, one[:20])
+			writeChunk(c, one[20:]+"\n"+two[:1])
+			writeChunk(c, two[1:])
+		},
+		"empty lines within one": func(c net.Conn, one, two string) {
+			writeChunk(c, one[:7])
+			writeChunk(c, "\n")
+			writeChunk(c, one[7:])
+			writeChunk(c, two)
 		},
-		"empty lines within one": func(c net.Conn, one, two string) { chunk(c, one[:7]); chunk(c, "\n"); chunk(c, one[7:]); chunk(c, two) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := named(t, "a"), named(t, "b")
-			count, _ := tally(t)
-			disco := agent(t, func(_ int, c net.Conn, _ string) {
+			a, b := startNamedBackend(t, "a"), startNamedBackend(t, "b")
+			count, _ := startCounter(t)
+			disco := startAgent(t, func(_ int, c net.Conn, _ string) {
 				io.WriteString(c, watchHead)
 				send(c, host(8, "x", a), host(9, "b", b))
 			})
-			r := startNode(t, disco, count, 64, named(t, "old"))
-			r.logged("seq=9")
-			r.served(1, "b")
+			r := startNode(t, disco, count, 64, startNamedBackend(t, "old"))
+			r.waitForLog("seq=9")
+			r.requireServedBy(1, "b")
 			if s := r.log.String(); strings.Contains(s, "watch of discovery") {
 				t.Errorf("the watch began again: %s", s)
 			}
@@ -111,24 +120,24 @@
 	}
 }
 
-// TestListsByVersion: changes up to an older version are dropped, those of the same one are taken again, and a whole list holds
+// TestEndpointListVersions: changes up to an older version are dropped, those of the same one are taken again, and a whole list holds
 // whatever its version; a watch goes on from the version that is held.
-func TestListsByVersion(t *testing.T) {
-	a, b := named(t, "a"), named(t, "b")
-	count, _ := tally(t)
+func TestEndpointListVersions(t *testing.T) {
+	a, b := startNamedBackend(t, "a"), startNamedBackend(t, "b")
+	count, _ := startCounter(t)
 	more := make(chan string)
 	end := sync.OnceFunc(func() { close(more) })
-	disco := agent(t, func(n int, c net.Conn, since string) {
+	disco := startAgent(t, func(n int, c net.Conn, since string) {
 		if n == 2 && since != "3" {
 			t.Errorf("the second watch goes on from %s", since)
 		}
 		io.WriteString(c, watchHead)
 		if n > 1 {
-			chunk(c, "\n")
+			writeChunk(c, "\n")
 			return
 		}
 		for s := range more {
-			chunk(c, s)
+			writeChunk(c, s)
 		}
 		c.Close()
 	})
@@ -136,33 +145,33 @@
 	const up = `{"seq":%d,"whole":%v,"hosts":[{"host":"%s","dial":"%s","health":"active","share":1}]}`
 	go func() { more <- fmt.Sprintf(up, 8, true, "b", b) }()
 	r := startNode(t, disco, count, 64, a)
-	r.served(1, "b")
+	r.requireServedBy(1, "b")
 	more <- fmt.Sprintf(up, 7, false, "a", a) + `{"seq":8,"whole":false,"hosts":[]}`
-	r.logged("older version are dropped")
+	r.waitForLog("older version are dropped")
 	for id := 2; id < 12; id++ {
-		r.served(id, "b")
+		r.requireServedBy(id, "b")
 	}
 	more <- fmt.Sprintf(up, 3, true, "a", a) // counted anew
-	r.logged("seq=3")
-	r.served(20, "a")
+	r.waitForLog("seq=3")
+	r.requireServedBy(20, "a")
 	end()
-	r.logged("watch of discovery")
-	r.served(21, "a")
+	r.waitForLog("watch of discovery")
+	r.requireServedBy(21, "a")
 }
 
-// TestWrongEntries: an entry that can't be read spoils no other, is logged with its place, and leaves what was known of its box.
-func TestWrongEntries(t *testing.T) {
-	a, b := named(t, "a"), named(t, "b")
-	count, _ := tally(t)
-	disco := agent(t, func(_ int, c net.Conn, _ string) {
+// TestInvalidEndpointLeavesOthersInForce: an entry that can't be read spoils no other, is logged with its place, and leaves what was known of its box.
+func TestInvalidEndpointLeavesOthersInForce(t *testing.T) {
+	a, b := startNamedBackend(t, "a"), startNamedBackend(t, "b")
+	count, _ := startCounter(t)
+	disco := startAgent(t, func(_ int, c net.Conn, _ string) {
 		io.WriteString(c, watchHead)
-		chunk(c, fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[{"host":"a","dial":7},{"host":"b","dial":"%s","health":"active","share":1}]}`, b))
+		writeChunk(c, fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[{"host":"a","dial":7},{"host":"b","dial":"%s","health":"active","share":1}]}`, b))
 	})
 	r := startNode(t, disco, count, 64, a)
-	r.logged("hosts[0].dial")
+	r.waitForLog("hosts[0].dial")
 	by := map[string]bool{}
 	for id := 1; len(by) < 2; id++ {
-		resp := r.talk(lookUp(id), 1)[0]
+		resp := r.exchange(lookRequest(id), 1)[0]
 		body, _ := io.ReadAll(resp.Body)
 		name, _, _ := strings.Cut(string(body), " ")
 		if by[name] = true; resp.StatusCode != 200 || id > 1000 {
@@ -171,53 +180,53 @@
 	}
 }
 
-// notYet is a front door whose agent has not said anything yet.
-func notYet(t *testing.T, disco string) *rig {
-	n, err := platform.ParseConfig(fmt.Appendf(nil, nodeConfig, disco, "127.0.0.1:1", 64, named(t, "known")))
+// startNodeUnready is a front door whose agent has not said anything yet.
+func startNodeUnready(t *testing.T, disco string) *gateway {
+	n, err := platform.ParseConfig(fmt.Appendf(nil, nodeConfig, disco, "127.0.0.1:1", 64, startNamedBackend(t, "known")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{T: t, log: &lines{more: make(chan struct{}, 1)}, ended: make(chan error, 1)}
-	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, Discovery: n.Discovery, Seq: n.Known.Seq})
+	r := &gateway{T: t, log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
+	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, DiscoveryAddress: n.Discovery, EndpointsVersion: n.Known.Seq})
 	return r
 }
 
-// TestReadyWithTheFirstList: what the agent holds counts from the first moment of a process, and the list that it was started
+// TestNotReadyBeforeFirstEndpointList: what the agent holds counts from the first moment of a process, and the list that it was started
 // with may be old: until the first word of the agent nothing is sent by it, and the front door is not ready.
-func TestReadyWithTheFirstList(t *testing.T) {
+func TestNotReadyBeforeFirstEndpointList(t *testing.T) {
 	tell := make(chan struct{})
-	b := named(t, "b")
+	b := startNamedBackend(t, "b")
 	asked := make(chan struct{}, 1)
-	disco := agent(t, func(n int, c net.Conn, _ string) {
+	disco := startAgent(t, func(n int, c net.Conn, _ string) {
 		io.WriteString(c, watchHead)
 		asked <- struct{}{}
 		<-tell
-		chunk(c, fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"b","dial":"%s","health":"active","share":1}]}`, b))
+		writeChunk(c, fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"b","dial":"%s","health":"active","share":1}]}`, b))
 	})
-	r := notYet(t, disco)
+	r := startNodeUnready(t, disco)
 	<-asked
-	if s := r.status(isReady); s != 503 {
+	if s := r.status(readyRequest); s != 503 {
 		t.Errorf("ready: %d", s)
 	}
-	if s := r.status(lookUp(1)); s != 503 {
+	if s := r.status(lookRequest(1)); s != 503 {
 		t.Errorf("a request: %d", s)
 	}
 	close(tell)
-	for r.status(isReady) != 200 {
+	for r.status(readyRequest) != 200 {
 		runtime.Gosched()
 	}
-	r.served(2, "b")
+	r.requireServedBy(2, "b")
 }
 
 // TestReadyWithoutDiscovery: where discovery is down, a new process goes on with the list that it was started with.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	r := notYet(t, agent(t, func(int, net.Conn, string) {}))
+	r := startNodeUnready(t, startAgent(t, func(int, net.Conn, string) {}))
 	began := time.Now()
-	for r.status(isReady) != 200 {
+	for r.status(readyRequest) != 200 {
 		runtime.Gosched()
 	}
-	if d := time.Since(began); d < firstList/2 {
+	if d := time.Since(began); d < firstEndpointsTimeout/2 {
 		t.Errorf("ready after %v", d)
 	}
-	r.served(1, "known")
+	r.requireServedBy(1, "known")
 }
--- a/internal/server/emulated.go
+++ b/internal/server/emulated.go
@@ -14,32 +14,32 @@
 	"sandyard/proxy"
 )
 
-// peer is a connection that a stand-in has taken.
-type peer struct {
-	link *link
-	box  *emulator.BackendConn
-	keep *emulator.CounterConn
+// emulatorClient is a connection that a stand-in has taken.
+type emulatorClient struct {
+	socket  *socket
+	backend *emulator.BackendConn
+	counter *emulator.CounterConn
 }
 
-// standIn is what the stand-ins on sockets have in common: a listener that comes and goes with the refuse verb, and
+// emulatedServer is what the stand-ins on sockets have in common: a listener that comes and goes with the refuse verb, and
 // connections whose machines are all owned by whoever holds mu.
-type standIn struct {
-	start time.Time
-	addr  string
-	wg    errgroup.Group
+type emulatedServer struct {
+	startTime  time.Time
+	addr       string
+	goroutines errgroup.Group
 
-	mu     sync.Mutex
-	ln     *net.TCPListener
-	peers  map[*peer]struct{}
-	closed bool
-	feed   func(*peer, []byte) // mu is held
-	begin  func(*peer)         // mu is held
-	gone   func(*peer)         // mu is held
+	mu           sync.Mutex
+	listener     *net.TCPListener
+	peers        map[*emulatorClient]struct{}
+	closed       bool
+	onBytes      func(*emulatorClient, []byte) // mu is held
+	onAccept     func(*emulatorClient)         // mu is held
+	onDisconnect func(*emulatorClient)         // mu is held
 }
 
-func (s *standIn) now() time.Duration { return proxy.Start + time.Since(s.start) }
+func (s *emulatedServer) now() time.Duration { return proxy.Start + time.Since(s.startTime) }
 
-func (s *standIn) listen(addr string) error {
+func (s *emulatedServer) listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
@@ -50,61 +50,61 @@
 		return ln.Close()
 	}
 	s.addr = ln.Addr().String()
-	s.ln = ln.(*net.TCPListener)
-	s.wg.Go(func() error { s.accept(ln.(*net.TCPListener)); return nil })
+	s.listener = ln.(*net.TCPListener)
+	s.goroutines.Go(func() error { s.accept(ln.(*net.TCPListener)); return nil })
 	return nil
 }
 
-func (s *standIn) accept(ln *net.TCPListener) {
+func (s *emulatedServer) accept(ln *net.TCPListener) {
 	for {
 		conn, err := ln.AcceptTCP()
 		if err != nil {
 			return
 		}
-		l, err := newLink(conn, 10*time.Second)
+		l, err := newSocket(conn, 10*time.Second)
 		if err != nil {
 			conn.Close()
 			continue
 		}
-		p := &peer{link: l}
+		p := &emulatorClient{socket: l}
 		s.mu.Lock()
-		if s.ln != ln {
+		if s.listener != ln {
 			s.mu.Unlock()
 			conn.Close()
 			return
 		}
-		s.begin(p)
+		s.onAccept(p)
 		s.peers[p] = struct{}{}
 		s.mu.Unlock()
-		s.wg.Go(func() error { s.read(p); return nil })
+		s.goroutines.Go(func() error { s.read(p); return nil })
 	}
 }
 
-func (s *standIn) read(p *peer) {
-	defer p.link.close()
-	defer p.link.done()
+func (s *emulatedServer) read(p *emulatorClient) {
+	defer p.socket.close()
+	defer p.socket.releaseBuffer()
 	for {
-		b, err := p.link.read()
+		b, err := p.socket.read()
 		s.mu.Lock()
 		if err != nil {
-			s.gone(p)
+			s.onDisconnect(p)
 			delete(s.peers, p)
 			s.mu.Unlock()
 			return
 		}
-		s.feed(p, b)
+		s.onBytes(p, b)
 		s.mu.Unlock()
 	}
 }
 
-// refuse closes the listener and all connections, or listens again.
-func (s *standIn) refuse(on bool) error {
+// setRefusing closes the listener and all connections, or listens again.
+func (s *emulatedServer) setRefusing(on bool) error {
 	s.mu.Lock()
-	ln, addr := s.ln, s.addr
+	ln, addr := s.listener, s.addr
 	if on {
-		s.ln = nil
+		s.listener = nil
 		for p := range s.peers {
-			abort(p.link)
+			resetConnection(p.socket)
 		}
 	}
 	s.mu.Unlock()
@@ -117,46 +117,46 @@
 	return nil
 }
 
-// abort closes with a reset.
-func abort(l *link) {
+// resetConnection closes with a reset.
+func resetConnection(l *socket) {
 	l.conn.SetLinger(0)
 	l.close()
 }
 
-func (s *standIn) close() {
+func (s *emulatedServer) close() {
 	s.mu.Lock()
 	s.closed = true
-	ln := s.ln
-	s.ln = nil
+	ln := s.listener
+	s.listener = nil
 	for p := range s.peers {
-		p.link.close()
+		p.socket.close()
 	}
 	s.mu.Unlock()
 	if ln != nil {
 		ln.Close()
 	}
-	s.wg.Wait()
+	s.goroutines.Wait()
 }
 
 // EmulatedBackend is a stand-in box on a socket.
 type EmulatedBackend struct {
-	standIn
-	box   *emulator.Backend
-	timer *time.Timer
+	emulatedServer
+	backend *emulator.Backend
+	timer   *time.Timer
 }
 
 // StartBackend starts a box. facts, if given, is told what happens; it must not block.
 func StartBackend(addr string, cfg emulator.BackendConfig, facts func(emulator.Fact)) (*EmulatedBackend, error) {
-	b := &EmulatedBackend{standIn: standIn{start: time.Now(), peers: map[*peer]struct{}{}}}
-	b.box = emulator.NewBackend(cfg, b.now())
-	b.box.Facts = facts
+	b := &EmulatedBackend{emulatedServer: emulatedServer{startTime: time.Now(), peers: map[*emulatorClient]struct{}{}}}
+	b.backend = emulator.NewBackend(cfg, b.now())
+	b.backend.Facts = facts
 	b.timer = time.AfterFunc(time.Hour, b.advance)
-	b.begin = func(p *peer) { p.box = b.box.NewConn() }
-	b.gone = func(p *peer) { p.box.Closed() }
-	b.feed = func(p *peer, in []byte) {
-		p.box.Feed(b.now(), in)
-		b.out(p)
-		b.after()
+	b.onAccept = func(p *emulatorClient) { p.backend = b.backend.NewConn() }
+	b.onDisconnect = func(p *emulatorClient) { p.backend.Closed() }
+	b.onBytes = func(p *emulatorClient, in []byte) {
+		p.backend.Feed(b.now(), in)
+		b.flush(p)
+		b.scheduleAdvance()
 	}
 	if err := b.listen(addr); err != nil {
 		b.timer.Stop()
@@ -171,11 +171,11 @@
 // Set begins or ends a fault.
 func (b *EmulatedBackend) Set(v fault.Verb, value float64, on bool) error {
 	b.mu.Lock()
-	b.box.Set(b.now(), v, value, on)
-	b.after()
+	b.backend.Set(b.now(), v, value, on)
+	b.scheduleAdvance()
 	b.mu.Unlock()
 	if v == fault.Refuse {
-		return b.refuse(on)
+		return b.setRefusing(on)
 	}
 	return nil
 }
@@ -193,96 +193,96 @@
 		return
 	}
 	now := b.now()
-	b.box.Advance(now, func(j *emulator.Job) {
+	b.backend.Advance(now, func(j *emulator.Job) {
 		c := j.Conn()
 		c.Done(now, j)
 		for p := range b.peers { // few
-			if p.box == c {
-				b.out(p)
+			if p.backend == c {
+				b.flush(p)
 			}
 		}
 	})
-	b.after()
+	b.scheduleAdvance()
 }
 
-// after sets the timer; a box that has fallen over refuses from then on. mu is held.
-func (b *EmulatedBackend) after() {
-	if b.box.HasCollapsed() && b.ln != nil {
-		ln := b.ln
-		b.ln = nil
+// scheduleAdvance sets the timer; a box that has fallen over refuses from then on. mu is held.
+func (b *EmulatedBackend) scheduleAdvance() {
+	if b.backend.HasCollapsed() && b.listener != nil {
+		ln := b.listener
+		b.listener = nil
 		ln.Close()
 		for p := range b.peers {
-			abort(p.link)
+			resetConnection(p.socket)
 		}
 	}
-	if t := b.box.Next(); t != 0 {
+	if t := b.backend.Next(); t != 0 {
 		b.timer.Reset(max(0, t-b.now()))
 	}
 }
 
-// out writes what a connection has for its peer; mu is held.
-func (b *EmulatedBackend) out(p *peer) {
-	if len(p.box.Out) > 0 {
-		p.link.write(p.box.Out)
-		p.box.Out = p.box.Out[:0]
+// flush writes what a connection has for its peer; mu is held.
+func (b *EmulatedBackend) flush(p *emulatorClient) {
+	if len(p.backend.Out) > 0 {
+		p.socket.write(p.backend.Out)
+		p.backend.Out = p.backend.Out[:0]
 	}
-	if p.box.Close {
-		p.end(p.box.Abort)
+	if p.backend.Close {
+		p.closeAfterFlush(p.backend.Abort)
 	}
 }
 
-// end closes a connection once all is written.
-func (p *peer) end(aborts bool) {
+// closeAfterFlush closes a connection once all is written.
+func (p *emulatorClient) closeAfterFlush(aborts bool) {
 	if aborts {
-		p.link.conn.SetLinger(0)
+		p.socket.conn.SetLinger(0)
 	}
-	p.link.mu.Lock()
-	waits := p.link.flushing
+	p.socket.mu.Lock()
+	waits := p.socket.flushing
 	if waits {
-		p.link.flushed = func() { p.link.conn.Close() }
+		p.socket.onFlushed = func() { p.socket.conn.Close() }
 	}
-	p.link.mu.Unlock()
+	p.socket.mu.Unlock()
 	if !waits {
-		p.link.close()
+		p.socket.close()
 	}
 }
 
 // EmulatedCounter is a stand-in tally keeper on a socket.
 type EmulatedCounter struct {
-	standIn
-	keeper *emulator.Counter
-	ctx    context.Context
-	stop   context.CancelFunc
-	wake   sync.Cond // signalled when a stall ends
+	emulatedServer
+	counter    *emulator.Counter
+	ctx        context.Context
+	stop       context.CancelFunc
+	stallEnded sync.Cond // signalled when a stall ends
 }
 
 // StartCounter starts a keeper.
 func StartCounter(addr string) (*EmulatedCounter, error) {
-	k := &EmulatedCounter{standIn: standIn{start: time.Now(), peers: map[*peer]struct{}{}}, keeper: emulator.NewCounter()}
-	k.wake.L = &k.mu
+	k := &EmulatedCounter{emulatedServer: emulatedServer{startTime: time.Now(), peers: map[*emulatorClient]struct{}{}}, counter: emulator.NewCounter()}
+	k.stallEnded.L = &k.mu
 	k.ctx, k.stop = context.WithCancel(context.Background())
-	served := 0.0
-	k.begin = func(p *peer) {
-		p.keep = k.keeper.NewConn()
-		_, p.keep.ClientPosition = math.Modf(served * (math.Sqrt(5) - 1) / 2) // a socket does not tell which front door it is
-		served++
+	accepted := 0.0
+	k.onAccept = func(p *emulatorClient) {
+		p.counter = k.counter.NewConn()
+		_, p.counter.ClientPosition = math.Modf(accepted * (math.Sqrt(5) - 1) / 2) // a socket does not tell which front door it is
+		accepted++
 	}
-	k.gone = func(*peer) {}
-	k.feed = func(p *peer, in []byte) {
-		for k.keeper.Stalled() && !k.closed {
-			k.wake.Wait()
+	k.onDisconnect = func(*emulatorClient) {}
+	k.onBytes = func(p *emulatorClient, in []byte) {
+		for k.counter.Stalled() && !k.closed {
+			k.stallEnded.Wait()
 		}
-		p.keep.Feed(k.now(), in)
-		if len(p.keep.Out) > 0 {
-			if d := k.keeper.Delay(); d > 0 {
-				k.delayed(p, append([]byte(nil), p.keep.Out...), d)
+		p.counter.Feed(k.now(), in)
+		if len(p.counter.Out) > 0 {
+			if d := k.counter.Delay(); d > 0 {
+				k.writeLater(p, append([]byte(nil), p.counter.Out...), d)
 			} else {
-				p.link.write(p.keep.Out)
+				p.socket.write(p.counter.Out)
 			}
-			p.keep.Out = p.keep.Out[:0]
+			p.counter.Out = p.counter.Out[:0]
 		}
-		if p.keep.Close {
-			p.end(false)
+		if p.counter.Close {
+			p.closeAfterFlush(false)
 		}
 	}
 	if err := k.listen(addr); err != nil {
@@ -291,14 +291,14 @@
 	return k, nil
 }
 
-// delayed writes later; writes of one connection keep their order as long as the delay stays the same.
-func (k *EmulatedCounter) delayed(p *peer, b []byte, d time.Duration) {
-	k.wg.Go(func() error {
+// writeLater writes later; writes of one connection keep their order as long as the delay stays the same.
+func (k *EmulatedCounter) writeLater(p *emulatorClient, b []byte, d time.Duration) {
+	k.goroutines.Go(func() error {
 		t := time.NewTimer(d)
 		defer t.Stop()
 		select {
 		case <-t.C:
-			p.link.write(b)
+			p.socket.write(b)
 		case <-k.ctx.Done():
 		}
 		return nil
@@ -312,17 +312,17 @@
 func (k *EmulatedCounter) Total(name string) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.keeper.Total(k.now(), name)
+	return k.counter.Total(k.now(), name)
 }
 
 // Set begins or ends a fault.
 func (k *EmulatedCounter) Set(v fault.Verb, value float64, on bool) error {
 	k.mu.Lock()
-	k.keeper.Set(k.now(), v, value, on)
-	k.wake.Broadcast()
+	k.counter.Set(k.now(), v, value, on)
+	k.stallEnded.Broadcast()
 	k.mu.Unlock()
 	if v == fault.Refuse {
-		return k.refuse(on)
+		return k.setRefusing(on)
 	}
 	return nil
 }
@@ -332,7 +332,7 @@
 	k.stop()
 	k.mu.Lock()
 	k.closed = true
-	k.wake.Broadcast()
+	k.stallEnded.Broadcast()
 	k.mu.Unlock()
 	k.close()
 }
--- a/internal/server/control.go
+++ b/internal/server/faultcontrol.go
@@ -16,9 +16,9 @@
 	Set(v fault.Verb, value float64, on bool) error
 }
 
-// Control listens for lines that set a stand-in's faults: "set slow 3", "clear slow". Each is answered "ok" or
+// ServeFaultControl listens for lines that set a stand-in's faults: "set slow 3", "clear slow". Each is answered "ok" or
 // "error: ...". The function returned stops it.
-func Control(addr string, f FaultTarget) (net.Addr, func(), error) {
+func ServeFaultControl(addr string, f FaultTarget) (net.Addr, func(), error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, nil, err
@@ -42,7 +42,7 @@
 			open[conn] = struct{}{}
 			mu.Unlock()
 			wg.Go(func() {
-				control(conn, f)
+				serveFaultControlConn(conn, f)
 				mu.Lock()
 				delete(open, conn)
 				mu.Unlock()
@@ -61,12 +61,12 @@
 	}, nil
 }
 
-func control(conn net.Conn, f FaultTarget) {
+func serveFaultControlConn(conn net.Conn, f FaultTarget) {
 	defer conn.Close()
 	in := bufio.NewScanner(conn)
 	in.Buffer(make([]byte, 256), 256)
 	for in.Scan() {
-		if err := command(in.Text(), f); err != nil {
+		if err := runFaultCommand(in.Text(), f); err != nil {
 			fmt.Fprintf(conn, "error: %v\n", err)
 		} else {
 			fmt.Fprintln(conn, "ok")
@@ -74,8 +74,8 @@
 	}
 }
 
-func command(line string, f FaultTarget) error {
-	word, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
+func runFaultCommand(command string, f FaultTarget) error {
+	word, rest, _ := strings.Cut(strings.TrimSpace(command), " ")
 	switch word {
 	case "set":
 		v, x, err := fault.Parse(rest)
@@ -93,15 +93,15 @@
 	return fmt.Errorf("%q: expected set or clear", word)
 }
 
-// SetFault tells a stand-in's control address a line.
-func SetFault(addr, line string) error {
+// SendFaultCommand tells a stand-in's control address a line.
+func SendFaultCommand(addr, command string) error {
 	conn, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(2 * time.Second))
-	if _, err := fmt.Fprintln(conn, line); err != nil {
+	if _, err := fmt.Fprintln(conn, command); err != nil {
 		return err
 	}
 	reply, err := bufio.NewReader(conn).ReadString('\n')
--- a/internal/server/node_test.go
+++ b/internal/server/node_test.go
@@ -15,27 +15,27 @@
 	"sandyard/internal/platform"
 )
 
-// lists is discovery: it answers each watch with its first line, and sends what tell is given to the watch that stands.
-type lists struct {
-	addr string
-	tell chan string
-	seen chan string // request lines
+// discoveryServer is discovery: it answers each watch with its first line, and sends what tell is given to the watch that stands.
+type discoveryServer struct {
+	addr     string
+	send     chan string
+	requests chan string // request lines
 }
 
-func startLists(t *testing.T) *lists {
-	l := &lists{tell: make(chan string), seen: make(chan string, 16)}
-	l.addr = rawBox(t, func(c net.Conn, in *bufio.Reader) {
+func startDiscovery(t *testing.T) *discoveryServer {
+	l := &discoveryServer{send: make(chan string), requests: make(chan string, 16)}
+	l.addr = startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		l.seen <- req.URL.String()
+		l.requests <- req.URL.String()
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
 		gone := make(chan struct{})
 		go func() { io.Copy(io.Discard, in); close(gone) }()
 		for {
 			select {
-			case text := <-l.tell:
+			case text := <-l.send:
 				fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
 			case <-gone:
 				return
@@ -45,11 +45,11 @@
 	return l
 }
 
-// tally is the counter: every call is added up.
-func tally(t *testing.T) (addr string, calls func() int) {
+// startCounter is the counter: every call is added up.
+func startCounter(t *testing.T) (addr string, calls func() int) {
 	var mu sync.Mutex
 	sum, n := map[string]float64{}, 0
-	addr = rawBox(t, func(c net.Conn, in *bufio.Reader) {
+	addr = startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
 		for {
 			line, err := in.ReadString('\n')
 			if err != nil {
@@ -73,29 +73,29 @@
 "settings":{"me":0,"peers-total":2,"limits":{"max-attempts":3},"specifics":{"shared-counter":true,"count-limit-ms":500,"units-top":6},
 "services":[{"name":"look","semantics":"retryable","aim-ms":2000,"deadline-ms":5000}],"plans":[{"name":"team","refill":1000,"store-size":1000}]}}`
 
-const isReady = "GET /ready HTTP/1.1\r\nHost: o\r\nConnection: close\r\n\r\n"
+const readyRequest = "GET /ready HTTP/1.1\r\nHost: o\r\nConnection: close\r\n\r\n"
 
-func startNode(t *testing.T, discovery, counter string, sockets int, box string) *rig {
+func startNode(t *testing.T, discovery, counter string, sockets int, box string) *gateway {
 	t.Helper()
 	n, err := platform.ParseConfig(fmt.Appendf(nil, nodeConfig, discovery, counter, sockets, box))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{T: t, log: &lines{more: make(chan struct{}, 1)}, ended: make(chan error, 1)}
-	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, Discovery: n.Discovery, Seq: n.Known.Seq})
-	for r.status(isReady) != 200 {
+	r := &gateway{T: t, log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
+	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, DiscoveryAddress: n.Discovery, EndpointsVersion: n.Known.Seq})
+	for r.status(readyRequest) != 200 {
 		runtime.Gosched()
 	}
 	return r
 }
 
-func lookUp(id int) string {
+func lookRequest(id int) string {
 	return fmt.Sprintf("GET /api?client=0000000000000001 HTTP/1.1\r\nHost: o\r\nX-Request-Id: %016x\r\nX-Class: look\r\nX-Tier: team\r\nX-Deadline-Ms: 4000\r\nX-Call-Terms: units=1,spread=2,first=0\r\n\r\n", id)
 }
 
-// named is a backend that answers with its name and the id of the request.
-func named(t *testing.T, name string) string {
-	return rawBox(t, func(c net.Conn, in *bufio.Reader) {
+// startNamedBackend is a backend that answers with its name and the id of the request.
+func startNamedBackend(t *testing.T, name string) string {
+	return startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(in)
 			if err != nil {
@@ -107,58 +107,58 @@
 	})
 }
 
-func (r *rig) served(id int, by string) {
+func (r *gateway) requireServedBy(id int, by string) {
 	r.Helper()
-	resp := r.talk(lookUp(id), 1)[0]
+	resp := r.exchange(lookRequest(id), 1)[0]
 	body, _ := io.ReadAll(resp.Body)
 	if want := fmt.Sprintf("%s %016x", by, id); resp.StatusCode != 200 || string(body) != want {
 		r.Errorf("request %d: %d %q, want %q", id, resp.StatusCode, body, want)
 	}
 }
 
-// TestNode: a front door on the platform serves, follows discovery, and goes on at other addresses of discovery and
+// TestNodeFollowsDiscoveryAndCounter: a front door on the platform serves, follows discovery, and goes on at other addresses of discovery and
 // counter from the version that it had.
-func TestNode(t *testing.T) {
-	d, other := startLists(t), startLists(t)
-	count, calls := tally(t)
-	count2, calls2 := tally(t)
-	a, b, c := named(t, "a"), named(t, "b"), named(t, "c")
+func TestNodeFollowsDiscoveryAndCounter(t *testing.T) {
+	d, other := startDiscovery(t), startDiscovery(t)
+	count, calls := startCounter(t)
+	count2, calls2 := startCounter(t)
+	a, b, c := startNamedBackend(t, "a"), startNamedBackend(t, "b"), startNamedBackend(t, "c")
 	r := startNode(t, d.addr, count, 256, a)
-	if got := <-d.seen; got != "/v1/endpoints?follow=1&since=7" {
+	if got := <-d.requests; got != "/v1/endpoints?follow=1&since=7" {
 		t.Errorf("the watch asks %s", got)
 	}
 	if s := r.status("GET /ready HTTP/1.1\r\nHost: o\r\n\r\n"); s != 200 {
 		t.Errorf("ready: %d", s)
 	}
-	r.logged("keeper connected")
-	r.served(1, "a")
+	r.waitForLog("keeper connected")
+	r.requireServedBy(1, "a")
 	if calls() == 0 {
 		t.Error("the counter is not asked")
 	}
-	d.tell <- fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[{"host":"a","health":"left"},{"host":"b","dial":"%s","health":"active","share":1}]}`+"\n", b)
-	r.logged("seq=8")
-	r.served(2, "b")
-	r.s.Move(other.addr, count2)
-	if got := <-other.seen; got != "/v1/endpoints?follow=1&since=8" {
+	d.send <- fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[{"host":"a","health":"left"},{"host":"b","dial":"%s","health":"active","share":1}]}`+"\n", b)
+	r.waitForLog("seq=8")
+	r.requireServedBy(2, "b")
+	r.server.SetAddresses(other.addr, count2)
+	if got := <-other.requests; got != "/v1/endpoints?follow=1&since=8" {
 		t.Errorf("the watch at the new address asks %s", got)
 	}
-	r.logged("addr=" + count2)
-	other.tell <- fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"c","dial":"%s","health":"active","share":1}]}`+"\n", c)
-	r.logged("seq=9")
+	r.waitForLog("addr=" + count2)
+	other.send <- fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"c","dial":"%s","health":"active","share":1}]}`+"\n", c)
+	r.waitForLog("seq=9")
 	before := calls()
 	for id := 10; id < 10000 && calls2() == 0; id++ { // what is spent is told after a while
-		r.served(id, "c")
+		r.requireServedBy(id, "c")
 	}
 	if calls() != before || calls2() == 0 {
 		t.Errorf("calls after the move: %d at the old counter, %d at the new", calls()-before, calls2())
 	}
 }
 
-// TestSilentConnectionsMakeRoom: connections that say nothing, as many as there may be, keep no client out.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
-	count, _ := tally(t)
-	r := startNode(t, startLists(t).addr, count, 64, named(t, "a"))
-	most := r.s.cfg.Limits.Connections
+// TestSilentClientsAreEvictedAtTheLimit: connections that say nothing, as many as there may be, keep no client out.
+func TestSilentClientsAreEvictedAtTheLimit(t *testing.T) {
+	count, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
+	most := r.server.cfg.Limits.Connections
 	for range 2 * most {
 		c, err := net.Dial("tcp", r.addr)
 		if err != nil {
@@ -166,23 +166,23 @@
 		}
 		defer c.Close()
 	}
-	r.served(1, "a")
+	r.requireServedBy(1, "a")
 }
 
-// TestStopTakesWhatStillComes: after the signal to stop, connections that come within limits.stop-delay are served.
-func TestStopTakesWhatStillComes(t *testing.T) {
-	count, _ := tally(t)
-	r := startNode(t, startLists(t).addr, count, 64, named(t, "a"))
-	r.served(1, "a")
+// TestConnectionsAreAcceptedDuringStopDelay: after the signal to stop, connections that come within limits.stop-delay are served.
+func TestConnectionsAreAcceptedDuringStopDelay(t *testing.T) {
+	count, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
+	r.requireServedBy(1, "a")
 	r.stop()
-	resp := r.talk(lookUp(2), 1)[0]
+	resp := r.exchange(lookRequest(2), 1)[0]
 	if resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
-	if err := <-r.ended; err != nil {
+	if err := <-r.served; err != nil {
 		t.Error(err)
 	}
-	close(r.ended)
+	close(r.served)
 	if c, err := net.DialTimeout("tcp", r.addr, time.Second); err == nil {
 		c.Close()
 		t.Error("still accepting")
@@ -192,10 +192,10 @@
 	}
 }
 
-// TestNewConnectionsMaySpeak: one that has just come is not closed for having said nothing yet.
-func TestNewConnectionsMaySpeak(t *testing.T) {
-	count, _ := tally(t)
-	r := startNode(t, startLists(t).addr, count, 64, named(t, "a"))
+// TestNewClientsAreNotEvictedAtOnce: one that has just come is not closed for having said nothing yet.
+func TestNewClientsAreNotEvictedAtOnce(t *testing.T) {
+	count, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
 	began := time.Now()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
@@ -203,31 +203,31 @@
 	}
 	defer c.Close()
 	for here := 0; here == 0; runtime.Gosched() {
-		r.s.cmu.Lock()
-		here = len(r.s.clients)
-		r.s.cmu.Unlock()
+		r.server.clientsMu.Lock()
+		here = len(r.server.clients)
+		r.server.clientsMu.Unlock()
 	}
-	if r.s.evict() && time.Since(began) < talkTime {
+	if r.server.evictIdleClient() && time.Since(began) < firstRequestTime {
 		t.Fatal("closed at once")
 	}
-	for !r.s.evict() { // in the end it makes room
+	for !r.server.evictIdleClient() { // in the end it makes room
 		runtime.Gosched()
 	}
 }
 
-// TestRestingConnectionsMakeRoom: connections that rest after an answer, as many as there may be and none of which ever ends by
+// TestIdleClientsAreEvictedAtTheLimit: connections that rest after an answer, as many as there may be and none of which ever ends by
 // itself, keep no client out, and never are there more than the bound and those that are being turned away.
-func TestRestingConnectionsMakeRoom(t *testing.T) {
-	count, _ := tally(t)
-	r := startNode(t, startLists(t).addr, count, 64, named(t, "a"))
-	most := r.s.cfg.Limits.Connections
+func TestIdleClientsAreEvictedAtTheLimit(t *testing.T) {
+	count, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
+	most := r.server.cfg.Limits.Connections
 	ask := func(id int) (*http.Response, error) {
 		c, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		io.WriteString(c, lookUp(id))
+		io.WriteString(c, lookRequest(id))
 		return http.ReadResponse(bufio.NewReader(c), nil)
 	}
 	for id := range most {
@@ -236,14 +236,14 @@
 		}
 	}
 	last := time.Now()
-	for time.Since(last) < restTime { // all of them have rested
+	for time.Since(last) < minIdleTime { // all of them have rested
 		runtime.Gosched()
 	}
 	for id := range most {
 		if resp, err := ask(1000 + id); err != nil || resp.StatusCode != 200 {
 			t.Fatal(resp, err)
 		}
-		if n := r.s.shared.Clients.Load(); n > int64(most)+mostTurned {
+		if n := r.server.shared.Clients.Load(); n > int64(most)+maxRejectedConnections {
 			t.Fatalf("%d connections, %d may be", n, most)
 		}
 	}
--- a/internal/server/raw_test.go
+++ b/internal/server/raw_test.go
@@ -2,8 +2,8 @@
 
 import "syscall"
 
-// peek tells whether something lies to be read, an end or an error included, and leaves it there.
-func peek(fd uintptr) bool {
+// hasInput tells whether something lies to be read, an end or an error included, and leaves it there.
+func hasInput(fd uintptr) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err != syscall.EAGAIN
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -18,34 +18,34 @@
 )
 
 const (
-	frameItems = 2048                   // steps in a frame at most
-	frameEvery = 200 * time.Millisecond // until what there is is written
+	maxFrameItems = 2048                   // steps in a frame at most
+	frameInterval = 200 * time.Millisecond // until what there is is written
 )
 
 // recorder writes a front door's trace. The core's goroutine only appends to a bounded buffer; steps that find it full
 // are dropped and counted, and the count stands in the file where they are missing. A disk that is full, or any other
 // error, ends the recording and not the front door.
 type recorder struct {
-	s     *Server
-	cfg   config.Trace
-	dir   string
-	head  trace.Head
-	stop  chan struct{}
-	ended chan struct{}
+	server *Server
+	cfg    config.Trace
+	dir    string
+	head   trace.Head
+	stop   chan struct{}
+	done   chan struct{}
 
-	opened *os.File // the first file
+	firstFile *os.File // the first file
 
 	mu      sync.Mutex
 	steps   []proxy.Step
 	dropped uint64
-	over    bool
+	ended   bool
 
 	// of the writing goroutine
-	w     *trace.Writer
-	file  *os.File
-	size  int
-	names map[decision.BackendID]string
-	told  uint64
+	writer       *trace.Writer
+	file         *os.File
+	size         int
+	backendNames map[decision.BackendID]string
+	droppedTotal uint64
 }
 
 func (s *Server) startRecorder(seed uint64) (*recorder, error) {
@@ -61,9 +61,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &recorder{s: s, cfg: t, dir: dir, w: w, stop: make(chan struct{}), ended: make(chan struct{}), names: map[decision.BackendID]string{}}
-	r.head = trace.Head{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, Began: s.began,
-		Origin: s.origin().UnixNano(), Settings: s.cfg.Settings, Classes: s.cfg.ClassNames, Share: 1}
+	r := &recorder{server: s, cfg: t, dir: dir, writer: w, stop: make(chan struct{}), done: make(chan struct{}), backendNames: map[decision.BackendID]string{}}
+	r.head = trace.Head{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, Began: s.startedAt,
+		Origin: s.clockOrigin().UnixNano(), Settings: s.cfg.Settings, Classes: s.cfg.ClassNames, Share: 1}
 	if t.Mode == "sampled" {
 		r.head.Share = t.Share
 	}
@@ -73,27 +73,27 @@
 	for _, op := range s.cfg.Routes.Operations {
 		r.head.Ops = append(r.head.Ops, op.ID)
 	}
-	if err := r.next(); err != nil {
+	if err := r.openNextFile(); err != nil {
 		return nil, err
 	}
-	r.opened = r.file
-	r.steps = append(r.steps, s.core.FirstStep(s.began))
-	s.core.Record = r.record
+	r.firstFile = r.file
+	r.steps = append(r.steps, s.instance.FirstStep(s.startedAt))
+	s.instance.Record = r.record
 	return r, nil
 }
 
-// begin starts the writing; close ends it.
-func (r *recorder) begin() {
+// startWriting starts the writing; close ends it.
+func (r *recorder) startWriting() {
 	if r != nil {
 		go func() { // its owner waits for it in close
-			defer close(r.ended)
+			defer close(r.done)
 			r.run()
 		}()
 	}
 }
 
-// request is the one that a step is about, 0 if none.
-func request(e decision.Event) decision.RequestID {
+// requestOf is the one that a step is about, 0 if none.
+func requestOf(e decision.Event) decision.RequestID {
 	switch e := e.(type) {
 	case decision.RequestArrived:
 		return e.Request
@@ -110,14 +110,14 @@
 // record takes a step in; the core's goroutine calls it.
 func (r *recorder) record(st proxy.Step) {
 	if r.head.Share < 1 { // a sample is of requests, drawn by their number; what concerns no one request is left out
-		id := uint64(request(st.Event))
+		id := uint64(requestOf(st.Event))
 		if id == 0 || float64(id*0x9E3779B97F4A7C15>>11)/(1<<53) >= r.head.Share {
 			return
 		}
 	}
 	r.mu.Lock()
 	switch {
-	case r.over:
+	case r.ended:
 	case len(r.steps) >= r.cfg.Buffer:
 		r.dropped++
 	default:
@@ -127,7 +127,7 @@
 }
 
 func (r *recorder) run() {
-	t := time.NewTicker(frameEvery)
+	t := time.NewTicker(frameInterval)
 	defer t.Stop()
 	for {
 		last := false
@@ -141,9 +141,9 @@
 		r.steps, r.dropped = nil, 0
 		r.mu.Unlock()
 		if err := r.write(steps, dropped); err != nil {
-			r.s.log.Error("recording has ended; the front door goes on", "error", err)
+			r.server.log.Error("recording has ended; the front door goes on", "error", err)
 			r.mu.Lock()
-			r.over, r.steps = true, nil
+			r.ended, r.steps = true, nil
 			r.mu.Unlock()
 			last = true
 		}
@@ -160,7 +160,7 @@
 		if len(items) == 0 {
 			return nil
 		}
-		b, err := r.w.Frame(items)
+		b, err := r.writer.Frame(items)
 		if err != nil {
 			return err
 		}
@@ -168,7 +168,7 @@
 		if r.size+len(b) > int(r.cfg.FileSize) {
 			r.head.Part++
 			r.file.Close()
-			if err := r.next(); err != nil {
+			if err := r.openNextFile(); err != nil {
 				return err
 			}
 		}
@@ -180,8 +180,8 @@
 		st := &steps[i]
 		if list, ok := st.Event.(decision.EndpointsChanged); ok {
 			for k, name := range st.EndpointNames {
-				if id := list.Endpoints[k].Backend; r.names[id] != name {
-					r.names[id] = name
+				if id := list.Endpoints[k].Backend; r.backendNames[id] != name {
+					r.backendNames[id] = name
 					items = append(items, trace.Item{At: st.At, Backend: &trace.BackendName{Server: id, Name: name}})
 				}
 			}
@@ -192,32 +192,32 @@
 		}
 		items = append(items, trace.Item{At: st.At, Event: trace.FromEvent(st.Event), Actions: trace.FromActions(st.Actions), Op: st.Operation,
 			First: st.Event == nil})
-		if len(items) >= frameItems {
+		if len(items) >= maxFrameItems {
 			if err := flush(); err != nil {
 				return err
 			}
 		}
 	}
 	if dropped > 0 { // they were dropped behind those that had filled the buffer
-		r.told += dropped
+		r.droppedTotal += dropped
 		var at time.Duration
 		if len(steps) > 0 {
 			at = steps[len(steps)-1].At
 		}
 		items = append(items, trace.Item{At: at, Dropped: dropped})
-		r.s.log.Warn("steps dropped from the trace", "steps", dropped, "in_all", r.told)
+		r.server.log.Warn("steps dropped from the trace", "steps", dropped, "in_all", r.droppedTotal)
 	}
 	return flush()
 }
 
-// next begins a file, and removes the oldest of this folder's while there are more bytes than allowed.
-func (r *recorder) next() error {
-	name := fmt.Sprintf("door-%d-%s-%03d.trace", r.head.Instance, r.s.start.UTC().Format("20060102T150405.000"), r.head.Part)
+// openNextFile begins a file, and removes the oldest of this folder's while there are more bytes than allowed.
+func (r *recorder) openNextFile() error {
+	name := fmt.Sprintf("door-%d-%s-%03d.trace", r.head.Instance, r.server.startTime.UTC().Format("20060102T150405.000"), r.head.Part)
 	f, err := os.OpenFile(filepath.Join(r.dir, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	b, err := r.w.Begin(r.head)
+	b, err := r.writer.Begin(r.head)
 	if err == nil {
 		_, err = f.Write(b)
 	}
@@ -226,8 +226,8 @@
 		return err
 	}
 	r.file, r.size = f, len(b)
-	for id, name := range r.names { // each file names its boxes
-		b, err := r.w.Frame([]trace.Item{{Backend: &trace.BackendName{Server: id, Name: name}}})
+	for id, name := range r.backendNames { // each file names its boxes
+		b, err := r.writer.Frame([]trace.Item{{Backend: &trace.BackendName{Server: id, Name: name}}})
 		if err != nil {
 			return err
 		}
@@ -271,6 +271,6 @@
 func (r *recorder) close() {
 	if r != nil {
 		close(r.stop)
-		<-r.ended
+		<-r.done
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -21,34 +21,34 @@
 
 // Server is one front door on sockets.
 type Server struct {
-	cfg    *config.Config
-	at     map[string]string
-	shared *proxy.Shared
-	log    *slog.Logger
-	start  time.Time     // when it was built, with its monotonic reading
-	began  time.Duration // the same on the front door's clock
-	core   *proxy.Instance
-	ln     *net.TCPListener
-	hard   context.Context // ends when connections are to be closed
-	end    context.CancelFunc
-	conns  errgroup.Group // goroutines of connections
-	keeper *keeperConn
-	disco  *discovery // nil: the list is a file
-	rec    *recorder  // nil: nothing is recorded
-	debug  bool
+	cfg               *config.Config
+	backendAddresses  map[string]string
+	shared            *proxy.Shared
+	log               *slog.Logger
+	startTime         time.Time     // when it was built, with its monotonic reading
+	startedAt         time.Duration // the same on the front door's clock
+	instance          *proxy.Instance
+	listener          *net.TCPListener
+	connectionsCtx    context.Context // ends when connections are to be closed
+	cancelConnections context.CancelFunc
+	goroutines        errgroup.Group // goroutines of connections
+	counter           *counterConn
+	discovery         *endpointWatch // nil: the list is a file
+	recorder          *recorder      // nil: nothing is recorded
+	debug             bool
 
-	expiries atomic.Int64 // reads of clients that ended by their deadline
+	expiredReads atomic.Int64 // reads of clients that ended by their deadline
 
-	mu     sync.Mutex
-	queue  []post
-	asleep bool
-	gone   bool // the loop has ended
-	room   sync.Cond
-	wake   chan struct{}
+	queueMu    sync.Mutex
+	queue      []post
+	loopIdle   bool
+	loopEnded  bool // the loop has ended
+	queueSpace sync.Cond
+	wakeLoop   chan struct{}
 
-	listMu  sync.Mutex
-	cmu     sync.Mutex
-	clients map[*clientConn]struct{}
+	endpointsFileMu sync.Mutex
+	clientsMu       sync.Mutex
+	clients         map[*clientConn]struct{}
 }
 
 // kind says what a post tells the core.
@@ -66,7 +66,7 @@
 	list
 	listFailed
 	changes
-	counter
+	counterAddress
 	begin // the list that is held may be gone by
 	inquiry
 )
@@ -78,7 +78,7 @@
 	ex     *proxy.Exchange
 	line   *proxy.BackendConn
 	answer proxy.Response
-	keeper *keeperConn
+	keeper *counterConn
 	bytes  []byte
 	boxes  []config.Endpoint
 	look   func(*proxy.Instance, time.Duration)
@@ -88,14 +88,14 @@
 type Options struct {
 	Seed uint64
 	Log  *slog.Logger
-	// Addresses are those of boxes that are elsewhere than the list says, by name.
-	Addresses map[string]string
+	// BackendAddresses are those of boxes that are elsewhere than the list says, by name.
+	BackendAddresses map[string]string
 	// Protocol is the way in and out; nil is the configuration's own.
 	Protocol protocol.Protocol
-	// Discovery is the address at which the list of boxes is watched; empty: the list is the configuration's file.
-	Discovery string
-	// Seq is the version of the list that the configuration holds, for Discovery.
-	Seq uint64
+	// DiscoveryAddress is the address at which the list of boxes is watched; empty: the list is the configuration's file.
+	DiscoveryAddress string
+	// EndpointsVersion is the version of the list that the configuration holds, for Discovery.
+	EndpointsVersion uint64
 }
 
 // Listen builds a front door on an address; Serve runs it.
@@ -103,58 +103,58 @@
 	if opt.Protocol == nil {
 		opt.Protocol = proxy.NewConfiguredProtocol(cfg, fmt.Sprintf("sandyard-%d", cfg.Instance.Number))
 	}
-	s := &Server{cfg: cfg, log: opt.Log, at: opt.Addresses, start: time.Now(), wake: make(chan struct{}, 1),
+	s := &Server{cfg: cfg, log: opt.Log, backendAddresses: opt.BackendAddresses, startTime: time.Now(), wakeLoop: make(chan struct{}, 1),
 		clients: map[*clientConn]struct{}{},
 		shared:  &proxy.Shared{Config: cfg, Protocol: opt.Protocol}}
-	s.room.L = &s.mu
-	s.began = time.Duration(s.start.UnixNano())
-	if opt.Discovery != "" {
-		s.disco = newDiscovery(s, opt.Discovery, opt.Seq)
+	s.queueSpace.L = &s.queueMu
+	s.startedAt = time.Duration(s.startTime.UnixNano())
+	if opt.DiscoveryAddress != "" {
+		s.discovery = newEndpointWatch(s, opt.DiscoveryAddress, opt.EndpointsVersion)
 		s.shared.MarkStarting()
 	}
 	s.debug = s.log.Enabled(context.Background(), slog.LevelDebug)
-	core, err := proxy.NewInstance(s.shared, opt.Seed, s.began)
+	core, err := proxy.NewInstance(s.shared, opt.Seed, s.startedAt)
 	if err != nil {
 		return nil, err
 	}
-	s.core = core
+	s.instance = core
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	s.ln = ln.(*net.TCPListener)
-	s.rec, err = s.startRecorder(opt.Seed)
+	s.listener = ln.(*net.TCPListener)
+	s.recorder, err = s.startRecorder(opt.Seed)
 	if err != nil {
 		ln.Close()
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	s.hard, s.end = context.WithCancel(context.Background())
+	s.connectionsCtx, s.cancelConnections = context.WithCancel(context.Background())
 	return s, nil
 }
 
 // Addr is where the front door listens.
-func (s *Server) Addr() net.Addr { return s.ln.Addr() }
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // now is the front door's time, since 1970: what customers have used is kept at the counter by time, so that all front
 // doors must have one. From the start on it follows the monotonic clock: steps of the machine's clock don't touch it.
-func (s *Server) now() time.Duration { return s.began + time.Since(s.start) }
+func (s *Server) now() time.Duration { return s.startedAt + time.Since(s.startTime) }
 
-// origin is when that clock stood at zero.
-func (s *Server) origin() time.Time { return s.start.Add(-s.began) }
+// clockOrigin is when that clock stood at zero.
+func (s *Server) clockOrigin() time.Time { return s.startTime.Add(-s.startedAt) }
 
 // post queues a message. It never blocks. Only arrivals can be turned down, when limits.queue messages wait: what
 // ends work must always get through, and is bounded by the work there is.
 func (s *Server) post(p post) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.gone || p.kind == arrive && len(s.queue) >= s.cfg.Limits.Queue {
+	s.queueMu.Lock()
+	defer s.queueMu.Unlock()
+	if s.loopEnded || p.kind == arrive && len(s.queue) >= s.cfg.Limits.Queue {
 		return false
 	}
 	s.queue = append(s.queue, p)
-	if s.asleep {
-		s.asleep = false
+	if s.loopIdle {
+		s.loopIdle = false
 		select {
-		case s.wake <- struct{}{}:
+		case s.wakeLoop <- struct{}{}:
 		default:
 		}
 	}
@@ -163,13 +163,13 @@
 
 // Serve runs until ctx ends, then shuts down: it accepts no more, answers what it holds, and returns nil.
 func (s *Server) Serve(ctx context.Context) error {
-	defer s.end()
-	defer s.ln.Close()
-	s.rec.begin()
-	defer s.rec.close()
+	defer s.cancelConnections()
+	defer s.listener.Close()
+	s.recorder.startWriting()
+	defer s.recorder.close()
 	g, gctx := errgroup.WithContext(ctx)
 	stopLoop := make(chan struct{})
-	watch, err := s.watchList()
+	watch, err := s.startEndpointWatch()
 	if err != nil {
 		return err
 	}
@@ -181,7 +181,7 @@
 	loopDone := make(chan struct{})
 	go func() { // owned by this call, which waits for it
 		defer close(loopDone)
-		s.loop(stopLoop)
+		s.eventLoop(stopLoop)
 	}()
 	g.Go(func() error { return watch(gctx) })
 	g.Go(s.accept)
@@ -189,29 +189,29 @@
 		<-gctx.Done()
 		if delay := time.Duration(s.cfg.Limits.StopDelay); delay > 0 && ctx.Err() != nil {
 			s.shared.CloseAfterResponses()
-			s.ln.SetDeadline(time.Now().Add(delay)) // what has come in by then is accepted
+			s.listener.SetDeadline(time.Now().Add(delay)) // what has come in by then is accepted
 			return nil
 		}
-		s.ln.Close()
-		s.mu.Lock()
-		s.room.Broadcast()
-		s.mu.Unlock()
+		s.listener.Close()
+		s.queueMu.Lock()
+		s.queueSpace.Broadcast()
+		s.queueMu.Unlock()
 		return nil
 	})
 	err = g.Wait()
-	s.drain()
+	s.drainClients()
 	close(stopLoop)
 	<-loopDone
-	s.end()
+	s.cancelConnections()
 	s.closeClients()
-	s.conns.Wait()
+	s.goroutines.Wait()
 	if errors.Is(err, context.Canceled) || errors.Is(err, net.ErrClosed) {
 		err = nil
 	}
-	st := s.core.Stats
+	st := s.instance.Stats
 	s.log.Info("stopped", "arrived", st.Arrived, "served", st.Served, "refused_quota", st.RejectedOverQuota,
 		"refused_room", st.RejectedNoCapacity, "failed", st.Failed, "left", st.ClientsLeft, "broken", st.BrokenResponses,
-		"attempts", st.Attempts, "dials", st.Dials, "expiries", s.expiries.Load(), "keeper_calls", st.CounterCalls)
+		"attempts", st.Attempts, "dials", st.Dials, "expiries", s.expiredReads.Load(), "keeper_calls", st.CounterCalls)
 	return err
 }
 
@@ -220,26 +220,26 @@
 func (s *Server) accept() error {
 	wait, last := 5*time.Millisecond, false
 	for {
-		s.mu.Lock()
-		for len(s.queue) >= s.cfg.Limits.Queue/2 && !s.gone && s.hard.Err() == nil {
-			s.room.Wait() // accepting stops first
+		s.queueMu.Lock()
+		for len(s.queue) >= s.cfg.Limits.Queue/2 && !s.loopEnded && s.connectionsCtx.Err() == nil {
+			s.queueSpace.Wait() // accepting stops first
 		}
-		s.mu.Unlock()
-		conn, err := s.ln.AcceptTCP()
+		s.queueMu.Unlock()
+		conn, err := s.listener.AcceptTCP()
 		if err != nil {
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) ||
 				errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.ECONNABORTED) {
 				s.log.Warn("accept", "error", err, "again_in", wait.String())
 				select {
 				case <-time.After(wait):
-				case <-s.hard.Done():
+				case <-s.connectionsCtx.Done():
 				}
 				wait = min(2*wait, time.Second)
 				continue
 			}
 			if isTimeout(err) && !last { // a deadline that has passed ends the waiting without a look at who has come
 				last = true
-				s.ln.SetDeadline(time.Now().Add(lastLook))
+				s.listener.SetDeadline(time.Now().Add(backlogTime))
 				continue
 			}
 			if isTimeout(err) {
@@ -248,33 +248,33 @@
 			return err
 		}
 		wait = 5 * time.Millisecond
-		if n := s.shared.Clients.Add(1); n > int64(s.cfg.Limits.Connections) && !s.makeRoom() {
-			if s.shared.Clients.Load() > int64(s.cfg.Limits.Connections)+mostTurned { // not even for an answer there is room
+		if n := s.shared.Clients.Add(1); n > int64(s.cfg.Limits.Connections) && !s.waitForClientSlot() {
+			if s.shared.Clients.Load() > int64(s.cfg.Limits.Connections)+maxRejectedConnections { // not even for an answer there is room
 				s.shared.Clients.Add(-1)
 				conn.Close()
 				continue
 			}
-			s.conns.Go(func() error {
+			s.goroutines.Go(func() error {
 				defer s.shared.Clients.Add(-1)
-				turnAway(conn, s.shared.TooManyConnections())
+				rejectConnection(conn, s.shared.TooManyConnections())
 				return nil
 			})
 			continue
 		}
-		cc, err := s.newClient(conn)
+		cc, err := s.newClientConn(conn)
 		if err != nil {
 			s.shared.Clients.Add(-1)
 			conn.Close()
 			continue
 		}
-		s.cmu.Lock()
+		s.clientsMu.Lock()
 		s.clients[cc] = struct{}{}
-		s.cmu.Unlock()
-		s.conns.Go(func() error {
+		s.clientsMu.Unlock()
+		s.goroutines.Go(func() error {
 			cc.run()
-			s.cmu.Lock()
+			s.clientsMu.Lock()
 			delete(s.clients, cc)
-			s.cmu.Unlock()
+			s.clientsMu.Unlock()
 			s.shared.Clients.Add(-1)
 			return nil
 		})
@@ -282,68 +282,68 @@
 }
 
 const (
-	mostTurned = 16                     // connections beyond the limit that get an answer at a time
-	restTime   = 2 * time.Second        // that a connection must have been idle to make room for another
-	talkTime   = 150 * time.Millisecond // that a new one has to say something before it has to make room
-	roomTime   = 300 * time.Millisecond // that accepting waits for room
-	roomEvery  = 5 * time.Millisecond
-	lastLook   = 50 * time.Millisecond // for connections that came in before accepting ends
+	maxRejectedConnections = 16                     // connections beyond the limit that get an answer at a time
+	minIdleTime            = 2 * time.Second        // that a connection must have been idle to make room for another
+	firstRequestTime       = 150 * time.Millisecond // that a new one has to say something before it has to make room
+	clientSlotTimeout      = 300 * time.Millisecond // that accepting waits for room
+	clientSlotPoll         = 5 * time.Millisecond
+	backlogTime            = 50 * time.Millisecond // for connections that came in before accepting ends
 )
 
-// makeRoom waits a while for a connection that can be closed to make room for another, and closes it. Others that come
+// waitForClientSlot waits a while for a connection that can be closed to make room for another, and closes it. Others that come
 // meanwhile wait to be accepted.
-func (s *Server) makeRoom() bool {
-	for range roomTime / roomEvery {
+func (s *Server) waitForClientSlot() bool {
+	for range clientSlotTimeout / clientSlotPoll {
 		over := s.shared.Clients.Load() - int64(s.cfg.Limits.Connections)
-		if over <= 0 || over <= mostTurned/2 && s.evict() { // what is told to end does so in a moment, or turns out to be in use
+		if over <= 0 || over <= maxRejectedConnections/2 && s.evictIdleClient() { // what is told to end does so in a moment, or turns out to be in use
 			return true
 		}
 		select {
-		case <-time.After(roomEvery):
-		case <-s.hard.Done():
+		case <-time.After(clientSlotPoll):
+		case <-s.connectionsCtx.Done():
 			return false
 		}
 	}
 	return false
 }
 
-// evict closes a connection to make room for another: one that has asked nothing yet, or the one that has been idle for
+// evictIdleClient closes a connection to make room for another: one that has asked nothing yet, or the one that has been idle for
 // longest.
-func (s *Server) evict() bool {
-	s.cmu.Lock()
-	var least *clientConn
+func (s *Server) evictIdleClient() bool {
+	s.clientsMu.Lock()
+	var candidate *clientConn
 	var rank time.Duration
 	now := s.now()
 	for cc := range s.clients {
 		cc.mu.Lock()
-		since, asked, idle := cc.m.IdleSince()
-		shut := cc.closed || cc.ending
+		since, requested, idle := cc.client.IdleSince()
+		closing := cc.closed || cc.closeRequested
 		cc.mu.Unlock()
-		if shut || !idle || asked && now-since < restTime || !asked && now-since < talkTime {
+		if closing || !idle || requested && now-since < minIdleTime || !requested && now-since < firstRequestTime {
 			continue
 		}
-		if !asked {
+		if !requested {
 			since -= time.Hour // before all that have
 		}
-		if least == nil || since < rank {
-			least, rank = cc, since
+		if candidate == nil || since < rank {
+			candidate, rank = cc, since
 		}
 	}
-	s.cmu.Unlock()
-	if least != nil {
-		least.mu.Lock()
-		least.brief = true
-		least.shutLocked()
-		least.mu.Unlock()
+	s.clientsMu.Unlock()
+	if candidate != nil {
+		candidate.mu.Lock()
+		candidate.evicted = true
+		candidate.requestCloseLocked()
+		candidate.mu.Unlock()
 	}
-	return least != nil
+	return candidate != nil
 }
 
-// turnAway answers a connection beyond the limit.
-func turnAway(conn *net.TCPConn, answer []byte) {
+// rejectConnection answers a connection beyond the limit.
+func rejectConnection(conn *net.TCPConn, response []byte) {
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(lingerTime))
-	if _, err := conn.Write(answer); err != nil {
+	conn.SetDeadline(time.Now().Add(lingeringCloseTimeout))
+	if _, err := conn.Write(response); err != nil {
 		return
 	}
 	conn.CloseWrite()
@@ -355,24 +355,24 @@
 	}
 }
 
-// drain waits until all that is held is answered, or limits.shutdown-timeout is over.
-func (s *Server) drain() {
+// drainClients waits until all that is held is answered, or limits.shutdown-timeout is over.
+func (s *Server) drainClients() {
 	s.shared.RejectNewRequests()
-	s.ln.Close()
+	s.listener.Close()
 	limit := time.NewTimer(time.Duration(s.cfg.Limits.ShutdownTimeout))
 	defer limit.Stop()
 	for {
-		s.cmu.Lock()
+		s.clientsMu.Lock()
 		open := make([]*clientConn, 0, len(s.clients))
 		for cc := range s.clients {
 			open = append(open, cc)
 		}
-		s.cmu.Unlock()
+		s.clientsMu.Unlock()
 		if len(open) == 0 {
 			return
 		}
 		for _, cc := range open {
-			cc.shut()
+			cc.requestClose()
 		}
 		select {
 		case <-limit.C:
@@ -384,60 +384,60 @@
 }
 
 func (s *Server) closeClients() {
-	s.cmu.Lock()
-	defer s.cmu.Unlock()
+	s.clientsMu.Lock()
+	defer s.clientsMu.Unlock()
 	for cc := range s.clients {
-		cc.link.close()
+		cc.socket.close()
 		cc.mu.Lock()
-		cc.resume.Signal()
+		cc.readable.Signal()
 		cc.mu.Unlock()
 	}
 }
 
-// loop owns the core.
-func (s *Server) loop(stop <-chan struct{}) {
-	s.carryOut()
+// eventLoop owns the core.
+func (s *Server) eventLoop(stop <-chan struct{}) {
+	s.carryOutEffects()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var batch []post
 	for {
-		s.mu.Lock()
+		s.queueMu.Lock()
 		batch, s.queue = s.queue, batch[:0]
-		s.asleep = len(batch) == 0
+		s.loopIdle = len(batch) == 0
 		if len(batch) >= s.cfg.Limits.Queue/2 {
-			s.room.Broadcast()
+			s.queueSpace.Broadcast()
 		}
-		s.mu.Unlock()
+		s.queueMu.Unlock()
 		now := s.now()
 		for i := range batch {
-			s.tell(now, &batch[i])
+			s.handleMessage(now, &batch[i])
 			batch[i] = post{}
 		}
-		if s.core.NextTimer() <= now {
-			s.core.Tick(now)
-			s.carryOut()
+		if s.instance.NextTimer() <= now {
+			s.instance.Tick(now)
+			s.carryOutEffects()
 		}
 		if len(batch) > 0 {
 			continue
 		}
-		timer.Reset(max(0, s.core.NextTimer()-s.now()))
+		timer.Reset(max(0, s.instance.NextTimer()-s.now()))
 		select {
-		case <-s.wake:
+		case <-s.wakeLoop:
 		case <-timer.C:
 		case <-stop:
-			s.mu.Lock()
-			s.gone = true
-			s.room.Broadcast()
-			s.mu.Unlock()
-			s.core.Stop(s.now())
-			s.carryOut()
+			s.queueMu.Lock()
+			s.loopEnded = true
+			s.queueSpace.Broadcast()
+			s.queueMu.Unlock()
+			s.instance.Stop(s.now())
+			s.carryOutEffects()
 			return
 		}
 	}
 }
 
-func (s *Server) tell(now time.Duration, p *post) {
-	c := s.core
+func (s *Server) handleMessage(now time.Duration, p *post) {
+	c := s.instance
 	switch p.kind {
 	case arrive:
 		c.RequestArrived(now, p.ex)
@@ -450,23 +450,23 @@
 	case answer:
 		c.ResponseReceived(now, p.line, &p.answer)
 	case keeperUp:
-		if p.keeper == s.keeper {
+		if p.keeper == s.counter {
 			c.CounterConnected(now)
 		}
 	case keeperDown:
-		if p.keeper == s.keeper {
-			s.keeper = nil
+		if p.keeper == s.counter {
+			s.counter = nil
 			c.CounterDisconnected(now)
 		}
 	case keeperBytes:
-		if p.keeper == s.keeper {
+		if p.keeper == s.counter {
 			c.CounterReceived(now, p.bytes)
 		}
 	case list:
-		c.ReplaceEndpoints(now, p.boxes, s.origin())
+		c.ReplaceEndpoints(now, p.boxes, s.clockOrigin())
 	case changes:
-		c.UpdateEndpoints(now, p.boxes, s.origin())
-	case counter:
+		c.UpdateEndpoints(now, p.boxes, s.clockOrigin())
+	case counterAddress:
 		c.SetCounter(now, string(p.bytes))
 	case begin:
 		s.shared.MarkStarted()
@@ -475,63 +475,63 @@
 	case inquiry:
 		p.look(c, now)
 	}
-	s.carryOut()
+	s.carryOutEffects()
 }
 
-// carryOut does what the core wishes. Nothing here blocks: sockets are written as far as they take it, and what has
+// carryOutEffects does what the core wishes. Nothing here blocks: sockets are written as far as they take it, and what has
 // to wait does so in a goroutine of its own.
-func (s *Server) carryOut() {
-	for _, w := range s.core.Effects() {
-		switch w.Kind {
+func (s *Server) carryOutEffects() {
+	for _, effect := range s.instance.Effects() {
+		switch effect.Kind {
 		case proxy.DialBackend:
-			s.dial(w.Conn)
+			s.dialBackend(effect.Conn)
 		case proxy.WriteAttempt:
-			w.Conn.Owner.(*lineConn).write(w.Exchange, w.Bytes)
+			effect.Conn.Owner.(*backendConn).write(effect.Exchange, effect.Bytes)
 		case proxy.CloseBackend:
-			w.Conn.Owner.(*lineConn).hang()
+			effect.Conn.Owner.(*backendConn).close()
 		case proxy.Respond:
-			w.Exchange.Owner.(*clientConn).answered(s.now(), w.Exchange, w.Bytes, false, w.Closes)
-			s.record(w.Exchange)
+			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, false, effect.Closes)
+			s.logResponse(effect.Exchange)
 		case proxy.StreamResponse:
-			w.Exchange.Owner.(*clientConn).answered(s.now(), w.Exchange, w.Bytes, true, w.Closes)
-			w.Conn.Owner.(*lineConn).grant <- true
-			s.record(w.Exchange)
+			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, true, effect.Closes)
+			effect.Conn.Owner.(*backendConn).streamPermit <- true
+			s.logResponse(effect.Exchange)
 		case proxy.AbortClient:
-			w.Exchange.Owner.(*clientConn).relay(s.now(), w.Exchange, nil, false, true)
+			effect.Exchange.Owner.(*clientConn).relayBody(s.now(), effect.Exchange, nil, false, true)
 		case proxy.DialCounter:
-			s.dialKeeper(w.Addr)
+			s.dialCounter(effect.Addr)
 		case proxy.WriteCounter:
-			s.keeper.send(w.Bytes)
+			s.counter.write(effect.Bytes)
 		case proxy.CloseCounter:
-			s.keeper.hang()
-			s.keeper = nil
+			s.counter.close()
+			s.counter = nil
 		case proxy.PollEndpoints:
-			if s.disco == nil { // discovery is watched from the start
-				s.readList()
+			if s.discovery == nil { // discovery is watched from the start
+				s.readEndpointsFile()
 			}
 		}
 	}
 }
 
-func (s *Server) record(ex *proxy.Exchange) {
+func (s *Server) logResponse(ex *proxy.Exchange) {
 	if s.debug {
 		s.log.Debug("answer", "request", ex.ID, "operation", ex.Operation.ID, "studio", ex.Customer.Name, "status", ex.Status,
 			"ms", float64((s.now()-ex.Arrived).Microseconds())/1000)
 	}
 }
 
-// readList reads the file of boxes in a goroutine of its own. A file that is broken or missing leaves the list as it
+// readEndpointsFile reads the file of boxes in a goroutine of its own. A file that is broken or missing leaves the list as it
 // was.
-func (s *Server) readList() {
-	s.conns.Go(func() error {
-		s.listMu.Lock() // readings are told in their order
-		defer s.listMu.Unlock()
+func (s *Server) readEndpointsFile() {
+	s.goroutines.Go(func() error {
+		s.endpointsFileMu.Lock() // readings are told in their order
+		defer s.endpointsFileMu.Unlock()
 		text, err := os.ReadFile(s.cfg.EndpointsPath())
 		if err == nil {
-			var boxes []config.Endpoint
-			if boxes, err = config.ParseEndpoints(s.cfg.EndpointsPath(), text); err == nil {
-				s.post(post{kind: list, boxes: s.placed(boxes)})
-				s.log.Info("list of boxes", "file", s.cfg.EndpointsPath(), "boxes", len(boxes))
+			var endpoints []config.Endpoint
+			if endpoints, err = config.ParseEndpoints(s.cfg.EndpointsPath(), text); err == nil {
+				s.post(post{kind: list, boxes: s.withBackendAddresses(endpoints)})
+				s.log.Info("list of boxes", "file", s.cfg.EndpointsPath(), "boxes", len(endpoints))
 				return nil
 			}
 		}
@@ -541,12 +541,12 @@
 	})
 }
 
-// placed gives boxes that are elsewhere their addresses.
-func (s *Server) placed(boxes []config.Endpoint) []config.Endpoint {
-	for i := range boxes {
-		if addr, ok := s.at[boxes[i].Name]; ok {
-			boxes[i].Address = addr
+// withBackendAddresses gives boxes that are elsewhere their addresses.
+func (s *Server) withBackendAddresses(endpoints []config.Endpoint) []config.Endpoint {
+	for i := range endpoints {
+		if addr, ok := s.backendAddresses[endpoints[i].Name]; ok {
+			endpoints[i].Address = addr
 		}
 	}
-	return boxes
+	return endpoints
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -39,26 +39,26 @@
   /feed: {get: {x-sandyard-class: feed, responses: {}}}
 `
 
-// rig is a front door on sockets with what it needs, all in this process.
-type rig struct {
+// gateway is a front door on sockets with what it needs, all in this process.
+type gateway struct {
 	*testing.T
-	dir   string
-	addr  string
-	log   *lines
-	stop  context.CancelFunc
-	ended chan error
-	s     *Server
-	from  int // in the log: what was written before a file was replaced tells nothing of that
+	dir       string
+	addr      string
+	log       *logBuffer
+	stop      context.CancelFunc
+	served    chan error
+	server    *Server
+	logOffset int // in the log: what was written before a file was replaced tells nothing of that
 }
 
-// lines keeps a log and lets a test wait for a record in it.
-type lines struct {
+// logBuffer keeps a log and lets a test wait for a record in it.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 	more chan struct{}
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text.Write(b)
@@ -70,18 +70,18 @@
 }
 
 // String is what has been logged.
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-func (r *rig) logged(what string) {
+func (r *gateway) waitForLog(what string) {
 	r.Helper()
 	limit := time.After(10 * time.Second)
 	for {
 		r.log.mu.Lock()
-		found := strings.Contains(r.log.text.String()[r.from:], what)
+		found := strings.Contains(r.log.text.String()[r.logOffset:], what)
 		r.log.mu.Unlock()
 		if found {
 			return
@@ -94,7 +94,7 @@
 	}
 }
 
-func boxesText(addrs ...string) string {
+func endpointsYAML(addrs ...string) string {
 	if len(addrs) == 0 {
 		return "boxes: []\n"
 	}
@@ -105,10 +105,10 @@
 	return s
 }
 
-func (r *rig) replace(name, text string) {
+func (r *gateway) replaceFile(name, text string) {
 	r.Helper()
 	r.log.mu.Lock()
-	r.from = r.log.text.Len()
+	r.logOffset = r.log.text.Len()
 	r.log.mu.Unlock()
 	p := filepath.Join(r.dir, name)
 	if err := os.WriteFile(p+".new", []byte(text), 0o600); err != nil {
@@ -119,9 +119,9 @@
 	}
 }
 
-func start(t *testing.T, keeper, limits string, boxes ...string) *rig {
+func startGateway(t *testing.T, counter, limits string, backends ...string) *gateway {
 	t.Helper()
-	r := &rig{T: t, dir: t.TempDir(), log: &lines{more: make(chan struct{}, 1)}, ended: make(chan error, 1)}
+	r := &gateway{T: t, dir: t.TempDir(), log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
 	text := `
 openapi: api.yaml
 door: {number: 0, of: 3}
@@ -138,8 +138,8 @@
 load: {via: answers, fields: [{name: cpu_utilization, is: utilization}, {name: named_metrics.in_flight, is: in-flight}]}
 attempts: {most: 3}
 log: {level: debug}
-` + keeper + limits
-	for name, s := range map[string]string{"gateway.yaml": text, "api.yaml": api, "boxes.yaml": boxesText(boxes...)} {
+` + counter + limits
+	for name, s := range map[string]string{"gateway.yaml": text, "api.yaml": api, "boxes.yaml": endpointsYAML(backends...)} {
 		if err := os.WriteFile(filepath.Join(r.dir, name), []byte(s), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -153,26 +153,26 @@
 }
 
 // serve runs a front door until the test is over.
-func (r *rig) serve(cfg *config.Config, opt Options) {
+func (r *gateway) serve(cfg *config.Config, opt Options) {
 	r.Helper()
 	opt.Log = slog.New(slog.NewTextHandler(r.log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	var err error
-	if r.s, err = Listen(cfg, "127.0.0.1:0", opt); err != nil {
+	if r.server, err = Listen(cfg, "127.0.0.1:0", opt); err != nil {
 		r.Fatal(err)
 	}
-	r.addr = r.s.Addr().String()
+	r.addr = r.server.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	go func() { r.ended <- r.s.Serve(ctx) }()
+	go func() { r.served <- r.server.Serve(ctx) }()
 	r.Cleanup(func() {
 		cancel()
-		if err, ok := <-r.ended; ok && err != nil {
+		if err, ok := <-r.served; ok && err != nil {
 			r.Errorf("serve: %v", err)
 		}
 	})
 }
 
-func aBox(t *testing.T, c emulator.BackendConfig, facts func(emulator.Fact)) *EmulatedBackend {
+func startBackend(t *testing.T, c emulator.BackendConfig, facts func(emulator.Fact)) *EmulatedBackend {
 	t.Helper()
 	if c.Name == "" {
 		c.Name = "b"
@@ -185,8 +185,8 @@
 	return b
 }
 
-// rawBox is a box that a test scripts by hand.
-func rawBox(t *testing.T, handle func(net.Conn, *bufio.Reader)) string {
+// startScriptedPeer is a box that a test scripts by hand.
+func startScriptedPeer(t *testing.T, handle func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -206,12 +206,12 @@
 	return ln.Addr().String()
 }
 
-func req(method, path, key, more string) string {
+func request(method, path, key, more string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: h\r\nX-Api-Key: " + key + "\r\n" + more + "\r\n"
 }
 
-// talk sends bytes and reads n answers.
-func (r *rig) talk(text string, n int) []*http.Response {
+// exchange sends bytes and reads n answers.
+func (r *gateway) exchange(text string, n int) []*http.Response {
 	r.Helper()
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
@@ -237,12 +237,12 @@
 	return out
 }
 
-func (r *rig) status(text string) int { r.Helper(); return r.talk(text, 1)[0].StatusCode }
+func (r *gateway) status(text string) int { r.Helper(); return r.exchange(text, 1)[0].StatusCode }
 
-func TestServesAndRefuses(t *testing.T) {
-	b := aBox(t, emulator.BackendConfig{}, nil)
-	r := start(t, "", "", b.Addr())
-	got := r.talk(strings.Repeat(req("GET", "/look", "kb", ""), 6), 6)
+func TestAdmitsWithinQuotaAndRejectsBeyond(t *testing.T) {
+	b := startBackend(t, emulator.BackendConfig{}, nil)
+	r := startGateway(t, "", "", b.Addr())
+	got := r.exchange(strings.Repeat(request("GET", "/look", "kb", ""), 6), 6)
 	for i, resp := range got {
 		if want := map[bool]int{true: 200, false: 429}[i < 3]; resp.StatusCode != want {
 			t.Errorf("request %d: %d", i, resp.StatusCode)
@@ -252,32 +252,32 @@
 	if got[5].Header.Get("Content-Type") != "application/problem+json" || !strings.Contains(string(body), `"retry":"harmless"`) {
 		t.Errorf("%s", body)
 	}
-	if s := r.status(req("GET", "/look", "ka", "")); s != 200 {
+	if s := r.status(request("GET", "/look", "ka", "")); s != 200 {
 		t.Errorf("another studio: %d", s)
 	}
 }
 
-// TestPipelinedOnSockets: 100 in one write, one of them refused, in order, while another client is served.
-func TestPipelinedOnSockets(t *testing.T) {
-	b := aBox(t, emulator.BackendConfig{Work: time.Millisecond}, nil)
-	r := start(t, "", "", b.Addr())
-	text := strings.Repeat(req("POST", "/look", "ka", "Content-Length: 3\r\n")+"abc", 60) + req("GET", "/nowhere", "ka", "") +
-		strings.Repeat(req("GET", "/look", "ka", ""), 39)
-	for i, resp := range r.talk(text, 100) {
+// TestPipelinedRequestsAreAnsweredInOrder: 100 in one write, one of them refused, in order, while another client is served.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+	b := startBackend(t, emulator.BackendConfig{Work: time.Millisecond}, nil)
+	r := startGateway(t, "", "", b.Addr())
+	text := strings.Repeat(request("POST", "/look", "ka", "Content-Length: 3\r\n")+"abc", 60) + request("GET", "/nowhere", "ka", "") +
+		strings.Repeat(request("GET", "/look", "ka", ""), 39)
+	for i, resp := range r.exchange(text, 100) {
 		if want := map[bool]int{true: 404, false: 200}[i == 60]; resp.StatusCode != want {
 			t.Errorf("answer %d: %d", i, resp.StatusCode)
 		}
 	}
 }
 
-// TestLargeAnswersAndSlowReaders: an answer far larger than what is held arrives whole, and a reader that takes
+// TestLargeResponsesAndSlowClients: an answer far larger than what is held arrives whole, and a reader that takes
 // nothing holds up nobody else and is cut off.
-func TestLargeAnswersAndSlowReaders(t *testing.T) {
+func TestLargeResponsesAndSlowClients(t *testing.T) {
 	const size = 16 << 20
-	b := aBox(t, emulator.BackendConfig{Body: size}, nil)
-	small := aBox(t, emulator.BackendConfig{}, nil)
-	r := start(t, "", "limits: {write-timeout: 300ms, stream-silence: 20s}\n", b.Addr())
-	resp := r.talk(req("GET", "/look", "ka", ""), 1)[0]
+	b := startBackend(t, emulator.BackendConfig{Body: size}, nil)
+	small := startBackend(t, emulator.BackendConfig{}, nil)
+	r := startGateway(t, "", "limits: {write-timeout: 300ms, stream-silence: 20s}\n", b.Addr())
+	resp := r.exchange(request("GET", "/look", "ka", ""), 1)[0]
 	if n, _ := io.Copy(io.Discard, resp.Body); n != size {
 		t.Errorf("%d bytes", n)
 	}
@@ -286,48 +286,48 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	io.WriteString(conn, req("GET", "/look", "ka", ""))
+	io.WriteString(conn, request("GET", "/look", "ka", ""))
 	if _, err := io.ReadFull(conn, make([]byte, 1000)); err != nil { // its answer flows
 		t.Fatal(err)
 	}
-	r.replace("boxes.yaml", boxesText(small.Addr()))
-	r.logged("boxes=1")
+	r.replaceFile("boxes.yaml", endpointsYAML(small.Addr()))
+	r.waitForLog("boxes=1")
 	for range 20 {
-		if s := r.status(req("GET", "/look", "ka", "")); s != 200 {
+		if s := r.status(request("GET", "/look", "ka", "")); s != 200 {
 			t.Errorf("beside a slow reader: %d", s)
 		}
 	}
-	r.logged("client took too long")
+	r.waitForLog("client took too long")
 	conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if n, err := io.Copy(io.Discard, conn); err == nil && n >= size-1000 {
 		t.Errorf("a reader that takes nothing got %d bytes", n)
 	}
 }
 
-// TestClientLeavesBeforeItsBoxAnswers: the attempt is withdrawn and the door forgets it.
-func TestClientLeavesBeforeItsBoxAnswers(t *testing.T) {
+// TestClientDisconnectCancelsTheAttempt: the attempt is withdrawn and the door forgets it.
+func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
 	got, closed := make(chan struct{}), make(chan struct{})
-	addr := rawBox(t, func(c net.Conn, in *bufio.Reader) {
+	addr := startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
 		in.ReadString('\n')
 		close(got)
 		io.Copy(io.Discard, in)
 		close(closed)
 	})
-	r := start(t, "", "", addr)
+	r := startGateway(t, "", "", addr)
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(conn, req("GET", "/look", "ka", ""))
+	io.WriteString(conn, request("GET", "/look", "ka", ""))
 	<-got
 	conn.Close()
 	<-closed
 }
 
-// TestBoxClosesIdleLine: a box that closes each connection after its answer, without saying so, costs no request.
-func TestBoxClosesIdleLine(t *testing.T) {
+// TestBackendClosingIdleConnections: a box that closes each connection after its answer, without saying so, costs no request.
+func TestBackendClosingIdleConnections(t *testing.T) {
 	var runs atomic.Int64
-	addr := rawBox(t, func(c net.Conn, in *bufio.Reader) {
+	addr := startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
 		q, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -336,10 +336,10 @@
 		runs.Add(1)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
-	r := start(t, "", "", addr, addr)
+	r := startGateway(t, "", "", addr, addr)
 	served, failed := 0, 0
 	for range 60 {
-		switch s := r.status(req("POST", "/pay", "ka", "Content-Length: 0\r\n")); s {
+		switch s := r.status(request("POST", "/pay", "ka", "Content-Length: 0\r\n")); s {
 		case 200:
 			served++
 		case 502:
@@ -352,38 +352,38 @@
 		t.Errorf("60 unsafe requests ran %d times; %d served, %d failed", runs.Load(), served, failed)
 	}
 	for range 60 {
-		if s := r.status(req("GET", "/look", "ka", "")); s != 200 && s != 503 {
+		if s := r.status(request("GET", "/look", "ka", "")); s != 200 && s != 503 {
 			t.Errorf("safe: %d", s)
 		}
 	}
 }
 
-// TestListOfBoxes: a broken file keeps the old list; an empty one empties it; a good one is taken at once.
-func TestListOfBoxes(t *testing.T) {
-	b := aBox(t, emulator.BackendConfig{}, nil)
-	r := start(t, "", "", b.Addr())
-	look := req("GET", "/look", "ka", "")
-	r.replace("boxes.yaml", "boxes: [{name: x, address")
-	r.logged("the last one stays in force")
+// TestEndpointsFileReload: a broken file keeps the old list; an empty one empties it; a good one is taken at once.
+func TestEndpointsFileReload(t *testing.T) {
+	b := startBackend(t, emulator.BackendConfig{}, nil)
+	r := startGateway(t, "", "", b.Addr())
+	look := request("GET", "/look", "ka", "")
+	r.replaceFile("boxes.yaml", "boxes: [{name: x, address")
+	r.waitForLog("the last one stays in force")
 	if s := r.status(look); s != 200 {
 		t.Errorf("after a broken list: %d", s)
 	}
-	r.replace("boxes.yaml", "boxes: []\n")
-	r.logged("boxes=0")
+	r.replaceFile("boxes.yaml", "boxes: []\n")
+	r.waitForLog("boxes=0")
 	if s := r.status(look); s != 503 {
 		t.Errorf("without boxes: %d", s)
 	}
-	r.replace("boxes.yaml", boxesText(b.Addr()))
-	r.logged("boxes=1")
+	r.replaceFile("boxes.yaml", endpointsYAML(b.Addr()))
+	r.waitForLog("boxes=1")
 	if s := r.status(look); s != 200 {
 		t.Errorf("boxes are back: %d", s)
 	}
 }
 
-// TestShutdown: what is held is answered, new connections are not taken, and Serve returns nil.
-func TestShutdown(t *testing.T) {
+// TestGracefulShutdown: what is held is answered, new connections are not taken, and Serve returns nil.
+func TestGracefulShutdown(t *testing.T) {
 	got, answer := make(chan struct{}), make(chan struct{})
-	addr := rawBox(t, func(c net.Conn, in *bufio.Reader) {
+	addr := startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err != nil {
 			return
 		}
@@ -392,14 +392,14 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 		io.Copy(io.Discard, in)
 	})
-	r := start(t, "", "", addr)
+	r := startGateway(t, "", "", addr)
 	idle, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
 	done := make(chan *http.Response)
-	go func() { done <- r.talk(req("GET", "/look", "ka", ""), 1)[0] }()
+	go func() { done <- r.exchange(request("GET", "/look", "ka", ""), 1)[0] }()
 	<-got
 	r.stop()
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
@@ -409,10 +409,10 @@
 	if resp := <-done; resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("%d, close %v", resp.StatusCode, resp.Close)
 	}
-	if err := <-r.ended; err != nil {
+	if err := <-r.served; err != nil {
 		t.Error(err)
 	}
-	close(r.ended)
+	close(r.served)
 	if _, err := net.Dial("tcp", r.addr); err == nil {
 		t.Error("still accepting")
 	}
@@ -420,15 +420,15 @@
 
 // TestConnectionLimit: one beyond the limit is told so; when one goes, the next is taken.
 func TestConnectionLimit(t *testing.T) {
-	b := aBox(t, emulator.BackendConfig{}, nil)
-	r := start(t, "", "limits: {connections: 2}\n", b.Addr())
+	b := startBackend(t, emulator.BackendConfig{}, nil)
+	r := startGateway(t, "", "limits: {connections: 2}\n", b.Addr())
 	var held []net.Conn
 	for range 2 {
 		c, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, req("GET", "/look", "ka", ""))
+		io.WriteString(c, request("GET", "/look", "ka", ""))
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Fatal(err)
 		}
@@ -448,7 +448,7 @@
 	}
 	s := 503
 	for i := 0; i < 10000 && s == 503; i++ { // until the door has seen that they are gone
-		s = r.status(req("GET", "/look", "ka", ""))
+		s = r.status(request("GET", "/look", "ka", ""))
 	}
 	if s != 200 {
 		t.Errorf("%d", s)
@@ -457,9 +457,9 @@
 
 // TestDescriptorsExhausted: with no descriptors left the door keeps what it has, and goes on when there are some.
 func TestDescriptorsExhausted(t *testing.T) {
-	b := aBox(t, emulator.BackendConfig{}, nil)
-	r := start(t, "", "", b.Addr())
-	look := req("GET", "/look", "ka", "")
+	b := startBackend(t, emulator.BackendConfig{}, nil)
+	r := startGateway(t, "", "", b.Addr())
+	look := request("GET", "/look", "ka", "")
 	old, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -500,11 +500,11 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &now); err != nil {
 		t.Fatal(err)
 	}
-	port := r.s.Addr().(*net.TCPAddr).Port
+	port := r.server.Addr().(*net.TCPAddr).Port
 	err = syscall.Connect(next, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}})
 	if err == nil {
 		syscall.Write(next, []byte(look))
-		r.logged("msg=accept")
+		r.waitForLog("msg=accept")
 	}
 	served := ask()
 	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)
@@ -520,27 +520,27 @@
 	}
 }
 
-// TestMonotonicOnly: the clock has its monotonic reading, so that steps of the machine's clock don't move it.
-func TestMonotonicOnly(t *testing.T) {
-	r := start(t, "", "")
-	if !strings.Contains(r.s.start.String(), "m=") {
+// TestClockIsMonotonic: the clock has its monotonic reading, so that steps of the machine's clock don't move it.
+func TestClockIsMonotonic(t *testing.T) {
+	r := startGateway(t, "", "")
+	if !strings.Contains(r.server.startTime.String(), "m=") {
 		t.Error("the origin has no monotonic reading")
 	}
 }
 
-// TestKeeperOverTheWire: one round trip a call, answers in order, and a door that goes on when its keeper goes.
-func TestKeeperOverTheWire(t *testing.T) {
+// TestCounterOverTCP: one round trip a call, answers in order, and a door that goes on when its keeper goes.
+func TestCounterOverTCP(t *testing.T) {
 	k, err := StartCounter("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close()
-	b := aBox(t, emulator.BackendConfig{}, nil)
-	r := start(t, fmt.Sprintf("keeper: {address: %q, timeout: 1s}\n", k.Addr()), "", b.Addr())
-	r.logged("keeper connected")
+	b := startBackend(t, emulator.BackendConfig{}, nil)
+	r := startGateway(t, fmt.Sprintf("keeper: {address: %q, timeout: 1s}\n", k.Addr()), "", b.Addr())
+	r.waitForLog("keeper connected")
 	served := 0
 	for range 8 {
-		if s := r.status(req("GET", "/look", "kc", "")); s == 200 {
+		if s := r.status(request("GET", "/look", "kc", "")); s == 200 {
 			served++
 		}
 	}
@@ -550,10 +550,10 @@
 	var name string
 	var weight float64
 	told := make(chan struct{})
-	r.s.post(post{kind: inquiry, look: func(c *proxy.Instance, _ time.Duration) { name, weight, _ = c.Gateway().CounterName("c"); close(told) }})
+	r.server.post(post{kind: inquiry, look: func(c *proxy.Instance, _ time.Duration) { name, weight, _ = c.Gateway().CounterName("c"); close(told) }})
 	<-told
 	k.mu.Lock()
-	calls, total := k.keeper.Calls, k.keeper.Total(k.now(), name)
+	calls, total := k.counter.Calls, k.counter.Total(k.now(), name)
 	k.mu.Unlock()
 	if used := total / weight; !(used > 1 && used < 9) { // what was refused may not be taken back yet
 		t.Errorf("%d served, %v units under %q", served, used, name)
@@ -562,13 +562,13 @@
 		t.Error("the keeper was not asked")
 	}
 	k.Set(fault.Refuse, 0, true)
-	if s := r.status(req("GET", "/look", "ka", "")); s != 200 {
+	if s := r.status(request("GET", "/look", "ka", "")); s != 200 {
 		t.Errorf("without a keeper: %d", s)
 	}
 }
 
-// TestStandInKeeperIsRedis: the stand-in satisfies a client that knows nothing of this project.
-func TestStandInKeeperIsRedis(t *testing.T) {
+// TestEmulatedCounterSpeaksRedis: the stand-in satisfies a client that knows nothing of this project.
+func TestEmulatedCounterSpeaksRedis(t *testing.T) {
 	k, err := StartCounter("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -613,26 +613,26 @@
 	}
 }
 
-// TestHostileBytes: nothing of a malformed request reaches a box.
-func TestHostileBytes(t *testing.T) {
+// TestMalformedRequestsReachNoBackend: nothing of a malformed request reaches a box.
+func TestMalformedRequestsReachNoBackend(t *testing.T) {
 	var seen atomic.Int64
-	addr := rawBox(t, func(c net.Conn, in *bufio.Reader) {
+	addr := startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
 		if _, err := in.ReadByte(); err == nil {
 			seen.Add(1)
 		}
 	})
-	r := start(t, "", "", addr)
+	r := startGateway(t, "", "", addr)
 	for text, want := range map[string]int{
-		req("POST", "/look", "ka", "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n": 400,
-		req("POST", "/look", "ka", "Content-Length: 3\r\nContent-Length: 4\r\n") + "abc":                400,
-		req("POST", "/look", "ka", "Transfer-Encoding: chunked\r\n") + "zz\r\n":                         400,
-		req("GET", "/look", "ka", "X : y\r\n"):                                                          400,
-		"GET http://other/look HTTP/1.1\r\nHost: h\r\nX-Api-Key: ka\r\n\r\n":                            400,
-		"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\n":                                                400,
-		"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n":                                                              505,
-		req("GET", "/look", "ka", "X: "+strings.Repeat("y", 40000)+"\r\n"):                              431,
-		req("POST", "/look", "ka", "Content-Length: 2000000\r\n"):                                       413,
-		"GET /look HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("X-Api-Key: kx\r\n", 2) + "\r\n":           401,
+		request("POST", "/look", "ka", "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n": 400,
+		request("POST", "/look", "ka", "Content-Length: 3\r\nContent-Length: 4\r\n") + "abc":                400,
+		request("POST", "/look", "ka", "Transfer-Encoding: chunked\r\n") + "zz\r\n":                         400,
+		request("GET", "/look", "ka", "X : y\r\n"):                                                          400,
+		"GET http://other/look HTTP/1.1\r\nHost: h\r\nX-Api-Key: ka\r\n\r\n":                                400,
+		"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\n":                                                    400,
+		"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n":                                                                  505,
+		request("GET", "/look", "ka", "X: "+strings.Repeat("y", 40000)+"\r\n"):                              431,
+		request("POST", "/look", "ka", "Content-Length: 2000000\r\n"):                                       413,
+		"GET /look HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("X-Api-Key: kx\r\n", 2) + "\r\n":               401,
 	} {
 		if s := r.status(text); s != want {
 			t.Errorf("%.60q: %d, want %d", text, s, want)
@@ -643,29 +643,29 @@
 	}
 }
 
-func TestControl(t *testing.T) {
-	b := aBox(t, emulator.BackendConfig{}, nil)
-	addr, stop, err := Control("127.0.0.1:0", b)
+func TestFaultControl(t *testing.T) {
+	b := startBackend(t, emulator.BackendConfig{}, nil)
+	addr, stop, err := ServeFaultControl("127.0.0.1:0", b)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stop()
-	r := start(t, "", "", b.Addr())
-	look := req("GET", "/look", "ka", "")
-	if err := SetFault(addr.String(), "set fault 1"); err != nil {
+	r := startGateway(t, "", "", b.Addr())
+	look := request("GET", "/look", "ka", "")
+	if err := SendFaultCommand(addr.String(), "set fault 1"); err != nil {
 		t.Fatal(err)
 	}
 	if s := r.status(look); s != 503 {
 		t.Errorf("%d", s)
 	}
-	if err := SetFault(addr.String(), "clear fault"); err != nil {
+	if err := SendFaultCommand(addr.String(), "clear fault"); err != nil {
 		t.Fatal(err)
 	}
 	if s := r.status(look); s != 200 {
 		t.Errorf("%d", s)
 	}
 	for _, bad := range []string{"set", "set slow", "set nonsense", "what", "set slow x", "clear"} {
-		if SetFault(addr.String(), bad) == nil {
+		if SendFaultCommand(addr.String(), bad) == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
@@ -674,7 +674,7 @@
 // TestAdminSocket: tools look at a front door that serves, and change nothing; two at once, hostile ones, and a socket
 // left behind by a killed process are no trouble.
 func TestAdminSocket(t *testing.T) {
-	b := aBox(t, emulator.BackendConfig{}, nil)
+	b := startBackend(t, emulator.BackendConfig{}, nil)
 	path := filepath.Join(t.TempDir(), "a.sock")
 	old, err := net.Listen("unix", path) // of a process that is gone
 	if err != nil {
@@ -682,8 +682,8 @@
 	}
 	old.(*net.UnixListener).SetUnlinkOnClose(false)
 	old.Close()
-	r := start(t, fmt.Sprintf("admin: {socket: %q}\n", path), "", b.Addr())
-	r.logged("admin socket")
+	r := startGateway(t, fmt.Sprintf("admin: {socket: %q}\n", path), "", b.Addr())
+	r.waitForLog("admin socket")
 	ask := func(text string) string {
 		c, err := net.Dial("unix", path)
 		if err != nil {
@@ -698,7 +698,7 @@
 	}
 	get := func(p string) string { return ask("GET " + p + " HTTP/1.1\r\nHost: a\r\n\r\n") }
 	for range 2 {
-		r.status(req("GET", "/look", "kb", ""))
+		r.status(request("GET", "/look", "kb", ""))
 	}
 	var wg sync.WaitGroup
 	for range 2 {
@@ -720,12 +720,12 @@
 	for _, l := range []proxy.Inspection{{Method: "GET", Target: "/look?a=%20&b=+", Customer: "b"}, {Method: "GET", Target: "/look", Key: "kb"}, {Method: "POST", Target: "/look", Customer: "a"},
 		{Method: "GET", Target: "/look", Fields: []string{"X-Api-Key: kb", "X-Other: a&b=c"}}, {Method: "GET", Target: "/nowhere", Customer: "a"}, {Method: "GET", Target: "look"},
 		{Method: "GET", Target: "/look", Customer: "nobody"}, {Method: "GET", Target: "/look"}, {Method: "G T", Target: "/\r\n\r\n"}, {}} {
-		want, _ := json.Marshal(l.Run(r.s.cfg))
+		want, _ := json.Marshal(l.Run(r.server.cfg))
 		if got := get("/v1/match?" + l.Query()); !strings.HasSuffix(got, "\r\n\r\n"+string(want)+"\n") {
 			t.Errorf("%+v: %s, from files %s", l, got, want)
 		}
 	}
-	if s := r.status(req("GET", "/look", "kb", "")); s != 200 {
+	if s := r.status(request("GET", "/look", "kb", "")); s != 200 {
 		t.Errorf("looking has cost the studio its third unit: %d", s)
 	}
 	for text, want := range map[string]string{"GET /v1/studio?name=nobody HTTP/1.1\r\nHost: a\r\n\r\n": "404", "POST /v1/identity HTTP/1.1\r\nHost: a\r\n\r\n": "405",
@@ -740,21 +740,21 @@
 	}
 }
 
-// TestRecording: what is decided is in the trace and no key is; files are begun anew at their size.
-func TestRecording(t *testing.T) {
-	b := aBox(t, emulator.BackendConfig{}, nil)
+// TestTraceRecording: what is decided is in the trace and no key is; files are begun anew at their size.
+func TestTraceRecording(t *testing.T) {
+	b := startBackend(t, emulator.BackendConfig{}, nil)
 	dir := t.TempDir()
-	r := start(t, fmt.Sprintf("trace: {mode: full, folder: %q, file-size: 64KiB, most: 1MiB}\n", dir), "", b.Addr())
+	r := startGateway(t, fmt.Sprintf("trace: {mode: full, folder: %q, file-size: 64KiB, most: 1MiB}\n", dir), "", b.Addr())
 	for range 300 {
-		if s := r.status(req("GET", "/look", "ka", "")); s != 200 {
+		if s := r.status(request("GET", "/look", "ka", "")); s != 200 {
 			t.Fatal(s)
 		}
 	}
 	r.stop()
-	if err := <-r.ended; err != nil {
+	if err := <-r.served; err != nil {
 		t.Fatal(err)
 	}
-	close(r.ended)
+	close(r.served)
 	files, _ := filepath.Glob(filepath.Join(dir, "*.trace"))
 	arrived, served := 0, 0
 	for _, f := range files {
@@ -794,13 +794,13 @@
 	}
 }
 
-// TestRecordingEndsWithItsDisk: a folder that can't be written any more ends the recording, not the front door.
-func TestRecordingEndsWithItsDisk(t *testing.T) {
-	b := aBox(t, emulator.BackendConfig{}, nil)
-	r := start(t, fmt.Sprintf("trace: {mode: full, folder: %q}\n", t.TempDir()), "", b.Addr())
-	r.s.rec.opened.Close() // before Serve has begun to write, or between two frames
-	r.logged("recording has ended")
-	if s := r.status(req("GET", "/look", "ka", "")); s != 200 {
+// TestUnwritableTraceEndsRecordingOnly: a folder that can't be written any more ends the recording, not the front door.
+func TestUnwritableTraceEndsRecordingOnly(t *testing.T) {
+	b := startBackend(t, emulator.BackendConfig{}, nil)
+	r := startGateway(t, fmt.Sprintf("trace: {mode: full, folder: %q}\n", t.TempDir()), "", b.Addr())
+	r.server.recorder.firstFile.Close() // before Serve has begun to write, or between two frames
+	r.waitForLog("recording has ended")
+	if s := r.status(request("GET", "/look", "ka", "")); s != 200 {
 		t.Errorf("%d", s)
 	}
 }
