--- a/internal/server/backendconn.go
+++ b/internal/server/backendconn.go
@@ -94,11 +94,11 @@
 	case err == io.EOF:
 		response = lc.responses.EOF()
 	default:
-		response = lc.responses.Lost()
+		response = lc.responses.ConnectionLost()
 	}
 	if response.Kind == proxy.Complete || response.Kind == proxy.Ended || response.Kind == proxy.Malformed {
 		lc.exchange = nil
-		response.Reuse = response.Reuse && socket.unwrittenBytes() == 0
+		response.ReuseConn = response.ReuseConn && socket.unwrittenBytes() == 0
 	}
 	if response.Kind == proxy.Malformed {
 		lc.closed = true
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -68,10 +68,10 @@
 			cc.readDeadline = 0
 			cc.server.expiredReads.Add(1)
 			cc.socket.clearReadDeadline() // a deadline that has passed would end every read from now on at once
-			cc.client.Expired(now)
+			cc.client.DeadlinePassed(now)
 			cc.advance(now, nil)
 		case err != nil:
-			ex := cc.client.Gone()
+			ex := cc.client.Disconnected()
 			cc.closed = true
 			cc.mu.Unlock()
 			if ex != nil {
@@ -108,7 +108,7 @@
 func (cc *clientConn) closeGracefully() {
 	cc.mu.Lock()
 	linger := cc.lingers && !cc.evicted
-	if cc.client.Aborts() {
+	if cc.client.MustReset() {
 		cc.socket.conn.SetLinger(0)
 		cc.mu.Unlock()
 		return
@@ -146,18 +146,18 @@
 		} else if ex != nil {
 			break
 		}
-		if len(cc.client.OwnStatuses) > 0 {
+		if len(cc.client.LocalStatuses) > 0 {
 			if cc.server.debug {
-				for _, status := range cc.client.OwnStatuses {
+				for _, status := range cc.client.LocalStatuses {
 					cc.server.log.Debug("answer", "status", status, "client", cc.socket.conn.RemoteAddr().String())
 				}
 			}
-			cc.client.OwnStatuses = cc.client.OwnStatuses[:0]
+			cc.client.LocalStatuses = cc.client.LocalStatuses[:0]
 		}
-		if len(cc.client.Out) > 0 {
-			cc.socket.write(cc.client.Out)
-			if cc.client.Out = cc.client.Out[:0]; cap(cc.client.Out) > 16<<10 {
-				cc.client.Out = nil
+		if len(cc.client.Outgoing) > 0 {
+			cc.socket.write(cc.client.Outgoing)
+			if cc.client.Outgoing = cc.client.Outgoing[:0]; cap(cc.client.Outgoing) > 16<<10 {
+				cc.client.Outgoing = nil
 			}
 		}
 		if cc.socket.unwrittenBytes() > 0 { // the flusher goes on
@@ -166,7 +166,7 @@
 		if cc.markClosedIfFinished() {
 			return
 		}
-		if ex = cc.client.Resume(now); ex == nil && len(cc.client.Out) == 0 {
+		if ex = cc.client.Resume(now); ex == nil && len(cc.client.Outgoing) == 0 {
 			if cc.markClosedIfFinished() {
 				return
 			}
@@ -180,7 +180,7 @@
 // markClosedIfFinished tells whether the connection is over, and lets its reader know; mu is held and nothing is unwritten.
 func (cc *clientConn) markClosedIfFinished() bool {
 	closes, linger := cc.client.Closing()
-	if !closes || len(cc.client.Out) > 0 {
+	if !closes || len(cc.client.Outgoing) > 0 {
 		return false
 	}
 	if !cc.closed {
@@ -206,7 +206,7 @@
 // respond hands an answer, or its beginning, to the client.
 func (cc *clientConn) respond(now time.Duration, ex *proxy.Exchange, b []byte, more, closes bool) {
 	cc.mu.Lock()
-	cc.client.Answered(now, ex, b, more, closes)
+	cc.client.Respond(now, ex, b, more, closes)
 	cc.advance(now, nil)
 	cc.mu.Unlock()
 }
@@ -214,7 +214,7 @@
 // relayBody hands on more of an answer and waits until the client has taken enough of it.
 func (cc *clientConn) relayBody(now time.Duration, ex *proxy.Exchange, b []byte, end, broken bool) {
 	cc.mu.Lock()
-	cc.client.Relay(now, ex, b, end, broken)
+	cc.client.ContinueResponse(now, ex, b, end, broken)
 	cc.advance(now, nil)
 	cc.mu.Unlock()
 	if !end && !broken {
--- a/internal/server/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -279,7 +279,7 @@
 	io.WriteString(c, strings.Replace(lookRequest(7), "spread=2", "spread=1", 1)) // no counter is asked
 	for waiting := false; !waiting; runtime.Gosched() {
 		cc.mu.Lock()
-		waiting = cc.client.Waiting()
+		waiting = cc.client.AwaitingResponse()
 		cc.mu.Unlock()
 	}
 	c.Close()
--- a/internal/server/node_test.go
+++ b/internal/server/node_test.go
@@ -243,7 +243,7 @@
 		if resp, err := ask(1000 + id); err != nil || resp.StatusCode != 200 {
 			t.Fatal(resp, err)
 		}
-		if n := r.server.shared.Clients.Load(); n > int64(most)+maxRejectedConnections {
+		if n := r.server.shared.ClientConns.Load(); n > int64(most)+maxRejectedConnections {
 			t.Fatalf("%d connections, %d may be", n, most)
 		}
 	}
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -77,8 +77,8 @@
 		return nil, err
 	}
 	r.firstFile = r.file
-	r.steps = append(r.steps, s.instance.FirstStep(s.startedAt))
-	s.instance.Record = r.record
+	r.steps = append(r.steps, s.instance.InitialDecision(s.startedAt))
+	s.instance.RecordDecision = r.record
 	return r, nil
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -248,14 +248,14 @@
 			return err
 		}
 		wait = 5 * time.Millisecond
-		if n := s.shared.Clients.Add(1); n > int64(s.cfg.Limits.Connections) && !s.waitForClientSlot() {
-			if s.shared.Clients.Load() > int64(s.cfg.Limits.Connections)+maxRejectedConnections { // not even for an answer there is room
-				s.shared.Clients.Add(-1)
+		if n := s.shared.ClientConns.Add(1); n > int64(s.cfg.Limits.Connections) && !s.waitForClientSlot() {
+			if s.shared.ClientConns.Load() > int64(s.cfg.Limits.Connections)+maxRejectedConnections { // not even for an answer there is room
+				s.shared.ClientConns.Add(-1)
 				conn.Close()
 				continue
 			}
 			s.goroutines.Go(func() error {
-				defer s.shared.Clients.Add(-1)
+				defer s.shared.ClientConns.Add(-1)
 				rejectConnection(conn, s.shared.TooManyConnections())
 				return nil
 			})
@@ -275,7 +275,7 @@
 			s.clientsMu.Lock()
 			delete(s.clients, cc)
 			s.clientsMu.Unlock()
-			s.shared.Clients.Add(-1)
+			s.shared.ClientConns.Add(-1)
 			return nil
 		})
 	}
@@ -294,7 +294,7 @@
 // meanwhile wait to be accepted.
 func (s *Server) waitForClientSlot() bool {
 	for range clientSlotTimeout / clientSlotPoll {
-		over := s.shared.Clients.Load() - int64(s.cfg.Limits.Connections)
+		over := s.shared.ClientConns.Load() - int64(s.cfg.Limits.Connections)
 		if over <= 0 || over <= maxRejectedConnections/2 && s.evictIdleClient() { // what is told to end does so in a moment, or turns out to be in use
 			return true
 		}
@@ -490,10 +490,10 @@
 		case proxy.CloseBackend:
 			effect.Conn.Owner.(*backendConn).close()
 		case proxy.Respond:
-			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, false, effect.Closes)
+			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, false, effect.CloseAfterResponse)
 			s.logResponse(effect.Exchange)
 		case proxy.StreamResponse:
-			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, true, effect.Closes)
+			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, true, effect.CloseAfterResponse)
 			effect.Conn.Owner.(*backendConn).streamPermit <- true
 			s.logResponse(effect.Exchange)
 		case proxy.AbortClient:
