--- a/proxy/configured.go
+++ b/proxy/configured.go
@@ -11,28 +11,35 @@
 	"sandyard/decision"
 	"sandyard/internal/http1"
 	"sandyard/internal/protocol"
+	"sandyard/routes"
 )
 
-// configuredProtocol is the dialect of the configuration file: routes and costs come from the OpenAPI description, customers are
-// studios with keys, the counter speaks RESP.
+// loadReportField is the response header field that carries a backend's load report, as ORCA names it.
+const loadReportField = "endpoint-load-metrics"
+
+// configuredProtocol is the protocol of the configuration file: operations and costs come from the OpenAPI description,
+// customers have keys, load reports are ORCA's, and the counter speaks RESP.
 type configuredProtocol struct {
 	cfg *config.Config
-	via string // how this front door names itself (RFC 9110 section 7.6.3)
+	via string // how this instance names itself in Via (RFC 9110 section 7.6.3)
 }
 
-// NewConfiguredProtocol is the dialect that a configuration file describes. via is how the front door names itself to others.
+// NewConfiguredProtocol returns the protocol that a configuration file describes. via is how the instance names itself to
+// others in Via.
 func NewConfiguredProtocol(cfg *config.Config, via string) protocol.Protocol {
 	return &configuredProtocol{cfg, via}
 }
 
+// ParseRequest implements protocol.Protocol.
 func (p *configuredProtocol) ParseRequest(h *http1.Head, info *protocol.RequestInfo) *protocol.LocalResponse {
 	return identifyCustomer(p.cfg, h, info)
 }
 
+// identifyCustomer finds the customer by the request's key, and then its operation.
 func identifyCustomer(cfg *config.Config, h *http1.Head, info *protocol.RequestInfo) *localResponse {
 	key, ok := h.Get(cfg.Headers.Key)
 	if !ok {
-		if key = bearer(h); key == "" {
+		if key = bearerToken(h); key == "" {
 			return &missingKey
 		}
 	}
@@ -42,47 +49,67 @@
 	return matchRoute(cfg, h, info)
 }
 
-// matchRoute finds what an identified studio asks for.
+// matchRoute finds the operation of a request whose customer is known, and what its fields and query say.
 func matchRoute(cfg *config.Config, h *http1.Head, info *protocol.RequestInfo) *localResponse {
-	op, v := cfg.Routes.Match(h.Method, h.Path)
-	switch v {
-	case 0:
-	case 2:
+	operation, result := cfg.Routes.Match(h.Method, h.Path)
+	switch result {
+	case routes.Found:
+	case routes.NoMethod:
 		return &methodNotAllowed
-	case 3:
+	case routes.BadPath:
 		return &ambiguousPath
 	default:
 		return &pathNotFound
 	}
-	info.Operation, info.Class = op, cfg.ClassByOperation[op.Index]
+	info.Operation, info.Class = operation, cfg.ClassByOperation[operation.Index]
 	var ok bool
-	if info.Units, ok = op.Units.Of(h.Query, h.Get); !ok {
+	if info.Units, ok = operation.Units.Of(h.Query, h.Get); !ok {
 		return &invalidUnits
 	}
 	class := &cfg.Settings.Classes[info.Class]
 	if class.Idempotency == decision.IdempotentByKey {
-		if k, _ := h.Get("Idempotency-Key"); k == "" {
+		if key, _ := h.Get("Idempotency-Key"); key == "" {
 			return &missingIdempotencyKey
 		}
 	}
-	info.Timeout = class.Deadline
-	if s, ok := h.Get(cfg.Headers.Timeout); ok {
-		ms, err := strconv.ParseFloat(s, 64)
-		if err != nil || !(ms >= 0) || math.IsInf(ms, 0) {
-			return &invalidTimeout
-		}
-		if ms < float64(class.Deadline/time.Millisecond) {
-			info.Timeout = time.Duration(ms * float64(time.Millisecond))
-		}
+	if info.Timeout, ok = clientTimeout(cfg, h, class.Deadline); !ok {
+		return &invalidTimeout
 	}
-	if s, ok := h.Get(cfg.Headers.Retry); ok && s != "0" && s != "" {
+	if retry, ok := h.Get(cfg.Headers.Retry); ok && retry != "0" && retry != "" {
 		info.IsRetry = true
 	}
 	return nil
 }
 
-// RenderRequest writes the request as a box gets it: hop-by-hop fields removed, this front door added.
-func (p *configuredProtocol) RenderRequest(b []byte, h *http1.Head, body []byte, trailers []http1.Field, remote string) ([]byte, int) {
+// clientTimeout returns how long the client waits in all: what it says in milliseconds, at most the deadline of the class.
+// It reports false where the client says no number of milliseconds.
+func clientTimeout(cfg *config.Config, h *http1.Head, deadline time.Duration) (time.Duration, bool) {
+	field, ok := h.Get(cfg.Headers.Timeout)
+	if !ok {
+		return deadline, true
+	}
+	milliseconds, err := strconv.ParseFloat(field, 64)
+	if err != nil || !(milliseconds >= 0) || math.IsInf(milliseconds, 0) {
+		return 0, false
+	}
+	if milliseconds < float64(deadline/time.Millisecond) {
+		return time.Duration(milliseconds * float64(time.Millisecond)), true
+	}
+	return deadline, true
+}
+
+// bearerToken returns the token of an Authorization field with the Bearer scheme, and "" where there is none.
+func bearerToken(h *http1.Head) string {
+	v, _ := h.Get("Authorization")
+	if len(v) > 7 && strings.EqualFold(v[:7], "Bearer ") {
+		return v[7:]
+	}
+	return ""
+}
+
+// RenderRequest implements protocol.Protocol: hop-by-hop fields and the customer's key are removed, the client's address and
+// this instance are added. Attempts add nothing.
+func (p *configuredProtocol) RenderRequest(b []byte, h *http1.Head, body []byte, trailers []http1.Field, clientAddr string) ([]byte, int) {
 	b = append(b, h.Method...)
 	b = append(b, ' ')
 	b = append(b, h.Path...)
@@ -91,25 +118,8 @@
 	}
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = http1.AppendField(b, "Host", h.Authority)
-	forwarded := ""
-	b = http1.AppendFields(b, h, func(name string) bool {
-		switch len(name) {
-		case 4:
-			return http1.EqualName(name, "Host")
-		case 15:
-			if http1.EqualName(name, "X-Forwarded-For") {
-				if v, ok := h.Get(name); ok {
-					forwarded = v + ", "
-				}
-				return true
-			}
-		}
-		return http1.EqualName(name, p.cfg.Headers.Key) || http1.EqualName(name, "Authorization") && bearer(h) != ""
-	})
-	b = append(b, "X-Forwarded-For: "...)
-	b = append(b, forwarded...)
-	b = append(b, remote...)
-	b = append(b, "\r\nVia: 1."...)
+	b = p.appendForwardedFields(b, h, clientAddr)
+	b = append(b, "Via: 1."...)
 	b = strconv.AppendInt(b, int64(h.Minor), 10)
 	b = append(b, ' ')
 	b = append(b, p.via...)
@@ -126,32 +136,46 @@
 	return append(b, body...), 0
 }
 
-func bearer(h *http1.Head) string {
-	v, _ := h.Get("Authorization")
-	if len(v) > 7 && strings.EqualFold(v[:7], "Bearer ") {
-		return v[7:]
-	}
-	return ""
+// appendForwardedFields appends the client's fields that backends get, and X-Forwarded-For with the client's address.
+func (p *configuredProtocol) appendForwardedFields(b []byte, h *http1.Head, clientAddr string) []byte {
+	forwarded := ""
+	b = http1.AppendFields(b, h, func(name string) bool {
+		switch len(name) {
+		case len("Host"):
+			return http1.EqualName(name, "Host")
+		case len("X-Forwarded-For"):
+			if http1.EqualName(name, "X-Forwarded-For") {
+				if v, ok := h.Get(name); ok {
+					forwarded = v + ", "
+				}
+				return true
+			}
+		}
+		return http1.EqualName(name, p.cfg.Headers.Key) || http1.EqualName(name, "Authorization") && bearerToken(h) != ""
+	})
+	b = append(b, "X-Forwarded-For: "...)
+	b = append(b, forwarded...)
+	b = append(b, clientAddr...)
+	return append(b, '\r', '\n')
 }
 
-// RenderAttempt sends a request as it was rendered: how long a front door waits is not told.
+// RenderAttempt implements protocol.Protocol: every attempt sends the request as it was rendered. Backends are not told how
+// long the instance waits.
 func (p *configuredProtocol) RenderAttempt(wire []byte, _ int, _ time.Duration) []byte { return wire }
 
-// RenderProbe asks at probes.path.
+// RenderProbe implements protocol.Protocol with a GET of probes.path.
 func (p *configuredProtocol) RenderProbe(addr string) []byte {
 	b := append([]byte("GET "), p.cfg.Probes.Path...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	return append(append(b, addr...), "\r\n\r\n"...)
 }
 
-// AppendRetryAfter is in whole seconds, rounded up (RFC 9110 section 10.2.3).
+// AppendRetryAfter implements protocol.Protocol, in whole seconds, rounded up (RFC 9110 section 10.2.3).
 func (p *configuredProtocol) AppendRetryAfter(b []byte, after time.Duration) []byte {
 	return strconv.AppendInt(b, int64((after+time.Second-1)/time.Second), 10)
 }
 
-const loadReportField = "endpoint-load-metrics"
-
-// RenderResponseHead leaves out the box's load, which is for this front door alone.
+// RenderResponseHead implements protocol.Protocol. The backend's load report is left out: it is for this instance alone.
 func (p *configuredProtocol) RenderResponseHead(b []byte, h *http1.Head) []byte {
 	b = http1.AppendStatus(b, h.Status, h.Reason)
 	b = http1.AppendFields(b, h, func(name string) bool {
@@ -162,33 +186,34 @@
 	return append(b, '\r', '\n')
 }
 
-// ParseResponse reads what a status says of an attempt: only statuses that the configuration lists mean that the box turned
-// the request away unseen.
+// ParseResponse implements protocol.Protocol. Only statuses that the configuration lists mean that the backend rejected the
+// request without running it.
 func (p *configuredProtocol) ParseResponse(h *http1.Head, _ []byte, _ bool) protocol.ResponseReport {
-	var r protocol.ResponseReport
+	var report protocol.ResponseReport
 	switch {
 	case slices.Contains(p.cfg.File.Backends.RejectedStatuses, h.Status):
-		r.Outcome = decision.Rejected
+		report.Outcome = decision.Rejected
 	case h.Status >= 500:
-		r.Outcome = decision.BackendError
+		report.Outcome = decision.BackendError
 	}
 	if len(p.cfg.LoadReportNames) > 0 {
 		if v, ok := h.Get(loadReportField); ok {
-			r.Load = parseLoad(v, p.cfg.LoadReportNames)
+			report.Load = parseLoad(v, p.cfg.LoadReportNames)
 		}
 	}
 	if p.cfg.Settings.UnitsSettleLater {
 		if v, ok := h.Get(p.cfg.Headers.Units); ok {
-			if x, err := strconv.ParseFloat(v, 64); err == nil && x >= 0 && !math.IsInf(x, 0) {
-				r.Units = x
+			if units, err := strconv.ParseFloat(v, 64); err == nil && units >= 0 && !math.IsInf(units, 0) {
+				report.Units = units
 			}
 		}
 	}
-	return r
+	return report
 }
 
 // parseLoad reads a report in the TEXT form of ORCA's endpoint-load-metrics: "TEXT cpu_utilization=0.3,
-// named_metrics.in_flight=4". Figures that are missing or no numbers read as NaN, which the gateway passes over.
+// named_metrics.in_flight=4". It returns a value for each of names, NaN for one that is missing or no number, which the
+// decision gateway passes over; and nil for a report in another form.
 func parseLoad(v string, names []string) []float64 {
 	rest, ok := strings.CutPrefix(v, "TEXT ")
 	if !ok {
--- a/proxy/effects.go
+++ b/proxy/effects.go
@@ -29,11 +29,10 @@
 	PollEndpoints
 )
 
-// effectNames are the names of the kinds, in their order.
-var effectNames = [...]string{"dial backend", "write attempt", "close backend", "respond", "stream response", "abort client",
-	"dial counter", "write counter", "close counter", "poll endpoints"}
+// effectNames are the names of the kinds, in their order. They are format: the simulator's output has them as JSON keys.
+var effectNames = [...]string{"dial", "write", "hang", "final", "grant", "cut", "dial keeper", "send keeper", "hang keeper", "read list"}
 
-// String names the kind, for logs and tests.
+// String returns the name under which the simulator reports the kind.
 func (k EffectKind) String() string { return effectNames[k] }
 
 // Effect is something for the runtime to do. Effects are carried out in order and none may block the instance's owner.
--- a/proxy/inspect.go
+++ b/proxy/inspect.go
@@ -12,44 +12,35 @@
 	"sandyard/internal/protocol"
 )
 
-// Inspection is a question of a tool: what would be made of such a request, before anything is decided.
+// Inspection asks what an instance would make of a request before anything is decided: its operation, customer and cost.
 type Inspection struct {
 	Method, Target string
-	Fields         []string // of the request, as "Name: value"
-	Key            string   // of the caller; empty: Studio says who it is, or Fields do
-	Customer       string
+	Fields         []string // header fields, as "Name: value"
+	Key            string   // the customer's key; empty: Customer or Fields say who it is
+	Customer       string   // the customer's name, used where Key is empty
 }
 
-// InspectionResult is the answer to a Look.
+// InspectionResult is the answer to an Inspection. Its JSON keys are format.
 type InspectionResult struct {
 	Method      string  `json:"method"`
 	Target      string  `json:"target"`
 	Operation   string  `json:"operation,omitempty"`
-	Line        int     `json:"line,omitempty"` // in the description
+	Line        int     `json:"line,omitempty"` // in the OpenAPI description
 	Class       string  `json:"class,omitempty"`
 	Idempotency string  `json:"repeat,omitempty"`
 	Units       float64 `json:"units"`
 	Customer    string  `json:"studio,omitempty"`
 	Plan        string  `json:"plan,omitempty"`
 	Deadline    string  `json:"deadline,omitempty"`
-	Status      int     `json:"status,omitempty"` // of the answer it gets without a decision
+	Status      int     `json:"status,omitempty"` // of the local response that it gets; 0: it goes on to a decision
 	Reason      string  `json:"why,omitempty"`
 }
 
-// Run answers by a configuration, with the code that requests go through. Any goroutine may call it.
+// Run answers by a configuration, with the code that requests go through. Any goroutine may call it; it does not block.
 func (inspection Inspection) Run(cfg *config.Config) InspectionResult {
 	out := InspectionResult{Method: inspection.Method, Target: inspection.Target}
-	var text strings.Builder
-	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: routes\r\n", inspection.Method, inspection.Target)
-	for _, h := range inspection.Fields {
-		name, value, _ := strings.Cut(h, ":")
-		fmt.Fprintf(&text, "%s: %s\r\n", name, strings.TrimSpace(value))
-	}
-	if inspection.Key != "" {
-		fmt.Fprintf(&text, "%s: %s\r\n", cfg.Headers.Key, inspection.Key)
-	}
-	text.WriteString("\r\n")
-	_, part, err := http1.NewRequests(http1.Limits{Head: int(cfg.Limits.Head), Fields: cfg.Limits.Fields}).Feed([]byte(text.String()))
+	reader := http1.NewRequests(http1.Limits{Head: int(cfg.Limits.Head), Fields: cfg.Limits.Fields})
+	_, part, err := reader.Feed([]byte(inspection.requestText(cfg)))
 	if err != nil || part.Kind != http1.HeadEnd {
 		out.Status, out.Reason = 400, "malformed"
 		var e *http1.Error
@@ -75,6 +66,22 @@
 	return out
 }
 
+// requestText returns the head of the request that is asked about.
+func (inspection Inspection) requestText(cfg *config.Config) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: routes\r\n", inspection.Method, inspection.Target)
+	for _, field := range inspection.Fields {
+		name, value, _ := strings.Cut(field, ":")
+		fmt.Fprintf(&text, "%s: %s\r\n", name, strings.TrimSpace(value))
+	}
+	if inspection.Key != "" {
+		fmt.Fprintf(&text, "%s: %s\r\n", cfg.Headers.Key, inspection.Key)
+	}
+	text.WriteString("\r\n")
+	return text.String()
+}
+
+// idempotencyText describes what a second run of a request of a class would do. The words are format.
 func idempotencyText(class decision.Class) string {
 	switch class.Idempotency {
 	case decision.Idempotent:
@@ -85,12 +92,12 @@
 	return "unsafe"
 }
 
-// Query is the look as the query of a request to the admin socket.
+// Query returns the inspection as the query of a request to the admin socket; ParseInspection reads it.
 func (inspection Inspection) Query() string {
 	return url.Values{"method": {inspection.Method}, "target": {inspection.Target}, "fields": {strings.Join(inspection.Fields, "\n")}, "key": {inspection.Key}, "studio": {inspection.Customer}}.Encode()
 }
 
-// ParseInspection is what Query made, parsed.
+// ParseInspection returns the inspection of which Query made the query parameters.
 func ParseInspection(q map[string]string) Inspection {
 	l := Inspection{Method: q["method"], Target: q["target"], Key: q["key"], Customer: q["studio"]}
 	for f := range strings.SplitSeq(q["fields"], "\n") {
@@ -101,30 +108,32 @@
 	return l
 }
 
-// Identification is what a front door makes of a request before anything is decided.
+// Identification is what an instance makes of a request before anything is decided.
 type Identification struct {
 	protocol.RequestInfo
-	localResponse *localResponse
+	localResponse *localResponse // nil: it goes on to a decision
 }
 
-// LocalResponse is the status of the answer that needs no decision, and why; 0 if the request goes on to one.
-func (m Identification) LocalResponse() (status int, kind string) {
-	if m.localResponse == nil {
+// LocalResponse returns the status and kind of the local response that the request gets; 0 if it goes on to a decision.
+func (identification Identification) LocalResponse() (status int, kind string) {
+	if identification.localResponse == nil {
 		return 0, ""
 	}
-	return m.localResponse.Status, m.localResponse.Kind
+	return identification.localResponse.Status, identification.localResponse.Kind
 }
 
-// Identify is what a front door of this configuration makes of a request with this head: the same code, for tools.
+// Identify returns what an instance of a configuration makes of a request with this head, with the code that requests go
+// through.
 func Identify(cfg *config.Config, h *http1.Head) Identification {
 	var identification Identification
-	if identification.localResponse = identifyCustomer(cfg, h, &identification.RequestInfo); identification.localResponse == nil && h.Length > int64(cfg.Limits.Body) {
+	identification.localResponse = identifyCustomer(cfg, h, &identification.RequestInfo)
+	if identification.localResponse == nil && h.Length > int64(cfg.Limits.Body) {
 		identification.localResponse = &bodyTooLarge
 	}
 	return identification
 }
 
-// IdentifyFor is the same for a studio whose key the tool does not have; nil is a studio that there is not.
+// IdentifyFor is Identify for a customer whose key the tool does not have; nil stands for an unknown customer.
 func IdentifyFor(cfg *config.Config, h *http1.Head, customer *config.Customer) Identification {
 	var identification Identification
 	if identification.Customer = customer; customer == nil {
