--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -7,7 +7,7 @@
 	"sandyard/config"
 )
 
-// BenchmarkExchange is one request through all machines, without sockets: parsed, decided, sent, answered.
+// BenchmarkExchange is one request through all parts, without sockets: parsed, decided, sent and answered.
 func BenchmarkExchange(b *testing.B) {
 	cfg, err := config.Load("../examples/kilns/gateway.yaml")
 	if err != nil {
@@ -36,19 +36,19 @@
 		core.RequestArrived(now, ex)
 		for more := true; more; {
 			more = false
-			for _, w := range core.Effects() {
+			for _, effect := range core.Effects() {
 				more = true
-				switch w.Kind {
+				switch effect.Kind {
 				case DialBackend:
-					conns[w.Conn] = NewResponseReader(set)
-					core.BackendConnected(now, w.Conn)
+					conns[effect.Conn] = NewResponseReader(set)
+					core.BackendConnected(now, effect.Conn)
 				case WriteAttempt:
-					bc := conns[w.Conn]
-					bc.Expect(w.Exchange)
+					bc := conns[effect.Conn]
+					bc.Expect(effect.Exchange)
 					a := bc.Feed(answer)
-					core.ResponseReceived(now, w.Conn, &a)
+					core.ResponseReceived(now, effect.Conn, &a)
 				case Respond:
-					c.Respond(now, w.Exchange, w.Bytes, false, false)
+					c.Respond(now, effect.Exchange, effect.Bytes, false, false)
 					c.Outgoing = c.Outgoing[:0]
 				}
 			}
--- a/proxy/clientconn_test.go
+++ b/proxy/clientconn_test.go
@@ -5,9 +5,28 @@
 	"strings"
 	"testing"
 	"time"
+
+	"sandyard/internal/strictyaml"
 )
 
-func (r *rig) newClientConn() *ClientConn { return NewClientConn(r.shared, nil, "192.0.2.1", r.now) }
+// A connection that sends nothing, or half a request, ends at the time that its first request may take, whatever phase
+// it is in.
+func TestFirstRequestTimeout(t *testing.T) {
+	r := newHarness(t, 1, 1, "")
+	r.shared.Config.Limits.FirstTimeout = strictyaml.Duration(2 * time.Second)
+	for _, said := range []string{"", "GET /look HT", "POST /look HTTP/1.1\r\nHost: h\r\nX-Api-Key: ka\r\nContent-Length: 9\r\n\r\nabc"} {
+		c := NewClientConn(r.shared, nil, "192.0.2.1", r.now)
+		c.Feed(r.now+1900*time.Millisecond, []byte(said))
+		c.DeadlinePassed(r.now + 2*time.Second)
+		if closes, _ := c.Closing(); !closes || said != "" && !strings.HasPrefix(string(c.Outgoing), "HTTP/1.1 408") {
+			t.Errorf("%q: closes %v, %q", said, closes, c.Outgoing)
+		}
+	}
+}
+
+func (r *harness) newClientConn() *ClientConn {
+	return NewClientConn(r.shared, nil, "192.0.2.1", r.now)
+}
 
 var statusLine = regexp.MustCompile(`HTTP/1\.1 (\d{3}) `)
 
@@ -18,9 +37,9 @@
 	return s
 }
 
-// TestPipelinedRequestsAreAnsweredInOrder: a hundred requests in one write, one of which is refused, are answered in their order.
+// A hundred requests in one write, one of which has an unknown key, are answered in their order.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	r := newRig(t, 2, 1, "")
+	r := newHarness(t, 2, 1, "")
 	c := r.newClientConn()
 	var in []byte
 	for i := range 100 {
@@ -38,11 +57,11 @@
 			r.connect()
 			r.instance.Tick(r.now)
 		}
-		l := ex.attempts[0].conn
-		r.reply(l, ex, ok200)
-		w := r.want(Respond)
+		conn := ex.attempts[0].conn
+		r.reply(conn, ex, ok200)
+		effect := r.want(Respond)
 		r.effects = nil
-		c.Respond(r.now, ex, w.Bytes, false, false)
+		c.Respond(r.now, ex, effect.Bytes, false, false)
 		n++
 	}
 	got := statuses(c.Outgoing)
@@ -52,6 +71,8 @@
 	r.requireQuiescent()
 }
 
+// TestLocalResponses sends requests that need no decision, at once and byte by byte: each gets its status, and no
+// memory is held afterwards.
 func TestLocalResponses(t *testing.T) {
 	big := strings.Repeat("x", 2000)
 	for _, c := range []struct{ name, in, want string }{
@@ -70,19 +91,19 @@
 		{"body longer than said", string(requestText("POST", "/nowhere", "ka", "Content-Length: 3\r\n")) + "abcdefg\r\n\r\n", "404 400"},
 		{"refused while waiting for 100", string(requestText("POST", "/nowhere", "ka", "Content-Length: 3\r\nExpect: 100-continue\r\n")), "404"},
 	} {
-		r := newRig(t, 1, 1, "")
+		r := newHarness(t, 1, 1, "")
 		for _, bytewise := range []bool{false, true} {
-			cl := r.newClientConn()
+			client := r.newClientConn()
 			if !bytewise {
-				if ex := cl.Feed(r.now, []byte(c.in)); ex != nil {
+				if ex := client.Feed(r.now, []byte(c.in)); ex != nil {
 					t.Errorf("%s: an exchange", c.name)
 				}
 			} else {
 				for i := range len(c.in) {
-					cl.Feed(r.now, []byte{c.in[i]})
+					client.Feed(r.now, []byte{c.in[i]})
 				}
 			}
-			if got := strings.Join(statuses(cl.Outgoing), " "); got != c.want {
+			if got := strings.Join(statuses(client.Outgoing), " "); got != c.want {
 				t.Errorf("%s: %s, want %s", c.name, got, c.want)
 			}
 			if n := r.shared.ReservedBytes.Load(); n != 0 && c.want != "404 400" {
@@ -92,17 +113,18 @@
 	}
 }
 
-// TestBodyBeyondContentLength: what follows a body is another request, and as such malformed; it goes nowhere.
+// A request had more bytes behind it than its Content-Length. They are the next request, and malformed as such; nothing
+// of them is forwarded with the first.
 func TestBodyBeyondContentLength(t *testing.T) {
-	r := newRig(t, 1, 1, "")
+	r := newHarness(t, 1, 1, "")
 	c := r.newClientConn()
 	ex := c.Feed(r.now, append(requestText("POST", "/look", "ka", "Content-Length: 3\r\n"), "abcGET /pay HTTP/1.1\r\n\r\n"...))
 	if ex == nil || !strings.HasSuffix(string(ex.RenderedRequest), "\r\n\r\nabc") {
 		t.Fatalf("%v", ex)
 	}
 	r.instance.RequestArrived(r.now, ex)
-	l, _ := r.connect()
-	r.reply(l, ex, ok200)
+	conn, _ := r.connect()
+	r.reply(conn, ex, ok200)
 	c.Respond(r.now, ex, r.wantResponse("200").Bytes, false, false)
 	if c.Resume(r.now) != nil || strings.Join(statuses(c.Outgoing), " ") != "200 400" {
 		t.Errorf("%q", c.Outgoing)
@@ -112,8 +134,9 @@
 	}
 }
 
+// A client that expects 100 Continue gets it, and the field is not forwarded: the instance holds the body anyway.
 func TestExpectContinue(t *testing.T) {
-	r := newRig(t, 1, 1, "")
+	r := newHarness(t, 1, 1, "")
 	c := r.newClientConn()
 	if ex := c.Feed(r.now, requestText("POST", "/look", "ka", "Content-Length: 3\r\nExpect: 100-continue\r\n")); ex != nil || statuses(c.Outgoing)[0] != "100" {
 		t.Fatalf("%q", c.Outgoing)
@@ -123,9 +146,10 @@
 	}
 }
 
-// TestSlowSenderTimesOut: one byte a second is cut off at the time a head, or a body, may take.
+// A client sent one byte a second to hold its connection open. It gets 408 at the time that a head, or a body, may
+// take.
 func TestSlowSenderTimesOut(t *testing.T) {
-	r := newRig(t, 1, 1, "")
+	r := newHarness(t, 1, 1, "")
 	for _, in := range []string{string(requestText("GET", "/look", "ka", "")), string(requestText("POST", "/look", "ka", "Content-Length: 100\r\n")) + strings.Repeat("x", 99)} {
 		c := r.newClientConn()
 		now := r.now
@@ -147,9 +171,10 @@
 	}
 }
 
-// TestBodyMemoryIsBounded: bodies in all are bounded, and what is refused gives its room back.
+// Bodies in all are bounded by limits.memory: requests beyond it get 503, and what clients that leave had sent is given
+// back.
 func TestBodyMemoryIsBounded(t *testing.T) {
-	r := newRig(t, 1, 1, "")
+	r := newHarness(t, 1, 1, "")
 	var cs []*ClientConn
 	over := 0
 	for range 40 {
@@ -174,10 +199,11 @@
 	}
 }
 
-// TestReadAheadIsBounded: what a client sends ahead while it waits is bounded. Reading goes on beyond the bound, or the client's end
-// would not be seen; whole requests that are kept are answered in order, and then the connection ends.
+// A client sent without end while it waited for its response. What is kept is bounded, by limits.head and limits.body
+// and in all by limits.memory. Reading goes on beyond the bound, or the client's end would not be seen; complete
+// requests that were kept are answered in order, and then the connection ends.
 func TestReadAheadIsBounded(t *testing.T) {
-	r := newRig(t, 1, 1, "")
+	r := newHarness(t, 1, 1, "")
 	c := r.newClientConn()
 	ex := c.Feed(r.now, requestText("GET", "/look", "ka", ""))
 	c.Feed(r.now, requestText("GET", "/look?2", "ka", ""))
@@ -225,45 +251,20 @@
 	}
 }
 
-func TestResponsesByClientVersion(t *testing.T) {
-	r := newRig(t, 1, 1, "")
-	for _, c := range []struct{ version, conn, answer, want, not string }{
-		{"1.0", "", ok200, "Connection: close", "chunked"},
-		{"1.0", "Connection: keep-alive\r\n", ok200, "Connection: keep-alive", "chunked"},
-		{"1.1", "", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nT: v\r\n\r\n", "T: v\r\n", "Content-Length"},
-		{"1.0", "", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nT: v\r\n\r\n", "Content-Length: 2", "T: v"},
-		{"1.1", "", "HTTP/1.1 204 No Content\r\n\r\n", "204", "Content-Length"},
-	} {
-		cl := r.newClientConn()
-		ex := cl.Feed(r.now, []byte("GET /look HTTP/"+c.version+"\r\nHost: h\r\nX-Api-Key: ka\r\n"+c.conn+"\r\n"))
-		b := NewResponseReader(r.shared)
-		b.Expect(ex)
-		if a := b.Feed([]byte(c.answer)); a.Kind != Complete || !strings.Contains(string(a.Bytes), c.want) || strings.Contains(string(a.Bytes), c.not) {
-			t.Errorf("%+v: %q", c, a.Bytes)
-		}
-	}
-	cl := r.newClientConn()
-	ex := cl.Feed(r.now, []byte("HEAD /look HTTP/1.1\r\nHost: h\r\nX-Api-Key: ka\r\n\r\n"))
-	b := NewResponseReader(r.shared)
-	b.Expect(ex)
-	if a := b.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n")); a.Kind != Complete || !strings.HasSuffix(string(a.Bytes), "Content-Length: 7\r\n\r\n") {
-		t.Errorf("HEAD: %q", a.Bytes)
-	}
-}
-
-// TestTruncatedResponseWithoutLength: where only the end of the connection ends an answer, one that breaks off must not end
-// like a whole one; elsewhere the client can tell, and gets what there is.
+// A response whose end only the end of the connection tells broke off. For a client of HTTP/1.0 a regular end would
+// look like a complete response, so that its connection is reset; a client of HTTP/1.1 sees that the last chunk is
+// missing.
 func TestTruncatedResponseWithoutLength(t *testing.T) {
 	for version, aborts := range map[string]bool{"1.0": true, "1.1": false} {
-		r := newRig(t, 1, 1, "")
+		r := newHarness(t, 1, 1, "")
 		c := r.newClientConn()
 		ex := c.Feed(r.now, []byte("GET /feed HTTP/"+version+"\r\nHost: h\r\nX-Api-Key: ka\r\nConnection: keep-alive\r\n\r\n"))
 		r.instance.RequestArrived(r.now, ex)
-		l, _ := r.connect()
-		r.reply(l, ex, "HTTP/1.1 200 OK\r\n\r\nabc")
+		conn, _ := r.connect()
+		r.reply(conn, ex, "HTTP/1.1 200 OK\r\n\r\nabc")
 		g := r.want(StreamResponse)
 		c.Respond(r.now, ex, g.Bytes, true, g.CloseAfterResponse)
-		r.instance.BackendDisconnected(r.now, l, false)
+		r.instance.BackendDisconnected(r.now, conn, false)
 		r.want(AbortClient)
 		c.ContinueResponse(r.now, ex, nil, false, true)
 		if closes, _ := c.Closing(); !closes || c.MustReset() != aborts || !strings.Contains(string(c.Outgoing), "abc") {
@@ -272,22 +273,10 @@
 	}
 }
 
-func TestParseLoadReport(t *testing.T) {
-	names := []string{"a", "b"}
-	if l := parseLoad("TEXT a=1.5,b=2, c=3", names); l[0] != 1.5 || l[1] != 2 {
-		t.Error(l)
-	}
-	if l := parseLoad("TEXT b=x", names); l[0] == l[0] || l[1] == l[1] {
-		t.Error("figures that are none must read as NaN", l)
-	}
-	if parseLoad("JSON {}", names) != nil {
-		t.Error("JSON is taken for TEXT")
-	}
-}
-
-// TestReadAheadIsReadFirst: what comes after an answer, before what was kept has been read, is read behind it.
+// The second half of a request came after the response to the one before, when the first half was still kept. The
+// halves are parsed in their order.
 func TestReadAheadIsReadFirst(t *testing.T) {
-	r := newRig(t, 1, 1, "")
+	r := newHarness(t, 1, 1, "")
 	c := r.newClientConn()
 	ex := c.Feed(r.now, requestText("GET", "/look", "ka", ""))
 	second := requestText("GET", "/look?2", "ka", "")
--- /dev/null
+++ b/proxy/endpoints_test.go
@@ -0,0 +1,85 @@
+package proxy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"sandyard/config"
+	"sandyard/decision"
+)
+
+// The endpoint list became empty, and then named the same backends again. Meanwhile requests are rejected and nothing
+// of the old backends is kept; afterwards requests are served.
+func TestAllEndpointsRemovedAndReturned(t *testing.T) {
+	r := newHarness(t, 2, 1, "")
+	_, ex := r.request("GET", "/look", "ka", "")
+	conn, _ := r.connect()
+	r.reply(conn, ex, ok200)
+	r.wantResponse("200")
+	r.instance.ReplaceEndpoints(r.now, nil, time.Time{})
+	if r.want(CloseBackend).Conn != conn {
+		t.Error("the idle connection stays")
+	}
+	r.request("GET", "/look", "ka", "")
+	r.wantResponse("503")
+	r.wantNone(DialBackend)
+	if len(r.instance.backendsInOrder) != 0 || len(r.instance.backendsByName) != 0 {
+		t.Error("removed backends are kept")
+	}
+	r.instance.ReplaceEndpoints(r.now, endpointList(2, 0), time.Time{})
+	_, ex = r.request("GET", "/look", "ka", "")
+	conn, _ = r.connect()
+	r.reply(conn, ex, ok200)
+	r.wantResponse("200")
+	r.requireQuiescent()
+}
+
+// An update leaves backends alone that it does not name, forgets one that is removed, and adds nothing for one that was
+// never known.
+func TestEndpointUpdates(t *testing.T) {
+	r := newHarness(t, 2, 1, "")
+	gone := config.EndpointState(decision.Removed)
+	r.instance.UpdateEndpoints(r.now, []config.Endpoint{{Name: "box-0", State: gone}, {Name: "never", State: gone}, {Name: "box-2", Address: "10.0.0.9:80"}}, time.Time{})
+	r.collect()
+	seen := map[string]bool{}
+	for range 60 {
+		r.request("GET", "/look", "ka", "")
+	}
+	for _, effect := range r.effects {
+		if effect.Kind == DialBackend {
+			seen[effect.Addr] = true
+		}
+	}
+	if len(seen) != 2 || !seen["10.0.0.1:80"] || !seen["10.0.0.9:80"] || len(r.instance.backends) != 2 {
+		t.Errorf("%v, %d backends", seen, len(r.instance.backends))
+	}
+}
+
+// A backend's process restarted while all connections to it were idle, and the backend was forgotten with the last of
+// them. It must stay, and get requests by a new connection.
+func TestBackendRestartsWithIdleConnections(t *testing.T) {
+	r := newHarness(t, 1, 1, "")
+	_, ex := r.request("GET", "/look", "ka", "")
+	idle, _ := r.connect()
+	r.reply(idle, ex, ok200)
+	r.wantResponse("200")
+	restarted := endpointList(1, 0)
+	restarted[0].Started = config.Timestamp(time.Unix(100, 0))
+	r.instance.ReplaceEndpoints(r.now, restarted, time.Time{})
+	if effect := r.want(CloseBackend); effect.Conn != idle {
+		t.Error("another connection was closed")
+	}
+	_, ex = r.request("GET", "/look", "ka", "")
+	conn, _ := r.connect()
+	r.reply(conn, ex, ok200)
+	r.wantResponse("200")
+	r.requireQuiescent()
+}
+
+func endpointList(n int, state config.EndpointState) (list []config.Endpoint) {
+	for i := range n {
+		list = append(list, config.Endpoint{Name: fmt.Sprintf("box-%d", i), Address: fmt.Sprintf("10.0.0.%d:80", i), State: state})
+	}
+	return list
+}
--- a/proxy/inspect_test.go
+++ b/proxy/inspect_test.go
@@ -3,7 +3,6 @@
 import (
 	"flag"
 	"fmt"
-	"os"
 	"regexp"
 	"strings"
 	"testing"
@@ -19,19 +18,8 @@
 // parameter is a templated segment of a path.
 var parameter = regexp.MustCompile(`\{[^}]*\}`)
 
-// TestMain fixes what property tests draw, so that they give the same verdict every time; -rapid.seed draws otherwise.
-func TestMain(m *testing.M) {
-	flag.Parse()
-	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
-		if err := flag.Set("rapid.seed", "20261203"); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
-}
-
-// TestInspectionAgreesWithRequests: on drawn descriptions and requests, what a tool says of a request is what the client's machine
-// makes of its bytes: the same operation, class, units and studio, or the same answer without a decision.
+// On drawn descriptions and requests, what a tool says of a request is what a ClientConn makes of its bytes: the same
+// operation, class, units and customer, or the same local response.
 func TestInspectionAgreesWithRequests(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "b", "{x}"})
 	units := rapid.SampledFrom([]string{"", "x-sandyard-units: 3, ", "x-sandyard-units: {in: query, name: n, default: 2, most: 8}, ",
@@ -41,13 +29,13 @@
 		seen, text := map[string]bool{}, "openapi: 3.0.3\ninfo: {title: t, version: '1'}\npaths:\n"
 		var described []operation
 		for range rapid.IntRange(1, 6).Draw(t, "paths") {
-			segs := rapid.SliceOfN(segment, 1, 3).Draw(t, "segments")
-			for i := range segs {
-				if segs[i] == "{x}" {
-					segs[i] = fmt.Sprintf("{x%d}", i)
+			segments := rapid.SliceOfN(segment, 1, 3).Draw(t, "segments")
+			for i := range segments {
+				if segments[i] == "{x}" {
+					segments[i] = fmt.Sprintf("{x%d}", i)
 				}
 			}
-			p := "/" + strings.Join(segs, "/")
+			p := "/" + strings.Join(segments, "/")
 			if seen[p] {
 				continue
 			}
@@ -59,30 +47,30 @@
 				described = append(described, operation{m, p})
 			}
 		}
-		cfg, err := config.Parse("gateway.yaml", fmt.Appendf(nil, rigConfig+"units: {most: 8}\n", 1, ""), []byte(text), []byte("boxes: [{name: box-0, address: '10.0.0.1:80'}]"))
+		cfg, err := config.Parse("gateway.yaml", fmt.Appendf(nil, harnessConfig+"units: {most: 8}\n", 1, ""), []byte(text), []byte("boxes: [{name: box-0, address: '10.0.0.1:80'}]"))
 		if err != nil {
 			t.Fatalf("%v\n%s", err, text)
 		}
 		// Half of the requests are for an operation that is described, by a caller that is known: both kinds come in plenty.
 		target := "/" + strings.Join(rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "", "..", "%2F", "x%20y"}), 1, 3).Draw(t, "path"), "/")
 		query := rapid.SampledFrom([]string{"", "?n=5", "?n=99", "?n=-1", "?n=x", "?m=1&n=3", "?n=3&n=4", "?n=%33"}).Draw(t, "query")
-		l := Inspection{Method: rapid.SampledFrom([]string{"GET", "HEAD", "POST", "DELETE"}).Draw(t, "method"), Target: target + query,
+		inspection := Inspection{Method: rapid.SampledFrom([]string{"GET", "HEAD", "POST", "DELETE"}).Draw(t, "method"), Target: target + query,
 			Key: rapid.SampledFrom([]string{"ka", "kb", "nobody", ""}).Draw(t, "key"), Fields: []string{"Content-Length: 0"}}
 		if rapid.Bool().Draw(t, "described") {
 			op := rapid.SampledFrom(described).Draw(t, "operation")
-			l.Method, l.Target = strings.ToUpper(op.method), parameter.ReplaceAllString(op.path, "c")+query
-			l.Key = rapid.SampledFrom([]string{"ka", "kb"}).Draw(t, "known key")
+			inspection.Method, inspection.Target = strings.ToUpper(op.method), parameter.ReplaceAllString(op.path, "c")+query
+			inspection.Key = rapid.SampledFrom([]string{"ka", "kb"}).Draw(t, "known key")
 		}
 		if f := rapid.SampledFrom([]string{"", "X-Units: 2", "X-Units: 1e9", "X-Units: nan", "X-Units:", "Idempotency-Key: k"}).Draw(t, "field"); f != "" {
-			l.Fields = append(l.Fields, f)
+			inspection.Fields = append(inspection.Fields, f)
 		}
-		got := l.Run(cfg)
-		bytes := l.Method + " " + l.Target + " HTTP/1.1\r\nHost: t\r\n"
-		for _, f := range l.Fields {
+		got := inspection.Run(cfg)
+		bytes := inspection.Method + " " + inspection.Target + " HTTP/1.1\r\nHost: t\r\n"
+		for _, f := range inspection.Fields {
 			bytes += f + "\r\n"
 		}
-		if l.Key != "" {
-			bytes += cfg.Headers.Key + ": " + l.Key + "\r\n"
+		if inspection.Key != "" {
+			bytes += cfg.Headers.Key + ": " + inspection.Key + "\r\n"
 		}
 		c := NewClientConn(&Shared{Config: cfg, Protocol: NewConfiguredProtocol(cfg, "t")}, nil, "192.0.2.1", Start)
 		ex := c.Feed(Start, []byte(bytes+"\r\n"))
