--- a/proxy/attempts_test.go
+++ b/proxy/attempts_test.go
@@ -8,9 +8,9 @@
 	"sandyard/config"
 )
 
-// Connections take time to be made. Meanwhile a client left, a deadline passed, or the endpoint list removed the
-// backend, and the request was written all the same: it ran for nobody, or on a backend that was going away. Each case
-// is one change between the decision and the first byte, in a deployment that does not cancel attempts.
+// Connections take time to be made. Meanwhile a client leaves, a deadline passes, or the endpoint list removes the
+// backend; a request that is written all the same runs for nobody, or on a backend that is going away. Each case is one
+// change between the decision and the first byte, in a deployment that does not cancel attempts.
 func TestAttemptIsCheckedBeforeFirstByte(t *testing.T) {
 	keepsOn := strings.Replace(harnessConfig, "attempts: {most: 3}", "attempts: {most: 3, cancel: false}", 1)
 	gone := endpointList(1, 0)
--- a/proxy/backendconn_test.go
+++ b/proxy/backendconn_test.go
@@ -57,8 +57,8 @@
 	r.requireQuiescent()
 }
 
-// A streamed response was not complete when its client gave up waiting, and the client could not tell that it had
-// failed. It is aborted at the exchange's deadline; that of a streaming class goes on.
+// A streamed response is not complete when its client gives up waiting, which would take it for one that goes on. It is
+// aborted at the exchange's deadline; that of a streaming class goes on.
 func TestStreamBeyondClientTimeoutIsAborted(t *testing.T) {
 	for path, cut := range map[string]bool{"/look": true, "/feed": false} {
 		r := newHarness(t, 1, 1, "")
--- a/proxy/counterclient_test.go
+++ b/proxy/counterclient_test.go
@@ -24,7 +24,7 @@
 	r.requireQuiescent()
 }
 
-// The counter fell silent, and requests that waited for it were held until their clients gave up. A request is decided
+// The counter falls silent. Requests that wait for it must not be held until their clients give up: each is decided
 // when the call's timeout is up, and after twenty timeouts the connection is made anew.
 func TestCounterSilent(t *testing.T) {
 	r := newHarness(t, 1, 3, "")
--- a/proxy/endpoints_test.go
+++ b/proxy/endpoints_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// A backend's process restarted while all connections to it were idle, and the backend was forgotten with the last of
-// them. It must stay, and get requests by a new connection.
+// A backend's process restarts while all connections to it are idle. They are closed, and the backend must not be
+// forgotten with the last of them: it stays, and gets requests by a new connection.
 func TestBackendRestartsWithIdleConnections(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	_, ex := r.request("GET", "/look", "ka", "")
--- a/proxy/inspect_test.go
+++ b/proxy/inspect_test.go
@@ -19,73 +19,34 @@
 var parameter = regexp.MustCompile(`\{[^}]*\}`)
 
 // On drawn descriptions and requests, what a tool says of a request is what a ClientConn makes of its bytes: the same
-// operation, class, units and customer, or the same local response.
+// operation, class, units and customer, or the same local response. Otherwise a tool would promise a decision on
+// requests that the instance answers itself.
 func TestInspectionAgreesWithRequests(t *testing.T) {
-	segment := rapid.SampledFrom([]string{"a", "b", "{x}"})
-	units := rapid.SampledFrom([]string{"", "x-sandyard-units: 3, ", "x-sandyard-units: {in: query, name: n, default: 2, most: 8}, ",
-		"x-sandyard-units: {in: header, name: X-Units, default: 1.5, most: 4}, "})
 	decided, answered := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		seen, text := map[string]bool{}, "openapi: 3.0.3\ninfo: {title: t, version: '1'}\npaths:\n"
-		var described []operation
-		for range rapid.IntRange(1, 6).Draw(t, "paths") {
-			segments := rapid.SliceOfN(segment, 1, 3).Draw(t, "segments")
-			for i := range segments {
-				if segments[i] == "{x}" {
-					segments[i] = fmt.Sprintf("{x%d}", i)
-				}
-			}
-			p := "/" + strings.Join(segments, "/")
-			if seen[p] {
-				continue
-			}
-			seen[p] = true
-			text += "  " + p + ":\n"
-			for _, m := range [][]string{{"get"}, {"post"}, {"get", "post"}}[rapid.IntRange(0, 2).Draw(t, "methods")] {
-				class := rapid.SampledFrom([]string{"look", "book", "pay", "feed"}).Draw(t, "class")
-				text += fmt.Sprintf("    %s: {%sx-sandyard-class: %s, responses: {}}\n", m, units.Draw(t, "units"), class)
-				described = append(described, operation{m, p})
-			}
-		}
-		cfg, err := config.Parse("gateway.yaml", fmt.Appendf(nil, harnessConfig+"units: {most: 8}\n", 1, ""), []byte(text), []byte("boxes: [{name: box-0, address: '10.0.0.1:80'}]"))
+		description, operations := drawDescription(t)
+		cfg, err := config.Parse("gateway.yaml", fmt.Appendf(nil, harnessConfig+"units: {most: 8}\n", 1, ""), []byte(description),
+			[]byte("boxes: [{name: box-0, address: '10.0.0.1:80'}]"))
 		if err != nil {
-			t.Fatalf("%v\n%s", err, text)
-		}
-		// Half of the requests are for an operation that is described, by a caller that is known: both kinds come in plenty.
-		target := "/" + strings.Join(rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "", "..", "%2F", "x%20y"}), 1, 3).Draw(t, "path"), "/")
-		query := rapid.SampledFrom([]string{"", "?n=5", "?n=99", "?n=-1", "?n=x", "?m=1&n=3", "?n=3&n=4", "?n=%33"}).Draw(t, "query")
-		inspection := Inspection{Method: rapid.SampledFrom([]string{"GET", "HEAD", "POST", "DELETE"}).Draw(t, "method"), Target: target + query,
-			Key: rapid.SampledFrom([]string{"ka", "kb", "nobody", ""}).Draw(t, "key"), Fields: []string{"Content-Length: 0"}}
-		if rapid.Bool().Draw(t, "described") {
-			op := rapid.SampledFrom(described).Draw(t, "operation")
-			inspection.Method, inspection.Target = strings.ToUpper(op.method), parameter.ReplaceAllString(op.path, "c")+query
-			inspection.Key = rapid.SampledFrom([]string{"ka", "kb"}).Draw(t, "known key")
-		}
-		if f := rapid.SampledFrom([]string{"", "X-Units: 2", "X-Units: 1e9", "X-Units: nan", "X-Units:", "Idempotency-Key: k"}).Draw(t, "field"); f != "" {
-			inspection.Fields = append(inspection.Fields, f)
+			t.Fatalf("%v\n%s", err, description)
 		}
+		inspection := drawInspection(t, operations)
 		got := inspection.Run(cfg)
-		bytes := inspection.Method + " " + inspection.Target + " HTTP/1.1\r\nHost: t\r\n"
-		for _, f := range inspection.Fields {
-			bytes += f + "\r\n"
-		}
-		if inspection.Key != "" {
-			bytes += cfg.Headers.Key + ": " + inspection.Key + "\r\n"
-		}
+		request := requestOf(inspection, cfg)
 		c := NewClientConn(&Shared{Config: cfg, Protocol: NewConfiguredProtocol(cfg, "t")}, nil, "192.0.2.1", Start)
-		ex := c.Feed(Start, []byte(bytes+"\r\n"))
+		ex := c.Feed(Start, []byte(request))
 		switch {
 		case (ex == nil) != (got.Status != 0):
-			t.Fatalf("%q: the tool says %+v, the client's machine %+v %s", bytes, got, ex, c.Outgoing)
+			t.Fatalf("%q: the tool says %+v, the client connection %+v %s", request, got, ex, c.Outgoing)
 		case ex == nil:
 			answered++
 			if !strings.HasPrefix(string(c.Outgoing), fmt.Sprintf("HTTP/1.1 %d ", got.Status)) {
-				t.Fatalf("%q: the tool says %d %s, the answer is %s", bytes, got.Status, got.Reason, c.Outgoing)
+				t.Fatalf("%q: the tool says %d %s, the response is %s", request, got.Status, got.Reason, c.Outgoing)
 			}
 		default:
 			decided++
 			if ex.Operation.ID != got.Operation || ex.Operation.Class != got.Class || ex.Units != got.Units || ex.Customer.Name != got.Customer || ex.Timeout.String() != got.Deadline {
-				t.Fatalf("%q: the tool says %+v, the exchange is %+v of %+v", bytes, got, ex, ex.Operation)
+				t.Fatalf("%q: the tool says %+v, the exchange is %+v of %+v", request, got, ex, ex.Operation)
 			}
 		}
 	})
@@ -94,3 +55,67 @@
 		t.Errorf("%d decided, %d answered: one of the two was not tried (-rapid.seed=%s)", decided, answered, flag.Lookup("rapid.seed").Value)
 	}
 }
+
+// drawDescription draws an OpenAPI description of one to six paths, and returns its operations.
+func drawDescription(t *rapid.T) (text string, operations []operation) {
+	segment := rapid.SampledFrom([]string{"a", "b", "{x}"})
+	units := rapid.SampledFrom([]string{"", "x-sandyard-units: 3, ", "x-sandyard-units: {in: query, name: n, default: 2, most: 8}, ",
+		"x-sandyard-units: {in: header, name: X-Units, default: 1.5, most: 4}, "})
+	seen := map[string]bool{}
+	text = "openapi: 3.0.3\ninfo: {title: t, version: '1'}\npaths:\n"
+	for range rapid.IntRange(1, 6).Draw(t, "paths") {
+		segments := rapid.SliceOfN(segment, 1, 3).Draw(t, "segments")
+		for i := range segments {
+			if segments[i] == "{x}" {
+				segments[i] = fmt.Sprintf("{x%d}", i)
+			}
+		}
+		path := "/" + strings.Join(segments, "/")
+		if seen[path] {
+			continue
+		}
+		seen[path] = true
+		text += "  " + path + ":\n"
+		for _, method := range [][]string{{"get"}, {"post"}, {"get", "post"}}[rapid.IntRange(0, 2).Draw(t, "methods")] {
+			class := rapid.SampledFrom([]string{"look", "book", "pay", "feed"}).Draw(t, "class")
+			text += fmt.Sprintf("    %s: {%sx-sandyard-class: %s, responses: {}}\n", method, units.Draw(t, "units"), class)
+			operations = append(operations, operation{method, path})
+		}
+	}
+	return text, operations
+}
+
+// drawInspection draws a request. Half of the requests are for an operation that is described, by a customer that is known,
+// so that many go on to a decision and many don't.
+func drawInspection(t *rapid.T, operations []operation) Inspection {
+	target := "/" + strings.Join(rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "", "..", "%2F", "x%20y"}), 1, 3).Draw(t, "path"), "/")
+	query := rapid.SampledFrom([]string{"", "?n=5", "?n=99", "?n=-1", "?n=x", "?m=1&n=3", "?n=3&n=4", "?n=%33"}).Draw(t, "query")
+	inspection := Inspection{
+		Method: rapid.SampledFrom([]string{"GET", "HEAD", "POST", "DELETE"}).Draw(t, "method"),
+		Target: target + query,
+		Key:    rapid.SampledFrom([]string{"ka", "kb", "nobody", ""}).Draw(t, "key"),
+		Fields: []string{"Content-Length: 0"},
+	}
+	if rapid.Bool().Draw(t, "described") {
+		operation := rapid.SampledFrom(operations).Draw(t, "operation")
+		inspection.Method, inspection.Target = strings.ToUpper(operation.method), parameter.ReplaceAllString(operation.path, "c")+query
+		inspection.Key = rapid.SampledFrom([]string{"ka", "kb"}).Draw(t, "known key")
+	}
+	field := rapid.SampledFrom([]string{"", "X-Units: 2", "X-Units: 1e9", "X-Units: nan", "X-Units:", "Idempotency-Key: k"}).Draw(t, "field")
+	if field != "" {
+		inspection.Fields = append(inspection.Fields, field)
+	}
+	return inspection
+}
+
+// requestOf returns the bytes of the request that an inspection asks about.
+func requestOf(inspection Inspection, cfg *config.Config) string {
+	request := inspection.Method + " " + inspection.Target + " HTTP/1.1\r\nHost: t\r\n"
+	for _, field := range inspection.Fields {
+		request += field + "\r\n"
+	}
+	if inspection.Key != "" {
+		request += cfg.Headers.Key + ": " + inspection.Key + "\r\n"
+	}
+	return request + "\r\n"
+}
--- a/proxy/pool_test.go
+++ b/proxy/pool_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Requests that must not run twice got a new connection each, and the old ones piled up idle. A new one takes the place
-// of the oldest idle one.
+// Where requests that must not run twice get a new connection each, the old ones would pile up idle. A new one takes
+// the place of the oldest idle one.
 func TestNonIdempotentRequestsReplaceIdleConnections(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	r.shared.Config.Limits.NonIdempotentIdle, r.shared.Config.Limits.ConnsPerBackend = 0, 100
