--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -166,8 +166,8 @@
 			return 0, errors.New("the watch ended")
 		}
 	}
-	if w.messageBytes += len(w.unread); w.messageBytes > platform.MaxListBytes {
-		return 0, fmt.Errorf("a message of more than %d bytes", platform.MaxListBytes)
+	if w.messageBytes += len(w.unread); w.messageBytes > platform.MaxEndpointListBytes {
+		return 0, fmt.Errorf("a message of more than %d bytes", platform.MaxEndpointListBytes)
 	}
 	n := copy(p, w.unread)
 	w.unread = w.unread[n:]
@@ -177,34 +177,34 @@
 
 // handleEvent tells the core of a message.
 func (d *endpointWatch) handleEvent(text []byte) error {
-	update, err := platform.ParseList(text)
+	update, err := platform.ParseEndpointList(text)
 	if err != nil {
 		return err
 	}
-	if !update.Whole && update.Seq < d.version {
-		d.server.log.Warn("list of boxes: changes of an older version are dropped", "seq", update.Seq, "held", d.version)
+	if !update.Full && update.Version < d.version {
+		d.server.log.Warn("list of boxes: changes of an older version are dropped", "seq", update.Version, "held", d.version)
 		return nil
 	}
-	for _, w := range update.Wrong { // what is held of such a box stays
-		d.server.log.Warn("list of boxes: an entry is not taken", "seq", update.Seq, "error", w.Err)
-		if held, ok := d.endpoints[w.Host]; ok && update.Whole {
-			update.Boxes = append(update.Boxes, held)
+	for _, w := range update.Malformed { // what is held of such a box stays
+		d.server.log.Warn("list of boxes: an entry is not taken", "seq", update.Version, "error", w.Err)
+		if held, ok := d.endpoints[w.Host]; ok && update.Full {
+			update.Endpoints = append(update.Endpoints, held)
 		}
 	}
 	kind := changes
-	if update.Whole {
+	if update.Full {
 		kind = list
 		clear(d.endpoints)
 	}
-	for _, b := range update.Boxes {
+	for _, b := range update.Endpoints {
 		if d.endpoints[b.Name] = b; decision.EndpointState(b.State) == decision.Removed {
 			delete(d.endpoints, b.Name)
 		}
 	}
-	d.version = update.Seq
-	d.server.post(post{kind: kind, boxes: update.Boxes})
+	d.version = update.Version
+	d.server.post(post{kind: kind, boxes: update.Endpoints})
 	d.server.post(post{kind: begin})
-	d.server.log.Info("list of boxes", "seq", update.Seq, "whole", update.Whole, "entries", len(update.Boxes))
+	d.server.log.Info("list of boxes", "seq", update.Version, "whole", update.Full, "entries", len(update.Endpoints))
 	return nil
 }
 
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -187,7 +187,7 @@
 		t.Fatal(err)
 	}
 	r := &gateway{T: t, log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
-	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, DiscoveryAddress: n.Discovery, EndpointsVersion: n.Known.Seq})
+	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, DiscoveryAddress: n.Discovery, EndpointsVersion: n.CachedEndpoints.Version})
 	return r
 }
 
--- a/internal/server/node_test.go
+++ b/internal/server/node_test.go
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	r := &gateway{T: t, log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
-	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, DiscoveryAddress: n.Discovery, EndpointsVersion: n.Known.Seq})
+	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, DiscoveryAddress: n.Discovery, EndpointsVersion: n.CachedEndpoints.Version})
 	for r.status(readyRequest) != 200 {
 		runtime.Gosched()
 	}
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -29,7 +29,7 @@
 	server *Server
 	cfg    config.Trace
 	dir    string
-	head   trace.Head
+	head   trace.Header
 	stop   chan struct{}
 	done   chan struct{}
 
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	r := &recorder{server: s, cfg: t, dir: dir, writer: w, stop: make(chan struct{}), done: make(chan struct{}), backendNames: map[decision.BackendID]string{}}
-	r.head = trace.Head{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, Began: s.startedAt,
+	r.head = trace.Header{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, StartedAt: s.startedAt,
 		Origin: s.clockOrigin().UnixNano(), Settings: s.cfg.Settings, Classes: s.cfg.ClassNames, Share: 1}
 	if t.Mode == "sampled" {
 		r.head.Share = t.Share
@@ -71,7 +71,7 @@
 		r.head.Plans = append(r.head.Plans, p.Name)
 	}
 	for _, op := range s.cfg.Routes.Operations {
-		r.head.Ops = append(r.head.Ops, op.ID)
+		r.head.Operations = append(r.head.Operations, op.ID)
 	}
 	if err := r.openNextFile(); err != nil {
 		return nil, err
@@ -155,7 +155,7 @@
 }
 
 func (r *recorder) write(steps []proxy.DecisionStep, dropped uint64) error {
-	var items []trace.Item
+	var items []trace.Record
 	flush := func() error {
 		if len(items) == 0 {
 			return nil
@@ -182,16 +182,16 @@
 			for k, name := range st.EndpointNames {
 				if id := list.Endpoints[k].Backend; r.backendNames[id] != name {
 					r.backendNames[id] = name
-					items = append(items, trace.Item{At: st.At, Backend: &trace.BackendName{Server: id, Name: name}})
+					items = append(items, trace.Record{At: st.At, Backend: &trace.BackendName{Backend: id, Name: name}})
 				}
 			}
 		}
 		if st.Snapshot != nil {
-			items = append(items, trace.Item{At: st.At, State: st.Snapshot})
+			items = append(items, trace.Record{At: st.At, Snapshot: st.Snapshot})
 			continue
 		}
-		items = append(items, trace.Item{At: st.At, Event: trace.FromEvent(st.Event), Actions: trace.FromActions(st.Actions), Op: st.OperationNumber,
-			First: st.Event == nil})
+		items = append(items, trace.Record{At: st.At, Event: trace.NewEvent(st.Event), Actions: trace.NewActions(st.Actions), Operation: st.OperationNumber,
+			Initial: st.Event == nil})
 		if len(items) >= maxFrameItems {
 			if err := flush(); err != nil {
 				return err
@@ -204,7 +204,7 @@
 		if len(steps) > 0 {
 			at = steps[len(steps)-1].At
 		}
-		items = append(items, trace.Item{At: at, Dropped: dropped})
+		items = append(items, trace.Record{At: at, Dropped: dropped})
 		r.server.log.Warn("steps dropped from the trace", "steps", dropped, "in_all", r.droppedTotal)
 	}
 	return flush()
@@ -227,7 +227,7 @@
 	}
 	r.file, r.size = f, len(b)
 	for id, name := range r.backendNames { // each file names its boxes
-		b, err := r.writer.Frame([]trace.Item{{Backend: &trace.BackendName{Server: id, Name: name}}})
+		b, err := r.writer.Frame([]trace.Record{{Backend: &trace.BackendName{Backend: id, Name: name}}})
 		if err != nil {
 			return err
 		}
