--- a/internal/cli/mutants.go
+++ b/internal/cli/mutants.go
@@ -319,7 +319,7 @@
 		if err != nil {
 			return err
 		}
-		day := filepath.Join(r.Root, "internal", "virtual", "testdata", m.Day)
+		day := filepath.Join(r.Root, "internal", "simulation", "testdata", m.Day)
 		var o [2]simulation.Swept
 		for i, p := range []string{whole, program} {
 			if o[i], err = r.sweep(p, 1, r.Days, r.Workers, true, day); err != nil {
@@ -359,7 +359,7 @@
 		if err != nil {
 			return err
 		}
-		script := filepath.Join(r.Root, "internal", "virtual", "testdata", m.Script)
+		script := filepath.Join(r.Root, "internal", "simulation", "testdata", m.Script)
 		with, err := breaks(program, script)
 		if err != nil {
 			return err
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -56,10 +56,10 @@
 	Virtual      time.Duration
 	Verdict      invariant.Verdict
 	Reached      map[string]int
-	Requests     int
-	ValueServed  float64 // of what was served; late answers by their share
-	ValueOffered float64 // worth of all that was asked for
-	CounterCalls uint64  // that the keeper counted
+	Requests     int     `json:"Tries"`
+	ValueServed  float64 `json:"Worth"` // of what was served; late answers by their share
+	ValueOffered float64 `json:"Asked"` // worth of all that was asked for
+	CounterCalls uint64  `json:"Calls"` // that the keeper counted
 }
 
 const mostFindings = 20
