--- a/emulator/backend.go
+++ b/emulator/backend.go
@@ -48,14 +48,14 @@
 
 // Job is a request as a box sees it.
 type Job struct {
-	ID    string        // of the request, for the record
-	Key   string        // Idempotency-Key; "" for none
-	Work  time.Duration // 0: drawn
-	conn  *BackendConn
-	seq   uint64 // of the conn's requests
-	began time.Duration
-	ends  time.Duration
-	takes float64 // seconds of warm work
+	ID            string        // of the request, for the record
+	Key           string        // Idempotency-Key; "" for none
+	RequestedWork time.Duration // 0: drawn
+	conn          *BackendConn
+	seq           uint64 // of the conn's requests
+	startedAt     time.Duration
+	endsAt        time.Duration
+	work          float64 // seconds of warm work
 }
 
 // Fact is something that happened at a box, for those who check the rules.
@@ -83,45 +83,45 @@
 type Backend struct {
 	Facts func(Fact) // told of everything that happens; may be nil
 
-	cfg     BackendConfig
-	rng     *rand.Rand
-	started time.Duration
-	fell    bool
-	queue   []*Job
-	work    []*Job // at most cfg.Cores
-	late    []*Job // done, but their answers are delayed
-	keys    map[string]time.Duration
-	sweep   time.Duration
-	faults  map[fault.Verb]float64
-	offered []load // of the last OverloadTime
-	paces   []pace // while it is cold
-	busy    float64
-	seen    time.Duration
-	stalled time.Duration // since when, if so
+	cfg          BackendConfig
+	rng          *rand.Rand
+	startedAt    time.Duration
+	collapsed    bool
+	queue        []*Job
+	running      []*Job // at most cfg.Cores
+	delayed      []*Job // done, but their answers are delayed
+	keyExpiry    map[string]time.Duration
+	nextKeySweep time.Duration
+	faults       map[fault.Verb]float64
+	recentWork   []arrivedWork    // of the last OverloadTime
+	slowdowns    []slowdownChange // while it is cold
+	busy         float64
+	seen         time.Duration
+	stalledAt    time.Duration // since when, if so
 }
 
-type load struct {
+type arrivedWork struct {
 	at      time.Duration
 	seconds float64
 }
 
 // NewBackend starts a box.
 func NewBackend(cfg BackendConfig, now time.Duration) *Backend {
-	return &Backend{cfg: cfg.orDefault(), rng: rand.New(rand.NewPCG(cfg.Seed, 7)), started: now, seen: now,
-		keys: map[string]time.Duration{}, faults: map[fault.Verb]float64{}}
+	return &Backend{cfg: cfg.orDefault(), rng: rand.New(rand.NewPCG(cfg.Seed, 7)), startedAt: now, seen: now,
+		keyExpiry: map[string]time.Duration{}, faults: map[fault.Verb]float64{}}
 }
 
 // Set begins or ends a fault.
 func (b *Backend) Set(now time.Duration, v fault.Verb, value float64, on bool) {
 	if v == fault.Stall {
 		switch {
-		case on && b.stalled == 0:
-			b.stalled = now
-		case !on && b.stalled > 0: // what was in work goes on where it was
-			for _, j := range append(b.work, b.late...) {
-				j.ends += now - b.stalled
+		case on && b.stalledAt == 0:
+			b.stalledAt = now
+		case !on && b.stalledAt > 0: // what was in work goes on where it was
+			for _, j := range append(b.running, b.delayed...) {
+				j.endsAt += now - b.stalledAt
 			}
-			b.stalled = 0
+			b.stalledAt = 0
 		}
 	}
 	if on {
@@ -129,54 +129,54 @@
 	} else {
 		delete(b.faults, v)
 	}
-	if v == fault.Slow && now-b.started < b.cfg.ColdTime+b.cfg.OverloadTime {
-		for n := len(b.paces); n > 0 && b.paces[n-1].at > now; n = len(b.paces) {
-			b.paces = b.paces[:n-1]
+	if v == fault.Slow && now-b.startedAt < b.cfg.ColdTime+b.cfg.OverloadTime {
+		for n := len(b.slowdowns); n > 0 && b.slowdowns[n-1].at > now; n = len(b.slowdowns) {
+			b.slowdowns = b.slowdowns[:n-1]
 		}
 		at := now
 		if on { // who sends can only notice with time
 			at += b.cfg.OverloadTime
 		}
-		b.paces = append(b.paces, pace{at, b.slow()})
+		b.slowdowns = append(b.slowdowns, slowdownChange{at, b.slowdown()})
 	}
 }
 
-func (b *Backend) has(v fault.Verb) bool { _, ok := b.faults[v]; return ok }
+func (b *Backend) faulty(v fault.Verb) bool { _, ok := b.faults[v]; return ok }
 
 // Refuses tells that connections are refused, and those there are closed.
-func (b *Backend) Refuses() bool { return b.fell || b.has(fault.Refuse) }
+func (b *Backend) Refuses() bool { return b.collapsed || b.faulty(fault.Refuse) }
 
 // HasCollapsed tells that the box fell over; it stays down.
-func (b *Backend) HasCollapsed() bool { return b.fell }
+func (b *Backend) HasCollapsed() bool { return b.collapsed }
 
-// warm is how fast a core works without troubles, as a share of a warm one.
-func (b *Backend) warm(now time.Duration) float64 {
+// warmth is how fast a core works without troubles, as a share of a warm one.
+func (b *Backend) warmth(now time.Duration) float64 {
 	if b.cfg.ColdTime <= 0 {
 		return 1
 	}
-	age := float64(now-b.started) / float64(b.cfg.ColdTime)
+	age := float64(now-b.startedAt) / float64(b.cfg.ColdTime)
 	return b.cfg.ColdShare + (1-b.cfg.ColdShare)*min(1, max(0, age))
 }
 
 // speed is how fast a core works now, as a share of a warm one.
-func (b *Backend) speed(now time.Duration) float64 { return b.warm(now) / b.slow() }
+func (b *Backend) speed(now time.Duration) float64 { return b.warmth(now) / b.slowdown() }
 
-// slow is how many times as long work takes.
-func (b *Backend) slow() float64 {
+// slowdown is how many times as long work takes.
+func (b *Backend) slowdown() float64 {
 	if f, ok := b.faults[fault.Slow]; ok && f > 0 {
 		return f
 	}
 	return 1
 }
 
-func (b *Backend) tell(now time.Duration, k FactKind, j *Job) {
+func (b *Backend) emit(now time.Duration, k FactKind, j *Job) {
 	if b.Facts != nil {
 		b.Facts(Fact{At: now, Backend: b.cfg.Name, Kind: k, ID: j.ID, Key: j.Key})
 	}
 }
 
-// draw is the work of a request, lognormal about the mean.
-func (b *Backend) draw() float64 {
+// drawWork is the work of a request, lognormal about the mean.
+func (b *Backend) drawWork() float64 {
 	mean := b.cfg.Work.Seconds()
 	if b.cfg.Spread <= 0 || mean == 0 {
 		return mean
@@ -185,124 +185,124 @@
 	return mean * math.Exp(b.rng.NormFloat64()*math.Sqrt(s2)-s2/2)
 }
 
-// take begins a job, or answers it at once: status 0 means that it waits or works.
-func (b *Backend) take(now time.Duration, j *Job) (status int) {
-	b.tell(now, Received, j)
+// accept begins a job, or answers it at once: status 0 means that it waits or works.
+func (b *Backend) accept(now time.Duration, j *Job) (status int) {
+	b.emit(now, Received, j)
 	if share, ok := b.faults[fault.ServerErrors]; ok && b.rng.Float64() < share {
 		return 500
 	}
 	if j.Key != "" {
-		if until, ok := b.keys[j.Key]; ok && now < until {
-			b.tell(now, Deduplicated, j)
+		if until, ok := b.keyExpiry[j.Key]; ok && now < until {
+			b.emit(now, Deduplicated, j)
 			return 200
 		}
 	}
-	j.takes = b.draw()
-	if j.Work > 0 {
-		j.takes = j.Work.Seconds()
+	j.work = b.drawWork()
+	if j.RequestedWork > 0 {
+		j.work = j.RequestedWork.Seconds()
 	}
-	if b.overloaded(now, j.takes) { // what is turned away was sent all the same
-		b.fell = true
-		b.tell(now, Collapsed, j)
+	if b.overloads(now, j.work) { // what is turned away was sent all the same
+		b.collapsed = true
+		b.emit(now, Collapsed, j)
 		return 503
 	}
-	if len(b.work) >= b.cfg.Cores && len(b.queue) >= b.cfg.Queue {
+	if len(b.running) >= b.cfg.Cores && len(b.queue) >= b.cfg.Queue {
 		return 503
 	}
 	if j.Key != "" {
-		b.remember(now, j.Key)
+		b.rememberKey(now, j.Key)
 	}
-	if j.takes == 0 && len(b.faults) == 0 && len(b.queue) == 0 {
-		b.tell(now, Executed, j)
+	if j.work == 0 && len(b.faults) == 0 && len(b.queue) == 0 {
+		b.emit(now, Executed, j)
 		return 200
 	}
 	b.queue = append(b.queue, j)
-	b.begin(now)
+	b.startJobs(now)
 	return 0
 }
 
-func (b *Backend) remember(now time.Duration, key string) {
-	b.keys[key] = now + b.cfg.KeyTTL
-	if now >= b.sweep {
-		b.sweep = now + b.cfg.KeyTTL
-		for k, until := range b.keys {
+func (b *Backend) rememberKey(now time.Duration, key string) {
+	b.keyExpiry[key] = now + b.cfg.KeyTTL
+	if now >= b.nextKeySweep {
+		b.nextKeySweep = now + b.cfg.KeyTTL
+		for k, until := range b.keyExpiry {
 			if now >= until {
-				delete(b.keys, k)
+				delete(b.keyExpiry, k)
 			}
 		}
 	}
 }
 
-// overloaded counts what was asked of a cold box of late against what it could do meanwhile: its speed over that time,
+// overloads counts what was asked of a cold box of late against what it could do meanwhile: its speed over that time,
 // as if it had stood at its first speed before it started. That a trouble slows it counts after OverloadTime, so that
 // it does not fall from what was sent before anybody could notice.
-func (b *Backend) overloaded(now time.Duration, seconds float64) bool {
-	if b.cfg.OverloadFactor <= 0 || b.cfg.OverloadTime <= 0 || now-b.started >= b.cfg.ColdTime+b.cfg.OverloadTime {
-		b.offered, b.paces = nil, nil
+func (b *Backend) overloads(now time.Duration, seconds float64) bool {
+	if b.cfg.OverloadFactor <= 0 || b.cfg.OverloadTime <= 0 || now-b.startedAt >= b.cfg.ColdTime+b.cfg.OverloadTime {
+		b.recentWork, b.slowdowns = nil, nil
 		return false
 	}
-	b.offered = append(b.offered, load{now, seconds})
+	b.recentWork = append(b.recentWork, arrivedWork{now, seconds})
 	sum := 0.0
-	first := len(b.offered)
-	for i := len(b.offered) - 1; i >= 0 && b.offered[i].at > now-b.cfg.OverloadTime; i-- {
-		sum, first = sum+b.offered[i].seconds, i
+	first := len(b.recentWork)
+	for i := len(b.recentWork) - 1; i >= 0 && b.recentWork[i].at > now-b.cfg.OverloadTime; i-- {
+		sum, first = sum+b.recentWork[i].seconds, i
 	}
-	b.offered = b.offered[first:]
-	return sum > b.cfg.OverloadFactor*b.could(now)*float64(b.cfg.Cores)
+	b.recentWork = b.recentWork[first:]
+	return sum > b.cfg.OverloadFactor*b.capacity(now)*float64(b.cfg.Cores)
 }
 
-// could is what a core could do in the last OverloadTime, in seconds of warm work.
-func (b *Backend) could(now time.Duration) float64 {
+// capacity is what a core could do in the last OverloadTime, in seconds of warm work.
+func (b *Backend) capacity(now time.Duration) float64 {
 	from, sum := now-b.cfg.OverloadTime, 0.0
-	for i := len(b.paces); i >= 0 && now > from; i-- {
+	for i := len(b.slowdowns); i >= 0 && now > from; i-- {
 		since, slow := from, 1.0 // before the first change
 		if i > 0 {
-			since, slow = max(from, b.paces[i-1].at), b.paces[i-1].slow
+			since, slow = max(from, b.slowdowns[i-1].at), b.slowdowns[i-1].factor
 		}
 		if since < now {
-			sum += (b.warm(since) + b.warm(now)) / 2 * (now - since).Seconds() / slow
+			sum += (b.warmth(since) + b.warmth(now)) / 2 * (now - since).Seconds() / slow
 			now = since
 		}
 	}
 	return sum
 }
 
-// pace is a change of how slow a box is.
-type pace struct {
-	at   time.Duration
-	slow float64
+// slowdownChange is a change of how slow a box is.
+type slowdownChange struct {
+	at     time.Duration
+	factor float64
 }
 
-// begin gives idle cores work.
-func (b *Backend) begin(now time.Duration) {
-	if b.has(fault.Hang) || b.stalled > 0 {
+// startJobs gives idle cores work.
+func (b *Backend) startJobs(now time.Duration) {
+	if b.faulty(fault.Hang) || b.stalledAt > 0 {
 		return
 	}
-	for len(b.work) < b.cfg.Cores && len(b.queue) > 0 {
+	for len(b.running) < b.cfg.Cores && len(b.queue) > 0 {
 		j := b.queue[0]
 		b.queue = b.queue[1:]
-		j.began = now
-		j.ends = now + time.Duration(j.takes/b.speed(now)*float64(time.Second))
-		b.work = append(b.work, j)
+		j.startedAt = now
+		j.endsAt = now + time.Duration(j.work/b.speed(now)*float64(time.Second))
+		b.running = append(b.running, j)
 	}
 }
 
 // Next is when something ends; 0: nothing will by itself.
 func (b *Backend) Next() time.Duration {
-	if b.stalled > 0 || b.fell {
+	if b.stalledAt > 0 || b.collapsed {
 		return 0
 	}
 	var t time.Duration
-	if !b.has(fault.Hang) {
-		for _, j := range b.work {
-			if t == 0 || j.ends < t {
-				t = j.ends
+	if !b.faulty(fault.Hang) {
+		for _, j := range b.running {
+			if t == 0 || j.endsAt < t {
+				t = j.endsAt
 			}
 		}
 	}
-	for _, j := range b.late {
-		if t == 0 || j.ends < t {
-			t = j.ends
+	for _, j := range b.delayed {
+		if t == 0 || j.endsAt < t {
+			t = j.endsAt
 		}
 	}
 	return t
@@ -310,34 +310,34 @@
 
 // Advance ends what is due. done is called for each job whose answer is to be sent.
 func (b *Backend) Advance(now time.Duration, done func(*Job)) {
-	if b.stalled > 0 || b.fell {
+	if b.stalledAt > 0 || b.collapsed {
 		return
 	}
-	for !b.has(fault.Hang) {
-		b.begin(now)
+	for !b.faulty(fault.Hang) {
+		b.startJobs(now)
 		i := -1
-		for k, j := range b.work {
-			if j.ends <= now && (i < 0 || j.ends < b.work[i].ends) {
+		for k, j := range b.running {
+			if j.endsAt <= now && (i < 0 || j.endsAt < b.running[i].endsAt) {
 				i = k
 			}
 		}
 		if i < 0 {
 			break
 		}
-		j := b.work[i]
-		b.work = append(b.work[:i], b.work[i+1:]...)
-		b.tell(j.ends, Executed, j)
-		b.busy += (j.ends - j.began).Seconds()
+		j := b.running[i]
+		b.running = append(b.running[:i], b.running[i+1:]...)
+		b.emit(j.endsAt, Executed, j)
+		b.busy += (j.endsAt - j.startedAt).Seconds()
 		if ms, ok := b.faults[fault.Delay]; ok {
-			j.ends += time.Duration(ms * float64(time.Millisecond))
-			b.late = append(b.late, j)
+			j.endsAt += time.Duration(ms * float64(time.Millisecond))
+			b.delayed = append(b.delayed, j)
 			continue
 		}
 		done(j)
 	}
-	for i := 0; i < len(b.late); {
-		if j := b.late[i]; j.ends <= now {
-			b.late = append(b.late[:i], b.late[i+1:]...)
+	for i := 0; i < len(b.delayed); {
+		if j := b.delayed[i]; j.endsAt <= now {
+			b.delayed = append(b.delayed[:i], b.delayed[i+1:]...)
 			done(j)
 		} else {
 			i++
@@ -346,19 +346,19 @@
 }
 
 // InFlight is how many requests the box holds.
-func (b *Backend) InFlight() int { return len(b.queue) + len(b.work) + len(b.late) }
+func (b *Backend) InFlight() int { return len(b.queue) + len(b.running) + len(b.delayed) }
 
-// load is what the box reports: requests held, and the share of its cores in work.
-func (b *Backend) load(now time.Duration) (inFlight, use float64) {
-	inFlight, use = float64(b.InFlight()), float64(len(b.work))/float64(b.cfg.Cores)
+// loadReport is what the box reports: requests held, and the share of its cores in work.
+func (b *Backend) loadReport(now time.Duration) (inFlight, use float64) {
+	inFlight, use = float64(b.InFlight()), float64(len(b.running))/float64(b.cfg.Cores)
 	if f, ok := b.faults[fault.FalseReports]; ok {
 		inFlight, use = inFlight*f, use*f
 	}
 	return inFlight, use
 }
 
-// withdraw drops a closed connection's waiting jobs; work that has begun goes on.
-func (b *Backend) withdraw(c *BackendConn) {
+// dropQueued drops a closed connection's waiting jobs; work that has begun goes on.
+func (b *Backend) dropQueued(c *BackendConn) {
 	kept := b.queue[:0]
 	for _, j := range b.queue {
 		if j.conn != c {
--- a/emulator/backendconn.go
+++ b/emulator/backendconn.go
@@ -14,27 +14,27 @@
 	Close bool   // the connection is to be closed once Out is written,
 	Abort bool   // with a reset
 
-	box    *Backend
-	rd     *http1.Reader
-	stash  []byte
-	head   *http1.Head
-	body   int
-	waits  bool
-	seq    uint64
-	closed bool
+	backend   *Backend
+	reader    *http1.Reader
+	pipelined []byte
+	head      *http1.Head
+	body      int
+	busy      bool
+	seq       uint64
+	closed    bool
 }
 
 // NewConn begins a connection.
 func (b *Backend) NewConn() *BackendConn {
-	return &BackendConn{box: b, rd: http1.NewRequests(http1.Limits{})}
+	return &BackendConn{backend: b, reader: http1.NewRequests(http1.Limits{})}
 }
 
-const mostStash = 1 << 20
+const maxPipelinedBytes = 1 << 20
 
 // Feed takes bytes in.
 func (c *BackendConn) Feed(now time.Duration, in []byte) {
-	if c.waits {
-		if c.stash = append(c.stash, in...); len(c.stash) > mostStash {
+	if c.busy {
+		if c.pipelined = append(c.pipelined, in...); len(c.pipelined) > maxPipelinedBytes {
 			c.Close = true
 		}
 		return
@@ -43,8 +43,8 @@
 }
 
 func (c *BackendConn) read(now time.Duration, in []byte) {
-	for !c.waits && !c.Close {
-		n, part, err := c.rd.Feed(in)
+	for !c.busy && !c.Close {
+		n, part, err := c.reader.Feed(in)
 		in = in[n:]
 		if err != nil {
 			c.Out = append(c.Out, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"...)
@@ -62,20 +62,20 @@
 		case http1.Data:
 			c.body += len(part.Data)
 		case http1.End:
-			c.whole(now)
+			c.requestComplete(now)
 		}
 	}
-	c.stash = append(c.stash, in...)
+	c.pipelined = append(c.pipelined, in...)
 }
 
-// whole takes a request to the box. Two fields let a client say what it asks of the stand-in: X-Request-Id names the
+// requestComplete takes a request to the box. Two fields let a client say what it asks of the stand-in: X-Request-Id names the
 // request in the record, X-Work is the work in milliseconds.
-func (c *BackendConn) whole(now time.Duration) {
+func (c *BackendConn) requestComplete(now time.Duration) {
 	if c.head.Path == "/load" { // a probe: no work to speak of
-		if !c.box.has(fault.Hang) && c.box.stalled == 0 {
-			c.answer(now, 200)
+		if !c.backend.faulty(fault.Hang) && c.backend.stalledAt == 0 {
+			c.respond(now, 200)
 		} else {
-			c.waits = true
+			c.busy = true
 		}
 		return
 	}
@@ -84,12 +84,12 @@
 	j.Key, _ = c.head.Get("Idempotency-Key")
 	if v, ok := c.head.Get("X-Work"); ok {
 		if ms, err := strconv.ParseFloat(v, 64); err == nil && ms >= 0 && ms < 1e6 {
-			j.Work = time.Duration(ms * float64(time.Millisecond))
+			j.RequestedWork = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
-	c.waits = true
-	if status := c.box.take(now, j); status != 0 {
-		c.answer(now, status)
+	c.busy = true
+	if status := c.backend.accept(now, j); status != 0 {
+		c.respond(now, status)
 	}
 }
 
@@ -98,15 +98,15 @@
 	if c.closed || j.seq != c.seq {
 		return
 	}
-	c.answer(now, 200)
-	if !c.Close && len(c.stash) > 0 {
-		in := c.stash
-		c.stash = nil
+	c.respond(now, 200)
+	if !c.Close && len(c.pipelined) > 0 {
+		in := c.pipelined
+		c.pipelined = nil
 		c.read(now, in)
 	}
 }
 
-var filler = func() []byte {
+var bodyFiller = func() []byte {
 	b := make([]byte, 64<<10)
 	for i := range b {
 		b[i] = "clay and glaze, "[i%16]
@@ -114,11 +114,11 @@
 	return b
 }()
 
-func (c *BackendConn) answer(now time.Duration, status int) {
-	c.waits = false
+func (c *BackendConn) respond(now time.Duration, status int) {
+	c.busy = false
 	c.seq++
-	box := c.box
-	if box.has(fault.Lose) && status == 200 {
+	box := c.backend
+	if box.faulty(fault.DropResponse) && status == 200 {
 		c.Close = true
 		return
 	}
@@ -126,7 +126,7 @@
 	size := box.cfg.Body
 	c.Out = http1.AppendStatus(c.Out, status, http1.StatusText(status))
 	c.Out = append(c.Out, "Content-Type: text/plain\r\n"...)
-	inFlight, use := box.load(now)
+	inFlight, use := box.loadReport(now)
 	c.Out = append(c.Out, "endpoint-load-metrics: TEXT cpu_utilization="...)
 	c.Out = strconv.AppendFloat(c.Out, use, 'f', 3, 64)
 	c.Out = append(c.Out, ", named_metrics.in_flight="...)
@@ -145,15 +145,15 @@
 	c.Out = append(c.Out, '\r', '\n')
 	if c.head.Method != "HEAD" {
 		for size > 0 {
-			n := min(size, len(filler))
-			c.Out = append(c.Out, filler[:n]...)
+			n := min(size, len(bodyFiller))
+			c.Out = append(c.Out, bodyFiller[:n]...)
 			size -= n
 		}
 	}
-	if _, ok := box.faults[fault.Trail]; ok { // what follows an answer that nobody asked for
+	if _, ok := box.faults[fault.ExtraResponse]; ok { // what follows an answer that nobody asked for
 		c.Out = append(c.Out, "HTTP/1.1 200 OK\r\nX-Answers: nobody\r\nContent-Length: 0\r\n\r\n"...)
 	}
-	if after, ok := box.faults[fault.Reset]; ok && status == 200 {
+	if after, ok := box.faults[fault.ResetResponse]; ok && status == 200 {
 		c.Out = c.Out[:at+min(len(c.Out)-at, int(after))]
 		c.Close, c.Abort = true, true
 	}
@@ -163,12 +163,12 @@
 func (c *BackendConn) Closed() {
 	if !c.closed {
 		c.closed = true
-		c.box.withdraw(c)
+		c.backend.dropQueued(c)
 	}
 }
 
-// Waits tells that a request is in work or queued, so that the connection is not idle.
-func (c *BackendConn) Waits() bool { return c.waits }
+// Busy tells that a request is in work or queued, so that the connection is not idle.
+func (c *BackendConn) Busy() bool { return c.busy }
 
 // Conn is the connection that a job came on.
 func (j *Job) Conn() *BackendConn { return j.conn }
--- a/emulator/counter.go
+++ b/emulator/counter.go
@@ -15,13 +15,13 @@
 // Counter is the tally keeper: named numbers that can be added to and that expire. It speaks enough of Redis for its
 // clients: INCRBYFLOAT, PEXPIRE (with NX), PTTL, GET, DEL, DBSIZE, FLUSHALL, PING, ECHO, HELLO 2, CLIENT and SELECT 0.
 type Counter struct {
-	totals map[string]total
-	sweep  time.Duration
-	faults map[fault.Verb]float64
-	past   []change         // of the last remembered, for totals that come back old
-	copied map[string]total // what the other side of a split holds; nil while there is none
-	aside  bool             // a command of the other side is carried out
-	Calls  uint64           // INCRBYFLOATs that were counted
+	totals      map[string]total
+	nextSweep   time.Duration
+	faults      map[fault.Verb]float64
+	history     []totalChange    // of the last remembered, for totals that come back old
+	splitTotals map[string]total // what the other side of a split holds; nil while there is none
+	onSplitSide bool             // a command of the other side is carried out
+	Increments  uint64           // INCRBYFLOATs that were counted
 }
 
 type total struct {
@@ -29,41 +29,41 @@
 	expires time.Duration // 0: never
 }
 
-// change is what a total was before it was added to.
-type change struct {
-	at   time.Duration
-	name string
-	was  total
-	had  bool
+// totalChange is what a total was before it was added to.
+type totalChange struct {
+	at       time.Duration
+	name     string
+	previous total
+	existed  bool
 }
 
-// remembered is how long a keeper can go back, and mostChanges how many changes: what is older is forgotten.
+// remembered is how long a keeper can go back, and maxChanges how many changes: what is older is forgotten.
 const (
-	remembered  = 10 * time.Second
-	mostChanges = 1 << 16
+	historyWindow = 10 * time.Second
+	maxChanges    = 1 << 16
 )
 
-// note keeps what a total was.
-func (k *Counter) note(now time.Duration, name string) {
-	if k.aside {
+// remember keeps what a total was.
+func (k *Counter) remember(now time.Duration, name string) {
+	if k.onSplitSide {
 		return // that side is lost in the end
 	}
 	was, had := k.totals[name]
-	if n := len(k.past); n >= mostChanges || n > 1024 && k.past[n/2].at < now-remembered {
-		k.past = append(k.past[:0], k.past[n/2:]...)
+	if n := len(k.history); n >= maxChanges || n > 1024 && k.history[n/2].at < now-historyWindow {
+		k.history = append(k.history[:0], k.history[n/2:]...)
 	}
-	k.past = append(k.past, change{now, name, was, had})
+	k.history = append(k.history, totalChange{now, name, was, had})
 }
 
-// back undoes what was added since a time, as a keeper does that is restored from a copy.
-func (k *Counter) back(since time.Duration) {
-	for n := len(k.past); n > 0 && k.past[n-1].at >= since; n-- {
-		if c := k.past[n-1]; c.had {
-			k.totals[c.name] = c.was
+// rollBack undoes what was added since a time, as a keeper does that is restored from a copy.
+func (k *Counter) rollBack(since time.Duration) {
+	for n := len(k.history); n > 0 && k.history[n-1].at >= since; n-- {
+		if c := k.history[n-1]; c.existed {
+			k.totals[c.name] = c.previous
 		} else {
 			delete(k.totals, c.name)
 		}
-		k.past = k.past[:n-1]
+		k.history = k.history[:n-1]
 	}
 }
 
@@ -75,15 +75,15 @@
 // Set begins or ends a fault. Empty and Old happen at once.
 func (k *Counter) Set(now time.Duration, v fault.Verb, value float64, on bool) {
 	switch {
-	case v == fault.Empty && on:
+	case v == fault.ResetTotals && on:
 		clear(k.totals)
-		k.past = nil
-	case v == fault.Old && on:
-		k.back(now - time.Duration(value*float64(time.Millisecond)))
+		k.history = nil
+	case v == fault.Rollback && on:
+		k.rollBack(now - time.Duration(value*float64(time.Millisecond)))
 	case v == fault.Split && on:
-		k.copied, k.faults[v] = maps.Clone(k.totals), value
+		k.splitTotals, k.faults[v] = maps.Clone(k.totals), value
 	case v == fault.Split:
-		k.copied = nil
+		k.splitTotals = nil
 		delete(k.faults, v)
 	case on:
 		k.faults[v] = value
@@ -123,17 +123,17 @@
 	Out            []byte // for the peer, to be written and cut off by the owner
 	Close          bool
 	ClientPosition float64 // where its client stands among all, in [0,1): which side of a split it is on; set by the owner
-	keeper         *Counter
-	rd             resp.Reader
+	counter        *Counter
+	reader         resp.Reader
 }
 
 // NewConn begins a connection.
-func (k *Counter) NewConn() *CounterConn { return &CounterConn{keeper: k} }
+func (k *Counter) NewConn() *CounterConn { return &CounterConn{counter: k} }
 
 // Feed takes bytes in.
 func (c *CounterConn) Feed(now time.Duration, b []byte) {
 	for !c.Close {
-		n, v, whole, err := c.rd.Feed(b)
+		n, v, whole, err := c.reader.Feed(b)
 		b = b[n:]
 		if err != nil {
 			c.Out = resp.AppendError(c.Out, "ERR Protocol error: "+err.Error())
@@ -142,15 +142,15 @@
 		if err != nil || !whole {
 			return
 		}
-		at, k := len(c.Out), c.keeper
-		if aside := k.copied != nil && c.ClientPosition < k.faults[fault.Split]; aside {
-			k.totals, k.copied, k.aside = k.copied, k.totals, true
+		at, k := len(c.Out), c.counter
+		if aside := k.splitTotals != nil && c.ClientPosition < k.faults[fault.Split]; aside {
+			k.totals, k.splitTotals, k.onSplitSide = k.splitTotals, k.totals, true
 			c.command(now, v)
-			k.totals, k.copied, k.aside = k.copied, k.totals, false
+			k.totals, k.splitTotals, k.onSplitSide = k.splitTotals, k.totals, false
 		} else {
 			c.command(now, v)
 		}
-		if _, silent := c.keeper.faults[fault.Silent]; silent {
+		if _, silent := c.counter.faults[fault.NoReply]; silent {
 			c.Out = c.Out[:at]
 		}
 	}
@@ -179,17 +179,17 @@
 		c.Out = resp.AppendError(c.Out, "ERR unknown command '"+printable(args[0])+"'")
 		return
 	}
-	if len(args) < known.least || known.most > 0 && len(args) > known.most {
+	if len(args) < known.minArgs || known.maxArgs > 0 && len(args) > known.maxArgs {
 		c.Out = resp.AppendError(c.Out, "ERR wrong number of arguments for '"+strings.ToLower(name)+"' command")
 		return
 	}
-	k := c.keeper
-	if share, ok := k.faults[fault.Part]; ok && len(args) > 1 && part(args[1]) < share {
+	k := c.counter
+	if share, ok := k.faults[fault.PartialOutage]; ok && len(args) > 1 && namePosition(args[1]) < share {
 		c.Out = resp.AppendError(c.Out, "CLUSTERDOWN Hash slot not served")
 		return
 	}
-	if now >= k.sweep {
-		k.sweep = now + time.Second
+	if now >= k.nextSweep {
+		k.nextSweep = now + time.Second
 		for name := range k.totals {
 			k.get(now, name)
 		}
@@ -197,8 +197,8 @@
 	c.Out = known.run(k, now, c.Out, args)
 }
 
-// part is where a name stands among all, in [0,1).
-func part(name string) float64 {
+// namePosition is where a name stands among all, in [0,1).
+func namePosition(name string) float64 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return float64(h.Sum32()) / (1 << 32)
@@ -215,8 +215,8 @@
 }
 
 type command struct {
-	least, most int // arguments, the name included; most 0: any
-	run         func(k *Counter, now time.Duration, out []byte, args []string) []byte
+	minArgs, maxArgs int // arguments, the name included; most 0: any
+	run              func(k *Counter, now time.Duration, out []byte, args []string) []byte
 }
 
 var commands map[string]command
@@ -224,8 +224,8 @@
 func init() { // not a literal: some commands look at others
 	ok := func(_ *Counter, _ time.Duration, out []byte, _ []string) []byte { return resp.AppendSimple(out, "OK") }
 	commands = map[string]command{
-		"INCRBYFLOAT": {3, 3, incr},
-		"PEXPIRE":     {3, 4, pexpire},
+		"INCRBYFLOAT": {3, 3, incrByFloat},
+		"PEXPIRE":     {3, 4, pExpire},
 		"PTTL": {2, 2, func(k *Counter, now time.Duration, out []byte, a []string) []byte {
 			t := k.get(now, a[1])
 			switch _, ok := k.totals[a[1]]; {
@@ -241,7 +241,7 @@
 			if _, ok := k.totals[a[1]]; !ok {
 				return resp.AppendNull(out)
 			}
-			return resp.AppendBulk(out, format(t.value))
+			return resp.AppendBulk(out, formatTotal(t.value))
 		}},
 		"DEL": {2, 0, func(k *Counter, now time.Duration, out []byte, a []string) []byte {
 			n := int64(0)
@@ -290,9 +290,9 @@
 	}
 }
 
-func format(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
+func formatTotal(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 
-func incr(k *Counter, now time.Duration, out []byte, a []string) []byte {
+func incrByFloat(k *Counter, now time.Duration, out []byte, a []string) []byte {
 	by, err := strconv.ParseFloat(a[2], 64)
 	t := k.get(now, a[1])
 	sum := t.value + by
@@ -300,13 +300,13 @@
 		return resp.AppendError(out, "ERR value is not a valid float")
 	}
 	t.value = sum
-	k.note(now, a[1])
+	k.remember(now, a[1])
 	k.totals[a[1]] = t
-	k.Calls++
-	return resp.AppendBulk(out, format(sum))
+	k.Increments++
+	return resp.AppendBulk(out, formatTotal(sum))
 }
 
-func pexpire(k *Counter, now time.Duration, out []byte, a []string) []byte {
+func pExpire(k *Counter, now time.Duration, out []byte, a []string) []byte {
 	ms, err := strconv.ParseInt(a[2], 10, 64)
 	if err != nil || ms > math.MaxInt64/int64(time.Millisecond)/2 {
 		return resp.AppendError(out, "ERR value is not an integer or out of range")
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -78,10 +78,10 @@
 	if b, c := feed(fault.Hang, 0); len(c.Out) != 0 || b.count(Executed) != 0 || b.count(Received) != 1 {
 		t.Error("hang works or answers")
 	}
-	if b, c := feed(fault.Lose, 0); len(c.Out) != 0 || !c.Close || b.count(Executed) != 1 {
+	if b, c := feed(fault.DropResponse, 0); len(c.Out) != 0 || !c.Close || b.count(Executed) != 1 {
 		t.Error("lose: no work, or an answer")
 	}
-	if b, c := feed(fault.Reset, 10); len(c.Out) != 10 || !c.Abort || b.count(Executed) != 1 {
+	if b, c := feed(fault.ResetResponse, 10); len(c.Out) != 10 || !c.Abort || b.count(Executed) != 1 {
 		t.Error("reset: not after 10 bytes")
 	}
 	if b, c := feed(fault.ServerErrors, 1); !strings.HasPrefix(string(c.Out), "HTTP/1.1 500") || b.count(Executed) != 0 {
@@ -149,11 +149,11 @@
 	add(time.Second, "a")
 	add(2*time.Second, "a")
 	add(3*time.Second, "b")
-	k.Set(3*time.Second, fault.Old, 1500, true)
+	k.Set(3*time.Second, fault.Rollback, 1500, true)
 	if a, b := k.Total(3*time.Second, "a"), k.Total(3*time.Second, "b"); a != 1 || b != 0 || k.Names() != 1 {
 		t.Errorf("a %v, b %v of %d names", a, b, k.Names())
 	}
-	k.Set(3*time.Second, fault.Part, 1, true)
+	k.Set(3*time.Second, fault.PartialOutage, 1, true)
 	c.Out = nil
 	if add(4*time.Second, "a"); c.Out[0] != '-' || k.Total(4*time.Second, "a") != 1 {
 		t.Errorf("a name that is not served: %q", c.Out)
@@ -180,7 +180,7 @@
 	if a, b := add(there), add(here); a != "4" || b != "5" {
 		t.Errorf("%s and %s afterwards", a, b)
 	}
-	k.Set(time.Second, fault.Old, 1000, true)
+	k.Set(time.Second, fault.Rollback, 1000, true)
 	if x := k.Total(time.Second, "a"); x != 0 {
 		t.Errorf("%v after all was undone", x)
 	}
@@ -205,7 +205,7 @@
 	if got := say(2*time.Second, incr); got != "$3\r\n1.5\r\n" {
 		t.Fatalf("after its life: %q", got)
 	}
-	k.Set(time.Second, fault.Silent, 0, true)
+	k.Set(time.Second, fault.NoReply, 0, true)
 	if got := say(2*time.Second, incr); got != "" || k.Total(2*time.Second, "a") != 3 {
 		t.Fatalf("silent: %q", got)
 	}
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -17,59 +17,59 @@
 // The verbs, with what their value says.
 const (
 	// Of boxes.
-	Slow         Verb = "slow"   // work takes value times as long
-	Hang         Verb = "hang"   // requests are taken and neither worked on nor answered
-	Reset        Verb = "reset"  // the work is done; the connection is reset after value bytes of the answer
-	Lose         Verb = "lose"   // the work is done; the connection is closed without an answer
-	ServerErrors Verb = "fault"  // requests are answered 500 at once, unworked; value is their share
-	Refuse       Verb = "refuse" // connections are refused, those there are closed; of the keeper, too
-	Trail        Verb = "trail"  // each answer is followed by another that nobody asked for
-	FalseReports Verb = "lie"    // load reports are value times the truth; below 0 they are what no box can have
-	Stall        Verb = "stall"  // everything stands still, and goes on where it was; of the keeper, too
+	Slow          Verb = "slow"   // work takes value times as long
+	Hang          Verb = "hang"   // requests are taken and neither worked on nor answered
+	ResetResponse Verb = "reset"  // the work is done; the connection is reset after value bytes of the answer
+	DropResponse  Verb = "lose"   // the work is done; the connection is closed without an answer
+	ServerErrors  Verb = "fault"  // requests are answered 500 at once, unworked; value is their share
+	Refuse        Verb = "refuse" // connections are refused, those there are closed; of the keeper, too
+	ExtraResponse Verb = "trail"  // each answer is followed by another that nobody asked for
+	FalseReports  Verb = "lie"    // load reports are value times the truth; below 0 they are what no box can have
+	Stall         Verb = "stall"  // everything stands still, and goes on where it was; of the keeper, too
 	// Of the tally keeper.
-	Silent Verb = "silent" // calls are counted and not answered
-	Delay  Verb = "delay"  // answers take value milliseconds more; of boxes, too
-	Empty  Verb = "empty"  // all totals are lost, at once
-	Old    Verb = "old"    // totals go back to what they were value milliseconds ago, at once
-	Part   Verb = "part"   // calls for a share of the names, value, are refused
-	Split  Verb = "split"  // a share of the front doors, value, is served by a copy that does not see the others; it is lost at the end
+	NoReply       Verb = "silent" // calls are counted and not answered
+	Delay         Verb = "delay"  // answers take value milliseconds more; of boxes, too
+	ResetTotals   Verb = "empty"  // all totals are lost, at once
+	Rollback      Verb = "old"    // totals go back to what they were value milliseconds ago, at once
+	PartialOutage Verb = "part"   // calls for a share of the names, value, are refused
+	Split         Verb = "split"  // a share of the front doors, value, is served by a copy that does not see the others; it is lost at the end
 	// Of processes and the list.
 	Kill    Verb = "kill"    // the process ends at once and starts anew after the duration; cold, if a box
 	Drain   Verb = "drain"   // the list says draining; after the duration the box is gone
 	Replace Verb = "replace" // the same, and a cold replacement is listed when it goes
-	Leave   Verb = "leave"   // the list loses the target without notice
+	Vanish  Verb = "leave"   // the list loses the target without notice
 	// Of the network, in virtual time only. The target is a process (all its links), or two: "door-1/box-2".
-	Partition Verb = "partition" // nothing passes, either way
-	Oneway    Verb = "oneway"    // nothing passes from the first to the second
-	Lag       Verb = "lag"       // value milliseconds more, each way
-	Throttle  Verb = "throttle"  // value bytes a second, each way
-	Deaf      Verb = "deaf"      // connections are not accepted: they wait
+	Partition       Verb = "partition" // nothing passes, either way
+	OneWayPartition Verb = "oneway"    // nothing passes from the first to the second
+	AddedLatency    Verb = "lag"       // value milliseconds more, each way
+	Throttle        Verb = "throttle"  // value bytes a second, each way
+	NotAccepting    Verb = "deaf"      // connections are not accepted: they wait
 	// Of processes, in virtual time only.
-	Pause       Verb = "pause"       // the process stands still; the network goes on
-	Descriptors Verb = "descriptors" // a door has value descriptors for connections
-	Torn        Verb = "torn"        // the list is replaced half-written, and repaired after the duration
-	Garble      Verb = "garble"      // the keeper answers something else than its protocol
+	Pause            Verb = "pause"       // the process stands still; the network goes on
+	DescriptorLimit  Verb = "descriptors" // a door has value descriptors for connections
+	TornEndpointFile Verb = "torn"        // the list is replaced half-written, and repaired after the duration
+	InvalidReplies   Verb = "garble"      // the keeper answers something else than its protocol
 	// Of traffic.
-	Surge Verb = "surge" // value times the usual traffic, of a plan or studio, or all
-	Move  Verb = "move"  // studios' traffic goes to other front doors of theirs
-	Quit  Verb = "quit"  // a share of the clients, value, leave before their answer
-	Drip  Verb = "drip"  // a share of the clients, value, send and read slowly
-	Noise Verb = "noise" // a share of the clients, value, send what is no request
+	Surge           Verb = "surge" // value times the usual traffic, of a plan or studio, or all
+	MoveTraffic     Verb = "move"  // studios' traffic goes to other front doors of theirs
+	ClientsAbort    Verb = "quit"  // a share of the clients, value, leave before their answer
+	SlowClients     Verb = "drip"  // a share of the clients, value, send and read slowly
+	InvalidRequests Verb = "noise" // a share of the clients, value, send what is no request
 )
 
-var verbs = []Verb{Slow, Hang, Reset, Lose, ServerErrors, Refuse, Trail, FalseReports, Stall, Silent, Delay, Empty, Old, Part, Split, Kill, Drain, Replace, Leave,
-	Surge, Move, Quit, Drip, Noise, Partition, Oneway, Lag, Throttle, Deaf, Pause, Descriptors, Torn, Garble}
+var verbs = []Verb{Slow, Hang, ResetResponse, DropResponse, ServerErrors, Refuse, ExtraResponse, FalseReports, Stall, NoReply, Delay, ResetTotals, Rollback, PartialOutage, Split, Kill, Drain, Replace, Vanish,
+	Surge, MoveTraffic, ClientsAbort, SlowClients, InvalidRequests, Partition, OneWayPartition, AddedLatency, Throttle, NotAccepting, Pause, DescriptorLimit, TornEndpointFile, InvalidReplies}
 
-// valued lists the verbs that need a value.
-var valued = []Verb{Slow, FalseReports, Delay, Old, Part, Split, Surge, Quit, Drip, Noise, Lag, Throttle, Descriptors}
+// verbsWithValue lists the verbs that need a value.
+var verbsWithValue = []Verb{Slow, FalseReports, Delay, Rollback, PartialOutage, Split, Surge, ClientsAbort, SlowClients, InvalidRequests, AddedLatency, Throttle, DescriptorLimit}
 
 // Event is one trouble of a script: a verb, whom it meets, when and for how long.
 type Event struct {
-	At     time.Duration
-	For    time.Duration // 0: until the end, or for verbs without duration
-	Verb   Verb
-	Target string // boxes, keeper, a door, a plan or studio; * for all of the verb's kind
-	Value  float64
+	At       time.Duration
+	Duration time.Duration // 0: until the end, or for verbs without duration
+	Verb     Verb
+	Target   string // boxes, keeper, a door, a plan or studio; * for all of the verb's kind
+	Value    float64
 }
 
 // Parse reads the short form of a verb with its value, as stand-ins take it: "slow 3", "hang", "reset 10".
@@ -80,7 +80,7 @@
 		return "", 0, fmt.Errorf("%q: expected one of %s", word, strings.Trim(fmt.Sprint(verbs), "[]"))
 	}
 	if !has {
-		if slices.Contains(valued, v) {
+		if slices.Contains(verbsWithValue, v) {
 			return "", 0, fmt.Errorf("%s: a value is missing", v)
 		}
 		if v == ServerErrors {
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -10,9 +10,9 @@
 
 // Bench runs the sandyard-bench program.
 func Bench(args []string, out, errs io.Writer) int {
-	if len(args) > 0 && strings.HasPrefix(args[0], as) {
+	if len(args) > 0 && strings.HasPrefix(args[0], asProgram) {
 		var err error
-		switch rest := args[1:]; strings.TrimPrefix(args[0], as) {
+		switch rest := args[1:]; strings.TrimPrefix(args[0], asProgram) {
 		case "sandyard":
 			return Gateway(rest, out, errs)
 		case "box":
@@ -51,15 +51,15 @@
 	Seconds float64 `default:"3" help:"Seconds of each load."`
 	Rounds  int     `default:"5" help:"Rounds, played in turn; medians are told."`
 	Rate    float64 `default:"8000" help:"Requests a second of the open loop."`
-	Looks   int     `default:"100" help:"Looks a second at a studio."`
+	Lookups int     `name:"looks" default:"100" help:"Looks a second at a studio."`
 }
 
 func (b benchTools) Run(c *Console) error {
-	if b.Rounds < 1 || !(b.Seconds > 0) || !(b.Rate > 0) || b.Looks < 1 {
+	if b.Rounds < 1 || !(b.Seconds > 0) || !(b.Rate > 0) || b.Lookups < 1 {
 		return fmt.Errorf("at least one round and one look, and more than 0 seconds and requests are needed")
 	}
 	return bench.Tools(bench.ToolOptions{Options: bench.Options{Conns: b.Conns, Seconds: b.Seconds, Rounds: b.Rounds, Out: c.Out, Command: self},
-		Rate: b.Rate, Looks: b.Looks, Ask: func(socket, path string) error {
+		Rate: b.Rate, Looks: b.Lookups, Ask: func(socket, path string) error {
 			var v any
 			return ask(socket, path, &v)
 		}})
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -14,14 +14,14 @@
 	"sandyard/internal/simulation"
 )
 
-// as is the first argument that makes sandyard-drill run as one of the programs it drills, so that a drill needs one
+// asProgram is the first argument that makes sandyard-drill run as one of the programs it drills, so that a drill needs one
 // file only.
-const as = "--as="
+const asProgram = "--as="
 
 // Drill runs the sandyard-drill program.
 func Drill(args []string, out, errs io.Writer) int {
-	if len(args) > 0 && strings.HasPrefix(args[0], as) {
-		switch strings.TrimPrefix(args[0], as) {
+	if len(args) > 0 && strings.HasPrefix(args[0], asProgram) {
+		switch strings.TrimPrefix(args[0], asProgram) {
 		case "sandyard":
 			return Gateway(args[1:], out, errs)
 		case "sandyard-emulator":
@@ -38,20 +38,20 @@
 }
 
 type drillArgs struct {
-	Seed    uint64  `default:"1" help:"Seed of the traffic."`
-	Seconds float64 `default:"45" help:"Seconds of traffic."`
-	Doors   int     `default:"3" help:"Front doors."`
-	Boxes   int     `default:"8" help:"Boxes; the built-in day needs 8."`
-	Rate    float64 `default:"180" help:"Requests a second on a usual second."`
-	Script  string  `type:"existingfile" help:"A script of sandyard-sim to play instead of the built-in day: its seed, seconds, doors, boxes, rate and troubles." placeholder:"FILE"`
+	Seed      uint64  `default:"1" help:"Seed of the traffic."`
+	Seconds   float64 `default:"45" help:"Seconds of traffic."`
+	Instances int     `name:"doors" default:"3" help:"Front doors."`
+	Backends  int     `name:"boxes" default:"8" help:"Boxes; the built-in day needs 8."`
+	Rate      float64 `default:"180" help:"Requests a second on a usual second."`
+	Script    string  `type:"existingfile" help:"A script of sandyard-sim to play instead of the built-in day: its seed, seconds, doors, boxes, rate and troubles." placeholder:"FILE"`
 	output
 	Keep  string `type:"path" help:"Keep the processes' logs and files in this folder." placeholder:"DIR"`
 	Quiet bool   `help:"Don't tell of troubles as they are played."`
 }
 
 func (a drillArgs) Run(c *Console) error {
-	opt := drill.Options{Seed: a.Seed, Seconds: a.Seconds, Instances: a.Doors, Backends: a.Boxes, Rate: a.Rate, Keep: a.Keep, Command: self}
-	if a.Doors < 2 || a.Boxes < 1 || !(a.Seconds > 0) || !(a.Rate > 0) {
+	opt := drill.Options{Seed: a.Seed, Seconds: a.Seconds, Instances: a.Instances, Backends: a.Backends, Rate: a.Rate, Keep: a.Keep, Command: self}
+	if a.Instances < 2 || a.Backends < 1 || !(a.Seconds > 0) || !(a.Rate > 0) {
 		return fmt.Errorf("at least 2 doors, 1 box, and more than 0 seconds and requests are needed")
 	}
 	if a.Script != "" {
@@ -83,7 +83,7 @@
 		printReport(c.Out, r)
 	}
 	if r.Bad() {
-		return fmt.Errorf("%d violations, not exercised: %v, bad exits: %d", r.Violations, r.Unseen, len(r.Exits))
+		return fmt.Errorf("%d violations, not exercised: %v, bad exits: %d", r.Violations, r.NotExercised, len(r.Exits))
 	}
 	return nil
 }
@@ -93,7 +93,7 @@
 	if err != nil {
 		exe = os.Args[0]
 	}
-	return exe, []string{as + program}
+	return exe, []string{asProgram + program}
 }
 
 func printReport(out io.Writer, r drill.Report) {
@@ -110,8 +110,8 @@
 	}
 	fmt.Fprintln(w, "\nplan\ttries\tserved\tof them late\trefused\tfailed\tlost\tcut\tno door\tworth served")
 	for _, p := range r.Plans {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\n", p.Plan, p.Tries, p.Served, p.Late, p.Refused, p.Failed, p.Lost, p.Cut, p.NoDoor,
-			p.WorthServed/max(p.WorthAsked, 1e-9))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\n", p.Plan, p.Requests, p.Served, p.Late, p.Rejected, p.Failed, p.TimedOut, p.Broken, p.NotAccepted,
+			p.ValueServed/max(p.ValueOffered, 1e-9))
 	}
 	w.Flush()
 	for _, rule := range r.Rules {
--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -19,16 +19,16 @@
 // Emulator runs the sandyard-emulator program.
 func Emulator(args []string, out, errs io.Writer) int {
 	var g struct {
-		Box    standInBox    `cmd:"" help:"Run a stand-in box."`
-		Keeper standInKeeper `cmd:"" help:"Run a stand-in tally keeper."`
-		Set    standInSet    `cmd:"" help:"Set a fault of a running stand-in: slow 3, hang, reset 20, lose, fault 0.5, refuse, lie 0, stall, delay 200; of the keeper: silent, empty, refuse, stall, delay."`
-		Clear  standInClear  `cmd:"" help:"End a fault of a running stand-in."`
+		Box    emulateBackend `cmd:"" help:"Run a stand-in box."`
+		Keeper emulateCounter `cmd:"" help:"Run a stand-in tally keeper."`
+		Set    setFault       `cmd:"" help:"Set a fault of a running stand-in: slow 3, hang, reset 20, lose, fault 0.5, refuse, lie 0, stall, delay 200; of the keeper: silent, empty, refuse, stall, delay."`
+		Clear  clearFault     `cmd:"" help:"End a fault of a running stand-in."`
 	}
 	return program("sandyard-emulator", "Peers to try a front door against: boxes and a tally keeper.", &g, args, out, errs,
 		&Console{out, errs})
 }
 
-type standInBox struct {
+type emulateBackend struct {
 	Name           string        `default:"box" help:"Its name in records and answers."`
 	Listen         string        `default:"127.0.0.1:0" help:"Address to listen on."`
 	Control        string        `default:"127.0.0.1:0" help:"Address on which faults are set."`
@@ -36,8 +36,8 @@
 	Queue          int           `default:"24" help:"Requests that wait beside those."`
 	Work           time.Duration `default:"20ms" help:"Mean work of a request."`
 	Spread         float64       `default:"1" help:"Coefficient of variation of the work."`
-	ColdShare      float64       `default:"1" help:"Speed at the start, as a share of a warm box's."`
-	ColdTime       time.Duration `help:"Time until it is warm."`
+	SlowStartShare float64       `name:"cold-share" default:"1" help:"Speed at the start, as a share of a warm box's."`
+	SlowStartTime  time.Duration `name:"cold-time" help:"Time until it is warm."`
 	OverloadFactor float64       `help:"Work of this multiple of what it can do, within overload-time, makes a cold box fall over."`
 	OverloadTime   time.Duration `help:"See overload-factor."`
 	KeyTTL         time.Duration `name:"key-ttl" default:"10s" help:"Repeats of a key are discarded for so long."`
@@ -108,7 +108,7 @@
 	<-r.done
 }
 
-func (b standInBox) Run(c *Console) error {
+func (b emulateBackend) Run(c *Console) error {
 	rec := newRecord(c.Out)
 	defer rec.close()
 	var facts func(emulator.Fact)
@@ -118,17 +118,17 @@
 		}
 	}
 	box, err := server.StartBackend(b.Listen, emulator.BackendConfig{Name: b.Name, Cores: b.Cores, Queue: b.Queue, Work: b.Work, Spread: b.Spread,
-		ColdShare: b.ColdShare, ColdTime: b.ColdTime, OverloadFactor: b.OverloadFactor, OverloadTime: b.OverloadTime, KeyTTL: b.KeyTTL,
+		ColdShare: b.SlowStartShare, ColdTime: b.SlowStartTime, OverloadFactor: b.OverloadFactor, OverloadTime: b.OverloadTime, KeyTTL: b.KeyTTL,
 		Body: b.Body, Seed: b.Seed}, facts)
 	if err != nil {
 		return err
 	}
 	defer box.Close()
-	return untilTold(rec, box.Addr(), b.Control, box)
+	return serveUntilSignal(rec, box.Addr(), b.Control, box)
 }
 
-// untilTold says where a stand-in listens and waits for a signal.
-func untilTold(rec *record, addr, control string, f server.FaultTarget) error {
+// serveUntilSignal says where a stand-in listens and waits for a signal.
+func serveUntilSignal(rec *record, addr, control string, f server.FaultTarget) error {
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(told)
@@ -142,12 +142,12 @@
 	return nil
 }
 
-type standInKeeper struct {
+type emulateCounter struct {
 	Listen  string `default:"127.0.0.1:0" help:"Address to listen on."`
 	Control string `default:"127.0.0.1:0" help:"Address on which faults are set."`
 }
 
-func (s standInKeeper) Run(c *Console) error {
+func (s emulateCounter) Run(c *Console) error {
 	rec := newRecord(c.Out)
 	defer rec.close()
 	k, err := server.StartCounter(s.Listen)
@@ -155,15 +155,15 @@
 		return err
 	}
 	defer k.Close()
-	return untilTold(rec, k.Addr(), s.Control, k)
+	return serveUntilSignal(rec, k.Addr(), s.Control, k)
 }
 
-type standInSet struct {
+type setFault struct {
 	Control string   `required:"" help:"The stand-in's control address." placeholder:"ADDR"`
 	Fault   []string `arg:"" help:"The fault, with its value."`
 }
 
-func (s standInSet) Run(c *Console) error {
+func (s setFault) Run(c *Console) error {
 	if err := server.SetFault(s.Control, "set "+strings.Join(s.Fault, " ")); err != nil {
 		return err
 	}
@@ -171,12 +171,12 @@
 	return err
 }
 
-type standInClear struct {
+type clearFault struct {
 	Control string `required:"" help:"The stand-in's control address." placeholder:"ADDR"`
 	Fault   string `arg:"" help:"The fault."`
 }
 
-func (s standInClear) Run(c *Console) error {
+func (s clearFault) Run(c *Console) error {
 	if err := server.SetFault(s.Control, "clear "+s.Fault); err != nil {
 		return err
 	}
--- a/internal/cli/hunt.go
+++ b/internal/cli/hunt.go
@@ -28,8 +28,8 @@
 	output
 }
 
-// hunted is the outcome of a hunt.
-type hunted struct {
+// huntResult is the outcome of a hunt.
+type huntResult struct {
 	Runs     int              `json:"runs"`
 	Seconds  float64          `json:"seconds"`
 	Nearness float64          `json:"nearness"` // share of the limit
@@ -71,14 +71,14 @@
 	begun, runs := time.Now(), 0
 	long := time.Duration(r.Minutes * float64(time.Minute))
 	h := simulation.Hunt{Rule: rule, Profile: r.profile(), Options: opt, Workers: r.Workers, Seed: r.Seed,
-		Until: func() bool {
+		Stop: func() bool {
 			if r.Runs > 0 && runs >= r.Runs || time.Since(begun) >= long {
 				return true
 			}
 			runs++
 			return false
 		},
-		Better: func(s *simulation.Script, o simulation.Outcome, n int) {
+		Improved: func(s *simulation.Script, o simulation.Outcome, n int) {
 			fmt.Fprintf(c.Errs, "run %d, %v: %.3f of the limit; %d troubles, %d doors, %d boxes, %g a second\n", n, time.Since(begun).Round(time.Second),
 				o.Nearness(rule), len(s.Events), s.Instances, s.Backends.Count, s.Rate)
 		}}
@@ -90,7 +90,7 @@
 		return fmt.Errorf("no run fits into %g minutes", r.Minutes)
 	}
 	if r.json() {
-		out := hunted{Runs: n, Seconds: time.Since(begun).Seconds(), Nearness: o.Nearness(rule), Script: best.Text()}
+		out := huntResult{Runs: n, Seconds: time.Since(begun).Seconds(), Nearness: o.Nearness(rule), Script: best.Text()}
 		if len(o.Findings) > 0 {
 			f := o.Findings[0]
 			out.Find = &simulation.Find{Seed: best.Seed, Rule: f.Rule, At: f.At, What: f.What}
@@ -100,7 +100,7 @@
 	fmt.Fprintf(c.Out, "%d runs in %v; nearest to breaking \"%s\": %.3f of the limit, %s\n", n, time.Since(begun).Round(time.Second), simulation.RuleNames()[rule],
 		o.Nearness(rule), o.Verdict.Rules[rule].Of)
 	what, holds := fmt.Sprintf("Comes to %.3f of the limit of \"%s\".", o.Nearness(rule), simulation.RuleNames()[rule]), func(x simulation.Outcome) bool {
-		return len(x.Findings) == 0 && x.Nearness(rule) >= near*o.Nearness(rule)
+		return len(x.Findings) == 0 && x.Nearness(rule) >= keptNearness*o.Nearness(rule)
 	}
 	if len(o.Findings) > 0 {
 		f := o.Findings[0]
@@ -124,10 +124,10 @@
 	return nil
 }
 
-const near = 0.9 // of its nearness that a script keeps when it is made smaller
+const keptNearness = 0.9 // of its nearness that a script keeps when it is made smaller
 
 // printNearness shows for each rule how many runs came how near to its limit.
-func printNearness(out io.Writer, o simulation.Swept) {
+func printNearness(out io.Writer, o simulation.SweepResult) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "\nshare of the limit\t")
 	names := simulation.RuleNames()
@@ -160,8 +160,8 @@
 	w.Flush()
 }
 
-// noise is the mean of paired differences, and how large it is beside what chance makes of it (its standard error).
-func noise(a, b []float64) (mean, units float64) {
+// pairedDifference is the mean of paired differences, and how large it is beside what chance makes of it (its standard error).
+func pairedDifference(a, b []float64) (mean, units float64) {
 	n := float64(len(a))
 	if n < 2 {
 		return 0, 0
--- a/internal/cli/mutants.go
+++ b/internal/cli/mutants.go
@@ -21,35 +21,35 @@
 )
 
 type simMutants struct {
-	Root    string   `default:"." type:"existingdir" help:"Folder of the source."`
-	Only    []string `help:"Names of the mistakes to try; all if absent." placeholder:"NAME"`
-	First   uint64   `default:"700001" help:"First seed of the search."`
-	Seeds   uint64   `default:"2000" help:"Most seeds of a search."`
-	Breed   int      `default:"1000" help:"Most runs of a hunt for its rule, where the seeds did not find a mistake."`
-	Starts  int      `default:"1" help:"Searches for each mistake, from different first seeds."`
-	Worth   uint64   `default:"400" help:"Seeds over which the cost of those that no rule sees is compared."`
-	Workers int      `help:"Searches side by side; as many as there are processors if absent."`
-	Scripts bool     `help:"Only play the scripts that are known to find a mistake: each must find it, and nothing without it."`
-	Days    uint64   `placeholder:"N" help:"Only play the days on which a defence that no rule sees matters, each with seeds 1 to N, with and without it."`
-	List    bool     `help:"Only print the list."`
+	Root            string   `default:"." type:"existingdir" help:"Folder of the source."`
+	Only            []string `help:"Names of the mistakes to try; all if absent." placeholder:"NAME"`
+	First           uint64   `default:"700001" help:"First seed of the search."`
+	Seeds           uint64   `default:"2000" help:"Most seeds of a search."`
+	EvolveRuns      int      `name:"breed" default:"1000" help:"Most runs of a hunt for its rule, where the seeds did not find a mistake."`
+	Starts          int      `default:"1" help:"Searches for each mistake, from different first seeds."`
+	CostSeeds       uint64   `name:"worth" default:"400" help:"Seeds over which the cost of those that no rule sees is compared."`
+	Workers         int      `help:"Searches side by side; as many as there are processors if absent."`
+	Scripts         bool     `help:"Only play the scripts that are known to find a mistake: each must find it, and nothing without it."`
+	CostScriptSeeds uint64   `name:"days" placeholder:"N" help:"Only play the days on which a defence that no rule sees matters, each with seeds 1 to N, with and without it."`
+	List            bool     `help:"Only print the list."`
 	output
 }
 
-// searched is what became of one mistake.
-type searched struct {
-	Name    string            `json:"name"`
-	Guards  string            `json:"guards"`
-	Rule    string            `json:"rule"`
-	Because string            `json:"because,omitempty"`
-	Found   []simulation.Find `json:"found"`   // one for each start that found it
-	Seeds   []uint64          `json:"seeds"`   // that it took, bred scripts included, by start; what was spent where nothing was found
-	Bred    int               `json:"bred"`    // searches that found it by breeding only
-	Seconds []float64         `json:"seconds"` // of one core
-	Worth   float64           `json:"worth,omitempty"`
-	WorthU  float64           `json:"worth_noise,omitempty"`
-	Calls   float64           `json:"calls,omitempty"`
-	CallsU  float64           `json:"calls_noise,omitempty"`
-	Failure string            `json:"failure,omitempty"`
+// searchResult is what became of one mistake.
+type searchResult struct {
+	Name            string            `json:"name"`
+	Guards          string            `json:"guards"`
+	Rule            string            `json:"rule"`
+	Because         string            `json:"because,omitempty"`
+	Found           []simulation.Find `json:"found"`   // one for each start that found it
+	Seeds           []uint64          `json:"seeds"`   // that it took, bred scripts included, by start; what was spent where nothing was found
+	Evolved         int               `json:"bred"`    // searches that found it by breeding only
+	Seconds         []float64         `json:"seconds"` // of one core
+	ValueChange     float64           `json:"worth,omitempty"`
+	ValueDeviations float64           `json:"worth_noise,omitempty"`
+	CallsChange     float64           `json:"calls,omitempty"`
+	CallsDeviations float64           `json:"calls_noise,omitempty"`
+	Failure         string            `json:"failure,omitempty"`
 }
 
 func (r simMutants) Run(c *Console) error {
@@ -63,7 +63,7 @@
 		}
 	}
 	all = slices.DeleteFunc(all, func(m mutation.Mutation) bool {
-		return len(r.Only) > 0 && !slices.Contains(r.Only, m.Name) || r.Scripts && m.Script == "" || r.Days > 0 && m.Day == ""
+		return len(r.Only) > 0 && !slices.Contains(r.Only, m.Name) || r.Scripts && m.Script == "" || r.CostScriptSeeds > 0 && m.CostScript == ""
 	})
 	if r.List {
 		w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
@@ -87,25 +87,25 @@
 	if r.Scripts {
 		return r.playScripts(c, dir, whole, all)
 	}
-	if r.Days > 0 {
-		return r.playDays(c, dir, whole, all)
+	if r.CostScriptSeeds > 0 {
+		return r.playCostScripts(c, dir, whole, all)
 	}
-	var base simulation.Swept
+	var base simulation.SweepResult
 	if slices.ContainsFunc(all, func(m mutation.Mutation) bool { return m.Rule == mutation.CostOnly }) {
-		if base, err = r.sweep(whole, r.First, r.Worth, r.Workers, true, ""); err != nil {
+		if base, err = r.sweep(whole, r.First, r.CostSeeds, r.Workers, true, ""); err != nil {
 			return err
 		}
 	}
-	out := make([]searched, len(all))
+	out := make([]searchResult, len(all))
 	work := make(chan int)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for range r.Workers {
 		wg.Go(func() {
 			for i := range work {
-				out[i] = r.try(dir, all[i], base)
+				out[i] = r.search(dir, all[i], base)
 				mu.Lock()
-				fmt.Fprintln(c.Errs, out[i].line())
+				fmt.Fprintln(c.Errs, out[i].summary())
 				mu.Unlock()
 			}
 		})
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// plant builds the simulator with a mistake.
-func (r simMutants) plant(dir string, m mutation.Mutation) (string, error) {
+// buildMutant builds the simulator with a mistake.
+func (r simMutants) buildMutant(dir string, m mutation.Mutation) (string, error) {
 	overlay, err := m.Overlay(r.Root, dir)
 	if err != nil {
 		return "", err
@@ -160,7 +160,7 @@
 }
 
 // sweep runs a simulator over seeds, each with its own script or all with one.
-func (r simMutants) sweep(program string, first, n uint64, workers int, goOn bool, script string) (simulation.Swept, error) {
+func (r simMutants) sweep(program string, first, n uint64, workers int, goOn bool, script string) (simulation.SweepResult, error) {
 	args := []string{"run", "--output", "json", "--quiet", "--workers", fmt.Sprint(workers), "--seeds", fmt.Sprintf("%d-%d", first, first+n-1)}
 	if goOn {
 		args = append(args, "--go-on")
@@ -174,9 +174,9 @@
 	err := cmd.Run()
 	var exit *exec.ExitError
 	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == Failure) {
-		return simulation.Swept{}, fmt.Errorf("%w\n%s", err, errs.Bytes())
+		return simulation.SweepResult{}, fmt.Errorf("%w\n%s", err, errs.Bytes())
 	}
-	var o simulation.Swept
+	var o simulation.SweepResult
 	if err := json.Unmarshal(text.Bytes(), &o); err != nil {
 		return o, fmt.Errorf("%w\n%s", err, errs.Bytes())
 	}
@@ -184,8 +184,8 @@
 }
 
 // hunt breeds scripts that come near to breaking a rule, on one core, so that it goes the same way each time.
-func (r simMutants) hunt(program, rule string, seed uint64) (h hunted, err error) {
-	cmd := exec.Command(program, "hunt", "--output", "json", "--rule", rule, "--runs", fmt.Sprint(r.Breed), "--minutes", "60", "--seed", fmt.Sprint(seed),
+func (r simMutants) hunt(program, rule string, seed uint64) (h huntResult, err error) {
+	cmd := exec.Command(program, "hunt", "--output", "json", "--rule", rule, "--runs", fmt.Sprint(r.EvolveRuns), "--minutes", "60", "--seed", fmt.Sprint(seed),
 		"--workers", "1")
 	var errs bytes.Buffer
 	cmd.Stderr = &errs
@@ -196,17 +196,17 @@
 	return h, json.Unmarshal(text, &h)
 }
 
-// try searches for a mistake, and compares what it costs if no rule sees it.
-func (r simMutants) try(dir string, m mutation.Mutation, base simulation.Swept) searched {
-	s := searched{Name: m.Name, Guards: m.Guards, Rule: m.Rule, Because: m.Because}
-	program, err := r.plant(dir, m)
+// search searches for a mistake, and compares what it costs if no rule sees it.
+func (r simMutants) search(dir string, m mutation.Mutation, base simulation.SweepResult) searchResult {
+	s := searchResult{Name: m.Name, Guards: m.Guards, Rule: m.Rule, Because: m.Because}
+	program, err := r.buildMutant(dir, m)
 	if err != nil {
 		s.Failure = err.Error()
 		return s
 	}
 	defer os.Remove(program)
 	if m.Rule == mutation.CostOnly {
-		o, err := r.sweep(program, r.First, r.Worth, 1, true, "")
+		o, err := r.sweep(program, r.First, r.CostSeeds, 1, true, "")
 		if err != nil {
 			s.Failure = err.Error()
 			return s
@@ -228,7 +228,7 @@
 		runs, took := o.Seeds, o.Took.Seconds()
 		if len(o.Finds) > 0 {
 			s.Found = append(s.Found, o.Finds[0])
-		} else if r.Breed > 0 && slices.Contains(simulation.RuleNames(), m.Rule) {
+		} else if r.EvolveRuns > 0 && slices.Contains(simulation.RuleNames(), m.Rule) {
 			h, err := r.hunt(program, m.Rule, first)
 			if err != nil {
 				s.Failure = err.Error()
@@ -236,7 +236,7 @@
 			}
 			if runs, took = runs+uint64(h.Runs), took+h.Seconds; h.Find != nil {
 				s.Found = append(s.Found, *h.Find)
-				s.Bred++
+				s.Evolved++
 			}
 		}
 		s.Seeds, s.Seconds = append(s.Seeds, runs), append(s.Seconds, took)
@@ -245,27 +245,27 @@
 }
 
 // compare takes over what a mistake costs on the same days.
-func (s *searched) compare(whole, without simulation.Swept) {
-	n := len(whole.Worth)
+func (s *searchResult) compare(whole, without simulation.SweepResult) {
+	n := len(whole.ValueServed)
 	calls := [2][]float64{make([]float64, n), make([]float64, n)}
 	sum, asked := 0.0, 0.0
 	for i := range n {
 		calls[0][i], calls[1][i] = float64(whole.CounterCalls[i]), float64(without.CounterCalls[i])
-		sum, asked = sum+whole.Worth[i], asked+float64(whole.CounterCalls[i])
+		sum, asked = sum+whole.ValueServed[i], asked+float64(whole.CounterCalls[i])
 	}
-	mean, units := noise(whole.Worth, without.Worth)
-	s.Worth, s.WorthU = mean*float64(n)/max(1, sum), units
-	mean, units = noise(calls[0], calls[1])
-	s.Calls, s.CallsU = mean*float64(n)/max(1, asked), units
+	mean, units := pairedDifference(whole.ValueServed, without.ValueServed)
+	s.ValueChange, s.ValueDeviations = mean*float64(n)/max(1, sum), units
+	mean, units = pairedDifference(calls[0], calls[1])
+	s.CallsChange, s.CallsDeviations = mean*float64(n)/max(1, asked), units
 }
 
 // verdict says in words what became of a mistake.
-func (s searched) verdict() string {
+func (s searchResult) verdict() string {
 	switch {
 	case s.Failure != "":
 		return "failed: " + strings.SplitN(s.Failure, "\n", 2)[0]
 	case s.Rule == mutation.CostOnly && len(s.Found) == 0:
-		return fmt.Sprintf("worth %+.2f%% (%+.1f noise), calls %+.1f%% (%+.1f noise)", 100*s.Worth, s.WorthU, 100*s.Calls, s.CallsU)
+		return fmt.Sprintf("worth %+.2f%% (%+.1f noise), calls %+.1f%% (%+.1f noise)", 100*s.ValueChange, s.ValueDeviations, 100*s.CallsChange, s.CallsDeviations)
 	case len(s.Found) == 0:
 		return "not found"
 	}
@@ -278,11 +278,11 @@
 	return strings.Join(rules, "; ")
 }
 
-func (s searched) line() string {
+func (s searchResult) summary() string {
 	return fmt.Sprintf("%s: %s; runs %v, %.0f s", s.Name, s.verdict(), s.Seeds, slices.Max(append(s.Seconds, 0)))
 }
 
-func printSearched(out io.Writer, all []searched) error {
+func printSearched(out io.Writer, all []searchResult) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "taken away\tguards\tsearches that found it\tof them by breeding\tby\truns, mean\tworst\tseconds of a core, mean")
 	seen, visible := 0, 0
@@ -292,7 +292,7 @@
 			sum, worst, took = sum+n, max(worst, n), took+s.Seconds[i]
 		}
 		n := float64(max(1, len(s.Seeds)))
-		fmt.Fprintf(w, "%s\t%s\t%d of %d\t%d\t%s\t%.0f\t%d\t%.0f\n", s.Name, s.Guards, len(s.Found), len(s.Seeds), s.Bred, s.verdict(), float64(sum)/n, worst, took/n)
+		fmt.Fprintf(w, "%s\t%s\t%d of %d\t%d\t%s\t%.0f\t%d\t%.0f\n", s.Name, s.Guards, len(s.Found), len(s.Seeds), s.Evolved, s.verdict(), float64(sum)/n, worst, took/n)
 		if s.Rule != mutation.CostOnly {
 			visible++
 			if len(s.Found) > 0 {
@@ -304,35 +304,35 @@
 	return w.Flush()
 }
 
-// telling is by how many standard errors a day must tell a defence from its absence.
-const telling = 3.0
+// minDeviations is by how many standard errors a day must tell a defence from its absence.
+const minDeviations = 3.0
 
-// playDays holds each day on which a defence matters to that: without it less worth is served, or the keeper is asked
+// playCostScripts holds each day on which a defence matters to that: without it less worth is served, or the keeper is asked
 // more, beyond chance, and the day breaks no rule with it.
-func (r simMutants) playDays(c *Console, dir, whole string, all []mutation.Mutation) error {
-	if r.Days < 2 {
+func (r simMutants) playCostScripts(c *Console, dir, whole string, all []mutation.Mutation) error {
+	if r.CostScriptSeeds < 2 {
 		return errors.New("--days 1: chance needs two seeds at least")
 	}
 	var same []string
 	for _, m := range all {
-		program, err := r.plant(dir, m)
+		program, err := r.buildMutant(dir, m)
 		if err != nil {
 			return err
 		}
-		day := filepath.Join(r.Root, "internal", "simulation", "testdata", m.Day)
-		var o [2]simulation.Swept
+		day := filepath.Join(r.Root, "internal", "simulation", "testdata", m.CostScript)
+		var o [2]simulation.SweepResult
 		for i, p := range []string{whole, program} {
-			if o[i], err = r.sweep(p, 1, r.Days, r.Workers, true, day); err != nil {
+			if o[i], err = r.sweep(p, 1, r.CostScriptSeeds, r.Workers, true, day); err != nil {
 				return err
 			}
 		}
 		if len(o[0].Finds) > 0 {
-			return fmt.Errorf("%s breaks a rule with the defence, seed %d: %s", m.Day, o[0].Finds[0].Seed, o[0].Finds[0].What)
+			return fmt.Errorf("%s breaks a rule with the defence, seed %d: %s", m.CostScript, o[0].Finds[0].Seed, o[0].Finds[0].What)
 		}
-		s := searched{Name: m.Name, Rule: m.Rule}
+		s := searchResult{Name: m.Name, Rule: m.Rule}
 		s.compare(o[0], o[1])
 		fmt.Fprintf(c.Out, "%s: %s\n", m.Name, s.verdict())
-		if s.WorthU > -telling && s.CallsU < telling {
+		if s.ValueDeviations > -minDeviations && s.CallsDeviations < minDeviations {
 			same = append(same, m.Name)
 		}
 	}
@@ -355,7 +355,7 @@
 		return o, json.Unmarshal(text, &o)
 	}
 	for _, m := range all {
-		program, err := r.plant(dir, m)
+		program, err := r.buildMutant(dir, m)
 		if err != nil {
 			return err
 		}
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -34,16 +34,16 @@
 }
 
 type simCommon struct {
-	Config  string  `type:"existingfile" help:"Configuration to run on, instead of the built-in one." placeholder:"gateway.yaml"`
-	Seconds float64 `default:"16" help:"Most seconds of traffic, when a script is drawn."`
-	Rate    float64 `default:"60" help:"Most requests a second, when a script is drawn."`
-	Doors   int     `default:"40" help:"Most front doors, when a script is drawn."`
-	Shapes  float64 `default:"0.5" help:"Share of the drawn days that come in a whole shape."`
+	Config        string  `type:"existingfile" help:"Configuration to run on, instead of the built-in one." placeholder:"gateway.yaml"`
+	Seconds       float64 `default:"16" help:"Most seconds of traffic, when a script is drawn."`
+	Rate          float64 `default:"60" help:"Most requests a second, when a script is drawn."`
+	MaxInstances  int     `name:"doors" default:"40" help:"Most front doors, when a script is drawn."`
+	ScenarioShare float64 `name:"shapes" default:"0.5" help:"Share of the drawn days that come in a whole shape."`
 }
 
 func (c simCommon) profile() simulation.Profile {
 	p := simulation.Usual()
-	p.Seconds, p.Rate, p.MaxInstances, p.Config, p.ScenarioShare = c.Seconds, c.Rate, c.Doors, c.Config, c.Shapes
+	p.Seconds, p.Rate, p.MaxInstances, p.Config, p.ScenarioShare = c.Seconds, c.Rate, c.MaxInstances, c.Config, c.ScenarioShare
 	return p
 }
 
@@ -92,12 +92,12 @@
 
 type simRun struct {
 	simCommon
-	Seeds    string `default:"1-200" help:"Seeds, as FROM-TO."`
-	Script   string `type:"existingfile" help:"Play this script with each seed, instead of drawing scripts." placeholder:"FILE"`
-	Workers  int    `help:"Runs side by side; as many as there are processors if absent."`
-	GoOn     bool   `help:"Go on after the first broken rule."`
-	Coverage bool   `default:"true" negatable:"" help:"Print what was reached."`
-	Nearness bool   `help:"Print how near runs came to the limit of each rule."`
+	Seeds                  string `default:"1-200" help:"Seeds, as FROM-TO."`
+	Script                 string `type:"existingfile" help:"Play this script with each seed, instead of drawing scripts." placeholder:"FILE"`
+	Workers                int    `help:"Runs side by side; as many as there are processors if absent."`
+	ContinueAfterViolation bool   `name:"go-on" help:"Go on after the first broken rule."`
+	Coverage               bool   `default:"true" negatable:"" help:"Print what was reached."`
+	Nearness               bool   `help:"Print how near runs came to the limit of each rule."`
 	output
 	Quiet bool `help:"No progress."`
 }
@@ -127,15 +127,15 @@
 	}
 	debug.SetGCPercent(400) // runs are short and their garbage is all they leave
 	begun, total, broken := time.Now(), last-first+1, 0
-	w := simulation.Sweep{First: first, Last: last, Profile: r.profile(), Script: script, Options: opt, Workers: r.Workers, GoOn: r.GoOn}
+	w := simulation.Sweep{First: first, Last: last, Profile: r.profile(), Script: script, Options: opt, Workers: r.Workers, ContinueAfterViolation: r.ContinueAfterViolation}
 	if !r.json() {
-		w.Found = func(f simulation.Find) {
+		w.OnFind = func(f simulation.Find) {
 			broken++
 			fmt.Fprintf(c.Out, "seed %d: %s, at %v: %s\n  again: %s\n", f.Seed, f.Rule, f.At, f.What, r.again(f.Seed))
 		}
 	}
 	if !r.Quiet {
-		w.Each = func(n uint64) {
+		w.Progress = func(n uint64) {
 			if n%500 == 0 {
 				took := time.Since(begun)
 				left := time.Duration(float64(took) * float64(total-n) / float64(n))
@@ -153,7 +153,7 @@
 		}
 	} else {
 		took := o.Took.Seconds()
-		fmt.Fprintf(c.Out, "%d seeds, %d broken; %d workers, %.1f s: %.0f virtual seconds, %.0f requests and %.0f events a second\n", o.Seeds, o.Broken,
+		fmt.Fprintf(c.Out, "%d seeds, %d broken; %d workers, %.1f s: %.0f virtual seconds, %.0f requests and %.0f events a second\n", o.Seeds, o.Violating,
 			r.Workers, took, o.Virtual.Seconds()/took, float64(o.Requests)/took, float64(o.Events)/took)
 		if r.Coverage {
 			printCoverage(c.Out, o)
@@ -162,8 +162,8 @@
 			printNearness(c.Out, o)
 		}
 	}
-	if o.Broken > 0 {
-		return fmt.Errorf("%d seeds broke a rule", o.Broken)
+	if o.Violating > 0 {
+		return fmt.Errorf("%d seeds broke a rule", o.Violating)
 	}
 	return nil
 }
@@ -181,15 +181,15 @@
 	if c.Config != "" {
 		s += " --config " + c.Config
 	}
-	if c.Seconds != 16 || c.Rate != 60 || c.Doors != 40 || c.Shapes != 0.5 {
-		s += fmt.Sprintf(" --seconds %g --rate %g --doors %d --shapes %g", c.Seconds, c.Rate, c.Doors, c.Shapes)
+	if c.Seconds != 16 || c.Rate != 60 || c.MaxInstances != 40 || c.ScenarioShare != 0.5 {
+		s += fmt.Sprintf(" --seconds %g --rate %g --doors %d --shapes %g", c.Seconds, c.Rate, c.MaxInstances, c.ScenarioShare)
 	}
 	return s
 }
 
 // printCoverage tells what a search reached, and what it did not.
-func printCoverage(out io.Writer, o simulation.Swept) {
-	reached, pairs := o.Reached, o.Pairs
+func printCoverage(out io.Writer, o simulation.SweepResult) {
+	reached, pairs := o.Reached, o.FaultPairs
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nreached\ttimes")
 	for _, k := range slices.Sorted(maps.Keys(reached)) {
@@ -200,8 +200,8 @@
 		fmt.Fprintf(w, "%s\t%d\n", k, o.Scenarios[k])
 	}
 	fmt.Fprintln(w, "\nlet pass by a check\ttimes")
-	for _, k := range slices.Sorted(maps.Keys(o.Excuses)) {
-		fmt.Fprintf(w, "%s\t%d\n", k, o.Excuses[k])
+	for _, k := range slices.Sorted(maps.Keys(o.Exemptions)) {
+		fmt.Fprintf(w, "%s\t%d\n", k, o.Exemptions[k])
 	}
 	w.Flush()
 	var missed []string
@@ -220,14 +220,14 @@
 		}
 	}
 	total := len(verbs) * (len(verbs) - 1) / 2
-	fmt.Fprintf(out, "not reached: %s\n", orNone(missed))
+	fmt.Fprintf(out, "not reached: %s\n", joinOrNothing(missed))
 	fmt.Fprintf(out, "pairs of troubles in one run: %d of %d\n", total-len(unpaired), total)
 	if len(unpaired) > 0 && len(unpaired) <= 40 {
 		fmt.Fprintf(out, "never together: %s\n", strings.Join(unpaired, ", "))
 	}
 }
 
-func orNone(xs []string) string {
+func joinOrNothing(xs []string) string {
 	if len(xs) == 0 {
 		return "nothing"
 	}
@@ -236,10 +236,10 @@
 
 type simReplay struct {
 	simCommon
-	Script string        `arg:"" help:"A seed, or a script's file."`
-	Until  time.Duration `help:"Stop at this time."`
-	GoOn   bool          `help:"Go on after the first broken rule."`
-	Log    bool          `default:"true" negatable:"" help:"Print the events."`
+	Script                 string        `arg:"" help:"A seed, or a script's file."`
+	Until                  time.Duration `help:"Stop at this time."`
+	ContinueAfterViolation bool          `name:"go-on" help:"Go on after the first broken rule."`
+	Log                    bool          `default:"true" negatable:"" help:"Print the events."`
 	output
 }
 
@@ -248,7 +248,7 @@
 	if err != nil {
 		return err
 	}
-	opt.Until, opt.GoOn = r.Until, r.GoOn
+	opt.Until, opt.ContinueAfterViolation = r.Until, r.ContinueAfterViolation
 	if r.Log && !r.json() {
 		opt.Log = func(at time.Duration, what string) { fmt.Fprintf(c.Out, "%12.6f  %s\n", at.Seconds(), what) }
 	}
@@ -277,7 +277,7 @@
 	}
 	fmt.Fprintln(w, "\nplan\ttries\tserved\tof them late\trefused\tfailed\tlost\tcut\tno door\tleft")
 	for _, p := range o.Verdict.Plans {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Plan, p.Tries, p.Served, p.Late, p.Refused, p.Failed, p.Lost, p.Cut, p.NoDoor, p.Left)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Plan, p.Requests, p.Served, p.Late, p.Rejected, p.Failed, p.TimedOut, p.Broken, p.NotAccepted, p.Abandoned)
 	}
 	w.Flush()
 	for _, f := range o.Findings {
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -51,7 +51,7 @@
 }
 
 // Bad tells that the drill failed.
-func (r Report) Bad() bool { return r.Violations > 0 || len(r.Unseen) > 0 || len(r.Exits) > 0 }
+func (r Report) Bad() bool { return r.Violations > 0 || len(r.NotExercised) > 0 || len(r.Exits) > 0 }
 
 // The day's figures.
 const (
@@ -149,27 +149,27 @@
 func Day(seconds float64) []fault.Event {
 	at := func(share float64) time.Duration { return time.Duration(share * seconds * float64(time.Second)) }
 	return []fault.Event{
-		{At: at(0.08), For: at(0.08), Verb: fault.Surge, Target: "*", Value: 1.9},
-		{At: at(0.20), For: at(0.14), Verb: fault.Surge, Target: "school-0", Value: 6},
-		{At: at(0.20), For: at(0.14), Verb: fault.Surge, Target: "hobby-1", Value: 10},
-		{At: at(0.30), For: at(0.08), Verb: fault.Slow, Target: "*", Value: 1.8},
-		{At: at(0.40), For: 2 * time.Second, Verb: fault.Replace, Target: "box-0"},
-		{At: at(0.42), For: 2 * time.Second, Verb: fault.Replace, Target: "box-1"},
-		{At: at(0.44), For: 2 * time.Second, Verb: fault.Replace, Target: "box-2"},
-		{At: at(0.54), For: at(0.06), Verb: fault.Silent, Target: "keeper"},
-		{At: at(0.60), Verb: fault.Empty, Target: "keeper"},
-		{At: at(0.60), For: at(0.10), Verb: fault.Surge, Target: "school-1", Value: 6},
-		{At: at(0.64), For: at(0.08), Verb: fault.Hang, Target: "box-4"},
-		{At: at(0.70), For: at(0.06), Verb: fault.Reset, Target: "box-5", Value: 20},
-		{At: at(0.76), For: at(0.05), Verb: fault.Lose, Target: "box-6"},
-		{At: at(0.80), For: at(0.04), Verb: fault.Kill, Target: "door-1"},
-		{At: at(0.86), Verb: fault.Move, Target: "*"},
+		{At: at(0.08), Duration: at(0.08), Verb: fault.Surge, Target: "*", Value: 1.9},
+		{At: at(0.20), Duration: at(0.14), Verb: fault.Surge, Target: "school-0", Value: 6},
+		{At: at(0.20), Duration: at(0.14), Verb: fault.Surge, Target: "hobby-1", Value: 10},
+		{At: at(0.30), Duration: at(0.08), Verb: fault.Slow, Target: "*", Value: 1.8},
+		{At: at(0.40), Duration: 2 * time.Second, Verb: fault.Replace, Target: "box-0"},
+		{At: at(0.42), Duration: 2 * time.Second, Verb: fault.Replace, Target: "box-1"},
+		{At: at(0.44), Duration: 2 * time.Second, Verb: fault.Replace, Target: "box-2"},
+		{At: at(0.54), Duration: at(0.06), Verb: fault.NoReply, Target: "keeper"},
+		{At: at(0.60), Verb: fault.ResetTotals, Target: "keeper"},
+		{At: at(0.60), Duration: at(0.10), Verb: fault.Surge, Target: "school-1", Value: 6},
+		{At: at(0.64), Duration: at(0.08), Verb: fault.Hang, Target: "box-4"},
+		{At: at(0.70), Duration: at(0.06), Verb: fault.ResetResponse, Target: "box-5", Value: 20},
+		{At: at(0.76), Duration: at(0.05), Verb: fault.DropResponse, Target: "box-6"},
+		{At: at(0.80), Duration: at(0.04), Verb: fault.Kill, Target: "door-1"},
+		{At: at(0.86), Verb: fault.MoveTraffic, Target: "*"},
 	}
 }
 
 // playable are the verbs that mean something on sockets.
-var playable = []fault.Verb{fault.Slow, fault.Hang, fault.Reset, fault.Lose, fault.ServerErrors, fault.Refuse, fault.Trail, fault.FalseReports,
-	fault.Stall, fault.Silent, fault.Delay, fault.Empty, fault.Kill, fault.Drain, fault.Replace, fault.Leave, fault.Surge, fault.Move}
+var playable = []fault.Verb{fault.Slow, fault.Hang, fault.ResetResponse, fault.DropResponse, fault.ServerErrors, fault.Refuse, fault.ExtraResponse, fault.FalseReports,
+	fault.Stall, fault.NoReply, fault.Delay, fault.ResetTotals, fault.Kill, fault.Drain, fault.Replace, fault.Vanish, fault.Surge, fault.MoveTraffic}
 
 // Run plays a drill.
 func Run(ctx context.Context, opt Options) (Report, error) {
@@ -239,7 +239,7 @@
 		Faults: len(opt.Events)}
 	asked, served := 0.0, 0.0
 	for _, p := range r.Plans {
-		asked, served = asked+p.WorthAsked, served+p.WorthServed
+		asked, served = asked+p.ValueOffered, served+p.ValueServed
 	}
 	r.ValueShare = served / max(asked, 1e-9)
 	return r, nil
@@ -350,7 +350,7 @@
 	}
 }
 
-// writeList replaces the list of boxes, which all doors watch.
+// writeEndpoints replaces the list of boxes, which all doors watch.
 func (d *Drill) writeList() error {
 	d.list.Lock()
 	defer d.list.Unlock()
@@ -504,7 +504,7 @@
 		caller := d.callers[doorN]
 		d.tries++
 		asked := d.now()
-		d.audit.RequestSent(invariant.Request{ID: id, Op: op, Customer: s.name, Plan: p.name, Idempotency: c.repeat, Units: 1, Work: takes, Instance: doorN,
+		d.audit.RequestSent(invariant.Request{ID: id, Operation: op, Customer: s.name, Plan: p.name, Idempotency: c.repeat, Units: 1, Work: takes, Instance: doorN,
 			SentAt: asked, Timeout: patience, Value: c.worth * p.price, LateShare: lateShare, LatencyObjective: c.aim})
 		d.mu.Unlock()
 		req := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: door\r\nX-Api-Key: key-%s\r\nX-Request-Id: %s\r\nX-Work: %.3f\r\nX-Patience: %d\r\nX-Retry: %d\r\n"+
@@ -514,7 +514,7 @@
 		}
 		e, _, answers := caller.call([]byte(req), c.method, d.start0.Add(asked+patience))
 		d.mu.Lock()
-		d.audit.RequestEnded(invariant.End{ID: id, Ending: e, At: d.now(), Responses: answers})
+		d.audit.RequestEnded(invariant.Outcome{ID: id, Ending: e, At: d.now(), Responses: answers})
 		d.mu.Unlock()
 		again := e == invariant.Rejected || e == invariant.NotAccepted || c.repeat != invariant.NotIdempotent && e != invariant.Served
 		if !again || c.repeat == invariant.IdempotentByKey && d.now()-asked > keyTTL/2 {
@@ -528,16 +528,16 @@
 
 // trouble plays one event of the script.
 func (d *Drill) trouble(ctx context.Context, e fault.Event, begun time.Time) error {
-	d.say("%s %s %g for %v", e.Verb, e.Target, e.Value, e.For)
+	d.say("%s %s %g for %v", e.Verb, e.Target, e.Value, e.Duration)
 	switch e.Verb {
 	case fault.Surge:
 		d.setSurge(e, true)
-		if e.For > 0 {
-			sleep(ctx, e.For)
+		if e.Duration > 0 {
+			sleep(ctx, e.Duration)
 			d.setSurge(e, false)
 		}
 		return nil
-	case fault.Move:
+	case fault.MoveTraffic:
 		d.mu.Lock()
 		for _, s := range d.studios {
 			if e.Target == "*" || e.Target == s.name || e.Target == plans[s.plan].name {
@@ -548,7 +548,7 @@
 		return nil
 	case fault.Kill:
 		return d.kill(ctx, e)
-	case fault.Drain, fault.Replace, fault.Leave:
+	case fault.Drain, fault.Replace, fault.Vanish:
 		return d.drain(ctx, e)
 	}
 	var controls []string
@@ -570,10 +570,10 @@
 			return err
 		}
 	}
-	if e.For == 0 {
+	if e.Duration == 0 {
 		return nil
 	}
-	sleep(ctx, e.For)
+	sleep(ctx, e.Duration)
 	for _, c := range controls {
 		// a box that has gone meanwhile has taken its fault along
 		_ = server.SetFault(c, "clear "+string(e.Verb))
@@ -607,7 +607,7 @@
 	d.audit.InstanceDown(i, d.now())
 	d.mu.Unlock()
 	p.kill()
-	sleep(ctx, e.For)
+	sleep(ctx, e.Duration)
 	if err := d.startDoor(i, addr); err != nil {
 		return err
 	}
@@ -628,7 +628,7 @@
 	}
 	b := d.boxes[i]
 	b.state = "draining"
-	if e.Verb == fault.Leave {
+	if e.Verb == fault.Vanish {
 		b.state = "gone"
 	}
 	d.mu.Unlock()
@@ -638,7 +638,7 @@
 	d.mu.Lock()
 	d.audit.EndpointRemoved(b.name, d.now())
 	d.mu.Unlock()
-	if !sleep(ctx, max(e.For, drainGrace)) {
+	if !sleep(ctx, max(e.Duration, drainGrace)) {
 		return nil
 	}
 	if e.Verb == fault.Replace {
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -63,11 +63,11 @@
 
 // TestShortDay: a few troubles on real processes, and no rule broken.
 func TestShortDay(t *testing.T) {
-	r := run(t, "", 8, fault.Event{At: sec, For: 2 * sec, Verb: fault.Surge, Target: "school-0", Value: 12},
-		fault.Event{At: sec, For: sec, Verb: fault.Replace, Target: "box-0"},
-		fault.Event{At: 3 * sec, For: sec, Verb: fault.Lose, Target: "box-1"},
-		fault.Event{At: 4 * sec, For: sec, Verb: fault.Kill, Target: "door-1"},
-		fault.Event{At: 5 * sec, For: sec, Verb: fault.Silent, Target: "keeper"})
+	r := run(t, "", 8, fault.Event{At: sec, Duration: 2 * sec, Verb: fault.Surge, Target: "school-0", Value: 12},
+		fault.Event{At: sec, Duration: sec, Verb: fault.Replace, Target: "box-0"},
+		fault.Event{At: 3 * sec, Duration: sec, Verb: fault.DropResponse, Target: "box-1"},
+		fault.Event{At: 4 * sec, Duration: sec, Verb: fault.Kill, Target: "door-1"},
+		fault.Event{At: 5 * sec, Duration: sec, Verb: fault.NoReply, Target: "keeper"})
 	if r.Bad() {
 		b, _ := json.MarshalIndent(r, "", " ")
 		t.Errorf("%s", b)
@@ -76,17 +76,17 @@
 
 // TestBrokenDoorsAreFound: for each rule, a front door that breaks it.
 func TestBrokenDoorsAreFound(t *testing.T) {
-	lose := fault.Event{At: 0, Verb: fault.Lose, Target: "*"}
+	lose := fault.Event{At: 0, Verb: fault.DropResponse, Target: "*"}
 	for _, c := range []struct {
 		door   string
 		rule   int
 		events []fault.Event
 	}{
-		{"loses", 0, []fault.Event{{At: sec, For: sec, Verb: fault.Surge, Target: "*", Value: 1}}},
+		{"loses", 0, []fault.Event{{At: sec, Duration: sec, Verb: fault.Surge, Target: "*", Value: 1}}},
 		{"repeats", 1, []fault.Event{lose}},
 		{"repeats", 0, []fault.Event{lose}},
-		{"stale", 2, []fault.Event{{At: 200 * time.Millisecond, For: sec, Verb: fault.Drain, Target: "box-0"}}},
-		{"stale", 3, []fault.Event{{At: 200 * time.Millisecond, For: sec, Verb: fault.Replace, Target: "box-0"}, {At: sec, Verb: fault.Surge, Target: "*", Value: 3}}},
+		{"stale", 2, []fault.Event{{At: 200 * time.Millisecond, Duration: sec, Verb: fault.Drain, Target: "box-0"}}},
+		{"stale", 3, []fault.Event{{At: 200 * time.Millisecond, Duration: sec, Verb: fault.Replace, Target: "box-0"}, {At: sec, Verb: fault.Surge, Target: "*", Value: 3}}},
 		{"stale", 4, []fault.Event{{At: 0, Verb: fault.Surge, Target: "school-0", Value: 30}}},
 	} {
 		t.Run(fmt.Sprintf("%s-%d", c.door, c.rule), func(t *testing.T) {
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -22,14 +22,14 @@
 
 // Mutation is a planted mistake.
 type Mutation struct {
-	Name    string   `yaml:"name"`
-	Guards  string   `yaml:"guards"`  // what the defence that is taken away guards against
-	Rule    string   `yaml:"rule"`    // that sees it, or Worth
-	Because string   `yaml:"because"` // of those that no rule sees alone: why
-	With    []string `yaml:"with"`    // other mistakes that are made together with it
-	Script  string   `yaml:"script"`  // a file beside the simulator's tests that finds it
-	Day     string   `yaml:"day"`     // for those of Worth: a file there on whose day the defence matters
-	Edits   []Edit   `yaml:"edits"`
+	Name       string   `yaml:"name"`
+	Guards     string   `yaml:"guards"`  // what the defence that is taken away guards against
+	Rule       string   `yaml:"rule"`    // that sees it, or Worth
+	Because    string   `yaml:"because"` // of those that no rule sees alone: why
+	With       []string `yaml:"with"`    // other mistakes that are made together with it
+	Script     string   `yaml:"script"`  // a file beside the simulator's tests that finds it
+	CostScript string   `yaml:"day"`     // for those of Worth: a file there on whose day the defence matters
+	Edits      []Edit   `yaml:"edits"`
 }
 
 // Edit replaces a piece of a file's text that stands there once.
@@ -71,9 +71,9 @@
 	return f.Mutants, nil
 }
 
-// Texts is what becomes of the files that a mistake changes, below the module's root. A piece that does not stand in its
+// Apply is what becomes of the files that a mistake changes, below the module's root. A piece that does not stand in its
 // file exactly once is an error: the source has moved on and the list has not.
-func (m Mutation) Texts(root string) (map[string]string, error) {
+func (m Mutation) Apply(root string) (map[string]string, error) {
 	texts := map[string]string{}
 	for _, e := range m.Edits {
 		text, ok := texts[e.File]
@@ -95,7 +95,7 @@
 // Overlay writes the changed files into a folder, and the file for go build's -overlay that puts them in the place of
 // the originals, whose path it returns.
 func (m Mutation) Overlay(root, dir string) (string, error) {
-	texts, err := m.Texts(root)
+	texts, err := m.Apply(root)
 	if err != nil {
 		return "", err
 	}
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -20,7 +20,7 @@
 	}
 	rules := append(simulation.RuleNames(), simulation.RuleRecovery, simulation.RuleCrash, simulation.RuleLeak, simulation.RuleOwnResponse, CostOnly)
 	for _, m := range all {
-		texts, err := m.Texts("../..")
+		texts, err := m.Apply("../..")
 		if err != nil {
 			t.Error(err)
 			continue
@@ -36,7 +36,7 @@
 		if m.Guards == "" {
 			t.Errorf("%s: what does it guard against?", m.Name)
 		}
-		for _, file := range []string{m.Script, m.Day} {
+		for _, file := range []string{m.Script, m.CostScript} {
 			if file == "" {
 				continue
 			}
@@ -44,7 +44,7 @@
 				t.Error(err)
 			}
 		}
-		if m.Day != "" && m.Rule != CostOnly {
+		if m.CostScript != "" && m.Rule != CostOnly {
 			t.Errorf("%s: a day of worth, though a rule sees it", m.Name)
 		}
 	}
@@ -56,7 +56,7 @@
 // A list that the source has left behind is told, not passed over.
 func TestMovedSource(t *testing.T) {
 	m := Mutation{Name: "x", Edits: []Edit{{File: "mutation.go", Old: "no such text, except here", New: ""}}}
-	if _, err := m.Texts("."); err == nil || !strings.Contains(err.Error(), "mutation.go has 0 times") {
+	if _, err := m.Apply("."); err == nil || !strings.Contains(err.Error(), "mutation.go has 0 times") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -478,7 +478,7 @@
 	s.carryOut()
 }
 
-// carryOut does what the core wishes. Nothing here blocks: sockets are written as far as they take it, and what has
+// applyEffects does what the core wishes. Nothing here blocks: sockets are written as far as they take it, and what has
 // to wait does so in a goroutine of its own.
 func (s *Server) carryOut() {
 	for _, w := range s.core.Effects() {
@@ -520,7 +520,7 @@
 	}
 }
 
-// readList reads the file of boxes in a goroutine of its own. A file that is broken or missing leaves the list as it
+// pollEndpoints reads the file of boxes in a goroutine of its own. A file that is broken or missing leaves the list as it
 // was.
 func (s *Server) readList() {
 	s.conns.Go(func() error {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -553,7 +553,7 @@
 	r.s.post(post{kind: inquiry, look: func(c *proxy.Instance, _ time.Duration) { name, weight, _ = c.Gateway().CounterName("c"); close(told) }})
 	<-told
 	k.mu.Lock()
-	calls, total := k.keeper.Calls, k.keeper.Total(k.now(), name)
+	calls, total := k.keeper.Increments, k.keeper.Total(k.now(), name)
 	k.mu.Unlock()
 	if used := total / weight; !(used > 1 && used < 9) { // what was refused may not be taken back yet
 		t.Errorf("%d served, %v units under %q", served, used, name)
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -11,70 +11,70 @@
 	"sandyard/invariant"
 )
 
-// asker is the clients of one door: their connections, kept for further requests.
-type asker struct {
-	s    *Sim
-	door int
-	idle []*askConn
+// clientPool is the clients of one door: their connections, kept for further requests.
+type clientPool struct {
+	sim      *Sim
+	instance int
+	idle     []*clientConn
 }
 
-// askConn is a client's connection. It may have several requests out, which are answered in order.
-type askConn struct {
-	a       *asker
-	ask     *pending
-	e       *end
-	rd      *http1.Reader
-	out     []byte
-	waiting []*try
-	head    *http1.Head
-	begun   bool // the answer to the first that waits has
-	gone    bool
-	slow    bool
-	taken   time.Duration // when it was accepted
-	used    time.Duration
+// clientConn is a client's connection. It may have several requests out, which are answered in order.
+type clientConn struct {
+	pool          *clientPool
+	dialing       *dialing
+	conn          *netConn
+	reader        *http1.Reader
+	unsent        []byte
+	awaiting      []*clientRequest
+	head          *http1.Head
+	responseBegan bool // the answer to the first that waits has
+	done          bool
+	misbehaving   bool
+	acceptedAt    time.Duration // when it was accepted
+	lastUsed      time.Duration
 }
 
-// try is one request of a client.
-type try struct {
+// clientRequest is one request of a client.
+type clientRequest struct {
 	invariant.Request
-	conn   *askConn
-	rng    *rand.Rand
-	number int
-	studio int
-	op     int
-	body   string
-	work   time.Duration
-	over   bool
-	status int
-	tail   bool
+	conn        *clientConn
+	rng         *rand.Rand
+	attempt     int
+	customer    int
+	operation   int
+	body        string
+	work        time.Duration
+	ended       bool
+	status      int
+	afterFaults bool
 }
 
-// next draws the next request, and plans the one after it.
-func (s *Sim) next() {
+// generateRequest draws the next request, and plans the one after it.
+func (s *Sim) generateRequest() {
 	if s.now > time.Duration(s.script.Seconds*float64(time.Second)) {
-		for _, a := range s.askers { // clients go home
-			for _, c := range append([]*askConn(nil), a.idle...) {
-				c.end(false)
+		for _, a := range s.clientPools { // clients go home
+			for _, c := range append([]*clientConn(nil), a.idle...) {
+				c.close(false)
 			}
 		}
 		return
 	}
 	rng := s.traffic
 	rate := s.script.Rate
-	if f, ok := s.surge["*"]; ok {
+	if f, ok := s.surges["*"]; ok {
 		rate *= f
 	}
-	weights := make([]float64, len(s.cfg.Customers))
+	weights := make([]float64, len(s.config.Customers))
 	sum, usual := 0.0, 0.0
-	for i, st := range s.cfg.Customers {
+	for i, st := range s.config.Customers {
 		w := 1.0
-		p := s.cfg.CustomerByName(st.Name).Plan
-		if q := float64(s.cfg.Plans[p].Rate); q > 0 {
+		p := s.config.CustomerByName(st.Name).Plan
+		if q := float64(s.config.Plans[p].Rate); q > 0 {
 			w = q
 		}
 		usual += w
 		for _, name := range [2]string{st.Name, st.Plan} {
-			if f, ok := s.surge[name]; ok {
+			if f, ok := s.surges[name]; ok {
 				w *= f
 			}
 		}
@@ -86,59 +86,59 @@
 	for ; i < len(weights)-1 && pick >= weights[i]; i++ {
 		pick -= weights[i]
 	}
-	s.ops++
-	own := rand.New(rand.NewPCG(s.script.Seed, uint64(s.ops)))
-	s.operate(i, s.ops, own)
-	s.after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), s.next)
+	s.operations++
+	own := rand.New(rand.NewPCG(s.script.Seed, uint64(s.operations)))
+	s.startOperation(i, s.operations, own)
+	s.scheduleAfter(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), s.generateRequest)
 }
 
-// operate is one thing that a client wants.
-func (s *Sim) operate(studio, n int, rng *rand.Rand) {
+// startOperation is one thing that a client wants.
+func (s *Sim) startOperation(studio, n int, rng *rand.Rand) {
 	switch x := rng.Float64(); {
-	case x < s.noise:
-		s.nuisance(rng, false)
+	case x < s.invalidShare:
+		s.misbehave(rng, false)
 		return
-	case x < s.noise+s.drip:
-		s.nuisance(rng, true)
+	case x < s.invalidShare+s.slowShare:
+		s.misbehave(rng, true)
 		return
 	}
 	count := 1
-	if rng.Float64() < s.script.Clients.Pipeline {
+	if rng.Float64() < s.script.Clients.PipelineShare {
 		count = 2 + rng.IntN(3)
 	}
-	door := s.doorFor(studio, rng)
-	conn := s.askers[door].take(rng)
+	door := s.instanceFor(studio, rng)
+	conn := s.clientPools[door].get(rng)
 	for k := range count {
-		ops := s.cfg.Routes.Operations
+		ops := s.config.Routes.Operations
 		op := rng.IntN(len(ops))
-		class := s.cfg.Settings.Classes[s.cfg.ClassByOperation[op]]
+		class := s.config.Settings.Classes[s.config.ClassByOperation[op]]
 		work := time.Duration((0.3 + 0.7*rng.ExpFloat64()) * float64(s.script.Backends.Work))
-		t := &try{rng: rng, studio: studio, op: op, work: min(work, 6*time.Duration(s.script.Backends.Work))}
-		t.Request = invariant.Request{Op: fmt.Sprintf("%d.%d", n, k), Customer: s.cfg.Customers[studio].Name, Plan: s.cfg.Customers[studio].Plan,
+		t := &clientRequest{rng: rng, customer: studio, operation: op, work: min(work, 6*time.Duration(s.script.Backends.Work))}
+		t.Request = invariant.Request{Operation: fmt.Sprintf("%d.%d", n, k), Customer: s.config.Customers[studio].Name, Plan: s.config.Customers[studio].Plan,
 			Idempotency: invariant.Idempotency(class.Idempotency), Units: 1, Work: t.work, Value: class.PriorityWeight, LateShare: class.LateShare, LatencyObjective: class.LatencyObjective,
 			Timeout: time.Duration((0.6 + 0.4*rng.Float64()) * float64(class.Deadline))}
-		if s.script.Clients.Body > 0 {
-			t.body = strings.Repeat("x", rng.IntN(s.script.Clients.Body+1))
+		if s.script.Clients.MaxBody > 0 {
+			t.body = strings.Repeat("x", rng.IntN(s.script.Clients.MaxBody+1))
 		}
 		s.send(t, conn, door, k)
 	}
 }
 
-// doorFor is the door that a studio's request comes in through.
-func (s *Sim) doorFor(studio int, rng *rand.Rand) int {
-	cu := s.cfg.CustomerByName(s.cfg.Customers[studio].Name)
-	turn := s.moved[cu.Name]
+// instanceFor is the door that a studio's request comes in through.
+func (s *Sim) instanceFor(studio int, rng *rand.Rand) int {
+	cu := s.config.CustomerByName(s.config.Customers[studio].Name)
+	turn := s.trafficMoves[cu.Name]
 	if rng.Float64() < 0.25 {
 		turn++
 	}
-	return (cu.First + turn%max(1, cu.Spread)) % len(s.doors)
+	return (cu.First + turn%max(1, cu.Spread)) % len(s.instances)
 }
 
 // send asks. position is the request's place in a pipeline: answers come in order, and who sends several knows that.
-func (s *Sim) send(t *try, c *askConn, door, position int) {
+func (s *Sim) send(t *clientRequest, c *clientConn, door, position int) {
 	t.conn, t.Instance, t.SentAt = c, door, s.now
-	t.ID = fmt.Sprintf("%s.%d", t.Op, t.number)
-	op := s.cfg.Routes.Operations[t.op]
+	t.ID = fmt.Sprintf("%s.%d", t.Operation, t.attempt)
+	op := s.config.Routes.Operations[t.operation]
 	path := op.Template
 	for i := strings.IndexByte(path, '{'); i >= 0; i = strings.IndexByte(path, '{') {
 		path = path[:i] + "7" + path[i+strings.IndexByte(path[i:], '}')+1:]
@@ -153,14 +153,14 @@
 		units = min(op.Units.Most, float64(1+t.rng.IntN(3)))
 	}
 	t.Units = units
-	h := s.cfg.Headers
+	h := s.config.Headers
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: door\r\n%s: %s\r\nX-Request-Id: %s\r\nX-Work: %.3f\r\n%s: %d\r\n%s: %d\r\n", op.Method, path, h.Key,
-		s.cfg.Customers[t.studio].Keys[0], t.ID, float64(t.work.Microseconds())/1000, h.Timeout, max(0, t.Timeout-s.ways()).Milliseconds(), h.Retry, t.number)
+		s.config.Customers[t.customer].Keys[0], t.ID, float64(t.work.Microseconds())/1000, h.Timeout, max(0, t.Timeout-s.roundTripAllowance()).Milliseconds(), h.Retry, t.attempt)
 	if op.Units.In == "header" {
 		fmt.Fprintf(&b, "%s: %g\r\n", op.Units.Name, units)
 	}
 	if t.Idempotency == invariant.IdempotentByKey {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.Op)
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.Operation)
 	}
 	switch {
 	case op.Method == "GET" || op.Method == "HEAD":
@@ -171,114 +171,114 @@
 		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(t.body), t.body)
 	}
 	t.Timeout *= time.Duration(position + 1)
-	s.tries = append(s.tries, &t.Request)
-	s.check.RequestSent(t.Request)
-	s.note("ask " + t.ID)
+	s.requests = append(s.requests, &t.Request)
+	s.checker.RequestSent(t.Request)
+	s.logEvent("ask " + t.ID)
 	s.digest(requestSent, nil, t.ID)
 	end := time.Duration(s.script.Seconds * float64(time.Second))
-	t.tail = s.now >= s.lastCalm+recovery && s.now < end
-	c.waiting = append(c.waiting, t)
-	c.out = append(c.out, b.String()...)
+	t.afterFaults = s.now >= s.faultsOverAt+recoveryTime && s.now < end
+	c.awaiting = append(c.awaiting, t)
+	c.unsent = append(c.unsent, b.String()...)
 	c.flush()
 	patience := t.Timeout
-	s.last(s.now+patience, func() {
+	s.scheduleLast(s.now+patience, func() {
 		switch {
-		case t.over:
+		case t.ended:
 			return
-		case c.e == nil: // nobody has accepted the connection, let alone the request
-			c.lost(invariant.NotAccepted)
+		case c.conn == nil: // nobody has accepted the connection, let alone the request
+			c.fail(invariant.NotAccepted)
 			return
-		case c.begun && c.waiting[0] == t && s.cfg.Settings.Classes[s.cfg.ClassByOperation[t.op]].Stream:
+		case c.responseBegan && c.awaiting[0] == t && s.config.Settings.Classes[s.config.ClassByOperation[t.operation]].Stream:
 			// a stream that has begun is the answer, however long it lasts
-			s.reach("excuse: no end: a stream that has begun")
-			c.waiting = c.waiting[1:]
+			s.cover("excuse: no end: a stream that has begun")
+			c.awaiting = c.awaiting[1:]
 			s.finish(t, invariant.Served, 1)
-			c.lost(invariant.ClientLeft)
+			c.fail(invariant.ClientLeft)
 			return
-		case c.taken > t.SentAt+s.ways()/2: // it was accepted when the client had already waited
-			s.reach("excuse: no answer: accepted late")
+		case c.acceptedAt > t.SentAt+s.roundTripAllowance()/2: // it was accepted when the client had already waited
+			s.cover("excuse: no answer: accepted late")
 			s.finish(t, invariant.ClientLeft, 0)
 			return
 		}
 		s.finish(t, invariant.ClientTimedOut, 0)
 	})
-	if t.rng.Float64() < s.quit {
-		s.after(time.Duration(t.rng.Float64()*0.2*float64(patience)), func() {
-			if !t.over {
-				s.reach("client quits")
+	if t.rng.Float64() < s.abortShare {
+		s.scheduleAfter(time.Duration(t.rng.Float64()*0.2*float64(patience)), func() {
+			if !t.ended {
+				s.cover("client quits")
 				s.finish(t, invariant.ClientLeft, 0)
 			}
 		})
 	}
 }
 
-// ways is what a client takes off its patience for the way there and back: generous, since a message that is cut into
+// roundTripAllowance is what a client takes off its patience for the way there and back: generous, since a message that is cut into
 // many pieces is as late as the latest of them.
-func (s *Sim) ways() time.Duration {
-	return time.Duration(2 * float64(s.net.latency) * (1 + 12*s.net.jitter))
+func (s *Sim) roundTripAllowance() time.Duration {
+	return time.Duration(2 * float64(s.network.latency) * (1 + 12*s.network.jitter))
 }
 
 // finish ends a try, and asks again where a client would.
-func (s *Sim) finish(t *try, e invariant.Ending, answers int) {
-	if t.over {
+func (s *Sim) finish(t *clientRequest, e invariant.Ending, answers int) {
+	if t.ended {
 		return
 	}
-	t.over = true
-	s.note(fmt.Sprintf("end %s %d", t.ID, e))
+	t.ended = true
+	s.logEvent(fmt.Sprintf("end %s %d", t.ID, e))
 	s.digest(requestEnded, []uint64{uint64(e)}, t.ID)
-	s.reach([...]string{"try served", "try refused", "try failed", "try cut", "try no door", "try gave up", "try left"}[e])
-	end := invariant.End{ID: t.ID, Ending: e, At: s.now, Responses: answers}
-	s.ends[t.ID] = end
-	s.check.RequestEnded(end)
-	if t.tail && e != invariant.ClientLeft && t.status != 429 {
-		s.asked++
+	s.cover([...]string{"try served", "try refused", "try failed", "try cut", "try no door", "try gave up", "try left"}[e])
+	end := invariant.Outcome{ID: t.ID, Ending: e, At: s.now, Responses: answers}
+	s.outcomes[t.ID] = end
+	s.checker.RequestEnded(end)
+	if t.afterFaults && e != invariant.ClientLeft && t.status != 429 {
+		s.sentAfterFaults++
 		if e == invariant.Served {
-			s.served++
+			s.servedAfterFaults++
 		}
 	}
 	if e == invariant.ClientTimedOut || e == invariant.ClientLeft {
-		t.conn.end(true)
+		t.conn.close(true)
 	}
 	again := e == invariant.Rejected || e == invariant.NotAccepted || t.Idempotency != invariant.NotIdempotent && e != invariant.Served
-	if !again || e == invariant.ClientLeft || t.number >= s.script.Clients.Retries || t.Idempotency == invariant.IdempotentByKey && s.now-t.SentAt > s.keyTTL/2 || s.stop {
+	if !again || e == invariant.ClientLeft || t.attempt >= s.script.Clients.Retries || t.Idempotency == invariant.IdempotentByKey && s.now-t.SentAt > s.keyTTL/2 || s.stopped {
 		return
 	}
 	next := *t
-	next.number++
-	next.over, next.status = false, 0
-	next.Timeout = min(next.Timeout, s.cfg.Settings.Classes[s.cfg.ClassByOperation[t.op]].Deadline)
-	wait := time.Duration((0.5 + t.rng.Float64()) * float64(100*time.Millisecond<<t.number))
-	s.after(wait, func() {
-		door := s.doorFor(t.studio, t.rng)
-		s.send(&next, s.askers[door].take(t.rng), door, 0)
+	next.attempt++
+	next.ended, next.status = false, 0
+	next.Timeout = min(next.Timeout, s.config.Settings.Classes[s.config.ClassByOperation[t.operation]].Deadline)
+	wait := time.Duration((0.5 + t.rng.Float64()) * float64(100*time.Millisecond<<t.attempt))
+	s.scheduleAfter(wait, func() {
+		door := s.instanceFor(t.customer, t.rng)
+		s.send(&next, s.clientPools[door].get(t.rng), door, 0)
 	})
 }
 
-// take finds a connection with nothing out, or begins one.
-func (a *asker) take(rng *rand.Rand) *askConn {
-	if rng.Float64() >= a.s.script.Clients.Fresh {
+// get finds a connection with nothing out, or begins one.
+func (a *clientPool) get(rng *rand.Rand) *clientConn {
+	if rng.Float64() >= a.sim.script.Clients.NewConnShare {
 		for len(a.idle) > 0 {
 			c := a.idle[len(a.idle)-1]
 			a.idle = a.idle[:len(a.idle)-1]
-			if !c.gone && a.s.now-c.used < 3*time.Second {
+			if !c.done && a.sim.now-c.lastUsed < 3*time.Second {
 				return c
 			}
-			c.end(false)
+			c.close(false)
 		}
 	}
-	c := &askConn{a: a, rd: http1.NewResponses(http1.Limits{}), used: a.s.now}
-	c.ask = a.s.net.dial(a.s.world, fmt.Sprintf("door-%d", a.door), c, func(e *end, ok bool) {
+	c := &clientConn{pool: a, reader: http1.NewResponses(http1.Limits{}), lastUsed: a.sim.now}
+	c.dialing = a.sim.network.dial(a.sim.clientHost, fmt.Sprintf("door-%d", a.instance), c, func(e *netConn, ok bool) {
 		switch {
-		case c.gone:
+		case c.done:
 			if e != nil {
 				e.close(true)
 			}
 		case !ok:
-			c.lost(invariant.NotAccepted)
+			c.fail(invariant.NotAccepted)
 		default:
-			c.e, c.taken = e, a.s.now
+			c.conn, c.acceptedAt = e, a.sim.now
 			c.flush()
-			if len(e.inbox) > 0 { // a door may turn a connection away before its client knows that it stands
+			if len(e.received) > 0 { // a door may turn a connection away before its client knows that it stands
 				c.readable(e)
 			}
 		}
@@ -286,95 +286,95 @@
 	return c
 }
 
-func (c *askConn) flush() {
-	if c.e == nil || c.gone {
+func (c *clientConn) flush() {
+	if c.conn == nil || c.done {
 		return
 	}
-	c.out = c.e.flow(c.out, nil)
+	c.unsent = c.conn.writeBuffered(c.unsent, nil)
 }
 
-func (c *askConn) writable(*end) { c.flush() }
+func (c *clientConn) writable(*netConn) { c.flush() }
 
-func (c *askConn) closed(e *end, reset bool) {
-	if c.e == nil { // it ended before its client knew that it stood
-		c.e = e
+func (c *clientConn) closed(e *netConn, reset bool) {
+	if c.conn == nil { // it ended before its client knew that it stood
+		c.conn = e
 	}
-	c.lost(invariant.ConnectionBroken)
+	c.fail(invariant.ConnectionBroken)
 }
 
-// lost ends what was out on a connection that is gone.
-func (c *askConn) lost(e invariant.Ending) {
-	out := c.waiting
-	c.waiting = nil
-	if e == invariant.ConnectionBroken && c.e != nil && c.e.turned { // its door has too many: the reset may overtake the answer that says so
-		c.a.s.reach("excuse: no answer: turned away")
+// fail ends what was out on a connection that is gone.
+func (c *clientConn) fail(e invariant.Ending) {
+	out := c.awaiting
+	c.awaiting = nil
+	if e == invariant.ConnectionBroken && c.conn != nil && c.conn.tooManyConns { // its door has too many: the reset may overtake the answer that says so
+		c.pool.sim.cover("excuse: no answer: turned away")
 		e = invariant.NotAccepted
 	}
-	c.end(true)
+	c.close(true)
 	for i, t := range out {
-		if i == 0 && c.begun && e == invariant.ConnectionBroken { // an answer that flowed and broke off: its client knows that it failed
-			c.a.s.reach("excuse: broken off: an answer that flowed")
-			c.a.s.finish(t, invariant.Failed, 1)
+		if i == 0 && c.responseBegan && e == invariant.ConnectionBroken { // an answer that flowed and broke off: its client knows that it failed
+			c.pool.sim.cover("excuse: broken off: an answer that flowed")
+			c.pool.sim.finish(t, invariant.Failed, 1)
 			continue
 		}
 		if i > 0 && e == invariant.ConnectionBroken { // a door takes one request at a time: those behind were not accepted
-			c.a.s.reach("excuse: no answer: behind one that was cut")
+			c.pool.sim.cover("excuse: no answer: behind one that was cut")
 			e = invariant.ClientLeft
 		}
-		c.a.s.finish(t, e, 0)
+		c.pool.sim.finish(t, e, 0)
 	}
 }
 
-func (c *askConn) end(reset bool) {
-	if c.gone {
+func (c *clientConn) close(reset bool) {
+	if c.done {
 		return
 	}
-	c.gone = true
-	for i, o := range c.a.idle {
+	c.done = true
+	for i, o := range c.pool.idle {
 		if o == c {
-			c.a.idle = append(c.a.idle[:i], c.a.idle[i+1:]...)
+			c.pool.idle = append(c.pool.idle[:i], c.pool.idle[i+1:]...)
 			break
 		}
 	}
-	if c.e != nil {
-		c.e.close(reset)
-	} else if c.ask != nil {
-		c.ask.off = true
+	if c.conn != nil {
+		c.conn.close(reset)
+	} else if c.dialing != nil {
+		c.dialing.ended = true
 	}
-	if out := c.waiting; len(out) > 0 { // a client that gives up on one gives up on all that it sent behind it
-		c.waiting = nil
+	if out := c.awaiting; len(out) > 0 { // a client that gives up on one gives up on all that it sent behind it
+		c.awaiting = nil
 		for _, t := range out {
-			c.a.s.finish(t, invariant.ClientLeft, 0)
+			c.pool.sim.finish(t, invariant.ClientLeft, 0)
 		}
 	}
 }
 
-func (c *askConn) readable(*end) {
-	if c.e == nil {
+func (c *clientConn) readable(*netConn) {
+	if c.conn == nil {
 		return
 	}
-	s := c.a.s
-	in := c.e.read()
-	for !c.gone {
-		if len(c.waiting) == 0 {
+	s := c.pool.sim
+	in := c.conn.read()
+	for !c.done {
+		if len(c.awaiting) == 0 {
 			if len(in) == 0 {
 				break
 			}
-			if c.slow && len(in) > 12 {
-				s.reach("status " + string(in[9:12]))
+			if c.misbehaving && len(in) > 12 {
+				s.cover("status " + string(in[9:12]))
 			}
-			if !c.slow {
-				s.find(RuleOwnResponse, fmt.Sprintf("door %d sends %.40q to a client that awaits nothing", c.a.door, in))
+			if !c.misbehaving {
+				s.report(RuleOwnResponse, fmt.Sprintf("door %d sends %.40q to a client that awaits nothing", c.pool.instance, in))
 			}
-			c.end(true)
+			c.close(true)
 			return
 		}
-		t := c.waiting[0]
-		c.rd.Expect(s.cfg.Routes.Operations[t.op].Method)
-		n, part, err := c.rd.Feed(in)
+		t := c.awaiting[0]
+		c.reader.Expect(s.config.Routes.Operations[t.operation].Method)
+		n, part, err := c.reader.Feed(in)
 		in = in[n:]
 		if err != nil {
-			s.find(RuleOwnResponse, fmt.Sprintf("door %d answers %s with what is no answer: %v", c.a.door, t.ID, err))
+			s.report(RuleOwnResponse, fmt.Sprintf("door %d answers %s with what is no answer: %v", c.pool.instance, t.ID, err))
 			return
 		}
 		if part.Kind == http1.More {
@@ -383,30 +383,30 @@
 		switch part.Kind {
 		case http1.HeadEnd:
 			if part.Head.Status >= 200 {
-				c.head, c.begun = part.Head, true
+				c.head, c.responseBegan = part.Head, true
 			}
 		case http1.End:
-			c.begun = false
-			c.waiting = c.waiting[1:]
-			c.whole(t)
+			c.responseBegan = false
+			c.awaiting = c.awaiting[1:]
+			c.responseComplete(t)
 			if c.head.Close {
-				c.lost(invariant.NotAccepted) // what it sent behind was never taken
+				c.fail(invariant.NotAccepted) // what it sent behind was never taken
 				return
 			}
 		}
 	}
-	if len(c.waiting) == 0 && !c.gone && len(c.out) == 0 {
-		c.used = s.now
-		c.a.idle = append(c.a.idle, c)
+	if len(c.awaiting) == 0 && !c.done && len(c.unsent) == 0 {
+		c.lastUsed = s.now
+		c.pool.idle = append(c.pool.idle, c)
 	}
 }
 
-// whole is the end of an answer.
-func (c *askConn) whole(t *try) {
-	s, h := c.a.s, c.head
-	s.reach("status " + strconv.Itoa(h.Status))
+// responseComplete is the end of an answer.
+func (c *clientConn) responseComplete(t *clientRequest) {
+	s, h := c.pool.sim, c.head
+	s.cover("status " + strconv.Itoa(h.Status))
 	if id, ok := h.Get("X-Answers"); ok && id != t.ID {
-		s.find(RuleOwnResponse, fmt.Sprintf("%s got the answer to %s", t.ID, id))
+		s.report(RuleOwnResponse, fmt.Sprintf("%s got the answer to %s", t.ID, id))
 	}
 	t.status = h.Status
 	e := invariant.Failed
@@ -419,70 +419,70 @@
 	s.finish(t, e, 1)
 }
 
-// unread is a client that asks for a lot and reads nothing.
-func (s *Sim) unread(a *asker, c *askConn) {
-	s.reach("client reads nothing")
-	text := strings.Repeat(fmt.Sprintf("GET /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", s.cfg.Headers.Key, s.cfg.Customers[0].Keys[0]), 8)
-	c.ask = s.net.dial(s.world, fmt.Sprintf("door-%d", a.door), mute{c}, func(e *end, ok bool) {
-		if ok && !c.gone {
-			c.e = e
+// requestWithoutReading is a client that asks for a lot and reads nothing.
+func (s *Sim) requestWithoutReading(a *clientPool, c *clientConn) {
+	s.cover("client reads nothing")
+	text := strings.Repeat(fmt.Sprintf("GET /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", s.config.Headers.Key, s.config.Customers[0].Keys[0]), 8)
+	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", a.instance), nonReader{c}, func(e *netConn, ok bool) {
+		if ok && !c.done {
+			c.conn = e
 			e.write([]byte(text))
 		}
 	})
-	s.after(12*time.Second, func() { c.end(true) })
+	s.scheduleAfter(12*time.Second, func() { c.close(true) })
 }
 
-// mute owns the connection of a client that does not read.
-type mute struct{ c *askConn }
+// nonReader owns the connection of a client that does not read.
+type nonReader struct{ c *clientConn }
 
-func (mute) readable(*end)       {}
-func (mute) writable(*end)       {}
-func (m mute) closed(*end, bool) { m.c.end(true) }
+func (nonReader) readable(*netConn)       {}
+func (nonReader) writable(*netConn)       {}
+func (m nonReader) closed(*netConn, bool) { m.c.close(true) }
 
-// nuisance is a client that sends what is no request, or sends one so slowly that nobody waits for it.
-func (s *Sim) nuisance(rng *rand.Rand, slow bool) {
-	a := s.askers[rng.IntN(len(s.askers))]
-	c := &askConn{a: a, rd: http1.NewResponses(http1.Limits{}), slow: true}
+// misbehave is a client that sends what is no request, or sends one so slowly that nobody waits for it.
+func (s *Sim) misbehave(rng *rand.Rand, slow bool) {
+	a := s.clientPools[rng.IntN(len(s.clientPools))]
+	c := &clientConn{pool: a, reader: http1.NewResponses(http1.Limits{}), misbehaving: true}
 	if slow && rng.IntN(3) == 0 {
-		s.unread(a, c)
+		s.requestWithoutReading(a, c)
 		return
 	}
 	text := []string{"GET / HTTP/1.1\n\n", "POST /payments HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"\x16\x03\x01\x00\xa5\x01\x00\x00", "GET /bookings HTTP/1.1\r\nHost: h\r\nX-Api-Key: nobody\r\n\r\nGET", fmt.Sprintf("POST /payments HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 999999999\r\n\r\nx", s.cfg.Headers.Key, s.cfg.Customers[0].Keys[0]),
+		"\x16\x03\x01\x00\xa5\x01\x00\x00", "GET /bookings HTTP/1.1\r\nHost: h\r\nX-Api-Key: nobody\r\n\r\nGET", fmt.Sprintf("POST /payments HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 999999999\r\n\r\nx", s.config.Headers.Key, s.config.Customers[0].Keys[0]),
 		strings.Repeat("a", 9000)}[rng.IntN(6)]
 	gap := time.Duration(0)
 	if slow {
-		text = fmt.Sprintf("POST /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 50\r\n\r\n%s", s.cfg.Headers.Key, s.cfg.Customers[0].Keys[0], strings.Repeat("y", 30))
+		text = fmt.Sprintf("POST /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 50\r\n\r\n%s", s.config.Headers.Key, s.config.Customers[0].Keys[0], strings.Repeat("y", 30))
 		gap = time.Duration(50+rng.IntN(500)) * time.Millisecond
 	}
 	if slow {
-		s.reach("client drips")
+		s.cover("client drips")
 	} else {
-		s.reach("client makes noise")
+		s.cover("client makes noise")
 	}
-	c.ask = s.net.dial(s.world, fmt.Sprintf("door-%d", a.door), c, func(e *end, ok bool) {
-		if !ok || c.gone {
+	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", a.instance), c, func(e *netConn, ok bool) {
+		if !ok || c.done {
 			if e != nil {
 				e.close(true)
 			}
 			return
 		}
-		c.e = e
+		c.conn = e
 		var feed func()
 		feed = func() {
-			if c.gone || len(text) == 0 {
+			if c.done || len(text) == 0 {
 				return
 			}
 			n := len(text)
 			if gap > 0 {
 				n = 1
 			}
-			c.out = append(c.out, text[:n]...)
+			c.unsent = append(c.unsent, text[:n]...)
 			text = text[n:]
 			c.flush()
-			s.after(gap, feed)
+			s.scheduleAfter(gap, feed)
 		}
 		feed()
 	})
-	s.after(12*time.Second, func() { c.end(true) })
+	s.scheduleAfter(12*time.Second, func() { c.close(true) })
 }
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -19,7 +19,7 @@
 	at  time.Duration
 	tie uint32
 	seq uint64
-	do  func()
+	run func()
 }
 
 func (a *event) before(b *event) bool {
@@ -34,17 +34,17 @@
 
 // clock is the queue of events.
 type clock struct {
-	now    time.Duration
-	heap   []event
-	seq    uint64
-	events uint64
-	ties   *rand.Rand
-	sum    hash.Hash64
-	log    func(at time.Duration, what string) // nil: no log is wanted
+	now         time.Duration
+	heap        []event
+	seq         uint64
+	events      uint64
+	tieBreaks   *rand.Rand
+	digestState hash.Hash64
+	log         func(at time.Duration, what string) // nil: no log is wanted
 }
 
 func newClock(seed uint64) *clock {
-	return &clock{ties: stream(seed, "ties"), sum: fnv.New64a()}
+	return &clock{tieBreaks: stream(seed, "ties"), digestState: fnv.New64a()}
 }
 
 // stream is the randomness of one purpose, so that more draws for one don't change the others.
@@ -54,18 +54,18 @@
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// at plans an event.
-func (c *clock) at(t time.Duration, do func()) {
-	c.plan(t, uint32(c.ties.Uint32()>>24), do)
+// schedule plans an event.
+func (c *clock) schedule(t time.Duration, do func()) {
+	c.push(t, uint32(c.tieBreaks.Uint32()>>24), do)
 }
 
-// after plans an event from now.
-func (c *clock) after(d time.Duration, do func()) { c.at(c.now+max(0, d), do) }
+// scheduleAfter plans an event from now.
+func (c *clock) scheduleAfter(d time.Duration, do func()) { c.schedule(c.now+max(0, d), do) }
 
-// last plans an event behind all others of its time.
-func (c *clock) last(t time.Duration, do func()) { c.plan(t, 1<<31, do) }
+// scheduleLast plans an event behind all others of its time.
+func (c *clock) scheduleLast(t time.Duration, do func()) { c.push(t, 1<<31, do) }
 
-func (c *clock) plan(t time.Duration, tie uint32, do func()) {
+func (c *clock) push(t time.Duration, tie uint32, do func()) {
 	c.seq++
 	c.heap = append(c.heap, event{max(t, c.now), tie, c.seq, do})
 	h := c.heap
@@ -104,12 +104,12 @@
 	}
 	c.now = e.at
 	c.events++
-	e.do()
+	e.run()
 	return true
 }
 
-// note hands what happened to the log, if one is wanted.
-func (c *clock) note(what string) {
+// logEvent hands what happened to the log, if one is wanted.
+func (c *clock) logEvent(what string) {
 	if c.log != nil {
 		c.log(c.now, what)
 	}
@@ -141,5 +141,5 @@
 		b = append(b, t...)
 		b = append(b, 0)
 	}
-	c.sum.Write(b)
+	c.digestState.Write(b)
 }
--- a/internal/simulation/generate.go
+++ b/internal/simulation/generate.go
@@ -26,39 +26,39 @@
 	return Profile{MaxInstances: 40, MaxBackends: 12, Seconds: 16, Rate: 60, MaxFaults: 8, ScenarioShare: 0.5}
 }
 
-// kind is a trouble that a generator can draw.
-type kind struct {
-	verb   fault.Verb
-	target string // box, boxes, keeper, door, link, studio, plan, all
-	value  func(*rand.Rand) float64
-	most   time.Duration // of its duration
+// faultKind is a trouble that a generator can draw.
+type faultKind struct {
+	verb        fault.Verb
+	target      string // box, boxes, keeper, door, link, studio, plan, all
+	value       func(*rand.Rand) float64
+	maxDuration time.Duration // of its duration
 }
 
-func between(a, b float64) func(*rand.Rand) float64 {
+func uniform(a, b float64) func(*rand.Rand) float64 {
 	return func(r *rand.Rand) float64 { return math.Round((a+(b-a)*r.Float64())*100) / 100 }
 }
 
-var kinds = []kind{
-	{fault.Slow, "boxes", between(1.2, 4), 4 * time.Second},
-	{fault.Slow, "box", between(2, 12), 6 * time.Second},
+var faultKinds = []faultKind{
+	{fault.Slow, "boxes", uniform(1.2, 4), 4 * time.Second},
+	{fault.Slow, "box", uniform(2, 12), 6 * time.Second},
 	{fault.Hang, "box", nil, 5 * time.Second},
-	{fault.Reset, "box", func(r *rand.Rand) float64 { return float64(r.IntN(300)) }, 4 * time.Second},
-	{fault.Lose, "box", nil, 3 * time.Second},
-	{fault.Trail, "box", nil, 3 * time.Second},
-	{fault.ServerErrors, "box", between(0.2, 1), 4 * time.Second},
+	{fault.ResetResponse, "box", func(r *rand.Rand) float64 { return float64(r.IntN(300)) }, 4 * time.Second},
+	{fault.DropResponse, "box", nil, 3 * time.Second},
+	{fault.ExtraResponse, "box", nil, 3 * time.Second},
+	{fault.ServerErrors, "box", uniform(0.2, 1), 4 * time.Second},
 	{fault.Refuse, "box", nil, 4 * time.Second},
-	{fault.FalseReports, "box", between(-2, 8), 5 * time.Second},
+	{fault.FalseReports, "box", uniform(-2, 8), 5 * time.Second},
 	{fault.Stall, "box", nil, 3 * time.Second},
-	{fault.Delay, "box", between(20, 900), 4 * time.Second},
-	{fault.Silent, "keeper", nil, 5 * time.Second},
+	{fault.Delay, "box", uniform(20, 900), 4 * time.Second},
+	{fault.NoReply, "keeper", nil, 5 * time.Second},
 	{fault.Refuse, "keeper", nil, 5 * time.Second},
 	{fault.Stall, "keeper", nil, 3 * time.Second},
-	{fault.Delay, "keeper", between(10, 300), 5 * time.Second},
-	{fault.Empty, "keeper", nil, 0},
-	{fault.Old, "keeper", between(100, 5000), 0},
-	{fault.Part, "keeper", between(0.1, 1), 5 * time.Second},
-	{fault.Split, "keeper", between(0.2, 0.8), 5 * time.Second},
-	{fault.Garble, "keeper", nil, 2 * time.Second},
+	{fault.Delay, "keeper", uniform(10, 300), 5 * time.Second},
+	{fault.ResetTotals, "keeper", nil, 0},
+	{fault.Rollback, "keeper", uniform(100, 5000), 0},
+	{fault.PartialOutage, "keeper", uniform(0.1, 1), 5 * time.Second},
+	{fault.Split, "keeper", uniform(0.2, 0.8), 5 * time.Second},
+	{fault.InvalidReplies, "keeper", nil, 2 * time.Second},
 	{fault.Kill, "keeper", nil, 3 * time.Second},
 	{fault.Kill, "box", nil, 3 * time.Second},
 	{fault.Kill, "door", nil, 3 * time.Second},
@@ -66,23 +66,23 @@
 	{fault.Pause, "box", nil, 3 * time.Second},
 	{fault.Drain, "box", nil, 3 * time.Second},
 	{fault.Replace, "box", nil, 3 * time.Second},
-	{fault.Leave, "box", nil, time.Second},
-	{fault.Torn, "list", nil, 2 * time.Second},
-	{fault.Surge, "all", between(1.2, 3), 4 * time.Second},
-	{fault.Surge, "studio", between(3, 15), 6 * time.Second},
-	{fault.Surge, "plan", between(2, 6), 5 * time.Second},
-	{fault.Move, "all", nil, 0},
-	{fault.Quit, "all", between(0.05, 0.5), 5 * time.Second},
-	{fault.Drip, "all", between(0.02, 0.2), 5 * time.Second},
-	{fault.Noise, "all", between(0.02, 0.3), 5 * time.Second},
+	{fault.Vanish, "box", nil, time.Second},
+	{fault.TornEndpointFile, "list", nil, 2 * time.Second},
+	{fault.Surge, "all", uniform(1.2, 3), 4 * time.Second},
+	{fault.Surge, "studio", uniform(3, 15), 6 * time.Second},
+	{fault.Surge, "plan", uniform(2, 6), 5 * time.Second},
+	{fault.MoveTraffic, "all", nil, 0},
+	{fault.ClientsAbort, "all", uniform(0.05, 0.5), 5 * time.Second},
+	{fault.SlowClients, "all", uniform(0.02, 0.2), 5 * time.Second},
+	{fault.InvalidRequests, "all", uniform(0.02, 0.3), 5 * time.Second},
 	{fault.Partition, "door/box", nil, 7 * time.Second},
 	{fault.Partition, "door/keeper", nil, 4 * time.Second},
-	{fault.Oneway, "door/box", nil, 4 * time.Second},
-	{fault.Oneway, "box/door", nil, 4 * time.Second},
-	{fault.Lag, "door/box", between(1, 120), 5 * time.Second},
-	{fault.Throttle, "door/box", between(2000, 50000), 4 * time.Second},
-	{fault.Deaf, "box", nil, 3 * time.Second},
-	{fault.Descriptors, "door", func(r *rand.Rand) float64 { return float64(2 + r.IntN(20)) }, 3 * time.Second},
+	{fault.OneWayPartition, "door/box", nil, 4 * time.Second},
+	{fault.OneWayPartition, "box/door", nil, 4 * time.Second},
+	{fault.AddedLatency, "door/box", uniform(1, 120), 5 * time.Second},
+	{fault.Throttle, "door/box", uniform(2000, 50000), 4 * time.Second},
+	{fault.NotAccepting, "box", nil, 3 * time.Second},
+	{fault.DescriptorLimit, "door", func(r *rand.Rand) float64 { return float64(2 + r.IntN(20)) }, 3 * time.Second},
 }
 
 // Generate draws a script from a seed. Each seed enables a part of the kinds only (swarm testing: Groce et al., ISSTA
@@ -90,7 +90,7 @@
 func Generate(seed uint64, p Profile) *Script {
 	rng := stream(seed, "generate")
 	s := defaults()
-	s.Seed, s.Number, s.Config = seed, int(seed), p.Config
+	s.Seed, s.WrittenSeed, s.Config = seed, int(seed), p.Config
 	pick := func(xs ...float64) float64 { return xs[rng.IntN(len(xs))] }
 	s.Seconds = math.Round(p.Seconds * (0.5 + rng.Float64()/2))
 	s.Instances = 1 + rng.IntN(4)
@@ -104,23 +104,23 @@
 	s.Rate = math.Round(p.Rate * (0.3 + 0.7*rng.Float64()))
 	s.Net.Latency = strictyaml.Duration(time.Duration(pick(100, 300, 1000, 5000)) * time.Microsecond)
 	s.Net.Jitter = pick(0, 0.3, 1, 3)
-	s.Net.Split = pick(0, 0, 0.1, 0.6, 0.9)
+	s.Net.SplitProbability = pick(0, 0, 0.1, 0.6, 0.9)
 	s.Drift = pick(0, 0, 0.0002, 0.002)
-	s.Clients = Clients{Retries: rng.IntN(4), Pipeline: pick(0, 0.03, 0.2), Fresh: pick(0.02, 0.2, 0.8), Body: int(pick(0, 40, 40, 2000))}
+	s.Clients = Clients{Retries: rng.IntN(4), PipelineShare: pick(0, 0.03, 0.2), NewConnShare: pick(0.02, 0.2, 0.8), MaxBody: int(pick(0, 40, 40, 2000))}
 	n := rng.IntN(p.MaxFaults + 1)
 	if own := stream(seed, "shape"); p.Config == "" && own.Float64() < p.ScenarioShare {
-		s.Scenario = shaped(&s, own)
+		s.Scenario = drawScenario(&s, own)
 		if n = 0; own.IntN(2) == 0 {
 			n = own.IntN(p.MaxFaults/2 + 1)
 		}
 	}
 	if own := stream(seed, "idle"); own.IntN(4) == 0 { // many servers close what idles sooner than a front door does
-		s.Backends.Idle = strictyaml.Duration(time.Duration([]int{1200, 2000, 4000}[own.IntN(3)]) * time.Millisecond)
+		s.Backends.IdleTimeout = strictyaml.Duration(time.Duration([]int{1200, 2000, 4000}[own.IntN(3)]) * time.Millisecond)
 	}
-	var on []kind
+	var on []faultKind
 	for len(on) == 0 {
 		share := rng.Float64()
-		for _, k := range kinds {
+		for _, k := range faultKinds {
 			if rng.Float64() < share {
 				on = append(on, k)
 			}
@@ -128,29 +128,29 @@
 	}
 	for range n {
 		k := on[rng.IntN(len(on))]
-		s.Events = append(s.Events, s.drawTrouble(rng, k))
+		s.Events = append(s.Events, s.drawFault(rng, k))
 	}
 	s.sortEvents()
 	return &s
 }
 
-// drawTrouble draws one of a kind. What follows the first part of a run shows whether service comes back.
-func (s *Script) drawTrouble(rng *rand.Rand, k kind) fault.Event {
-	e := fault.Event{At: time.Duration(rng.Float64()*s.Seconds*calm*1000) * time.Millisecond, Verb: k.verb}
-	if k.most > 0 {
-		e.For = time.Duration(rng.Float64()*float64(k.most)/1e6) * time.Millisecond
-		e.For = max(e.For, 50*time.Millisecond)
+// drawFault draws one of a kind. What follows the first part of a run shows whether service comes back.
+func (s *Script) drawFault(rng *rand.Rand, k faultKind) fault.Event {
+	e := fault.Event{At: time.Duration(rng.Float64()*s.Seconds*faultPeriodShare*1000) * time.Millisecond, Verb: k.verb}
+	if k.maxDuration > 0 {
+		e.Duration = time.Duration(rng.Float64()*float64(k.maxDuration)/1e6) * time.Millisecond
+		e.Duration = max(e.Duration, 50*time.Millisecond)
 	}
 	if k.value != nil {
 		e.Value = k.value(rng)
 	}
-	e.Target = s.draw(rng, k.target)
+	e.Target = s.drawTarget(rng, k.target)
 	return e
 }
 
-const calm = 0.6 // share of a run in which single troubles begin
+const faultPeriodShare = 0.6 // share of a run in which single troubles begin
 
-func (s *Script) draw(rng *rand.Rand, what string) string {
+func (s *Script) drawTarget(rng *rand.Rand, what string) string {
 	box := func() string { return fmt.Sprintf("box-%d", rng.IntN(s.Backends.Count)) }
 	door := func() string { return fmt.Sprintf("door-%d", rng.IntN(s.Instances)) }
 	switch what {
@@ -235,19 +235,19 @@
 			func(c *Script) { c.Backends.Body = 64 },
 			func(c *Script) { c.Backends.Queue = 24 },
 			func(c *Script) { c.Backends.Work = strictyaml.Duration(30 * time.Millisecond) },
-			func(c *Script) { c.Net.Split = 0 },
+			func(c *Script) { c.Net.SplitProbability = 0 },
 			func(c *Script) { c.Net.Jitter = 0 },
 			func(c *Script) { c.Net.Latency = strictyaml.Duration(500 * time.Microsecond) },
 			func(c *Script) { c.Drift = 0 },
 			func(c *Script) { c.Clients.Retries = 0 },
-			func(c *Script) { c.Clients.Pipeline = 0 },
-			func(c *Script) { c.Clients.Fresh = 0 },
-			func(c *Script) { c.Clients.Body = 0 },
+			func(c *Script) { c.Clients.PipelineShare = 0 },
+			func(c *Script) { c.Clients.NewConnShare = 0 },
+			func(c *Script) { c.Clients.MaxBody = 0 },
 		} {
 			again = try(change) || again
 		}
 		for i := range best.Events {
-			again = try(func(c *Script) { c.Events[i].For = (c.Events[i].For / 2).Truncate(time.Millisecond) }) || again
+			again = try(func(c *Script) { c.Events[i].Duration = (c.Events[i].Duration / 2).Truncate(time.Millisecond) }) || again
 			again = try(func(c *Script) { c.Events[i].At = c.Events[i].At.Truncate(time.Second) }) || again
 			again = try(func(c *Script) { c.Events[i].Value = math.Round(c.Events[i].Value) }) || again
 		}
@@ -257,7 +257,7 @@
 
 // Verbs are the troubles that a generator draws.
 func Verbs() (names []string) {
-	for _, k := range kinds {
+	for _, k := range faultKinds {
 		if !slices.Contains(names, string(k.verb)) {
 			names = append(names, string(k.verb))
 		}
@@ -271,7 +271,7 @@
 	names := []string{"answer broken", "answer cut off", "answer flows", "client drips", "client left", "client makes noise", "client quits",
 		"client reset", "client too slow", "dial refused", "line reset", "list broken", "stream silent", "status 200", "status 400", "status 408",
 		"status 413", "status 429", "status 502", "status 503", "status 504", "try served", "try refused", "try failed", "try cut", "try no door", "try left"}
-	names = append(names, wishNames...)
+	names = append(names, effectNames...)
 	for _, v := range Verbs() {
 		names = append(names, "trouble "+v)
 	}
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -10,46 +10,46 @@
 )
 
 const (
-	mostPending = 64 << 10              // bytes that a client has not taken; a flowing answer pauses there
-	loopDelay   = 30 * time.Microsecond // most that a message waits for the core
+	maxUnsentBytes = 64 << 10              // bytes that a client has not taken; a flowing answer pauses there
+	maxLoopDelay   = 30 * time.Microsecond // most that a message waits for the core
 )
 
-// vdoor is a front door in virtual time: the machines of package door, with what package sockets does around them done
+// simInstance is a front door in virtual time: the machines of package door, with what package sockets does around them done
 // inline.
-type vdoor struct {
-	s       *Sim
-	host    *host
-	number  int
-	cfg     *config.Config
-	shared  *proxy.Shared
-	core    *proxy.Instance
-	life    int // counts its processes; what was planned for an earlier one does nothing
-	began   time.Duration
-	drift   float64 // how fast its clock runs
-	queue   []func()
-	wakes   bool
-	tick    time.Duration // the planned one
-	clients []*vclient
-	lines   []*vline
-	keeper  *vkeeperLink
-}
-
-func (d *vdoor) now() time.Duration {
-	return proxy.Start + time.Duration(float64(d.s.now-d.began)*d.drift)
-}
-
-// real turns a time of the door's clock into one of the simulation.
-func (d *vdoor) real(t time.Duration) time.Duration {
-	return d.began + time.Duration(float64(t-proxy.Start)/d.drift) + 1
-}
-
-// guard makes an event of this process only.
-func (d *vdoor) guard(do func()) func() {
-	life := d.life
+type simInstance struct {
+	sim           *Sim
+	host          *host
+	number        int
+	config        *config.Config
+	shared        *proxy.Shared
+	core          *proxy.Instance
+	incarnation   int // counts its processes; what was planned for an earlier one does nothing
+	startedAt     time.Duration
+	clockRate     float64 // how fast its clock runs
+	mailbox       []func()
+	wakeScheduled bool
+	timerAt       time.Duration // the planned one
+	clients       []*instanceClientConn
+	backendConns  []*instanceBackendConn
+	counterConn   *instanceCounterConn
+}
+
+func (d *simInstance) now() time.Duration {
+	return proxy.Start + time.Duration(float64(d.sim.now-d.startedAt)*d.clockRate)
+}
+
+// simTime turns a time of the door's clock into one of the simulation.
+func (d *simInstance) simTime(t time.Duration) time.Duration {
+	return d.startedAt + time.Duration(float64(t-proxy.Start)/d.clockRate) + 1
+}
+
+// thisIncarnation makes an event of this process only.
+func (d *simInstance) thisIncarnation(do func()) func() {
+	life := d.incarnation
 	return func() {
-		if d.life == life && d.host.alive {
+		if d.incarnation == life && d.host.alive {
 			d.host.run(func() {
-				if d.life == life && d.host.alive {
+				if d.incarnation == life && d.host.alive {
 					do()
 				}
 			})
@@ -58,567 +58,569 @@
 }
 
 // start begins a process.
-func (d *vdoor) start(seed uint64) {
-	d.life++
-	d.began = d.s.now
-	d.shared = &proxy.Shared{Config: d.cfg, Protocol: proxy.NewConfiguredProtocol(d.cfg, fmt.Sprintf("sandyard-%d", d.number))}
-	d.queue, d.wakes, d.tick, d.clients, d.lines, d.keeper = nil, false, 0, nil, nil, nil
+func (d *simInstance) start(seed uint64) {
+	d.incarnation++
+	d.startedAt = d.sim.now
+	d.shared = &proxy.Shared{Config: d.config, Protocol: proxy.NewConfiguredProtocol(d.config, fmt.Sprintf("sandyard-%d", d.number))}
+	d.mailbox, d.wakeScheduled, d.timerAt, d.clients, d.backendConns, d.counterConn = nil, false, 0, nil, nil, nil
 	core, err := proxy.NewInstance(d.shared, seed, d.now())
 	if err != nil {
 		panic(err) // the configuration was checked
 	}
 	d.core = core
-	if r := d.s.opt.Record; r != nil {
-		core.Record = r(d.number, d.cfg, seed)
+	if r := d.sim.options.Record; r != nil {
+		core.Record = r(d.number, d.config, seed)
 		core.Record(core.FirstStep(d.now()))
 	}
-	d.host.alive, d.host.paused, d.host.deaf = true, false, false
+	d.host.alive, d.host.paused, d.host.notAccepting = true, false, false
 	d.host.accept = d.accept
-	d.carryOut()
-	d.readList()
+	d.applyEffects()
+	d.pollEndpoints()
 }
 
-func (d *vdoor) kill() {
-	d.life++
-	d.s.net.kill(d.host)
-	d.clients, d.lines, d.keeper = nil, nil, nil
+func (d *simInstance) kill() {
+	d.incarnation++
+	d.sim.network.kill(d.host)
+	d.clients, d.backendConns, d.counterConn = nil, nil, nil
 }
 
 // post hands a message to the core, a moment later, as a queue between goroutines does.
-func (d *vdoor) post(do func()) {
-	d.queue = append(d.queue, do)
-	if !d.wakes {
-		d.wakes = true
-		d.s.after(time.Duration(d.s.net.rng.Int64N(int64(loopDelay))), d.guard(func() {
-			d.wakes = false
-			q := d.queue
-			d.queue = nil
+func (d *simInstance) post(do func()) {
+	d.mailbox = append(d.mailbox, do)
+	if !d.wakeScheduled {
+		d.wakeScheduled = true
+		d.sim.scheduleAfter(time.Duration(d.sim.network.rng.Int64N(int64(maxLoopDelay))), d.thisIncarnation(func() {
+			d.wakeScheduled = false
+			q := d.mailbox
+			d.mailbox = nil
 			for _, do := range q {
 				do()
-				d.carryOut()
+				d.applyEffects()
 			}
 			if d.core.NextTimer() <= d.now() {
 				d.core.Tick(d.now())
-				d.carryOut()
+				d.applyEffects()
 			}
 		}))
 	}
 }
 
-func (d *vdoor) carryOut() {
+func (d *simInstance) applyEffects() {
 	for more := true; more; {
 		more = false
 		for _, w := range d.core.Effects() {
 			more = true
-			d.s.reach(wishNames[w.Kind])
+			d.sim.cover(effectNames[w.Kind])
 			switch w.Kind {
 			case proxy.DialBackend:
-				d.dial(w.Conn)
+				d.dialBackend(w.Conn)
 			case proxy.WriteAttempt:
-				w.Conn.Owner.(*vline).write(w.Exchange, w.Bytes)
+				w.Conn.Owner.(*instanceBackendConn).writeAttempt(w.Exchange, w.Bytes)
 			case proxy.CloseBackend:
-				w.Conn.Owner.(*vline).hang()
+				w.Conn.Owner.(*instanceBackendConn).abandon()
 			case proxy.Respond:
-				d.s.reach(fmt.Sprintf("answer %d", w.Exchange.Status))
-				w.Exchange.Owner.(*vclient).answered(w.Exchange, w.Bytes, false, w.Closes)
+				d.sim.cover(fmt.Sprintf("answer %d", w.Exchange.Status))
+				w.Exchange.Owner.(*instanceClientConn).respond(w.Exchange, w.Bytes, false, w.Closes)
 			case proxy.StreamResponse:
-				w.Exchange.Owner.(*vclient).answered(w.Exchange, w.Bytes, true, w.Closes)
-				w.Conn.Owner.(*vline).granted()
+				w.Exchange.Owner.(*instanceClientConn).respond(w.Exchange, w.Bytes, true, w.Closes)
+				w.Conn.Owner.(*instanceBackendConn).grantStream()
 			case proxy.AbortClient:
-				w.Exchange.Owner.(*vclient).relay(w.Exchange, nil, false, true)
+				w.Exchange.Owner.(*instanceClientConn).relay(w.Exchange, nil, false, true)
 			case proxy.DialCounter:
-				d.dialKeeper(w.Addr)
+				d.dialCounter(w.Addr)
 			case proxy.WriteCounter:
-				d.keeper.send(w.Bytes)
+				d.counterConn.write(w.Bytes)
 			case proxy.CloseCounter:
-				d.keeper.hang()
-				d.keeper = nil
+				d.counterConn.abandon()
+				d.counterConn = nil
 			case proxy.PollEndpoints:
-				d.readList()
+				d.pollEndpoints()
 			}
 		}
 	}
-	if next := d.core.NextTimer(); d.tick == 0 || next < d.tick {
-		d.tick = next
-		d.s.at(d.real(next), d.guard(func() {
+	if next := d.core.NextTimer(); d.timerAt == 0 || next < d.timerAt {
+		d.timerAt = next
+		d.sim.schedule(d.simTime(next), d.thisIncarnation(func() {
 			if d.core.NextTimer() > d.now() {
-				d.tick = 0
-				d.carryOut()
+				d.timerAt = 0
+				d.applyEffects()
 				return
 			}
-			d.tick = 0
+			d.timerAt = 0
 			d.core.Tick(d.now())
-			d.carryOut()
+			d.applyEffects()
 		}))
 	}
 }
 
-// readList reads the list as its file is now. A file that can't be read leaves the list as it was.
-func (d *vdoor) readList() {
-	boxes, err := d.s.parsed()
+// pollEndpoints reads the list as its file is now. A file that can't be read leaves the list as it was.
+func (d *simInstance) pollEndpoints() {
+	boxes, err := d.sim.parseEndpoints()
 	d.post(func() {
 		if err != nil {
-			d.s.reach("list broken")
+			d.sim.cover("list broken")
 			d.core.EndpointPollFailed(d.now())
 			return
 		}
-		d.s.toldList(d, boxes)
-		d.core.ReplaceEndpoints(d.now(), boxes, epoch.Add(d.s.now-d.now()))
+		d.sim.recordEndpointView(d, boxes)
+		d.core.ReplaceEndpoints(d.now(), boxes, epoch.Add(d.sim.now-d.now()))
 	})
 }
 
 // epoch is the calendar time at which virtual time is zero.
 var epoch = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-var wishNames = func() (names []string) {
+var effectNames = func() (names []string) {
 	for k := proxy.DialBackend; k <= proxy.PollEndpoints; k++ {
 		names = append(names, "wish "+k.String())
 	}
 	return names
 }()
 
-// vclient is a client's connection at its door.
-type vclient struct {
-	d       *vdoor
-	e       *end
-	m       *proxy.ClientConn
-	out     []byte
-	gone    bool
-	armed   time.Duration
-	stuck   time.Duration // since when nothing of out was taken
-	source  *vline        // whose answer flows
-	lingers bool          // all is written; what still comes is read and dropped
-}
-
-func (d *vdoor) accept(e *end) {
-	if d.shared.Clients.Add(1) > int64(d.cfg.Limits.Connections) {
+// instanceClientConn is a client's connection at its door.
+type instanceClientConn struct {
+	instance     *simInstance
+	conn         *netConn
+	machine      *proxy.ClientConn
+	unsent       []byte
+	done         bool
+	deadlineAt   time.Duration
+	blockedSince time.Duration        // since when nothing of out was taken
+	streamSource *instanceBackendConn // whose answer flows
+	lingering    bool                 // all is written; what still comes is read and dropped
+}
+
+func (d *simInstance) accept(e *netConn) {
+	if d.shared.Clients.Add(1) > int64(d.config.Limits.Connections) {
 		d.shared.Clients.Add(-1)
-		d.s.reach("connection turned away")
-		e.peer.turned = true
+		d.sim.cover("connection turned away")
+		e.peer.tooManyConns = true
 		e.write(d.shared.TooManyConnections())
 		e.close(false)
 		return
 	}
-	c := &vclient{d: d, e: e}
-	c.m = proxy.NewClientConn(d.shared, c, "192.0.2.1", d.now())
-	e.owner = c
+	c := &instanceClientConn{instance: d, conn: e}
+	c.machine = proxy.NewClientConn(d.shared, c, "192.0.2.1", d.now())
+	e.handler = c
 	d.clients = append(d.clients, c)
-	c.arm()
+	c.armDeadline()
 }
 
-func (c *vclient) arm() {
-	d := c.m.Deadline()
-	if d == 0 || c.armed != 0 && c.armed <= d {
+func (c *instanceClientConn) armDeadline() {
+	d := c.machine.Deadline()
+	if d == 0 || c.deadlineAt != 0 && c.deadlineAt <= d {
 		return
 	}
-	c.armed = d
-	c.d.s.at(c.d.real(d), c.d.guard(func() {
-		if c.gone || c.armed != d {
+	c.deadlineAt = d
+	c.instance.sim.schedule(c.instance.simTime(d), c.instance.thisIncarnation(func() {
+		if c.done || c.deadlineAt != d {
 			return
 		}
-		c.armed = 0
-		c.m.Expired(c.d.now())
-		c.after(nil)
+		c.deadlineAt = 0
+		c.machine.Expired(c.instance.now())
+		c.proceed(nil)
 	}))
 }
 
-func (c *vclient) readable(*end) {
-	for !c.gone && len(c.e.inbox) > 0 && len(c.out) <= mostPending {
-		if closes, _ := c.m.Closing(); closes {
-			c.e.read() // what comes after the last answer is dropped
+func (c *instanceClientConn) readable(*netConn) {
+	for !c.done && len(c.conn.received) > 0 && len(c.unsent) <= maxUnsentBytes {
+		if closes, _ := c.machine.Closing(); closes {
+			c.conn.read() // what comes after the last answer is dropped
 			return
 		}
-		c.after(c.m.Feed(c.d.now(), c.e.read()))
+		c.proceed(c.machine.Feed(c.instance.now(), c.conn.read()))
 	}
 }
 
-func (c *vclient) closed(_ *end, reset bool) {
+func (c *instanceClientConn) closed(_ *netConn, reset bool) {
 	if reset {
-		c.d.s.reach("client reset")
+		c.instance.sim.cover("client reset")
 	}
-	c.leave()
+	c.disconnect()
 }
 
-func (c *vclient) leave() {
-	if c.gone {
+func (c *instanceClientConn) disconnect() {
+	if c.done {
 		return
 	}
-	ex := c.m.Gone()
-	c.end(true)
+	ex := c.machine.Gone()
+	c.close(true)
 	if ex != nil {
-		c.d.s.reach("client left")
-		c.d.post(func() { c.d.core.ClientLeft(c.d.now(), ex) })
+		c.instance.sim.cover("client left")
+		c.instance.post(func() { c.instance.core.ClientLeft(c.instance.now(), ex) })
 	}
 }
 
-func (c *vclient) end(reset bool) {
-	if c.gone {
+func (c *instanceClientConn) close(reset bool) {
+	if c.done {
 		return
 	}
-	c.gone = true
-	c.e.close(reset)
-	c.d.shared.Clients.Add(-1)
-	for i, o := range c.d.clients {
+	c.done = true
+	c.conn.close(reset)
+	c.instance.shared.Clients.Add(-1)
+	for i, o := range c.instance.clients {
 		if o == c {
-			c.d.clients = append(c.d.clients[:i], c.d.clients[i+1:]...)
+			c.instance.clients = append(c.instance.clients[:i], c.instance.clients[i+1:]...)
 			break
 		}
 	}
-	if c.source != nil {
-		c.source.readable(nil)
+	if c.streamSource != nil {
+		c.streamSource.readable(nil)
 	}
 }
 
-func (c *vclient) writable(*end) { c.after(nil); c.readable(nil) }
+func (c *instanceClientConn) writable(*netConn) { c.proceed(nil); c.readable(nil) }
 
-// after carries out what the machine wants.
-func (c *vclient) after(ex *proxy.Exchange) {
-	for !c.gone {
+// proceed carries out what the machine wants.
+func (c *instanceClientConn) proceed(ex *proxy.Exchange) {
+	for !c.done {
 		if ex != nil {
 			ex := ex
-			c.d.post(func() { c.d.core.RequestArrived(c.d.now(), ex) })
+			c.instance.post(func() { c.instance.core.RequestArrived(c.instance.now(), ex) })
 		}
-		for _, status := range c.m.OwnStatuses {
-			c.d.s.reach("own answer " + strconv.Itoa(status))
+		for _, status := range c.machine.OwnStatuses {
+			c.instance.sim.cover("own answer " + strconv.Itoa(status))
 		}
-		c.m.OwnStatuses = c.m.OwnStatuses[:0]
-		if all := len(c.out) + len(c.m.Out); all > 0 {
-			c.out = c.e.flow(c.out, c.m.Out)
-			c.m.Out = c.m.Out[:0]
-			if len(c.out) < all {
-				c.stuck = c.d.s.now
+		c.machine.OwnStatuses = c.machine.OwnStatuses[:0]
+		if all := len(c.unsent) + len(c.machine.Out); all > 0 {
+			c.unsent = c.conn.writeBuffered(c.unsent, c.machine.Out)
+			c.machine.Out = c.machine.Out[:0]
+			if len(c.unsent) < all {
+				c.blockedSince = c.instance.sim.now
 			}
 		}
-		if len(c.out) > 0 {
-			c.watch()
+		if len(c.unsent) > 0 {
+			c.watchWrite()
 			break
 		}
-		if c.source != nil {
-			c.source.readable(nil)
+		if c.streamSource != nil {
+			c.streamSource.readable(nil)
 		}
-		if closes, linger := c.m.Closing(); closes {
-			if linger && !c.m.Aborts() { // what still comes is read and dropped for a while
-				if !c.lingers {
-					c.lingers = true
-					c.e.finish()
-					c.d.s.after(time.Second, c.d.guard(func() { c.end(false) }))
+		if closes, linger := c.machine.Closing(); closes {
+			if linger && !c.machine.Aborts() { // what still comes is read and dropped for a while
+				if !c.lingering {
+					c.lingering = true
+					c.conn.closeWrite()
+					c.instance.sim.scheduleAfter(time.Second, c.instance.thisIncarnation(func() { c.close(false) }))
 				}
-				c.e.read()
+				c.conn.read()
 			} else {
-				c.end(c.m.Aborts())
+				c.close(c.machine.Aborts())
 			}
 			return
 		}
 		if ex != nil {
 			break
 		}
-		if ex = c.m.Resume(c.d.now()); ex == nil && len(c.m.Out) == 0 {
-			if closes, _ := c.m.Closing(); !closes {
+		if ex = c.machine.Resume(c.instance.now()); ex == nil && len(c.machine.Out) == 0 {
+			if closes, _ := c.machine.Closing(); !closes {
 				break
 			}
 		}
 	}
-	if !c.gone {
-		c.arm()
+	if !c.done {
+		c.armDeadline()
 	}
 }
 
-// watch cuts off a client that takes nothing for limits.write-timeout.
-func (c *vclient) watch() {
-	since := c.stuck
-	c.d.s.after(time.Duration(c.d.cfg.Limits.WriteTimeout), c.d.guard(func() {
-		if !c.gone && len(c.out) > 0 && c.stuck == since {
-			c.d.s.reach("client too slow")
-			c.leave()
+// watchWrite cuts off a client that takes nothing for limits.write-timeout.
+func (c *instanceClientConn) watchWrite() {
+	since := c.blockedSince
+	c.instance.sim.scheduleAfter(time.Duration(c.instance.config.Limits.WriteTimeout), c.instance.thisIncarnation(func() {
+		if !c.done && len(c.unsent) > 0 && c.blockedSince == since {
+			c.instance.sim.cover("client too slow")
+			c.disconnect()
 		}
 	}))
 }
 
-func (c *vclient) answered(ex *proxy.Exchange, b []byte, more, closes bool) {
-	if c.gone {
+func (c *instanceClientConn) respond(ex *proxy.Exchange, b []byte, more, closes bool) {
+	if c.done {
 		return
 	}
-	c.m.Answered(c.d.now(), ex, b, more, closes)
-	c.after(nil)
+	c.machine.Answered(c.instance.now(), ex, b, more, closes)
+	c.proceed(nil)
 	c.readable(nil)
 }
 
-func (c *vclient) relay(ex *proxy.Exchange, b []byte, end, broken bool) {
-	if c.gone {
+func (c *instanceClientConn) relay(ex *proxy.Exchange, b []byte, end, broken bool) {
+	if c.done {
 		return
 	}
-	c.m.Relay(c.d.now(), ex, b, end, broken)
+	c.machine.Relay(c.instance.now(), ex, b, end, broken)
 	if broken {
-		c.d.s.reach("answer cut off")
+		c.instance.sim.cover("answer cut off")
 	}
-	c.after(nil)
+	c.proceed(nil)
 	c.readable(nil)
 }
 
-// vline is a connection to a box at its door.
-type vline struct {
-	d       *vdoor
-	line    *proxy.BackendConn
-	m       *proxy.ResponseReader
-	ask     *pending
-	e       *end
-	ex      *proxy.Exchange
-	out     []byte
-	dead    bool
-	waits   bool // for a grant
-	flows   bool
-	silence time.Duration
+// instanceBackendConn is a connection to a box at its door.
+type instanceBackendConn struct {
+	instance    *simInstance
+	backendConn *proxy.BackendConn
+	reader      *proxy.ResponseReader
+	dialing     *dialing
+	conn        *netConn
+	exchange    *proxy.Exchange
+	unsent      []byte
+	done        bool
+	awaitsGrant bool // for a grant
+	streaming   bool
+	lastDataAt  time.Duration
 }
 
-func (d *vdoor) dial(l *proxy.BackendConn) {
-	v := &vline{d: d, line: l, m: proxy.NewResponseReader(d.shared)}
+func (d *simInstance) dialBackend(l *proxy.BackendConn) {
+	v := &instanceBackendConn{instance: d, backendConn: l, reader: proxy.NewResponseReader(d.shared)}
 	l.Owner = v
-	d.lines = append(d.lines, v)
-	v.ask = d.s.net.dial(d.host, l.Addr, v, d.connected(v))
+	d.backendConns = append(d.backendConns, v)
+	v.dialing = d.sim.network.dial(d.host, l.Addr, v, d.backendDialed(v))
 }
 
-func (d *vdoor) connected(v *vline) func(*end, bool) {
-	life := d.life
-	return func(e *end, ok bool) {
+func (d *simInstance) backendDialed(v *instanceBackendConn) func(*netConn, bool) {
+	life := d.incarnation
+	return func(e *netConn, ok bool) {
 		switch {
-		case life != d.life || v.dead:
+		case life != d.incarnation || v.done:
 			if e != nil {
 				e.close(true)
 			}
 		case !ok:
-			d.s.reach("dial refused")
-			v.lost(true)
+			d.sim.cover("dial refused")
+			v.fail(true)
 		default:
-			v.e = e
-			d.post(func() { d.core.BackendConnected(d.now(), v.line) })
+			v.conn = e
+			d.post(func() { d.core.BackendConnected(d.now(), v.backendConn) })
 		}
 	}
 }
 
-func (v *vline) forget() {
-	for i, o := range v.d.lines {
+func (v *instanceBackendConn) remove() {
+	for i, o := range v.instance.backendConns {
 		if o == v {
-			v.d.lines = append(v.d.lines[:i], v.d.lines[i+1:]...)
+			v.instance.backendConns = append(v.instance.backendConns[:i], v.instance.backendConns[i+1:]...)
 			break
 		}
 	}
-	if v.e != nil {
-		v.e.close(true)
+	if v.conn != nil {
+		v.conn.close(true)
 	}
 }
 
-func (v *vline) lost(unsent bool) {
-	if v.dead {
+func (v *instanceBackendConn) fail(unsent bool) {
+	if v.done {
 		return
 	}
-	if v.ex != nil && !unsent {
-		v.got(v.m.Lost())
+	if v.exchange != nil && !unsent {
+		v.handleResponse(v.reader.Lost())
 		return
 	}
-	v.dead = true
-	unsent = unsent || v.ex == nil
-	v.forget()
-	v.d.post(func() { v.d.core.BackendDisconnected(v.d.now(), v.line, unsent) })
+	v.done = true
+	unsent = unsent || v.exchange == nil
+	v.remove()
+	v.instance.post(func() { v.instance.core.BackendDisconnected(v.instance.now(), v.backendConn, unsent) })
 }
 
-func (v *vline) write(ex *proxy.Exchange, wire []byte) {
-	if v.dead {
+func (v *instanceBackendConn) writeAttempt(ex *proxy.Exchange, wire []byte) {
+	if v.done {
 		return
 	}
-	v.m.Expect(ex)
-	v.ex = ex
-	v.e.began = v.d.s.now
-	v.out = append(v.out, wire...)
+	v.reader.Expect(ex)
+	v.exchange = ex
+	v.conn.messageBegan = v.instance.sim.now
+	v.unsent = append(v.unsent, wire...)
 	v.writable(nil)
 }
 
-func (v *vline) writable(*end) {
-	v.out = v.e.flow(v.out, nil)
+func (v *instanceBackendConn) writable(*netConn) {
+	v.unsent = v.conn.writeBuffered(v.unsent, nil)
 }
 
-func (v *vline) hang() {
-	if v.dead {
+func (v *instanceBackendConn) abandon() {
+	if v.done {
 		return
 	}
-	v.dead, v.ex = true, nil
-	if v.ask != nil {
-		v.ask.off = v.ask.off || v.e == nil
+	v.done, v.exchange = true, nil
+	if v.dialing != nil {
+		v.dialing.ended = v.dialing.ended || v.conn == nil
 	}
-	v.forget()
+	v.remove()
 }
 
-func (v *vline) granted() {
-	if v.dead {
+func (v *instanceBackendConn) grantStream() {
+	if v.done {
 		return
 	}
-	v.waits, v.flows = false, true
-	v.ex.Owner.(*vclient).source = v
-	v.alarm()
+	v.awaitsGrant, v.streaming = false, true
+	v.exchange.Owner.(*instanceClientConn).streamSource = v
+	v.watchSilence()
 	v.readable(nil)
 }
 
-// alarm cuts a flowing answer off whose box is silent for limits.stream-silence.
-func (v *vline) alarm() {
-	v.silence = v.d.s.now
-	since := v.silence
-	v.d.s.after(time.Duration(v.d.cfg.Limits.StreamIdleTimeout), v.d.guard(func() {
-		if !v.dead && v.flows && v.silence == since && len(v.e.inbox) == 0 {
-			v.d.s.reach("stream silent")
-			v.lost(false)
+// watchSilence cuts a flowing answer off whose box is silent for limits.stream-silence.
+func (v *instanceBackendConn) watchSilence() {
+	v.lastDataAt = v.instance.sim.now
+	since := v.lastDataAt
+	v.instance.sim.scheduleAfter(time.Duration(v.instance.config.Limits.StreamIdleTimeout), v.instance.thisIncarnation(func() {
+		if !v.done && v.streaming && v.lastDataAt == since && len(v.conn.received) == 0 {
+			v.instance.sim.cover("stream silent")
+			v.fail(false)
 		}
 	}))
 }
 
-func (v *vline) readable(*end) {
-	for !v.dead && !v.waits && v.e != nil && len(v.e.inbox) > 0 {
-		if v.flows {
-			if c := v.ex.Owner.(*vclient); len(c.out) > mostPending && !c.gone {
+func (v *instanceBackendConn) readable(*netConn) {
+	for !v.done && !v.awaitsGrant && v.conn != nil && len(v.conn.received) > 0 {
+		if v.streaming {
+			if c := v.exchange.Owner.(*instanceClientConn); len(c.unsent) > maxUnsentBytes && !c.done {
 				return // until the client has taken some
 			}
 		}
-		v.got(v.m.Feed(v.e.read()))
+		v.handleResponse(v.reader.Feed(v.conn.read()))
 	}
-	if !v.dead && !v.waits && v.e != nil && len(v.e.inbox) == 0 && v.e.over {
-		v.eof()
+	if !v.done && !v.awaitsGrant && v.conn != nil && len(v.conn.received) == 0 && v.conn.peerClosed {
+		v.endOfStream()
 	}
 }
 
-func (v *vline) eof() {
-	if v.ex == nil {
-		v.lost(false)
+func (v *instanceBackendConn) endOfStream() {
+	if v.exchange == nil {
+		v.fail(false)
 		return
 	}
-	v.got(v.m.EOF())
-	if !v.dead {
-		v.lost(false)
+	v.handleResponse(v.reader.EOF())
+	if !v.done {
+		v.fail(false)
 	}
 }
 
-func (v *vline) closed(_ *end, reset bool) {
+func (v *instanceBackendConn) closed(_ *netConn, reset bool) {
 	switch {
 	case reset:
-		v.d.s.reach("line reset")
-		v.lost(false)
+		v.instance.sim.cover("line reset")
+		v.fail(false)
 	default:
 		v.readable(nil)
 	}
 }
 
-func (v *vline) got(a proxy.Response) {
-	ex := v.ex
-	tell := func() { v.d.post(func() { v.d.core.ResponseReceived(v.d.now(), v.line, &a) }) }
+func (v *instanceBackendConn) handleResponse(a proxy.Response) {
+	ex := v.exchange
+	tell := func() {
+		v.instance.post(func() { v.instance.core.ResponseReceived(v.instance.now(), v.backendConn, &a) })
+	}
 	switch a.Kind {
 	case proxy.Complete:
-		v.ex = nil
+		v.exchange = nil
 		tell()
 	case proxy.Started:
-		v.d.s.reach("answer flows")
-		v.waits = true
+		v.instance.sim.cover("answer flows")
+		v.awaitsGrant = true
 		tell()
 	case proxy.Continued:
-		v.alarm()
-		ex.Owner.(*vclient).relay(ex, a.Bytes, false, false)
+		v.watchSilence()
+		ex.Owner.(*instanceClientConn).relay(ex, a.Bytes, false, false)
 	case proxy.Ended:
-		v.ex, v.flows = nil, false
-		c := ex.Owner.(*vclient)
-		c.source = nil
+		v.exchange, v.streaming = nil, false
+		c := ex.Owner.(*instanceClientConn)
+		c.streamSource = nil
 		c.relay(ex, a.Bytes, true, false)
 		tell()
 	case proxy.Malformed:
-		v.d.s.reach("answer broken")
-		v.ex, v.dead = nil, true
-		v.forget()
+		v.instance.sim.cover("answer broken")
+		v.exchange, v.done = nil, true
+		v.remove()
 		tell()
 	}
 }
 
-// vkeeperLink is a door's connection to the keeper.
-type vkeeperLink struct {
-	d    *vdoor
-	e    *end
-	ask  *pending
-	out  []byte
-	dead bool
+// instanceCounterConn is a door's connection to the keeper.
+type instanceCounterConn struct {
+	instance *simInstance
+	conn     *netConn
+	dialing  *dialing
+	unsent   []byte
+	done     bool
 }
 
-func (d *vdoor) dialKeeper(addr string) {
-	k := &vkeeperLink{d: d}
-	d.keeper = k
-	life := d.life
-	k.ask = d.s.net.dial(d.host, addr, k, func(e *end, ok bool) {
+func (d *simInstance) dialCounter(addr string) {
+	k := &instanceCounterConn{instance: d}
+	d.counterConn = k
+	life := d.incarnation
+	k.dialing = d.sim.network.dial(d.host, addr, k, func(e *netConn, ok bool) {
 		switch {
-		case life != d.life || k.dead:
+		case life != d.incarnation || k.done:
 			if e != nil {
 				e.close(true)
 			}
 		case !ok:
-			k.lost()
+			k.fail()
 		default:
-			k.e = e
+			k.conn = e
 			d.post(func() {
-				if d.keeper == k {
+				if d.counterConn == k {
 					d.core.CounterConnected(d.now())
 				}
 			})
 		}
 	})
-	d.s.after(time.Second, d.guard(func() {
-		if k.e == nil && !k.dead {
-			k.ask.off = true
-			k.lost()
+	d.sim.scheduleAfter(time.Second, d.thisIncarnation(func() {
+		if k.conn == nil && !k.done {
+			k.dialing.ended = true
+			k.fail()
 		}
 	}))
 }
 
-func (k *vkeeperLink) lost() {
-	if k.dead {
+func (k *instanceCounterConn) fail() {
+	if k.done {
 		return
 	}
-	k.dead = true
-	if k.e != nil {
-		k.e.close(true)
+	k.done = true
+	if k.conn != nil {
+		k.conn.close(true)
 	}
-	d := k.d
+	d := k.instance
 	d.post(func() {
-		if d.keeper == k {
-			d.keeper = nil
+		if d.counterConn == k {
+			d.counterConn = nil
 			d.core.CounterDisconnected(d.now())
 		}
 	})
 }
 
-func (k *vkeeperLink) send(b []byte) {
-	if k.dead || k.e == nil {
+func (k *instanceCounterConn) write(b []byte) {
+	if k.done || k.conn == nil {
 		return
 	}
-	k.out = append(k.out, b...)
+	k.unsent = append(k.unsent, b...)
 	k.writable(nil)
 }
 
-func (k *vkeeperLink) hang() {
-	k.dead = true
-	if k.e != nil {
-		k.e.close(true)
+func (k *instanceCounterConn) abandon() {
+	k.done = true
+	if k.conn != nil {
+		k.conn.close(true)
 	} else {
-		k.ask.off = true
+		k.dialing.ended = true
 	}
 }
 
-func (k *vkeeperLink) writable(*end) {
-	k.out = k.e.flow(k.out, nil)
+func (k *instanceCounterConn) writable(*netConn) {
+	k.unsent = k.conn.writeBuffered(k.unsent, nil)
 }
 
-func (k *vkeeperLink) readable(*end) {
-	if k.dead {
+func (k *instanceCounterConn) readable(*netConn) {
+	if k.done {
 		return
 	}
-	b := k.e.read()
-	d := k.d
+	b := k.conn.read()
+	d := k.instance
 	d.post(func() {
-		if d.keeper == k {
+		if d.counterConn == k {
 			d.core.CounterReceived(d.now(), b)
 		}
 	})
 }
 
-func (k *vkeeperLink) closed(*end, bool) { k.lost() }
+func (k *instanceCounterConn) closed(*netConn, bool) { k.fail() }
--- a/internal/simulation/peers.go
+++ b/internal/simulation/peers.go
@@ -11,299 +11,299 @@
 	"sandyard/invariant"
 )
 
-// vbox is a stand-in box in virtual time.
-type vbox struct {
-	s      *Sim
-	host   *host
-	name   string
-	number int
-	addr   string
-	state  string // in the list
-	since  time.Duration
-	cold   bool
-	box    *emulator.Backend
-	conns  []*vboxConn
-	next   time.Duration
-	life   int
-	trails bool
+// simBackend is a stand-in box in virtual time.
+type simBackend struct {
+	sim            *Sim
+	host           *host
+	name           string
+	number         int
+	address        string
+	listedState    string // in the list
+	startedAt      time.Duration
+	startedCold    bool
+	model          *emulator.Backend
+	conns          []*simBackendConn
+	nextWake       time.Duration
+	incarnation    int
+	extraResponses bool
 }
 
-type vboxConn struct {
-	b    *vbox
-	e    *end
-	c    *emulator.BackendConn
-	out  []byte
-	done bool
-	door int
-	used time.Duration // when bytes last came or went
+type simBackendConn struct {
+	backend  *simBackend
+	conn     *netConn
+	model    *emulator.BackendConn
+	unsent   []byte
+	done     bool
+	instance int
+	lastUsed time.Duration // when bytes last came or went
 }
 
 // start begins a process; one that is started while the day runs is cold.
-func (b *vbox) start(cold bool) {
-	s := b.s
-	b.life++
-	b.cold, b.since, b.next = cold, s.now, 0
+func (b *simBackend) start(cold bool) {
+	s := b.sim
+	b.incarnation++
+	b.startedCold, b.startedAt, b.nextWake = cold, s.now, 0
 	p := s.script.Backends
 	c := emulator.BackendConfig{Name: b.name, Cores: p.Cores, Queue: p.Queue, Work: time.Duration(p.Work), Spread: 0.8, Body: p.Body,
-		KeyTTL: 2 * s.keyTTL, Seed: s.script.Seed*1000 + uint64(len(b.name)) + uint64(b.life)}
-	set := s.cfg.Settings
+		KeyTTL: 2 * s.keyTTL, Seed: s.script.Seed*1000 + uint64(len(b.name)) + uint64(b.incarnation)}
+	set := s.config.Settings
 	if cold {
 		c.ColdShare, c.ColdTime = set.SlowStartShare, set.SlowStartTime
 		c.OverloadFactor, c.OverloadTime = set.OverloadFactor, set.OverloadTime
-		s.check.BackendStarted(b.name, s.now)
+		s.checker.BackendStarted(b.name, s.now)
 	}
-	b.box = emulator.NewBackend(c, s.now)
-	b.box.Facts = b.fact
+	b.model = emulator.NewBackend(c, s.now)
+	b.model.Facts = b.recordFact
 	b.conns = nil
 	b.host.alive, b.host.paused = true, false
-	b.host.accept = b.accepted
+	b.host.accept = b.acceptConn
 }
 
-// accepted takes a connection in.
-func (b *vbox) accepted(e *end) {
-	c := &vboxConn{b: b, e: e, c: b.box.NewConn(), door: b.s.doorOf(e.peer.host), used: b.s.now}
-	e.owner = c
+// acceptConn takes a connection in.
+func (b *simBackend) acceptConn(e *netConn) {
+	c := &simBackendConn{backend: b, conn: e, model: b.model.NewConn(), instance: b.sim.instanceOf(e.peer.host), lastUsed: b.sim.now}
+	e.handler = c
 	b.conns = append(b.conns, c)
-	if idle := time.Duration(b.s.script.Backends.Idle); idle > 0 {
-		b.s.after(idle, func() { c.idles(idle) })
+	if idle := time.Duration(b.sim.script.Backends.IdleTimeout); idle > 0 {
+		b.sim.scheduleAfter(idle, func() { c.closeIfIdle(idle) })
 	}
 }
 
-// idles closes a connection on which nothing has happened for a while, as servers do; a request may be on its way then.
-func (c *vboxConn) idles(after time.Duration) {
-	if c.done || c.e.shut { // shut: by a kill of the box's process
+// closeIfIdle closes a connection on which nothing has happened for a while, as servers do; a request may be on its way then.
+func (c *simBackendConn) closeIfIdle(after time.Duration) {
+	if c.done || c.conn.closed { // shut: by a kill of the box's process
 		return
 	}
-	if left := c.used + after - c.b.s.now; left > 0 || c.c.Waits() {
-		c.b.s.after(max(left, after/2), func() { c.idles(after) })
+	if left := c.lastUsed + after - c.backend.sim.now; left > 0 || c.model.Busy() {
+		c.backend.sim.scheduleAfter(max(left, after/2), func() { c.closeIfIdle(after) })
 		return
 	}
-	c.b.host.run(func() {
-		if !c.done && !c.e.shut && len(c.e.inbox) == 0 && !c.c.Waits() {
-			c.b.s.reach("box closed idle line")
-			c.end(false)
+	c.backend.host.run(func() {
+		if !c.done && !c.conn.closed && len(c.conn.received) == 0 && !c.model.Busy() {
+			c.backend.sim.cover("box closed idle line")
+			c.close(false)
 		}
 	})
 }
 
-func (b *vbox) fact(f emulator.Fact) {
-	s := b.s
-	s.note(string(f.Kind) + " " + f.ID + " " + f.Backend)
+func (b *simBackend) recordFact(f emulator.Fact) {
+	s := b.sim
+	s.logEvent(string(f.Kind) + " " + f.ID + " " + f.Backend)
 	s.digest(backendFact, nil, string(f.Kind), f.ID, f.Backend)
 	switch f.Kind {
 	case emulator.Received:
-		s.check.RequestReceived(invariant.Receipt{ID: f.ID, Backend: f.Backend, At: s.now, Instance: s.receiving, Sent: s.sent})
+		s.checker.RequestReceived(invariant.Receipt{ID: f.ID, Backend: f.Backend, At: s.now, Instance: s.sendingInstance, SentAt: s.sentAt})
 	case emulator.Executed:
-		s.check.RequestExecuted(invariant.Execution{ID: f.ID, Key: f.Key, Backend: f.Backend, At: s.now})
+		s.checker.RequestExecuted(invariant.Execution{ID: f.ID, Key: f.Key, Backend: f.Backend, At: s.now})
 	case emulator.Collapsed:
-		s.check.BackendCollapsed(f.Backend, s.now)
-		b.refuse(true)
+		s.checker.BackendCollapsed(f.Backend, s.now)
+		b.setRefusing(true)
 	}
 }
 
-func (b *vbox) refuse(on bool) {
+func (b *simBackend) setRefusing(on bool) {
 	if on {
 		b.host.accept = nil
 		for len(b.conns) > 0 {
-			b.conns[0].end(true)
+			b.conns[0].close(true)
 		}
 		return
 	}
-	b.host.accept = b.accepted
+	b.host.accept = b.acceptConn
 }
 
-// after plans the box's next end of work.
-func (b *vbox) after() {
-	t := b.box.Next()
-	if t == 0 || b.next != 0 && b.next <= t && b.next > b.s.now {
+// scheduleWork plans the box's next end of work.
+func (b *simBackend) scheduleWork() {
+	t := b.model.Next()
+	if t == 0 || b.nextWake != 0 && b.nextWake <= t && b.nextWake > b.sim.now {
 		return
 	}
-	b.next = t
-	life := b.life
-	b.s.at(t, func() {
-		if b.life != life || !b.host.alive {
+	b.nextWake = t
+	life := b.incarnation
+	b.sim.schedule(t, func() {
+		if b.incarnation != life || !b.host.alive {
 			return
 		}
 		b.host.run(func() {
-			if b.life != life {
+			if b.incarnation != life {
 				return
 			}
-			b.next = 0
+			b.nextWake = 0
 			b.advance()
 		})
 	})
 }
 
-func (b *vbox) advance() {
-	now := b.s.now
+func (b *simBackend) advance() {
+	now := b.sim.now
 	var done []*emulator.Job
-	b.box.Advance(now, func(j *emulator.Job) { done = append(done, j) })
+	b.model.Advance(now, func(j *emulator.Job) { done = append(done, j) })
 	for _, j := range done {
 		for _, c := range b.conns {
-			if c.c == j.Conn() {
-				b.s.receiving, b.s.sent = c.door, c.e.peer.began
-				c.c.Done(now, j)
+			if c.model == j.Conn() {
+				b.sim.sendingInstance, b.sim.sentAt = c.instance, c.conn.peer.messageBegan
+				c.model.Done(now, j)
 				c.flush()
 				break
 			}
 		}
 	}
-	b.after()
+	b.scheduleWork()
 }
 
-func (c *vboxConn) readable(*end) {
+func (c *simBackendConn) readable(*netConn) {
 	if c.done {
 		return
 	}
-	c.used = c.b.s.now
-	c.b.s.receiving, c.b.s.sent = c.door, c.e.peer.began
-	c.c.Feed(c.b.s.now, c.e.read())
+	c.lastUsed = c.backend.sim.now
+	c.backend.sim.sendingInstance, c.backend.sim.sentAt = c.instance, c.conn.peer.messageBegan
+	c.model.Feed(c.backend.sim.now, c.conn.read())
 	if !c.done {
 		c.flush()
 	}
-	c.b.after()
+	c.backend.scheduleWork()
 }
 
-func (c *vboxConn) writable(*end) { c.flush() }
+func (c *simBackendConn) writable(*netConn) { c.flush() }
 
-func (c *vboxConn) flush() {
+func (c *simBackendConn) flush() {
 	if c.done {
 		return
 	}
 	// Bytes that nobody asked for are told from an answer only if they come before the next request is sent: that is
 	// beyond what HTTP/1.1 lets a client know, and so they come with the answer that they follow.
-	c.e.whole, c.used = c.b.trails, c.b.s.now
-	c.out = c.e.flow(c.out, c.c.Out)
-	c.c.Out = c.c.Out[:0]
-	if c.c.Close && len(c.out) == 0 {
-		abort := c.c.Abort
+	c.conn.unsplit, c.lastUsed = c.backend.extraResponses, c.backend.sim.now
+	c.unsent = c.conn.writeBuffered(c.unsent, c.model.Out)
+	c.model.Out = c.model.Out[:0]
+	if c.model.Close && len(c.unsent) == 0 {
+		abort := c.model.Abort
 		if abort { // what was written arrives, then the reset
-			c.b.s.after(2*c.b.s.net.latency, func() { c.end(true) })
+			c.backend.sim.scheduleAfter(2*c.backend.sim.network.latency, func() { c.close(true) })
 			return
 		}
-		c.end(false)
+		c.close(false)
 	}
 }
 
-func (c *vboxConn) closed(*end, bool) { c.end(false) }
+func (c *simBackendConn) closed(*netConn, bool) { c.close(false) }
 
-func (c *vboxConn) end(reset bool) {
+func (c *simBackendConn) close(reset bool) {
 	if c.done {
 		return
 	}
 	c.done = true
-	c.c.Closed()
-	c.e.close(reset)
-	for i, o := range c.b.conns {
+	c.model.Closed()
+	c.conn.close(reset)
+	for i, o := range c.backend.conns {
 		if o == c {
-			c.b.conns = append(c.b.conns[:i], c.b.conns[i+1:]...)
+			c.backend.conns = append(c.backend.conns[:i], c.backend.conns[i+1:]...)
 			break
 		}
 	}
 }
 
-// spread is a place in [0,1) for each number, such that neighbours lie apart (multiples of the golden ratio).
-func spread(number int) float64 {
+// spreadPosition is a place in [0,1) for each number, such that neighbours lie apart (multiples of the golden ratio).
+func spreadPosition(number int) float64 {
 	_, x := math.Modf(float64(number+1) * (math.Sqrt(5) - 1) / 2)
 	return x
 }
 
-// vkeeper is the stand-in keeper in virtual time.
-type vkeeper struct {
-	s      *Sim
-	host   *host
-	k      *emulator.Counter
-	garble bool
-	calls  uint64 // of its earlier processes
-	conns  []*vkeeperConn
+// simCounter is the stand-in keeper in virtual time.
+type simCounter struct {
+	sim               *Sim
+	host              *host
+	model             *emulator.Counter
+	invalidReplies    bool
+	earlierIncrements uint64 // of its earlier processes
+	conns             []*simCounterConn
 }
 
-type vkeeperConn struct {
-	k    *vkeeper
-	e    *end
-	c    *emulator.CounterConn
-	out  []byte
-	done bool
+type simCounterConn struct {
+	counter *simCounter
+	conn    *netConn
+	model   *emulator.CounterConn
+	unsent  []byte
+	done    bool
 }
 
-func (k *vkeeper) start() {
+func (k *simCounter) start() {
 	k.host.alive = true
-	k.host.accept = func(e *end) {
-		c := &vkeeperConn{k: k, e: e, c: k.k.NewConn()}
-		c.c.ClientPosition = spread(k.s.doorOf(e.peer.host))
-		e.owner = c
+	k.host.accept = func(e *netConn) {
+		c := &simCounterConn{counter: k, conn: e, model: k.model.NewConn()}
+		c.model.ClientPosition = spreadPosition(k.sim.instanceOf(e.peer.host))
+		e.handler = c
 		k.conns = append(k.conns, c)
 	}
 }
 
-func (c *vkeeperConn) readable(*end) {
-	k := c.k
-	if c.done || k.k.Stalled() {
+func (c *simCounterConn) readable(*netConn) {
+	k := c.counter
+	if c.done || k.model.Stalled() {
 		return // the bytes wait
 	}
-	c.c.Feed(k.s.now, c.e.read())
-	b := append([]byte(nil), c.c.Out...)
-	c.c.Out = c.c.Out[:0]
-	if k.garble && len(b) > 0 {
+	c.model.Feed(k.sim.now, c.conn.read())
+	b := append([]byte(nil), c.model.Out...)
+	c.model.Out = c.model.Out[:0]
+	if k.invalidReplies && len(b) > 0 {
 		b = []byte("HTTP/1.1 400 Bad Request\r\n\r\n")
 	}
-	if d := k.k.Delay(); d > 0 {
-		k.s.after(d, func() { c.send(b) })
+	if d := k.model.Delay(); d > 0 {
+		k.sim.scheduleAfter(d, func() { c.write(b) })
 	} else {
-		c.send(b)
+		c.write(b)
 	}
-	if c.c.Close {
-		c.end(false)
+	if c.model.Close {
+		c.close(false)
 	}
 }
 
-func (c *vkeeperConn) send(b []byte) {
+func (c *simCounterConn) write(b []byte) {
 	if c.done {
 		return
 	}
-	c.out = append(c.out, b...)
+	c.unsent = append(c.unsent, b...)
 	c.writable(nil)
 }
 
-func (c *vkeeperConn) writable(*end) {
-	c.out = c.e.flow(c.out, nil)
+func (c *simCounterConn) writable(*netConn) {
+	c.unsent = c.conn.writeBuffered(c.unsent, nil)
 }
 
-func (c *vkeeperConn) closed(*end, bool) { c.end(false) }
+func (c *simCounterConn) closed(*netConn, bool) { c.close(false) }
 
-func (c *vkeeperConn) end(reset bool) {
+func (c *simCounterConn) close(reset bool) {
 	if c.done {
 		return
 	}
 	c.done = true
-	c.e.close(reset)
-	for i, o := range c.k.conns {
+	c.conn.close(reset)
+	for i, o := range c.counter.conns {
 		if o == c {
-			c.k.conns = append(c.k.conns[:i], c.k.conns[i+1:]...)
+			c.counter.conns = append(c.counter.conns[:i], c.counter.conns[i+1:]...)
 			break
 		}
 	}
 }
 
-func (k *vkeeper) set(v fault.Verb, value float64, on bool) {
+func (k *simCounter) setFault(v fault.Verb, value float64, on bool) {
 	switch v {
-	case fault.Garble:
-		k.garble = on
+	case fault.InvalidReplies:
+		k.invalidReplies = on
 	case fault.Refuse:
-		k.k.Set(k.s.now, v, value, on)
+		k.model.Set(k.sim.now, v, value, on)
 		if on {
 			k.host.accept = nil
 			for len(k.conns) > 0 {
-				k.conns[0].end(true)
+				k.conns[0].close(true)
 			}
 		} else {
 			k.start()
 		}
 	default:
-		k.k.Set(k.s.now, v, value, on)
+		k.model.Set(k.sim.now, v, value, on)
 		if v == fault.Stall && !on {
-			for _, c := range append([]*vkeeperConn(nil), k.conns...) {
-				if len(c.e.inbox) > 0 {
+			for _, c := range append([]*simCounterConn(nil), k.conns...) {
+				if len(c.conn.received) > 0 {
 					c.readable(nil)
 				}
 			}
@@ -312,21 +312,21 @@
 }
 
 // cellOf is a box's cell.
-func (s *Sim) cellOf(b *vbox) int { return b.number % max(1, s.script.Backends.Cells) }
+func (s *Sim) cellOf(b *simBackend) int { return b.number % max(1, s.script.Backends.Cells) }
 
-// listText is the file of boxes.
-func (s *Sim) listText() string {
+// endpointFileText is the file of boxes.
+func (s *Sim) endpointFileText() string {
 	var t strings.Builder
 	t.WriteString("boxes:\n")
 	n := 0
-	for _, b := range s.boxes {
-		if b.state == "gone" {
+	for _, b := range s.backends {
+		if b.listedState == "gone" {
 			continue
 		}
 		n++
-		t.WriteString("  - {name: " + b.name + ", address: \"" + b.addr + "\", cell: " + strconv.Itoa(s.cellOf(b)) + ", state: " + b.state)
-		if b.cold {
-			t.WriteString(", started: \"" + epoch.Add(b.since).Format(time.RFC3339Nano) + "\"")
+		t.WriteString("  - {name: " + b.name + ", address: \"" + b.address + "\", cell: " + strconv.Itoa(s.cellOf(b)) + ", state: " + b.listedState)
+		if b.startedCold {
+			t.WriteString(", started: \"" + epoch.Add(b.startedAt).Format(time.RFC3339Nano) + "\"")
 		}
 		t.WriteString("}\n")
 	}
--- a/internal/simulation/replay_test.go
+++ b/internal/simulation/replay_test.go
@@ -20,7 +20,7 @@
 			items []trace.Item
 		}
 		var lives []*life
-		_, err := Run(Generate(seed, Usual()), Options{GoOn: true, Record: func(n int, cfg *config.Config, seed uint64) func(proxy.Step) {
+		_, err := Run(Generate(seed, Usual()), Options{ContinueAfterViolation: true, Record: func(n int, cfg *config.Config, seed uint64) func(proxy.Step) {
 			l := &life{head: trace.Head{Instance: n, Seed: seed, Began: proxy.Start, Settings: cfg.Settings, Share: 1}}
 			lives = append(lives, l)
 			return func(s proxy.Step) {
@@ -97,7 +97,7 @@
 			set  decision.Settings
 		}
 		var pairs []*pair
-		_, err := Run(Generate(seed, Usual()), Options{GoOn: true, Record: func(n int, cfg *config.Config, gwSeed uint64) func(proxy.Step) {
+		_, err := Run(Generate(seed, Usual()), Options{ContinueAfterViolation: true, Record: func(n int, cfg *config.Config, gwSeed uint64) func(proxy.Step) {
 			p := &pair{set: cfg.Settings}
 			pairs = append(pairs, p)
 			return func(s proxy.Step) {
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -13,132 +13,132 @@
 
 // A shape is a whole day rather than single troubles: it brings a deployment to where a rule's defences act and keeps it
 // there for long enough that loops settle. Troubles of the usual kinds come on top in half of the days.
-type shape struct {
+type scenario struct {
 	name string
-	draw func(d *day)
+	draw func(d *scenarioBuilder)
 }
 
-// day is a script under way.
-type day struct {
+// scenarioBuilder is a script under way.
+type scenarioBuilder struct {
 	*Script
 	rng *rand.Rand
 }
 
 // Bounds of drawn days, so that a sweep of thousands stays within minutes.
 const (
-	mostAsked    = 420.0  // requests a second at the usual rate
-	mostDrawn    = 5000.0 // requests in all at the usual rate
-	leastTelling = 14.0   // mean requests that push a cold box over, at the least: fewer are chance
+	maxRate               = 420.0  // requests a second at the usual rate
+	maxRequests           = 5000.0 // requests in all at the usual rate
+	minRequestsToCollapse = 14.0   // mean requests that push a cold box over, at the least: fewer are chance
 )
 
-var shapes = []shape{
-	{"overload", (*day).overload},
-	{"replacement", (*day).replacement},
-	{"ceilings", (*day).ceilings},
-	{"keys", (*day).keys},
-	{"drains", (*day).drains},
-	{"flows", (*day).flows},
+var scenarios = []scenario{
+	{"overload", (*scenarioBuilder).overload},
+	{"replacement", (*scenarioBuilder).replacement},
+	{"ceilings", (*scenarioBuilder).ceilings},
+	{"keys", (*scenarioBuilder).keyExpiry},
+	{"drains", (*scenarioBuilder).draining},
+	{"flows", (*scenarioBuilder).streaming},
 }
 
 // Shapes names the shapes of days, in the order in which a generator draws them.
 func Shapes() (names []string) {
-	for _, s := range shapes {
+	for _, s := range scenarios {
 		names = append(names, s.name)
 	}
 	return names
 }
 
-func (d *day) pick(xs ...float64) float64 { return xs[d.rng.IntN(len(xs))] }
+func (d *scenarioBuilder) oneOf(xs ...float64) float64 { return xs[d.rng.IntN(len(xs))] }
 
 // between draws evenly, to two places.
-func (d *day) between(a, b float64) float64 {
+func (d *scenarioBuilder) between(a, b float64) float64 {
 	return math.Round((a+(b-a)*d.rng.Float64())*100) / 100
 }
 
-func (d *day) ms(a, b float64) time.Duration {
+func (d *scenarioBuilder) milliseconds(a, b float64) time.Duration {
 	return time.Duration(d.between(a, b)) * time.Millisecond
 }
 
-// some tells yes with a chance.
-func (d *day) some(p float64) bool { return d.rng.Float64() < p }
+// chance tells yes with a chance.
+func (d *scenarioBuilder) chance(p float64) bool { return d.rng.Float64() < p }
 
 // fleet draws boxes and doors, with 1 to 75 and 1 to 40 of them.
-func (d *day) fleet() {
-	d.Backends.Cores = int(d.pick(1, 1, 2))
-	d.Backends.Work = strictyaml.Duration(time.Duration(d.pick(40, 80, 120, 160)) * time.Millisecond)
-	d.Backends.Queue = int(d.pick(8, 24, 64))
-	d.Backends.Count = 1 + d.rng.IntN(int(d.pick(3, 8, 8, 20, 75)))
-	d.Instances = 1 + d.rng.IntN(int(d.pick(2, 4, 8, 40)))
+func (d *scenarioBuilder) fleet() {
+	d.Backends.Cores = int(d.oneOf(1, 1, 2))
+	d.Backends.Work = strictyaml.Duration(time.Duration(d.oneOf(40, 80, 120, 160)) * time.Millisecond)
+	d.Backends.Queue = int(d.oneOf(8, 24, 64))
+	d.Backends.Count = 1 + d.rng.IntN(int(d.oneOf(3, 8, 8, 20, 75)))
+	d.Instances = 1 + d.rng.IntN(int(d.oneOf(2, 4, 8, 40)))
 }
 
-// load sets the rate to a share of what the boxes can do, and the length of the day by what that asks for.
-func (d *day) load(share float64) {
+// setLoad sets the rate to a share of what the boxes can do, and the length of the day by what that asks for.
+func (d *scenarioBuilder) setLoad(share float64) {
 	can := float64(d.Backends.Count*d.Backends.Cores) / time.Duration(d.Backends.Work).Seconds()
-	d.Rate = math.Round(min(mostAsked, max(2, share*can)))
-	d.Seconds = math.Round(min(d.Seconds, max(6, mostDrawn/d.Rate)))
+	d.Rate = math.Round(min(maxRate, max(2, share*can)))
+	d.Seconds = math.Round(min(d.Seconds, max(6, maxRequests/d.Rate)))
 }
 
-// cold draws how boxes start, such that it takes some requests to push one over.
-func (d *day) cold() {
+// drawSlowStart draws how boxes start, such that it takes some requests to push one over.
+func (d *scenarioBuilder) drawSlowStart() {
 	c := &d.SlowStart
-	c.Share, c.Factor = d.pick(0.1, 0.22, 0.25, 0.5), d.pick(3, 4, 4, 6)
-	c.Time, c.Over = strictyaml.Duration(time.Duration(d.pick(4, 8, 16))*time.Second), strictyaml.Duration(time.Duration(d.pick(1, 1.5, 2)*1000)*time.Millisecond)
-	d.telling()
+	c.Share, c.OverloadFactor = d.oneOf(0.1, 0.22, 0.25, 0.5), d.oneOf(3, 4, 4, 6)
+	c.Duration, c.OverloadTime = strictyaml.Duration(time.Duration(d.oneOf(4, 8, 16))*time.Second), strictyaml.Duration(time.Duration(d.oneOf(1, 1.5, 2)*1000)*time.Millisecond)
+	d.boundWork()
 }
 
-// telling bounds the work of a request, so that it takes some to push a cold box over.
-func (s *Script) telling() {
+// boundWork bounds the work of a request, so that it takes some to push a cold box over.
+func (s *Script) boundWork() {
 	c := s.SlowStart
-	if c.Factor == 0 {
+	if c.OverloadFactor == 0 {
 		return
 	}
-	most := c.Factor * c.Share * float64(s.Backends.Cores) * time.Duration(c.Over).Seconds() / leastTelling
+	most := c.OverloadFactor * c.Share * float64(s.Backends.Cores) * time.Duration(c.OverloadTime).Seconds() / minRequestsToCollapse
 	s.Backends.Work = strictyaml.Duration(min(time.Duration(s.Backends.Work), time.Duration(most*float64(time.Second)).Truncate(time.Millisecond)))
 }
 
-func (d *day) event(at time.Duration, e fault.Event) {
+func (d *scenarioBuilder) addFault(at time.Duration, e fault.Event) {
 	e.At = at.Truncate(time.Millisecond)
 	d.Events = append(d.Events, e)
 }
 
-func (d *day) box(i int) string { return fmt.Sprintf("box-%d", i) }
+func (d *scenarioBuilder) backendName(i int) string { return fmt.Sprintf("box-%d", i) }
 
-// part is a tenth, a half or all of the boxes, one at least.
-func (d *day) part() int {
-	return max(1, int(math.Round(float64(d.Backends.Count)*d.pick(0.1, 0.5, 0.5, 1))))
+// portion is a tenth, a half or all of the boxes, one at least.
+func (d *scenarioBuilder) portion() int {
+	return max(1, int(math.Round(float64(d.Backends.Count)*d.oneOf(0.1, 0.5, 0.5, 1))))
 }
 
 // overload: the fleet is asked for 0.6 to 3 times what it can do, at times in surges.
-func (d *day) overload() {
+func (d *scenarioBuilder) overload() {
 	d.fleet()
-	d.load(d.between(0.6, 3))
-	if d.some(0.5) {
-		d.event(d.ms(2000, 4000), fault.Event{For: d.ms(2000, 6000), Verb: fault.Surge, Target: "*", Value: d.between(1.5, 3)})
+	d.setLoad(d.between(0.6, 3))
+	if d.chance(0.5) {
+		d.addFault(d.milliseconds(2000, 4000), fault.Event{Duration: d.milliseconds(2000, 6000), Verb: fault.Surge, Target: "*", Value: d.between(1.5, 3)})
 	}
-	if d.some(0.3) {
-		d.event(d.ms(1000, 5000), fault.Event{For: d.ms(1000, 6000), Verb: fault.Slow, Target: "boxes", Value: d.between(1.5, 4)})
+	if d.chance(0.3) {
+		d.addFault(d.milliseconds(1000, 5000), fault.Event{Duration: d.milliseconds(1000, 6000), Verb: fault.Slow, Target: "boxes", Value: d.between(1.5, 4)})
 	}
 }
 
 // replacement: a tenth, half or all of the boxes are replaced by cold ones under load, at once or one by one, with or
 // without notice.
-func (d *day) replacement() {
+func (d *scenarioBuilder) replacement() {
 	d.fleet()
-	d.cold()
-	d.load(d.between(0.6, 2.5))
-	at, n := d.ms(2000, 5000), d.part()
+	d.drawSlowStart()
+	d.setLoad(d.between(0.6, 2.5))
+	at, n := d.milliseconds(2000, 5000), d.portion()
 	gap := time.Duration(0)
-	if d.some(0.5) {
-		gap = d.ms(100, 1500)
+	if d.chance(0.5) {
+		gap = d.milliseconds(100, 1500)
 	}
 	verb := fault.Verb(fault.Replace)
-	if d.some(0.5) {
+	if d.chance(0.5) {
 		verb = fault.Kill
 	}
-	if d.some(0.3) { // many front doors meet few boxes, all of them cold
+	if d.chance(0.3) { // many front doors meet few boxes, all of them cold
 		d.Instances, d.Backends.Count = 20+d.rng.IntN(21), 1+d.rng.IntN(3)
 		n, gap = d.Backends.Count, 0
-		d.load(d.between(1.5, 3))
+		d.setLoad(d.between(1.5, 3))
 	}
 	order := d.rng.Perm(d.Backends.Count)
 	for i := range n {
@@ -146,154 +146,154 @@
 		if when > time.Duration(d.Seconds*0.8*float64(time.Second)) {
 			break
 		}
-		d.event(when, fault.Event{For: d.ms(100, 1500), Verb: verb, Target: d.box(order[i])})
+		d.addFault(when, fault.Event{Duration: d.milliseconds(100, 1500), Verb: verb, Target: d.backendName(order[i])})
 	}
-	if d.some(0.4) { // more is asked for while they are cold
-		d.event(at+d.ms(0, 3000), fault.Event{For: d.ms(1000, 5000), Verb: fault.Surge, Target: "*", Value: d.between(1.5, 4)})
+	if d.chance(0.4) { // more is asked for while they are cold
+		d.addFault(at+d.milliseconds(0, 3000), fault.Event{Duration: d.milliseconds(1000, 5000), Verb: fault.Surge, Target: "*", Value: d.between(1.5, 4)})
 	}
-	if d.some(0.3) { // those that are warm go wrong meanwhile
+	if d.chance(0.3) { // those that are warm go wrong meanwhile
 		for i := n; i < d.Backends.Count; i++ {
-			d.event(at+gap*time.Duration(n)+d.ms(200, 800), fault.Event{For: d.ms(1000, 4000), Verb: fault.Verb([]fault.Verb{fault.Hang, fault.Refuse,
-				fault.ServerErrors, fault.Slow}[d.rng.IntN(4)]), Target: d.box(order[i]), Value: d.pick(1, 3)})
+			d.addFault(at+gap*time.Duration(n)+d.milliseconds(200, 800), fault.Event{Duration: d.milliseconds(1000, 4000), Verb: fault.Verb([]fault.Verb{fault.Hang, fault.Refuse,
+				fault.ServerErrors, fault.Slow}[d.rng.IntN(4)]), Target: d.backendName(order[i]), Value: d.oneOf(1, 3)})
 		}
 	}
-	if d.some(0.2) {
-		d.event(at+d.ms(0, 3000), fault.Event{For: d.ms(200, 1500), Verb: fault.Kill, Target: fmt.Sprintf("door-%d", d.rng.IntN(d.Instances))})
+	if d.chance(0.2) {
+		d.addFault(at+d.milliseconds(0, 3000), fault.Event{Duration: d.milliseconds(200, 1500), Verb: fault.Kill, Target: fmt.Sprintf("door-%d", d.rng.IntN(d.Instances))})
 	}
 }
 
 // ceilings: schools ask for 2 to 20 times their ceiling, through some or all front doors, with a keeper that is there,
 // silent, slow, empty, gone, or out of some doors' reach.
-func (d *day) ceilings() {
-	d.Backends.Work = strictyaml.Duration(time.Duration(d.pick(2, 5, 15)) * time.Millisecond)
+func (d *scenarioBuilder) ceilings() {
+	d.Backends.Work = strictyaml.Duration(time.Duration(d.oneOf(2, 5, 15)) * time.Millisecond)
 	d.Backends.Cores, d.Backends.Queue, d.Backends.Count = 4, 64, 4+d.rng.IntN(8)
-	d.Instances = 1 + d.rng.IntN(int(d.pick(2, 4, 4, 12)))
-	d.Plans, d.Rate = d.pick(0.3, 0.5, 1), 40
-	d.Soft = d.pick(0, 1.5, 1.5, 1.5) // else their quota stops them first
+	d.Instances = 1 + d.rng.IntN(int(d.oneOf(2, 4, 4, 12)))
+	d.PlanFactor, d.Rate = d.oneOf(0.3, 0.5, 1), 40
+	d.OverQuotaValue = d.oneOf(0, 1.5, 1.5, 1.5) // else their quota stops them first
 	for _, school := range []string{"school-0", "school-1", "school"}[d.rng.IntN(3):][:1] {
 		usual := d.Rate * 24 / 92 // a school's share of the traffic
 		times := d.between(2, 8)
-		if d.some(0.2) {
+		if d.chance(0.2) {
 			times = d.between(8, 20)
 		}
 		d.Seconds = 10
-		long := min(6000, 1000*1200/(times*40*d.Plans))
-		d.event(d.ms(500, 3000), fault.Event{For: d.ms(long/2, long), Verb: fault.Surge, Target: school, Value: math.Round(10*times*40*d.Plans/usual) / 10})
+		long := min(6000, 1000*1200/(times*40*d.PlanFactor))
+		d.addFault(d.milliseconds(500, 3000), fault.Event{Duration: d.milliseconds(long/2, long), Verb: fault.Surge, Target: school, Value: math.Round(10*times*40*d.PlanFactor/usual) / 10})
 	}
 	for range d.rng.IntN(4) {
-		e := fault.Event{For: d.ms(200, 4000), Target: "keeper", Verb: []fault.Verb{fault.Silent, fault.Empty, fault.Refuse, fault.Delay, fault.Stall,
-			fault.Kill, fault.Old, fault.Part, fault.Split}[d.rng.IntN(9)]}
+		e := fault.Event{Duration: d.milliseconds(200, 4000), Target: "keeper", Verb: []fault.Verb{fault.NoReply, fault.ResetTotals, fault.Refuse, fault.Delay, fault.Stall,
+			fault.Kill, fault.Rollback, fault.PartialOutage, fault.Split}[d.rng.IntN(9)]}
 		switch e.Verb {
-		case fault.Empty:
-			e.For = 0
-		case fault.Old:
-			e.For, e.Value = 0, d.between(200, 3000)
-		case fault.Part:
+		case fault.ResetTotals:
+			e.Duration = 0
+		case fault.Rollback:
+			e.Duration, e.Value = 0, d.between(200, 3000)
+		case fault.PartialOutage:
 			e.Value = d.between(0.2, 1)
 		case fault.Split:
 			e.Value = d.between(0.2, 0.8)
 		case fault.Delay:
 			e.Value = d.between(20, 300)
 		}
-		if d.some(0.25) {
+		if d.chance(0.25) {
 			e.Verb, e.Target, e.Value = fault.Partition, fmt.Sprintf("door-%d/keeper", d.rng.IntN(d.Instances)), 0
-			e.For = max(e.For, time.Second)
+			e.Duration = max(e.Duration, time.Second)
 		}
-		d.event(d.ms(500, 7000), e)
+		d.addFault(d.milliseconds(500, 7000), e)
 	}
-	if d.some(0.3) { // a keeper that forgets again and again
-		for at := d.ms(500, 2500); at < 9*time.Second; at += d.ms(200, 1500) {
-			e := fault.Event{Verb: fault.Empty, Target: "keeper"}
-			if d.some(0.3) {
-				e.Verb, e.Value = fault.Old, d.between(200, 3000)
+	if d.chance(0.3) { // a keeper that forgets again and again
+		for at := d.milliseconds(500, 2500); at < 9*time.Second; at += d.milliseconds(200, 1500) {
+			e := fault.Event{Verb: fault.ResetTotals, Target: "keeper"}
+			if d.chance(0.3) {
+				e.Verb, e.Value = fault.Rollback, d.between(200, 3000)
 			}
-			d.event(at, e)
+			d.addFault(at, e)
 		}
 	}
 	for range d.rng.IntN(4) {
-		d.event(d.ms(1000, 8000), fault.Event{Verb: fault.Move, Target: "school"})
+		d.addFault(d.milliseconds(1000, 8000), fault.Event{Verb: fault.MoveTraffic, Target: "school"})
 	}
 	for range d.rng.IntN(3) {
-		d.event(d.ms(1000, 7000), fault.Event{For: d.ms(50, 1000), Verb: fault.Kill, Target: fmt.Sprintf("door-%d", d.rng.IntN(d.Instances))})
+		d.addFault(d.milliseconds(1000, 7000), fault.Event{Duration: d.milliseconds(50, 1000), Verb: fault.Kill, Target: fmt.Sprintf("door-%d", d.rng.IntN(d.Instances))})
 	}
 }
 
-// keys: what a box has run is asked of another around the end of its key's time.
-func (d *day) keys() {
+// keyExpiry: what a box has run is asked of another around the end of its key's time.
+func (d *scenarioBuilder) keyExpiry() {
 	d.Backends.Count = 2 + d.rng.IntN(6)
-	d.Backends.Work = strictyaml.Duration(time.Duration(d.pick(15, 40, 80)) * time.Millisecond)
-	d.Backends.Cells = int(d.pick(0, 2, 3))
-	d.KeyTTL = strictyaml.Duration(d.ms(200, 1500))
-	d.load(d.between(0.1, 0.5))
+	d.Backends.Work = strictyaml.Duration(time.Duration(d.oneOf(15, 40, 80)) * time.Millisecond)
+	d.Backends.Cells = int(d.oneOf(0, 2, 3))
+	d.KeyTTL = strictyaml.Duration(d.milliseconds(200, 1500))
+	d.setLoad(d.between(0.1, 0.5))
 	for range 2 + d.rng.IntN(4) {
-		at, b, long := d.ms(1000, 9000), d.box(d.rng.IntN(d.Backends.Count)), d.ms(500, 3000)
+		at, b, long := d.milliseconds(1000, 9000), d.backendName(d.rng.IntN(d.Backends.Count)), d.milliseconds(500, 3000)
 		// slow first, so that the end comes late, and then without an answer
-		how := fault.Event{For: long, Verb: fault.Slow, Target: b, Value: d.between(5, 40)}
-		if d.some(0.5) {
-			how = fault.Event{For: long, Verb: fault.Delay, Target: b, Value: d.between(200, 2000)}
+		how := fault.Event{Duration: long, Verb: fault.Slow, Target: b, Value: d.between(5, 40)}
+		if d.chance(0.5) {
+			how = fault.Event{Duration: long, Verb: fault.Delay, Target: b, Value: d.between(200, 2000)}
 		}
-		d.event(at, how)
-		end := fault.Event{For: d.ms(200, 1500), Target: b, Verb: []fault.Verb{fault.Lose, fault.Reset, fault.Kill, fault.Refuse, fault.Hang}[d.rng.IntN(5)]}
-		ends := at + d.ms(100, 2500)
-		d.event(ends, end)
-		if d.some(0.5) { // lines to the others are gone, and new ones take long
-			gone := ends + d.ms(0, 400)
+		d.addFault(at, how)
+		end := fault.Event{Duration: d.milliseconds(200, 1500), Target: b, Verb: []fault.Verb{fault.DropResponse, fault.ResetResponse, fault.Kill, fault.Refuse, fault.Hang}[d.rng.IntN(5)]}
+		ends := at + d.milliseconds(100, 2500)
+		d.addFault(ends, end)
+		if d.chance(0.5) { // lines to the others are gone, and new ones take long
+			gone := ends + d.milliseconds(0, 400)
 			for i := range d.Backends.Count {
-				if o := d.box(i); o != b {
-					d.event(gone, fault.Event{For: 20 * time.Millisecond, Verb: fault.Refuse, Target: o})
-					d.event(gone+20*time.Millisecond, fault.Event{For: d.ms(100, 700), Verb: fault.Deaf, Target: o})
+				if o := d.backendName(i); o != b {
+					d.addFault(gone, fault.Event{Duration: 20 * time.Millisecond, Verb: fault.Refuse, Target: o})
+					d.addFault(gone+20*time.Millisecond, fault.Event{Duration: d.milliseconds(100, 700), Verb: fault.NotAccepting, Target: o})
 				}
 			}
 		}
 	}
 }
 
-// flows: answers too large to be held flow through slow links and to slow clients, and break on their way.
-func (d *day) flows() {
+// streaming: answers too large to be held flow through slow links and to slow clients, and break on their way.
+func (d *scenarioBuilder) streaming() {
 	d.Backends.Count, d.Instances = 1+d.rng.IntN(4), 1+d.rng.IntN(3)
-	d.Backends.Work, d.Backends.Body = strictyaml.Duration(time.Duration(d.pick(5, 15, 40))*time.Millisecond), int(d.pick(5000, 20000, 40000))
-	d.load(d.between(0.1, 0.6))
+	d.Backends.Work, d.Backends.Body = strictyaml.Duration(time.Duration(d.oneOf(5, 15, 40))*time.Millisecond), int(d.oneOf(5000, 20000, 40000))
+	d.setLoad(d.between(0.1, 0.6))
 	d.Rate = min(d.Rate, 60)
 	for range 1 + d.rng.IntN(4) {
-		e := fault.Event{For: d.ms(1000, 6000), Verb: fault.Throttle, Target: d.box(d.rng.IntN(d.Backends.Count)), Value: math.Round(float64(d.Backends.Body) / d.between(0.5, 5))}
+		e := fault.Event{Duration: d.milliseconds(1000, 6000), Verb: fault.Throttle, Target: d.backendName(d.rng.IntN(d.Backends.Count)), Value: math.Round(float64(d.Backends.Body) / d.between(0.5, 5))}
 		switch d.rng.IntN(4) {
 		case 0:
-			e.Verb, e.Value = fault.Reset, float64(d.rng.IntN(d.Backends.Body))
+			e.Verb, e.Value = fault.ResetResponse, float64(d.rng.IntN(d.Backends.Body))
 		case 1:
-			e.Verb, e.Target, e.Value = fault.Drip, "*", d.between(0.1, 0.5)
+			e.Verb, e.Target, e.Value = fault.SlowClients, "*", d.between(0.1, 0.5)
 		}
-		d.event(d.ms(500, 9000), e)
+		d.addFault(d.milliseconds(500, 9000), e)
 	}
 }
 
-// drains: boxes leave in waves, with and without notice, while their queues are full and lines to them are being made.
-func (d *day) drains() {
+// draining: boxes leave in waves, with and without notice, while their queues are full and lines to them are being made.
+func (d *scenarioBuilder) draining() {
 	d.fleet()
 	d.Backends.Count = max(2, d.Backends.Count)
-	d.load(d.between(0.8, 2.5))
-	d.Clients.Fresh = d.pick(0.02, 0.2, 0.8)
+	d.setLoad(d.between(0.8, 2.5))
+	d.Clients.NewConnShare = d.oneOf(0.02, 0.2, 0.8)
 	order := d.rng.Perm(d.Backends.Count)
-	at := d.ms(1000, 3000)
-	for i := range max(1, min(d.part(), d.Backends.Count-1)) {
-		if d.some(0.3) {
-			at += d.ms(200, 1500)
+	at := d.milliseconds(1000, 3000)
+	for i := range max(1, min(d.portion(), d.Backends.Count-1)) {
+		if d.chance(0.3) {
+			at += d.milliseconds(200, 1500)
 		}
-		b := d.box(order[i])
-		if d.some(0.5) { // a line that is made slowly meets the notice
-			d.event(at-d.ms(0, 500), fault.Event{For: d.ms(300, 2500), Verb: []fault.Verb{fault.Lag, fault.Deaf, fault.Pause}[d.rng.IntN(3)], Target: b,
+		b := d.backendName(order[i])
+		if d.chance(0.5) { // a line that is made slowly meets the notice
+			d.addFault(at-d.milliseconds(0, 500), fault.Event{Duration: d.milliseconds(300, 2500), Verb: []fault.Verb{fault.AddedLatency, fault.NotAccepting, fault.Pause}[d.rng.IntN(3)], Target: b,
 				Value: d.between(50, 400)})
 		}
 		if at > time.Duration(d.Seconds*0.8*float64(time.Second)) {
 			break
 		}
-		d.event(at, fault.Event{For: d.ms(300, 3000), Verb: []fault.Verb{fault.Drain, fault.Replace, fault.Leave}[d.rng.IntN(3)], Target: b})
+		d.addFault(at, fault.Event{Duration: d.milliseconds(300, 3000), Verb: []fault.Verb{fault.Drain, fault.Replace, fault.Vanish}[d.rng.IntN(3)], Target: b})
 	}
 }
 
-// shaped draws a day of one of the shapes.
-func shaped(s *Script, rng *rand.Rand) string {
-	d := &day{s, rng}
-	k := shapes[rng.IntN(len(shapes))]
+// drawScenario draws a day of one of the shapes.
+func drawScenario(s *Script, rng *rand.Rand) string {
+	d := &scenarioBuilder{s, rng}
+	k := scenarios[rng.IntN(len(scenarios))]
 	k.draw(d)
 	return k.name
 }
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -43,10 +43,10 @@
 	p.Seconds, p.Rate, p.ScenarioShare = 6, 30, 0
 	hunt := func() (*Script, Outcome, float64) {
 		runs, first := 0, 0.0
-		h := Hunt{Rule: invariant.Drains, Profile: p, Workers: 1, Seed: 7, Until: func() bool { runs++; return runs > 50 },
-			Better: func(_ *Script, o Outcome, n int) {
-				if n <= herd/2 {
-					first = o.Nearness(invariant.Drains)
+		h := Hunt{Rule: invariant.Draining, Profile: p, Workers: 1, Seed: 7, Stop: func() bool { runs++; return runs > 50 },
+			Improved: func(_ *Script, o Outcome, n int) {
+				if n <= populationSize/2 {
+					first = o.Nearness(invariant.Draining)
 				}
 			}}
 		s, o, _, err := h.Run()
@@ -60,8 +60,8 @@
 	if a.Text() != b.Text() || x.Digest != y.Digest {
 		t.Errorf("two hunts from one seed differ:\n%s%s", a.Text(), b.Text())
 	}
-	if x.Nearness(invariant.Drains) < first {
-		t.Errorf("came to %.3f, the first scripts to %.3f", x.Nearness(invariant.Drains), first)
+	if x.Nearness(invariant.Draining) < first {
+		t.Errorf("came to %.3f, the first scripts to %.3f", x.Nearness(invariant.Draining), first)
 	}
 	back, err := ReadScript("x", []byte(a.Text()))
 	if err != nil {
@@ -78,16 +78,16 @@
 	for seed := uint64(1); seed < 60; seed++ {
 		s := Generate(seed, Usual())
 		o := Generate(seed+1000, Usual())
-		s.cross(o, rng)
+		s.crossover(o, rng)
 		for range 60 {
-			s.change(rng)
-			s.tame()
+			s.mutate(rng)
+			s.clamp()
 		}
 		if _, err := ReadScript("x", []byte(s.Text())); err != nil {
 			t.Fatalf("%v\n%s", err, s.Text())
 		}
-		if c := s.SlowStart; c.Factor > 0 {
-			if n := c.Factor * c.Share * float64(s.Backends.Cores) * time.Duration(c.Over).Seconds() / time.Duration(s.Backends.Work).Seconds(); n < leastTelling-0.5 {
+		if c := s.SlowStart; c.OverloadFactor > 0 {
+			if n := c.OverloadFactor * c.Share * float64(s.Backends.Cores) * time.Duration(c.OverloadTime).Seconds() / time.Duration(s.Backends.Work).Seconds(); n < minRequestsToCollapse-0.5 {
 				t.Fatalf("%.1f requests push a cold box over", n)
 			}
 		}
@@ -115,7 +115,7 @@
 		t.Fatal(err)
 	}
 	again, err := ReadScript("again.yaml", []byte(s.Text()))
-	if err != nil || again.Text() != s.Text() || again.Backends.Idle != s.Backends.Idle || again.Late != s.Late {
+	if err != nil || again.Text() != s.Text() || again.Backends.IdleTimeout != s.Backends.IdleTimeout || again.LateShare != s.LateShare {
 		t.Fatalf("%v\n%s\n%s", err, s.Text(), again.Text())
 	}
 	o, err := Run(s, Options{})
