--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -27,83 +27,83 @@
 //	troubles:
 //	  - {at: 5s, for: 3s, verb: replace, target: box-0}
 type Script struct {
-	Version   int                 `yaml:"version"`
-	Seed      uint64              `yaml:"-"`
-	Number    int                 `yaml:"seed"`
-	Seconds   float64             `yaml:"seconds"` // of traffic
-	Instances int                 `yaml:"doors"`
-	Rate      float64             `yaml:"rate"` // requests a second, from all clients
-	Config    string              `yaml:"config"`
-	Backends  Backends            `yaml:"boxes"`
-	SlowStart SlowStart           `yaml:"cold"`
-	Plans     float64             `yaml:"plans"`   // factor on the rates, bursts and ceilings of all plans
-	Soft      float64             `yaml:"soft"`    // what plans with a ceiling earn beyond their quota, as a share; 0: as configured
-	Late      float64             `yaml:"late"`    // share of its worth that a late answer has, in all classes but streams; 0: as configured
-	KeyTTL    strictyaml.Duration `yaml:"key-ttl"` // of all keyed classes; 0: as configured
-	Net       Net                 `yaml:"net"`
-	Drift     float64             `yaml:"drift"` // clocks of doors run fast or slow by up to this share
-	Clients   Clients             `yaml:"clients"`
-	Scenario  string              `yaml:"-"` // that a generator drew, if any
-	Events    []fault.Event       `yaml:"-"`
-	Faults    []ScriptFault       `yaml:"troubles"`
+	Version        int                 `yaml:"version"`
+	Seed           uint64              `yaml:"-"`
+	WrittenSeed    int                 `yaml:"seed"`
+	Seconds        float64             `yaml:"seconds"` // of traffic
+	Instances      int                 `yaml:"doors"`
+	Rate           float64             `yaml:"rate"` // requests a second, from all clients
+	Config         string              `yaml:"config"`
+	Backends       Backends            `yaml:"boxes"`
+	SlowStart      SlowStart           `yaml:"cold"`
+	PlanFactor     float64             `yaml:"plans"`   // factor on the rates, bursts and ceilings of all plans
+	OverQuotaValue float64             `yaml:"soft"`    // what plans with a ceiling earn beyond their quota, as a share; 0: as configured
+	LateShare      float64             `yaml:"late"`    // share of its worth that a late answer has, in all classes but streams; 0: as configured
+	KeyTTL         strictyaml.Duration `yaml:"key-ttl"` // of all keyed classes; 0: as configured
+	Net            Net                 `yaml:"net"`
+	Drift          float64             `yaml:"drift"` // clocks of doors run fast or slow by up to this share
+	Clients        Clients             `yaml:"clients"`
+	Scenario       string              `yaml:"-"` // that a generator drew, if any
+	Events         []fault.Event       `yaml:"-"`
+	Faults         []ScriptFault       `yaml:"troubles"`
 }
 
 // Backends are a script's boxes.
 type Backends struct {
-	Count int                 `yaml:"count"`
-	Cores int                 `yaml:"cores"`
-	Queue int                 `yaml:"queue"`
-	Cells int                 `yaml:"cells"` // 2 or more: keyed repeats are discarded within one of so many cells only
-	Idle  strictyaml.Duration `yaml:"idle"`  // they close connections on which nothing has happened for so long; 0: never
-	Work  strictyaml.Duration `yaml:"work"`  // mean work of a request
-	Body  int                 `yaml:"body"`  // bytes of an answer's
+	Count       int                 `yaml:"count"`
+	Cores       int                 `yaml:"cores"`
+	Queue       int                 `yaml:"queue"`
+	Cells       int                 `yaml:"cells"` // 2 or more: keyed repeats are discarded within one of so many cells only
+	IdleTimeout strictyaml.Duration `yaml:"idle"`  // they close connections on which nothing has happened for so long; 0: never
+	Work        strictyaml.Duration `yaml:"work"`  // mean work of a request
+	Body        int                 `yaml:"body"`  // bytes of an answer's
 }
 
 // SlowStart is how a script's boxes start; what is 0 is as configured.
 type SlowStart struct {
-	Share  float64             `yaml:"share"`
-	Time   strictyaml.Duration `yaml:"time"`
-	Factor float64             `yaml:"factor"` // sent this multiple of what it can do
-	Over   strictyaml.Duration `yaml:"over"`   // for so long, a cold box falls over
+	Share          float64             `yaml:"share"`
+	Duration       strictyaml.Duration `yaml:"time"`
+	OverloadFactor float64             `yaml:"factor"` // sent this multiple of what it can do
+	OverloadTime   strictyaml.Duration `yaml:"over"`   // for so long, a cold box falls over
 }
 
 // Net is a script's network.
 type Net struct {
-	Latency strictyaml.Duration `yaml:"latency"`
-	Jitter  float64             `yaml:"jitter"` // mean of what is added, as a share of the latency
-	Split   float64             `yaml:"split"`  // chance that a write is cut in two, again and again
+	Latency          strictyaml.Duration `yaml:"latency"`
+	Jitter           float64             `yaml:"jitter"` // mean of what is added, as a share of the latency
+	SplitProbability float64             `yaml:"split"`  // chance that a write is cut in two, again and again
 }
 
 // Clients is how a script's clients behave.
 type Clients struct {
-	Retries  int     `yaml:"retries"`
-	Pipeline float64 `yaml:"pipeline"` // share that send several requests at once
-	Fresh    float64 `yaml:"fresh"`    // share that use a new connection
-	Body     int     `yaml:"body"`     // most bytes of a request's body
+	Retries       int     `yaml:"retries"`
+	PipelineShare float64 `yaml:"pipeline"` // share that send several requests at once
+	NewConnShare  float64 `yaml:"fresh"`    // share that use a new connection
+	MaxBody       int     `yaml:"body"`     // most bytes of a request's body
 }
 
 // ScriptFault is a trouble as it is written.
 type ScriptFault struct {
-	At     strictyaml.Duration `yaml:"at"`
-	For    strictyaml.Duration `yaml:"for"`
-	Verb   string              `yaml:"verb"`
-	Target string              `yaml:"target"`
-	Value  float64             `yaml:"value"`
+	At       strictyaml.Duration `yaml:"at"`
+	Duration strictyaml.Duration `yaml:"for"`
+	Verb     string              `yaml:"verb"`
+	Target   string              `yaml:"target"`
+	Value    float64             `yaml:"value"`
 }
 
 // Bounds of a script.
 const (
-	mostDoors   = 128
-	mostBoxes   = 256
-	mostSeconds = 24 * 3600
-	mostRate    = 20000
+	maxInstances  = 128
+	maxBackends   = 256
+	maxSeconds    = 24 * 3600
+	maxScriptRate = 20000
 )
 
 func defaults() Script {
-	return Script{Version: Version, Seconds: 15, Instances: 3, Rate: 40, Plans: 1,
+	return Script{Version: Version, Seconds: 15, Instances: 3, Rate: 40, PlanFactor: 1,
 		Backends: Backends{Count: 4, Cores: 2, Queue: 24, Work: strictyaml.Duration(30 * time.Millisecond), Body: 64},
-		Net:      Net{Latency: strictyaml.Duration(500 * time.Microsecond), Jitter: 0.3, Split: 0.1},
-		Clients:  Clients{Retries: 2, Pipeline: 0.03, Fresh: 0.2, Body: 40}}
+		Net:      Net{Latency: strictyaml.Duration(500 * time.Microsecond), Jitter: 0.3, SplitProbability: 0.1},
+		Clients:  Clients{Retries: 2, PipelineShare: 0.03, NewConnShare: 0.2, MaxBody: 40}}
 }
 
 // ReadScript reads a script; the error is a diag.Problems.
@@ -114,33 +114,33 @@
 	if d.Whole() && s.Version != Version {
 		d.Reportf("version", "%d: this program reads scripts of version %d; write the script anew from its seed, or with the program that wrote it", s.Version, Version)
 	}
-	s.Seed = uint64(s.Number)
+	s.Seed = uint64(s.WrittenSeed)
 	check := func(field string, x, least, most float64) {
 		if !(x >= least) || x > most {
 			d.Reportf(field, "%g: expected %g to %g", x, least, most)
 		}
 	}
-	check("seed", float64(s.Number), 0, 1<<53)
-	check("seconds", s.Seconds, 0.1, mostSeconds)
-	check("doors", float64(s.Instances), 1, mostDoors)
-	check("rate", s.Rate, 0.01, mostRate)
-	check("boxes.count", float64(s.Backends.Count), 0, mostBoxes)
+	check("seed", float64(s.WrittenSeed), 0, 1<<53)
+	check("seconds", s.Seconds, 0.1, maxSeconds)
+	check("doors", float64(s.Instances), 1, maxInstances)
+	check("rate", s.Rate, 0.01, maxScriptRate)
+	check("boxes.count", float64(s.Backends.Count), 0, maxBackends)
 	check("boxes.cores", float64(s.Backends.Cores), 1, 1024)
-	check("boxes.cells", float64(s.Backends.Cells), 0, mostBoxes)
+	check("boxes.cells", float64(s.Backends.Cells), 0, maxBackends)
 	check("boxes.queue", float64(s.Backends.Queue), 1, 1<<20)
 	check("boxes.body", float64(s.Backends.Body), 1, 16<<20)
 	check("cold.share", s.SlowStart.Share, 0, 1)
-	check("cold.factor", s.SlowStart.Factor, 0, 100)
-	check("soft", s.Soft, 0, 1000)
-	check("late", s.Late, 0, 1)
-	check("plans", s.Plans, 0.001, 1000)
+	check("cold.factor", s.SlowStart.OverloadFactor, 0, 100)
+	check("soft", s.OverQuotaValue, 0, 1000)
+	check("late", s.LateShare, 0, 1)
+	check("plans", s.PlanFactor, 0.001, 1000)
 	check("net.jitter", s.Net.Jitter, 0, 100)
-	check("net.split", s.Net.Split, 0, 0.95)
+	check("net.split", s.Net.SplitProbability, 0, 0.95)
 	check("drift", s.Drift, 0, 0.2)
 	check("clients.retries", float64(s.Clients.Retries), 0, 10)
-	check("clients.pipeline", s.Clients.Pipeline, 0, 1)
-	check("clients.fresh", s.Clients.Fresh, 0, 1)
-	check("clients.body", float64(s.Clients.Body), 0, 1<<20)
+	check("clients.pipeline", s.Clients.PipelineShare, 0, 1)
+	check("clients.fresh", s.Clients.NewConnShare, 0, 1)
+	check("clients.body", float64(s.Clients.MaxBody), 0, 1<<20)
 	if s.Net.Latency == 0 {
 		d.Reportf("net.latency", "expected more than 0")
 	}
@@ -156,7 +156,7 @@
 		if time.Duration(t.At) > time.Duration(s.Seconds*float64(time.Second)) {
 			d.Reportf(at+".at", "after the end of the traffic")
 		}
-		s.Events = append(s.Events, fault.Event{At: time.Duration(t.At), For: time.Duration(t.For), Verb: v, Target: t.Target, Value: t.Value})
+		s.Events = append(s.Events, fault.Event{At: time.Duration(t.At), Duration: time.Duration(t.Duration), Verb: v, Target: t.Target, Value: t.Value})
 	}
 	if err := d.Problems.Err(); err != nil {
 		return nil, err
@@ -177,30 +177,30 @@
 	if s.Backends.Cells > 1 {
 		fmt.Fprintf(&b, ", cells: %d", s.Backends.Cells)
 	}
-	if s.Backends.Idle != 0 {
-		fmt.Fprintf(&b, ", idle: %v", time.Duration(s.Backends.Idle))
+	if s.Backends.IdleTimeout != 0 {
+		fmt.Fprintf(&b, ", idle: %v", time.Duration(s.Backends.IdleTimeout))
 	}
 	b.WriteString("}\n")
 	if c := s.SlowStart; c != (SlowStart{}) {
-		fmt.Fprintf(&b, "cold: {share: %s, time: %v, factor: %s, over: %v}\n", f(c.Share), time.Duration(c.Time), f(c.Factor), time.Duration(c.Over))
+		fmt.Fprintf(&b, "cold: {share: %s, time: %v, factor: %s, over: %v}\n", f(c.Share), time.Duration(c.Duration), f(c.OverloadFactor), time.Duration(c.OverloadTime))
 	}
-	if s.Plans != 1 {
-		fmt.Fprintf(&b, "plans: %s\n", f(s.Plans))
+	if s.PlanFactor != 1 {
+		fmt.Fprintf(&b, "plans: %s\n", f(s.PlanFactor))
 	}
-	if s.Soft != 0 {
-		fmt.Fprintf(&b, "soft: %s\n", f(s.Soft))
+	if s.OverQuotaValue != 0 {
+		fmt.Fprintf(&b, "soft: %s\n", f(s.OverQuotaValue))
 	}
-	if s.Late != 0 {
-		fmt.Fprintf(&b, "late: %s\n", f(s.Late))
+	if s.LateShare != 0 {
+		fmt.Fprintf(&b, "late: %s\n", f(s.LateShare))
 	}
 	if s.KeyTTL != 0 {
 		fmt.Fprintf(&b, "key-ttl: %v\n", time.Duration(s.KeyTTL))
 	}
-	fmt.Fprintf(&b, "net: {latency: %v, jitter: %s, split: %s}\n", time.Duration(s.Net.Latency), f(s.Net.Jitter), f(s.Net.Split))
+	fmt.Fprintf(&b, "net: {latency: %v, jitter: %s, split: %s}\n", time.Duration(s.Net.Latency), f(s.Net.Jitter), f(s.Net.SplitProbability))
 	if s.Drift != 0 {
 		fmt.Fprintf(&b, "drift: %s\n", f(s.Drift))
 	}
-	fmt.Fprintf(&b, "clients: {retries: %d, pipeline: %s, fresh: %s, body: %d}\n", s.Clients.Retries, f(s.Clients.Pipeline), f(s.Clients.Fresh), s.Clients.Body)
+	fmt.Fprintf(&b, "clients: {retries: %d, pipeline: %s, fresh: %s, body: %d}\n", s.Clients.Retries, f(s.Clients.PipelineShare), f(s.Clients.NewConnShare), s.Clients.MaxBody)
 	if len(s.Events) == 0 {
 		b.WriteString("troubles: []\n")
 		return b.String()
@@ -208,8 +208,8 @@
 	b.WriteString("troubles:\n")
 	for _, e := range s.Events {
 		fmt.Fprintf(&b, "  - {at: %v", e.At)
-		if e.For > 0 {
-			fmt.Fprintf(&b, ", for: %v", e.For)
+		if e.Duration > 0 {
+			fmt.Fprintf(&b, ", for: %v", e.Duration)
 		}
 		fmt.Fprintf(&b, ", verb: %s, target: %q", e.Verb, e.Target)
 		if e.Value != 0 {
@@ -220,8 +220,8 @@
 	return b.String()
 }
 
-// adapt is the configuration as the script has it.
-func (s *Script) adapt(cfg *config.Config) *config.Config {
+// applyTo is the configuration as the script has it.
+func (s *Script) applyTo(cfg *config.Config) *config.Config {
 	c := *cfg
 	c.Settings.Classes, c.Settings.Plans = slices.Clone(cfg.Settings.Classes), slices.Clone(cfg.Settings.Plans)
 	set := &c.Settings
@@ -229,8 +229,8 @@
 		if k := &set.Classes[i]; k.Idempotency == decision.IdempotentByKey && s.KeyTTL > 0 {
 			k.KeyTTL = time.Duration(s.KeyTTL)
 		}
-		if k := &set.Classes[i]; s.Late > 0 && !k.Stream {
-			k.LateShare = s.Late
+		if k := &set.Classes[i]; s.LateShare > 0 && !k.Stream {
+			k.LateShare = s.LateShare
 		}
 		if k := &set.Classes[i]; k.Idempotency == decision.IdempotentByKey && s.Backends.Cells > 1 {
 			k.KeyScope = decision.KeyScopeCell
@@ -239,23 +239,23 @@
 	for i := range set.Plans {
 		p := &set.Plans[i]
 		for _, x := range []*float64{&p.Rate, &p.Burst, &p.CeilingRate, &p.CeilingBurst, &p.CeilingSlack} {
-			*x *= s.Plans
+			*x *= s.PlanFactor
 		}
-		if p.CeilingRate > 0 && s.Soft > 0 {
-			p.OverQuotaValue = s.Soft
+		if p.CeilingRate > 0 && s.OverQuotaValue > 0 {
+			p.OverQuotaValue = s.OverQuotaValue
 		}
 	}
 	if s.SlowStart.Share > 0 {
 		set.SlowStartShare = s.SlowStart.Share
 	}
-	if s.SlowStart.Time > 0 {
-		set.SlowStartTime = time.Duration(s.SlowStart.Time)
+	if s.SlowStart.Duration > 0 {
+		set.SlowStartTime = time.Duration(s.SlowStart.Duration)
 	}
-	if s.SlowStart.Factor > 0 {
-		set.OverloadFactor = s.SlowStart.Factor
+	if s.SlowStart.OverloadFactor > 0 {
+		set.OverloadFactor = s.SlowStart.OverloadFactor
 	}
-	if s.SlowStart.Over > 0 {
-		set.OverloadTime = time.Duration(s.SlowStart.Over)
+	if s.SlowStart.OverloadTime > 0 {
+		set.OverloadTime = time.Duration(s.SlowStart.OverloadTime)
 	}
 	return &c
 }
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -21,11 +21,11 @@
 
 // The figures of a run's end.
 const (
-	recovery   = 8 * time.Second  // after the last trouble, service must be back
-	leastBack  = 0.75             // share of the tries that are served then
-	fewestBack = 12               // tries that tell
-	mostLoad   = 0.5              // share of what the boxes can do, above which they may be right to refuse
-	afterwards = 25 * time.Second // on top of the longest time-out, until all that idles is closed
+	recoveryTime        = 8 * time.Second  // after the last trouble, service must be back
+	minRecoveredShare   = 0.75             // share of the tries that are served then
+	minRecoveryRequests = 12               // tries that tell
+	maxRecoveryLoad     = 0.5              // share of what the boxes can do, above which they may be right to refuse
+	settleTime          = 25 * time.Second // on top of the longest time-out, until all that idles is closed
 )
 
 // The rules that a run is held to beside the five.
@@ -50,7 +50,7 @@
 
 // Outcome is what a run came to.
 type Outcome struct {
-	Findings     []Finding // at most mostFindings
+	Findings     []Finding // at most maxFindings
 	Digest       uint64
 	Events       uint64
 	Virtual      time.Duration
@@ -62,14 +62,14 @@
 	CounterCalls uint64  `json:"Calls"` // that the keeper counted
 }
 
-const mostFindings = 20
+const maxFindings = 20
 
 // Options say how to run a script.
 type Options struct {
-	Log    func(at time.Duration, what string) // every event, in order; nil for none
-	Until  time.Duration                       // 0: to the end
-	GoOn   bool                                // after the first broken rule
-	Config *config.Config                      // nil: Deployment
+	Log                    func(at time.Duration, what string) // every event, in order; nil for none
+	Until                  time.Duration                       // 0: to the end
+	ContinueAfterViolation bool                                // after the first broken rule
+	Config                 *config.Config                      // nil: Deployment
 	// Record, if set, is told of each front door's start and gives what takes its steps.
 	Record func(number int, cfg *config.Config, seed uint64) func(proxy.Step)
 }
@@ -77,41 +77,41 @@
 // Sim is a run under way.
 type Sim struct {
 	*clock
-	opt      Options
-	script   *Script
-	cfg      *config.Config
-	net      *network
-	doors    []*vdoor
-	boxes    []*vbox
-	keeper   *vkeeper
-	world    *host // where clients are
-	check    *invariant.Checker
-	findings []Finding
-	reached  map[string]int
-	list     string
-	read     struct { // what the list came to when it was last read
-		text  string
-		boxes []config.Endpoint
-		err   error
-	}
-	keyTTL    time.Duration
-	receiving int           // the door whose connection a box reads,
-	sent      time.Duration // and when the request on it was sent
-	replaced  int
-	traffic   *rand.Rand
-	surge     map[string]float64
-	quit      float64
-	drip      float64
-	noise     float64
-	askers    []*asker // by door: idle and busy connections
-	moved     map[string]int
-	tries     []*invariant.Request
-	ends      map[string]invariant.End
-	ops       int
-	lastCalm  time.Duration // when the last trouble has ended
-	stop      bool
-	served    int // in the tail
-	asked     int
+	options      Options
+	script       *Script
+	config       *config.Config
+	network      *network
+	instances    []*simInstance
+	backends     []*simBackend
+	counter      *simCounter
+	clientHost   *host // where clients are
+	checker      *invariant.Checker
+	findings     []Finding
+	reached      map[string]int
+	endpointFile string
+	parsedFile   struct { // what the list came to when it was last read
+		text      string
+		endpoints []config.Endpoint
+		err       error
+	}
+	keyTTL            time.Duration
+	sendingInstance   int           // the door whose connection a box reads,
+	sentAt            time.Duration // and when the request on it was sent
+	replacements      int
+	traffic           *rand.Rand
+	surges            map[string]float64
+	abortShare        float64
+	slowShare         float64
+	invalidShare      float64
+	clientPools       []*clientPool // by door: idle and busy connections
+	trafficMoves      map[string]int
+	requests          []*invariant.Request
+	outcomes          map[string]invariant.Outcome
+	operations        int
+	faultsOverAt      time.Duration // when the last trouble has ended
+	stopped           bool
+	servedAfterFaults int // in the tail
+	sentAfterFaults   int
 }
 
 // Run plays a script.
@@ -119,19 +119,19 @@
 	cfg := opt.Config
 	if cfg == nil {
 		var err error
-		if cfg, err = deployment(); err != nil {
+		if cfg, err = builtInDeployment(); err != nil {
 			return Outcome{}, err
 		}
 	}
-	s := &Sim{clock: newClock(script.Seed), opt: opt, script: script, reached: map[string]int{}, surge: map[string]float64{},
-		moved: map[string]int{}, ends: map[string]invariant.End{}, traffic: stream(script.Seed, "traffic")}
+	s := &Sim{clock: newClock(script.Seed), options: opt, script: script, reached: map[string]int{}, surges: map[string]float64{},
+		trafficMoves: map[string]int{}, outcomes: map[string]invariant.Outcome{}, traffic: stream(script.Seed, "traffic")}
 	s.log = opt.Log
-	s.cfg = script.adapt(cfg).ForInstance(0, script.Instances)
-	s.net = &network{clock: s.clock, rng: stream(script.Seed, "net"), latency: time.Duration(script.Net.Latency), jitter: script.Net.Jitter,
-		split: script.Net.Split, hosts: map[string]*host{}, byAddr: map[string]*host{}, links: map[[2]*host]*link{}}
-	s.world = s.addHost("clients", "")
-	s.world.alive = true
-	set := s.cfg.Settings
+	s.config = script.applyTo(cfg).ForInstance(0, script.Instances)
+	s.network = &network{clock: s.clock, rng: stream(script.Seed, "net"), latency: time.Duration(script.Net.Latency), jitter: script.Net.Jitter,
+		splitProbability: script.Net.SplitProbability, hosts: map[string]*host{}, byAddr: map[string]*host{}, links: map[[2]*host]*link{}}
+	s.clientHost = s.addHost("clients", "")
+	s.clientHost.alive = true
+	set := s.config.Settings
 	s.keyTTL = 10 * time.Second
 	for _, k := range set.Classes {
 		if k.Idempotency == decision.IdempotentByKey {
@@ -142,49 +142,49 @@
 	for _, p := range cfg.Plans {
 		if p.Ceiling.Rate > 0 {
 			// A door that starts takes its split of the slack for granted, so that a restart costs that much more.
-			x := script.Plans
+			x := script.PlanFactor
 			ceilings[p.Name] = invariant.Ceiling{Rate: x * float64(p.Ceiling.Rate), Burst: x * p.Ceiling.Burst, Slack: x * p.Ceiling.Slack}
 		}
 	}
-	s.check = invariant.NewChecker(invariant.Limits{DrainGrace: set.DrainGrace, Slack: 4 * s.net.latency, KeyTTL: s.keyTTL, SlowStartShare: set.SlowStartShare,
-		SlowStartTime: set.SlowStartTime, OverloadFactor: set.OverloadFactor, OverloadTime: set.OverloadTime, Cores: float64(script.Backends.Cores), Ceilings: ceilings, Group: s.group()})
-	s.check.Broken = func(rule int, what string) { s.find(s.check.Rules()[rule].Name, what) }
-	s.begin()
+	s.checker = invariant.NewChecker(invariant.Limits{DrainGrace: set.DrainGrace, Slack: 4 * s.network.latency, KeyTTL: s.keyTTL, SlowStartShare: set.SlowStartShare,
+		SlowStartTime: set.SlowStartTime, OverloadFactor: set.OverloadFactor, OverloadTime: set.OverloadTime, Cores: float64(script.Backends.Cores), Ceilings: ceilings, CellOf: s.cellOfName()})
+	s.checker.OnViolation = func(rule int, what string) { s.report(s.checker.Rules()[rule].Name, what) }
+	s.start()
 	end := time.Duration(script.Seconds * float64(time.Second))
-	l := s.cfg.Limits
-	limit := end + afterwards + time.Duration(max(l.IdleTimeout, l.BackendIdleTimeout, l.HeadTimeout, l.BodyTimeout))
+	l := s.config.Limits
+	limit := end + settleTime + time.Duration(max(l.IdleTimeout, l.BackendIdleTimeout, l.HeadTimeout, l.BodyTimeout))
 	if opt.Until > 0 {
 		limit = min(limit, opt.Until)
 	}
-	s.play(limit)
-	if !s.stop && opt.Until == 0 {
+	s.runEvents(limit)
+	if !s.stopped && opt.Until == 0 {
 		s.now = limit
-		s.close()
+		s.checkQuiescent()
 	}
-	o := Outcome{Findings: s.findings, Events: s.events, Virtual: s.now, Reached: s.reached, Requests: len(s.tries)}
-	for _, d := range s.doors { // what the machines know is part of what happened
+	o := Outcome{Findings: s.findings, Events: s.events, Virtual: s.now, Reached: s.reached, Requests: len(s.requests)}
+	for _, d := range s.instances { // what the machines know is part of what happened
 		if d.core != nil {
 			s.digest(instanceStats, d.core.Stats.Counts())
 		}
 	}
-	o.Digest = s.sum.Sum64()
-	o.Verdict = invariant.Judge(s.check, invariant.Summarize(s.tries, s.ends))
+	o.Digest = s.digestState.Sum64()
+	o.Verdict = invariant.Judge(s.checker, invariant.Summarize(s.requests, s.outcomes))
 	for _, p := range o.Verdict.Plans {
-		o.ValueServed, o.ValueOffered = o.ValueServed+p.WorthServed, o.ValueOffered+p.WorthAsked
+		o.ValueServed, o.ValueOffered = o.ValueServed+p.ValueServed, o.ValueOffered+p.ValueOffered
 	}
-	if s.keeper != nil {
-		o.CounterCalls = s.keeper.calls + s.keeper.k.Calls
+	if s.counter != nil {
+		o.CounterCalls = s.counter.earlierIncrements + s.counter.model.Increments
 	}
 	return o, nil
 }
 
-// group tells which boxes discard each other's repeats; nil: all do.
-func (s *Sim) group() func(box string) string {
+// cellOfName tells which boxes discard each other's repeats; nil: all do.
+func (s *Sim) cellOfName() func(box string) string {
 	if s.script.Backends.Cells < 2 {
 		return nil
 	}
 	return func(box string) string {
-		for _, b := range s.boxes {
+		for _, b := range s.backends {
 			if b.name == box {
 				return strconv.Itoa(s.cellOf(b))
 			}
@@ -193,40 +193,40 @@
 	}
 }
 
-// play makes events happen until a time. Code that panics has broken a rule like any other.
-func (s *Sim) play(limit time.Duration) {
+// runEvents makes events happen until a time. Code that panics has broken a rule like any other.
+func (s *Sim) runEvents(limit time.Duration) {
 	defer func() {
 		if x := recover(); x != nil {
-			s.stop = true
-			s.find(RuleCrash, fmt.Sprintf("%v\n%s", x, debug.Stack()))
+			s.stopped = true
+			s.report(RuleCrash, fmt.Sprintf("%v\n%s", x, debug.Stack()))
 		}
 	}()
-	for !s.stop && s.step(limit) {
+	for !s.stopped && s.step(limit) {
 	}
 }
 
-func (s *Sim) reach(what string) { s.reached[what]++ }
+func (s *Sim) cover(what string) { s.reached[what]++ }
 
-func (s *Sim) find(rule, what string) {
-	s.note("BROKEN " + rule + ": " + what)
+func (s *Sim) report(rule, what string) {
+	s.logEvent("BROKEN " + rule + ": " + what)
 	s.digest(ruleBroken, []uint64{uint64(ruleNumber(rule))})
-	if len(s.findings) < mostFindings {
+	if len(s.findings) < maxFindings {
 		s.findings = append(s.findings, Finding{s.now, rule, what})
 	}
-	s.stop = s.stop || !s.opt.GoOn
+	s.stopped = s.stopped || !s.options.ContinueAfterViolation
 }
 
 func (s *Sim) addHost(name, addr string) *host {
-	h := &host{name: name, room: -1}
-	s.net.hosts[name] = h
+	h := &host{name: name, descriptors: -1}
+	s.network.hosts[name] = h
 	if addr != "" {
-		s.net.byAddr[addr] = h
+		s.network.byAddr[addr] = h
 	}
 	return h
 }
 
-func (s *Sim) doorOf(h *host) int {
-	for _, d := range s.doors {
+func (s *Sim) instanceOf(h *host) int {
+	for _, d := range s.instances {
 		if d.host == h {
 			return d.number
 		}
@@ -234,89 +234,89 @@
 	return -2
 }
 
-func (s *Sim) begin() {
+func (s *Sim) start() {
 	sc := s.script
-	if addr := s.cfg.Counter.Address; addr != "" {
-		s.keeper = &vkeeper{s: s, host: s.addHost("keeper", addr), k: emulator.NewCounter()}
-		s.keeper.start()
+	if addr := s.config.Counter.Address; addr != "" {
+		s.counter = &simCounter{sim: s, host: s.addHost("keeper", addr), model: emulator.NewCounter()}
+		s.counter.start()
 	}
 	for i := range sc.Backends.Count {
-		s.addBox(fmt.Sprintf("box-%d", i)).start(false)
+		s.addBackend(fmt.Sprintf("box-%d", i)).start(false)
 	}
-	s.list = s.listText()
+	s.endpointFile = s.endpointFileText()
 	drift := stream(sc.Seed, "drift")
 	for i := range sc.Instances {
-		d := &vdoor{s: s, number: i, cfg: s.cfg.ForInstance(i, sc.Instances), drift: 1 + sc.Drift*(2*drift.Float64()-1)}
+		d := &simInstance{sim: s, number: i, config: s.config.ForInstance(i, sc.Instances), clockRate: 1 + sc.Drift*(2*drift.Float64()-1)}
 		d.host = s.addHost(fmt.Sprintf("door-%d", i), fmt.Sprintf("door-%d", i))
-		s.doors = append(s.doors, d)
-		s.askers = append(s.askers, &asker{s: s, door: i})
-		d.start(s.doorSeed(d))
+		s.instances = append(s.instances, d)
+		s.clientPools = append(s.clientPools, &clientPool{sim: s, instance: i})
+		d.start(s.instanceSeed(d))
 	}
 	for _, e := range sc.Events {
-		s.lastCalm = max(s.lastCalm, e.At+e.For)
+		s.faultsOverAt = max(s.faultsOverAt, e.At+e.Duration)
 		if e.Verb == fault.Replace || e.Verb == fault.Drain {
-			s.lastCalm = max(s.lastCalm, e.At+e.For+s.cfg.Settings.SlowStartTime)
+			s.faultsOverAt = max(s.faultsOverAt, e.At+e.Duration+s.config.Settings.SlowStartTime)
 		}
-		s.at(e.At, func() { s.trouble(e) })
+		s.schedule(e.At, func() { s.beginFault(e) })
 	}
-	s.at(0, s.next)
+	s.schedule(0, s.generateRequest)
 }
 
-func (s *Sim) doorSeed(d *vdoor) uint64 {
-	return s.script.Seed*1_000_003 + uint64(d.number)*97 + uint64(d.life)
+func (s *Sim) instanceSeed(d *simInstance) uint64 {
+	return s.script.Seed*1_000_003 + uint64(d.number)*97 + uint64(d.incarnation)
 }
 
-func (s *Sim) addBox(name string) *vbox {
-	addr := fmt.Sprintf("10.1.%d.%d:80", len(s.boxes)/200, len(s.boxes)%200)
-	b := &vbox{s: s, name: name, number: len(s.boxes), addr: addr, state: "up", host: s.addHost(name, addr)}
-	s.boxes = append(s.boxes, b)
+func (s *Sim) addBackend(name string) *simBackend {
+	addr := fmt.Sprintf("10.1.%d.%d:80", len(s.backends)/200, len(s.backends)%200)
+	b := &simBackend{sim: s, name: name, number: len(s.backends), address: addr, listedState: "up", host: s.addHost(name, addr)}
+	s.backends = append(s.backends, b)
 	return b
 }
 
-// writeList replaces the file of boxes; each door hears of it a moment later.
-func (s *Sim) writeList() {
-	s.list = s.listText()
-	s.tellDoors()
+// writeEndpoints replaces the file of boxes; each door hears of it a moment later.
+func (s *Sim) writeEndpoints() {
+	s.endpointFile = s.endpointFileText()
+	s.notifyInstances()
 }
 
-// parsed reads the list as it is now, once for all doors that read the same.
-func (s *Sim) parsed() ([]config.Endpoint, error) {
-	r := &s.read
-	if r.boxes == nil && r.err == nil || r.text != s.list {
-		r.text = s.list
-		r.boxes, r.err = config.ParseEndpoints("boxes.yaml", []byte(r.text))
+// parseEndpoints reads the list as it is now, once for all doors that read the same.
+func (s *Sim) parseEndpoints() ([]config.Endpoint, error) {
+	r := &s.parsedFile
+	if r.endpoints == nil && r.err == nil || r.text != s.endpointFile {
+		r.text = s.endpointFile
+		r.endpoints, r.err = config.ParseEndpoints("boxes.yaml", []byte(r.text))
 	}
-	return slices.Clone(r.boxes), r.err
+	return slices.Clone(r.endpoints), r.err
 }
 
-func (s *Sim) tellDoors() {
-	rng := s.net.rng
-	for _, d := range s.doors {
-		s.after(time.Duration(rng.Int64N(int64(20*time.Millisecond))), d.guard(d.readList))
+func (s *Sim) notifyInstances() {
+	rng := s.network.rng
+	for _, d := range s.instances {
+		s.scheduleAfter(time.Duration(rng.Int64N(int64(20*time.Millisecond))), d.thisIncarnation(d.pollEndpoints))
 	}
 }
 
-// toldList notes what a door was told.
-func (s *Sim) toldList(d *vdoor, boxes []config.Endpoint) {
-	for _, b := range s.boxes {
+// recordEndpointView notes what a door was told.
+func (s *Sim) recordEndpointView(d *simInstance, boxes []config.Endpoint) {
+	for _, b := range s.backends {
 		i := slices.IndexFunc(boxes, func(c config.Endpoint) bool { return c.Name == b.name })
 		if i < 0 || decision.EndpointState(boxes[i].State) != decision.Up {
-			s.check.EndpointRemoved(d.number, b.name, s.now)
+			s.checker.EndpointRemoved(d.number, b.name, s.now)
 		} else {
-			s.check.EndpointListed(d.number, b.name, s.now)
+			s.checker.EndpointListed(d.number, b.name, s.now)
 		}
 	}
 }
 
-// trouble begins a trouble of the script, and plans its end.
-func (s *Sim) trouble(e fault.Event) {
-	s.note(fmt.Sprintf("trouble %s %s %g", e.Verb, e.Target, e.Value))
+// beginFault begins a trouble of the script, and plans its end.
+func (s *Sim) beginFault(e fault.Event) {
+	s.logEvent(fmt.Sprintf("trouble %s %s %g", e.Verb, e.Target, e.Value))
 	s.digest(faultBegun, []uint64{math.Float64bits(e.Value)}, string(e.Verb), e.Target)
-	s.reach("trouble " + string(e.Verb))
+	s.cover("trouble " + string(e.Verb))
 	end := func(do func()) {
-		if e.For > 0 {
-			s.after(e.For, func() {
-				s.note(fmt.Sprintf("over %s %s", e.Verb, e.Target))
+		if e.Duration > 0 {
+			s.scheduleAfter(e.Duration, func() {
+				s.logEvent(fmt.Sprintf("over %s %s", e.Verb, e.Target))
 				s.digest(faultOver, nil, string(e.Verb), e.Target)
 				do()
 			})
@@ -324,77 +324,77 @@
 	}
 	switch e.Verb {
 	case fault.Surge:
-		s.surge[e.Target] = e.Value
-		end(func() { delete(s.surge, e.Target) })
-	case fault.Quit:
-		s.quit = e.Value
-		end(func() { s.quit = 0 })
-	case fault.Drip:
-		s.drip = e.Value
-		end(func() { s.drip = 0 })
-	case fault.Noise:
-		s.noise = e.Value
-		end(func() { s.noise = 0 })
-	case fault.Move:
-		for _, st := range s.cfg.Customers {
+		s.surges[e.Target] = e.Value
+		end(func() { delete(s.surges, e.Target) })
+	case fault.ClientsAbort:
+		s.abortShare = e.Value
+		end(func() { s.abortShare = 0 })
+	case fault.SlowClients:
+		s.slowShare = e.Value
+		end(func() { s.slowShare = 0 })
+	case fault.InvalidRequests:
+		s.invalidShare = e.Value
+		end(func() { s.invalidShare = 0 })
+	case fault.MoveTraffic:
+		for _, st := range s.config.Customers {
 			if e.Target == "*" || e.Target == st.Name || e.Target == st.Plan {
-				s.moved[st.Name]++
+				s.trafficMoves[st.Name]++
 			}
 		}
 	case fault.Kill:
-		s.kill(e, end)
-	case fault.Drain, fault.Replace, fault.Leave:
-		s.drain(e)
-	case fault.Torn:
-		s.list = s.list[:len(s.list)/2]
-		s.tellDoors()
-		end(s.writeList)
-		if e.For == 0 {
-			s.after(time.Second, s.writeList)
+		s.killProcesses(e, end)
+	case fault.Drain, fault.Replace, fault.Vanish:
+		s.drainBackend(e)
+	case fault.TornEndpointFile:
+		s.endpointFile = s.endpointFile[:len(s.endpointFile)/2]
+		s.notifyInstances()
+		end(s.writeEndpoints)
+		if e.Duration == 0 {
+			s.scheduleAfter(time.Second, s.writeEndpoints)
 		}
-	case fault.Partition, fault.Oneway, fault.Lag, fault.Throttle:
-		s.links(e, end)
-	case fault.Pause, fault.Deaf, fault.Descriptors:
+	case fault.Partition, fault.OneWayPartition, fault.AddedLatency, fault.Throttle:
+		s.beginLinkFault(e, end)
+	case fault.Pause, fault.NotAccepting, fault.DescriptorLimit:
 		for _, h := range s.targets(e.Target) {
 			switch e.Verb {
 			case fault.Pause:
 				h.pause(true)
-				s.check.InstancePaused(s.doorOf(h), s.now, true)
+				s.checker.InstancePaused(s.instanceOf(h), s.now, true)
 				end(func() {
 					h.pause(false)
-					s.net.admit(h)
-					s.check.InstancePaused(s.doorOf(h), s.now, false)
+					s.network.acceptPending(h)
+					s.checker.InstancePaused(s.instanceOf(h), s.now, false)
 				})
-			case fault.Deaf:
-				h.deaf = true
-				end(func() { h.deaf = false; s.net.admit(h) })
+			case fault.NotAccepting:
+				h.notAccepting = true
+				end(func() { h.notAccepting = false; s.network.acceptPending(h) })
 			default:
-				h.room = max(0, int(e.Value)-len(h.ends))
-				end(func() { h.room = -1; s.net.admit(h) })
+				h.descriptors = max(0, int(e.Value)-len(h.conns))
+				end(func() { h.descriptors = -1; s.network.acceptPending(h) })
 			}
 		}
 	default:
-		if s.keeper != nil && e.Target == "keeper" {
-			s.keeper.set(e.Verb, e.Value, true)
-			end(func() { s.keeper.set(e.Verb, e.Value, false) })
+		if s.counter != nil && e.Target == "keeper" {
+			s.counter.setFault(e.Verb, e.Value, true)
+			end(func() { s.counter.setFault(e.Verb, e.Value, false) })
 			return
 		}
-		for _, b := range s.boxes {
+		for _, b := range s.backends {
 			if e.Target == "*" || e.Target == "boxes" || e.Target == b.name {
-				b.set(e.Verb, e.Value, true)
-				end(func() { b.set(e.Verb, e.Value, false) })
+				b.setFault(e.Verb, e.Value, true)
+				end(func() { b.setFault(e.Verb, e.Value, false) })
 			}
 		}
 	}
 }
 
-func (b *vbox) set(v fault.Verb, value float64, on bool) {
-	b.box.Set(b.s.now, v, value, on)
-	if v == fault.Trail {
-		b.trails = on
+func (b *simBackend) setFault(v fault.Verb, value float64, on bool) {
+	b.model.Set(b.sim.now, v, value, on)
+	if v == fault.ExtraResponse {
+		b.extraResponses = on
 	}
-	if v == fault.Refuse && !b.box.HasCollapsed() {
-		b.refuse(on)
+	if v == fault.Refuse && !b.model.HasCollapsed() {
+		b.setRefusing(on)
 	}
 	if b.host.alive {
 		b.advance()
@@ -403,26 +403,26 @@
 
 // targets finds processes by name; * stands for all boxes and doors.
 func (s *Sim) targets(name string) (hs []*host) {
-	for _, d := range s.doors {
+	for _, d := range s.instances {
 		if name == "*" || name == "doors" || name == d.host.name {
 			hs = append(hs, d.host)
 		}
 	}
-	for _, b := range s.boxes {
+	for _, b := range s.backends {
 		if name == "*" || name == "boxes" || name == b.name {
 			hs = append(hs, b.host)
 		}
 	}
-	if s.keeper != nil && name == "keeper" {
-		hs = append(hs, s.keeper.host)
+	if s.counter != nil && name == "keeper" {
+		hs = append(hs, s.counter.host)
 	}
 	if name == "clients" {
-		hs = append(hs, s.world)
+		hs = append(hs, s.clientHost)
 	}
 	return hs
 }
 
-func (s *Sim) links(e fault.Event, end func(func())) {
+func (s *Sim) beginLinkFault(e fault.Event, end func(func())) {
 	a, b, two := strings.Cut(e.Target, "/")
 	from, to := s.targets(a), s.targets(b)
 	if !two {
@@ -433,18 +433,18 @@
 			if x == y {
 				continue
 			}
-			ways := []*link{s.net.link(x, y), s.net.link(y, x)}
-			if e.Verb == fault.Oneway {
+			ways := []*link{s.network.link(x, y), s.network.link(y, x)}
+			if e.Verb == fault.OneWayPartition {
 				ways = ways[:1]
 			}
 			for _, l := range ways {
 				switch e.Verb {
-				case fault.Lag:
-					l.lag = time.Duration(e.Value * float64(time.Millisecond))
-					end(func() { l.lag = 0 })
+				case fault.AddedLatency:
+					l.addedLatency = time.Duration(e.Value * float64(time.Millisecond))
+					end(func() { l.addedLatency = 0 })
 				case fault.Throttle:
-					l.rate = max(100, e.Value)
-					end(func() { l.rate = 0 })
+					l.bytesPerSecond = max(100, e.Value)
+					end(func() { l.bytesPerSecond = 0 })
 				default:
 					l.blocked++
 					end(func() { l.blocked-- })
@@ -454,66 +454,66 @@
 	}
 }
 
-// kill ends processes at once; they start anew after the trouble's time.
-func (s *Sim) kill(e fault.Event, end func(func())) {
-	for _, d := range s.doors {
+// killProcesses ends processes at once; they start anew after the trouble's time.
+func (s *Sim) killProcesses(e fault.Event, end func(func())) {
+	for _, d := range s.instances {
 		if e.Target != d.host.name && e.Target != "doors" || !d.host.alive {
 			continue
 		}
-		s.check.InstanceDown(d.number, s.now)
+		s.checker.InstanceDown(d.number, s.now)
 		d.kill()
 		end(func() {
-			s.check.InstanceUp(d.number, s.now)
+			s.checker.InstanceUp(d.number, s.now)
 			// who asks on a connection of the old process has not heard of its end yet
-			s.check.InstancePaused(d.number, s.now+s.ways(), false)
-			d.start(s.doorSeed(d))
+			s.checker.InstancePaused(d.number, s.now+s.roundTripAllowance(), false)
+			d.start(s.instanceSeed(d))
 		})
 	}
-	for _, b := range s.boxes {
+	for _, b := range s.backends {
 		if e.Target != b.name && e.Target != "boxes" || !b.host.alive {
 			continue
 		}
-		b.life++
+		b.incarnation++
 		b.conns = nil
-		s.net.kill(b.host)
+		s.network.kill(b.host)
 		b.host.accept = nil
 		end(func() {
 			b.start(true)
-			s.writeList() // with its new time of start
+			s.writeEndpoints() // with its new time of start
 		})
 	}
-	if s.keeper != nil && e.Target == "keeper" && s.keeper.host.alive {
-		s.net.kill(s.keeper.host)
-		s.keeper.conns = nil
-		s.keeper.host.accept = nil
-		s.keeper.calls += s.keeper.k.Calls
-		s.keeper.k = emulator.NewCounter()
-		end(s.keeper.start)
+	if s.counter != nil && e.Target == "keeper" && s.counter.host.alive {
+		s.network.kill(s.counter.host)
+		s.counter.conns = nil
+		s.counter.host.accept = nil
+		s.counter.earlierIncrements += s.counter.model.Increments
+		s.counter.model = emulator.NewCounter()
+		end(s.counter.start)
 	}
 }
 
-// drain lists a box as draining and then as gone, with a cold replacement if asked for.
-func (s *Sim) drain(e fault.Event) {
-	for _, b := range s.boxes {
-		if b.name != e.Target || b.state != "up" || !b.host.alive {
+// drainBackend lists a box as draining and then as gone, with a cold replacement if asked for.
+func (s *Sim) drainBackend(e fault.Event) {
+	for _, b := range s.backends {
+		if b.name != e.Target || b.listedState != "up" || !b.host.alive {
 			continue
 		}
-		b.state = "draining"
-		if e.Verb == fault.Leave {
-			b.state = "gone"
+		b.listedState = "draining"
+		if e.Verb == fault.Vanish {
+			b.listedState = "gone"
 		}
-		s.writeList()
-		s.after(max(e.For, s.cfg.Settings.DrainGrace), func() {
-			b.state = "gone"
+		s.writeEndpoints()
+		s.scheduleAfter(max(e.Duration, s.config.Settings.DrainGrace), func() {
+			b.listedState = "gone"
 			if e.Verb == fault.Replace {
-				s.replaced++
-				s.addBox(fmt.Sprintf("%s-r%d", e.Target, s.replaced)).start(true)
+				s.replacements++
+				s.addBackend(fmt.Sprintf("%s-r%d", e.Target, s.replacements)).start(true)
 			}
-			s.writeList()
-			s.after(10*time.Second, func() {
-				b.life++
+			s.writeEndpoints()
+			s.scheduleAfter(10*time.Second, func() {
+				b.incarnation++
 				b.conns = nil
-				s.net.kill(b.host)
+				s.network.kill(b.host)
 				b.host.accept = nil
 			})
 		})
@@ -521,38 +521,38 @@
 	}
 }
 
-// close looks at what is left once all is quiet.
-func (s *Sim) close() {
-	s.check.Overdue(s.now)
-	for _, d := range s.doors {
+// checkQuiescent looks at what is left once all is quiet.
+func (s *Sim) checkQuiescent() {
+	s.checker.Overdue(s.now)
+	for _, d := range s.instances {
 		if !d.host.alive {
 			continue
 		}
 		requests, _, lines := d.core.Sizes()
 		if !d.core.Quiescent() || d.core.Unanswered() != 0 {
-			s.find(RuleLeak, fmt.Sprintf("door %d holds %d exchanges, %d owed", d.number, requests, d.core.Unanswered()))
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d exchanges, %d owed", d.number, requests, d.core.Unanswered()))
 		}
 		if n := d.shared.Memory.Load(); n != 0 {
-			s.find(RuleLeak, fmt.Sprintf("door %d holds %d bytes of bodies", d.number, n))
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d bytes of bodies", d.number, n))
 		}
 		if len(d.clients) > 0 || d.shared.Clients.Load() != 0 {
-			s.find(RuleLeak, fmt.Sprintf("door %d holds %d connections of clients, counts %d", d.number, len(d.clients), d.shared.Clients.Load()))
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d connections of clients, counts %d", d.number, len(d.clients), d.shared.Clients.Load()))
 		}
-		if lines != len(d.lines) || lines > 0 {
-			s.find(RuleLeak, fmt.Sprintf("door %d holds %d lines to boxes, its runtime %d", d.number, lines, len(d.lines)))
+		if lines != len(d.backendConns) || lines > 0 {
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d lines to boxes, its runtime %d", d.number, lines, len(d.backendConns)))
 		}
 	}
 	cores := 0.0
-	for _, b := range s.boxes {
-		if b.state == "up" && b.host.alive && !b.box.HasCollapsed() {
+	for _, b := range s.backends {
+		if b.listedState == "up" && b.host.alive && !b.model.HasCollapsed() {
 			cores += float64(s.script.Backends.Cores)
 		}
 	}
 	load := s.script.Rate * time.Duration(s.script.Backends.Work).Seconds() / max(cores, 1e-9)
-	if load < mostLoad && s.asked >= fewestBack && float64(s.served) < leastBack*float64(s.asked) {
-		s.find(RuleRecovery, fmt.Sprintf("%d of %d tries were served later than %v after the last trouble", s.served, s.asked, recovery))
+	if load < maxRecoveryLoad && s.sentAfterFaults >= minRecoveryRequests && float64(s.servedAfterFaults) < minRecoveredShare*float64(s.sentAfterFaults) {
+		s.report(RuleRecovery, fmt.Sprintf("%d of %d tries were served later than %v after the last trouble", s.servedAfterFaults, s.sentAfterFaults, recoveryTime))
 	}
 }
 
-// deployment parses Deployment once; runs side by side share it.
-var deployment = sync.OnceValues(Deployment)
+// builtInDeployment parses Deployment once; runs side by side share it.
+var builtInDeployment = sync.OnceValues(Deployment)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -67,7 +67,7 @@
 		var sums [3]uint64
 		for i := range logs {
 			was := runtime.GOMAXPROCS([]int{1, 4, 2}[i])
-			o, err := Run(Generate(seed, Usual()), Options{GoOn: true, Log: func(at time.Duration, what string) { fmt.Fprintln(&logs[i], at, what) }})
+			o, err := Run(Generate(seed, Usual()), Options{ContinueAfterViolation: true, Log: func(at time.Duration, what string) { fmt.Fprintln(&logs[i], at, what) }})
 			runtime.GOMAXPROCS(was)
 			if err != nil {
 				t.Fatal(err)
@@ -88,8 +88,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, _ := Run(s, Options{GoOn: true})
-		b, _ := Run(back, Options{GoOn: true})
+		a, _ := Run(s, Options{ContinueAfterViolation: true})
+		b, _ := Run(back, Options{ContinueAfterViolation: true})
 		if a.Digest != b.Digest || back.Text() != s.Text() {
 			t.Errorf("seed %d reads back as another script:\n%s%s", seed, s.Text(), back.Text())
 		}
@@ -104,7 +104,7 @@
 			t.Fatal(err)
 		}
 		var out strings.Builder
-		Run(s, Options{GoOn: true, Log: func(at time.Duration, what string) {
+		Run(s, Options{ContinueAfterViolation: true, Log: func(at time.Duration, what string) {
 			if strings.HasPrefix(what, "ask") {
 				fmt.Fprintln(&out, at, what)
 			}
--- a/invariant/auditor.go
+++ b/invariant/auditor.go
@@ -23,7 +23,7 @@
 // Request is one request of a client, with an id of its own.
 type Request struct {
 	ID               string
-	Op               string // the same for a client's tries of one thing
+	Operation        string // the same for a client's tries of one thing
 	Customer         string
 	Plan             string
 	Idempotency      Idempotency
@@ -51,8 +51,8 @@
 	ClientLeft              // the client went away by itself
 )
 
-// End is the end of a try.
-type End struct {
+// Outcome is the end of a try.
+type Outcome struct {
 	ID        string
 	Ending    Ending
 	At        time.Duration
@@ -64,7 +64,7 @@
 	ID, Backend string
 	At          time.Duration
 	Instance    int           // that sent it; only its own notices of drains count, and those to AllInstances
-	Sent        time.Duration // when it was, if that is known: what a network holds up is not new
+	SentAt      time.Duration // when it was, if that is known: what a network holds up is not new
 }
 
 // Execution is a request's effect at a box.
@@ -84,7 +84,7 @@
 	OverloadTime   time.Duration
 	Cores          float64                 // of a box
 	Ceilings       map[string]Ceiling      // by plan
-	Group          func(box string) string // that discards a keyed request's repeats; nil: all boxes do
+	CellOf         func(box string) string // that discards a keyed request's repeats; nil: all boxes do
 }
 
 // Ceiling is a plan's hard limit.
@@ -94,112 +94,120 @@
 type fact struct {
 	at    time.Duration
 	order int // of facts that share a time
-	tell  func(*Checker)
+	apply func(*Checker)
 }
 
 // Auditor collects facts that come in any order, as from several processes.
 type Auditor struct {
-	limits Limits
-	facts  []fact
-	tries  []*Request
-	ends   map[string]End
+	limits   Limits
+	facts    []fact
+	requests []*Request
+	ends     map[string]Outcome
 }
 
 // New begins an audit.
-func New(l Limits) *Auditor { return &Auditor{limits: l, ends: map[string]End{}} }
+func New(l Limits) *Auditor { return &Auditor{limits: l, ends: map[string]Outcome{}} }
 
-func (a *Auditor) note(at time.Duration, order int, tell func(*Checker)) {
+func (a *Auditor) record(at time.Duration, order int, tell func(*Checker)) {
 	a.facts = append(a.facts, fact{at, order, tell})
 }
 
 // RequestSent notes a try.
 func (a *Auditor) RequestSent(t Request) {
-	a.tries = append(a.tries, &t)
-	a.note(t.SentAt, 0, func(c *Checker) { c.RequestSent(t) })
+	a.requests = append(a.requests, &t)
+	a.record(t.SentAt, 0, func(c *Checker) { c.RequestSent(t) })
 }
 
 // RequestEnded notes how a try ended.
-func (a *Auditor) RequestEnded(e End) {
+func (a *Auditor) RequestEnded(e Outcome) {
 	a.ends[e.ID] = e
-	a.note(e.At, 3, func(c *Checker) { c.RequestEnded(e) })
+	a.record(e.At, 3, func(c *Checker) { c.RequestEnded(e) })
 }
 
 // RequestReceived notes a request at a box.
 func (a *Auditor) RequestReceived(r Receipt) {
-	a.note(r.At, 1, func(c *Checker) { c.RequestReceived(r) })
+	a.record(r.At, 1, func(c *Checker) { c.RequestReceived(r) })
 }
 
 // RequestExecuted notes an effect.
 func (a *Auditor) RequestExecuted(r Execution) {
-	a.note(r.At, 2, func(c *Checker) { c.RequestExecuted(r) })
+	a.record(r.At, 2, func(c *Checker) { c.RequestExecuted(r) })
 }
 
 // BackendCollapsed notes that a box fell over.
 func (a *Auditor) BackendCollapsed(box string, at time.Duration) {
-	a.note(at, 2, func(c *Checker) { c.BackendCollapsed(box, at) })
+	a.record(at, 2, func(c *Checker) { c.BackendCollapsed(box, at) })
 }
 
 // EndpointRemoved notes that all doors were told that a box drains or is gone.
 func (a *Auditor) EndpointRemoved(box string, at time.Duration) {
-	a.note(at, 0, func(c *Checker) { c.EndpointRemoved(AllInstances, box, at) })
+	a.record(at, 0, func(c *Checker) { c.EndpointRemoved(AllInstances, box, at) })
 }
 
 // EndpointListed notes that a box was listed as up.
 func (a *Auditor) EndpointListed(box string, at time.Duration) {
-	a.note(at, 0, func(c *Checker) { c.EndpointListed(AllInstances, box, at) })
+	a.record(at, 0, func(c *Checker) { c.EndpointListed(AllInstances, box, at) })
 }
 
 // BackendStarted notes a box's cold start.
 func (a *Auditor) BackendStarted(box string, at time.Duration) {
-	a.note(at, 0, func(c *Checker) { c.BackendStarted(box, at) })
+	a.record(at, 0, func(c *Checker) { c.BackendStarted(box, at) })
 }
 
 // InstanceDown notes that a door was killed, and InstanceUp that it runs again.
 func (a *Auditor) InstanceDown(door int, at time.Duration) {
-	a.note(at, 0, func(c *Checker) { c.InstanceDown(door, at) })
+	a.record(at, 0, func(c *Checker) { c.InstanceDown(door, at) })
 }
 
 // InstanceUp ends InstanceDown.
 func (a *Auditor) InstanceUp(door int, at time.Duration) {
-	a.note(at, 0, func(c *Checker) { c.InstanceUp(door, at) })
+	a.record(at, 0, func(c *Checker) { c.InstanceUp(door, at) })
 }
 
 // Rule is what was found about one rule.
 type Rule struct {
 	Name       string   `json:"name"`
 	Cases      int      `json:"cases"`      // situations in which it could have been broken
-	Violations []string `json:"violations"` // at most mostTold, in words
+	Violations []string `json:"violations"` // at most maxReported, in words
 	Count      int      `json:"count"`      // of violations
 	Nearest    float64  `json:"nearest"`    // the most that was made of the limit, as a share of it
 	Of         string   `json:"of"`         // what the limit is
 }
 
-const mostTold = 20
+const maxReported = 20
 
-func (r *Rule) broken(format string, args ...any) {
-	if r.Count++; len(r.Violations) < mostTold {
+func (r *Rule) violation(format string, args ...any) {
+	if r.Count++; len(r.Violations) < maxReported {
 		r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
 // PlanSummary counts what became of a plan's tries.
 type PlanSummary struct {
-	Plan                    string
-	Tries, Served, Late     int
-	Refused, Failed, Lost   int
-	Cut, NoDoor, Left       int
-	WorthAsked, WorthServed float64            // of operations; a late answer has the share that its class states
-	operations              map[string]float64 // asked for: the share of their worth that was served
+	Plan         string
+	Requests     int `json:"Tries"`
+	Served       int
+	Late         int // of those served, later than their latency objective
+	Rejected     int `json:"Refused"`
+	Failed       int
+	TimedOut     int     `json:"Lost"`
+	Broken       int     `json:"Cut"`
+	NotAccepted  int     `json:"NoDoor"`
+	Abandoned    int     `json:"Left"`
+	ValueOffered float64 `json:"WorthAsked"`  // of the operations that clients wanted
+	ValueServed  float64 `json:"WorthServed"` // of them; a late response has the share that its class states
+
+	servedShare map[string]float64 // by operation: the share of its value that was served
 }
 
 // Verdict is the outcome of an audit.
 type Verdict struct {
-	Rules      []Rule        `json:"rules"`
-	Plans      []PlanSummary `json:"plans"`
-	Violations int           `json:"violations"`
-	Unseen     []string      `json:"not_exercised"`
-	// Excuses counts the cases that a check let pass which by their facts alone could have been held against a rule.
-	Excuses map[string]int `json:"excuses,omitempty"`
+	Rules        []Rule        `json:"rules"`
+	Plans        []PlanSummary `json:"plans"`
+	Violations   int           `json:"violations"`
+	NotExercised []string      `json:"not_exercised"`
+	// Exemptions counts the cases that a check let pass which by their facts alone could have been held against a rule.
+	Exemptions map[string]int `json:"excuses,omitempty"`
 }
 
 // Verdict judges what was noted. Tries without an end are judged as if their clients had waited in vain.
@@ -208,19 +216,19 @@
 	c := NewChecker(a.limits)
 	var last time.Duration
 	for _, f := range a.facts {
-		f.tell(c)
+		f.apply(c)
 		last = f.at
 	}
 	c.Overdue(last + time.Hour)
-	return Judge(c, Summarize(a.tries, a.ends))
+	return Judge(c, Summarize(a.requests, a.ends))
 }
 
 // Judge is a checker's verdict.
 func Judge(c *Checker, plans []PlanSummary) Verdict {
-	v := Verdict{Rules: c.Rules(), Plans: plans, Violations: c.Violations(), Excuses: c.excuses}
+	v := Verdict{Rules: c.Rules(), Plans: plans, Violations: c.Violations(), Exemptions: c.exemptions}
 	for _, r := range v.Rules {
 		if r.Cases == 0 {
-			v.Unseen = append(v.Unseen, r.Name)
+			v.NotExercised = append(v.NotExercised, r.Name)
 		}
 	}
 	return v
@@ -229,8 +237,8 @@
 // bucket is what is used of a ceiling.
 type bucket struct{ used, at float64 }
 
-// draw adds units at a time and returns how far the use is beyond the burst.
-func (b *bucket) draw(c Ceiling, at time.Duration, units float64) float64 {
+// add adds units at a time and returns how far the use is beyond the burst.
+func (b *bucket) add(c Ceiling, at time.Duration, units float64) float64 {
 	now := at.Seconds()
 	b.used = max(0, b.used-(now-b.at)*c.Rate) + units
 	b.at = now
@@ -238,24 +246,24 @@
 }
 
 // Summarize counts what became of tries, by plan.
-func Summarize(tries []*Request, ends map[string]End) []PlanSummary {
+func Summarize(tries []*Request, ends map[string]Outcome) []PlanSummary {
 	by := map[string]*PlanSummary{}
 	var names []string
 	for _, t := range tries {
 		p := by[t.Plan]
 		if p == nil {
-			p = &PlanSummary{Plan: t.Plan, operations: map[string]float64{}}
+			p = &PlanSummary{Plan: t.Plan, servedShare: map[string]float64{}}
 			by[t.Plan] = p
 			names = append(names, t.Plan)
 		}
-		p.Tries++
-		if _, known := p.operations[t.Op]; !known {
-			p.operations[t.Op] = 0
-			p.WorthAsked += t.Value
+		p.Requests++
+		if _, known := p.servedShare[t.Operation]; !known {
+			p.servedShare[t.Operation] = 0
+			p.ValueOffered += t.Value
 		}
 		e, ok := ends[t.ID]
 		if !ok {
-			p.Lost++
+			p.TimedOut++
 			continue
 		}
 		switch e.Ending {
@@ -266,22 +274,22 @@
 				p.Late++
 				share = t.LateShare
 			}
-			if had := p.operations[t.Op]; share > had {
-				p.operations[t.Op] = share
-				p.WorthServed += (share - had) * t.Value
+			if had := p.servedShare[t.Operation]; share > had {
+				p.servedShare[t.Operation] = share
+				p.ValueServed += (share - had) * t.Value
 			}
 		case Rejected:
-			p.Refused++
+			p.Rejected++
 		case Failed:
 			p.Failed++
 		case ConnectionBroken:
-			p.Cut++
+			p.Broken++
 		case NotAccepted:
-			p.NoDoor++
+			p.NotAccepted++
 		case ClientLeft:
-			p.Left++
+			p.Abandoned++
 		case ClientTimedOut:
-			p.Lost++
+			p.TimedOut++
 		}
 	}
 	slices.Sort(names)
--- a/invariant/auditor_test.go
+++ b/invariant/auditor_test.go
@@ -13,7 +13,7 @@
 }
 
 func try(id string, r Idempotency) Request {
-	return Request{ID: id, Op: id, Customer: "s", Plan: "p", Idempotency: r, Units: 1, Timeout: time.Second, LatencyObjective: time.Second, Value: 1}
+	return Request{ID: id, Operation: id, Customer: "s", Plan: "p", Idempotency: r, Units: 1, Timeout: time.Second, LatencyObjective: time.Second, Value: 1}
 }
 
 // TestEachRuleCanBreak: for each rule, a run that keeps it and runs that break it.
@@ -24,22 +24,31 @@
 		want int
 		feed func(a *Auditor)
 	}{
-		{"answered", 0, 0, func(a *Auditor) { a.RequestSent(try("1", Idempotent)); a.RequestEnded(End{"1", Served, 900 * ms, 1}) }},
+		{"answered", 0, 0, func(a *Auditor) {
+			a.RequestSent(try("1", Idempotent))
+			a.RequestEnded(Outcome{"1", Served, 900 * ms, 1})
+		}},
 		{"never answered", 0, 1, func(a *Auditor) { a.RequestSent(try("1", Idempotent)) }},
 		{"gave up", 0, 1, func(a *Auditor) {
 			a.RequestSent(try("1", Idempotent))
-			a.RequestEnded(End{"1", ClientTimedOut, time.Second, 0})
+			a.RequestEnded(Outcome{"1", ClientTimedOut, time.Second, 0})
+		}},
+		{"late", 0, 1, func(a *Auditor) {
+			a.RequestSent(try("1", Idempotent))
+			a.RequestEnded(Outcome{"1", Served, 1100 * ms, 1})
+		}},
+		{"twice", 0, 1, func(a *Auditor) {
+			a.RequestSent(try("1", Idempotent))
+			a.RequestEnded(Outcome{"1", Served, 100 * ms, 2})
 		}},
-		{"late", 0, 1, func(a *Auditor) { a.RequestSent(try("1", Idempotent)); a.RequestEnded(End{"1", Served, 1100 * ms, 1}) }},
-		{"twice", 0, 1, func(a *Auditor) { a.RequestSent(try("1", Idempotent)); a.RequestEnded(End{"1", Served, 100 * ms, 2}) }},
 		{"cut", 0, 1, func(a *Auditor) {
 			a.RequestSent(try("1", Idempotent))
-			a.RequestEnded(End{"1", ConnectionBroken, 100 * ms, 0})
+			a.RequestEnded(Outcome{"1", ConnectionBroken, 100 * ms, 0})
 		}},
 		{"cut by a killed door", 0, 0, func(a *Auditor) {
 			a.RequestSent(try("1", Idempotent))
 			a.InstanceDown(0, 90*ms)
-			a.RequestEnded(End{"1", ConnectionBroken, 100 * ms, 0})
+			a.RequestEnded(Outcome{"1", ConnectionBroken, 100 * ms, 0})
 		}},
 		{"cut long after a door was killed", 0, 1, func(a *Auditor) {
 			x := try("1", Idempotent)
@@ -47,11 +56,11 @@
 			a.RequestSent(x)
 			a.InstanceDown(0, 90*ms)
 			a.InstanceUp(0, time.Second)
-			a.RequestEnded(End{"1", ConnectionBroken, 10100 * ms, 0})
+			a.RequestEnded(Outcome{"1", ConnectionBroken, 10100 * ms, 0})
 		}},
 		{"sent after its answer", 0, 1, func(a *Auditor) {
 			a.RequestSent(try("1", Idempotent))
-			a.RequestEnded(End{"1", Rejected, 100 * ms, 1})
+			a.RequestEnded(Outcome{"1", Rejected, 100 * ms, 1})
 			a.RequestReceived(Receipt{"1", "b", 300 * ms, 0, 0})
 		}},
 		{"unsafe once", 1, 0, func(a *Auditor) {
@@ -65,7 +74,7 @@
 		}},
 		{"unsafe by two tries", 1, 1, func(a *Auditor) {
 			x, y := try("1", NotIdempotent), try("2", NotIdempotent)
-			y.Op = "1"
+			y.Operation = "1"
 			a.RequestSent(x)
 			a.RequestSent(y)
 			a.RequestExecuted(Execution{"1", "", "b", 1})
@@ -74,7 +83,7 @@
 		{"unsafe ran and refused", 1, 1, func(a *Auditor) {
 			a.RequestSent(try("1", NotIdempotent))
 			a.RequestExecuted(Execution{"1", "", "b", 1})
-			a.RequestEnded(End{"1", Rejected, 2, 1})
+			a.RequestEnded(Outcome{"1", Rejected, 2, 1})
 		}},
 		{"keyed again in time", 1, 0, func(a *Auditor) {
 			a.RequestSent(try("1", IdempotentByKey))
@@ -87,7 +96,7 @@
 			a.RequestReceived(Receipt{"1", "c", 7 * time.Second, 0, 0})
 		}},
 		{"keyed outside its group", 1, 1, func(a *Auditor) {
-			a.limits.Group = func(box string) string { return box }
+			a.limits.CellOf = func(box string) string { return box }
 			a.RequestSent(try("1", IdempotentByKey))
 			a.RequestReceived(Receipt{"1", "b", 1, 0, 0})
 			a.RequestReceived(Receipt{"1", "c", 2, 0, 0})
@@ -138,8 +147,8 @@
 }
 
 func TestUnseen(t *testing.T) {
-	if v := New(limits()).Verdict(); len(v.Unseen) != 5 {
-		t.Errorf("%v", v.Unseen)
+	if v := New(limits()).Verdict(); len(v.NotExercised) != 5 {
+		t.Errorf("%v", v.NotExercised)
 	}
 }
 
@@ -159,13 +168,13 @@
 			func(a *Auditor) {
 				a.RequestSent(later(0))
 				a.InstanceDown(0, 90*ms)
-				a.RequestEnded(End{"1", ConnectionBroken, 100 * ms, 0})
+				a.RequestEnded(Outcome{"1", ConnectionBroken, 100 * ms, 0})
 			},
 			func(a *Auditor) { // asked of the process after
 				a.InstanceDown(0, 90*ms)
 				a.InstanceUp(0, 100*ms)
 				a.RequestSent(later(200 * ms))
-				a.RequestEnded(End{"1", ConnectionBroken, 300 * ms, 0})
+				a.RequestEnded(Outcome{"1", ConnectionBroken, 300 * ms, 0})
 			}},
 		{"received after a grace: sent before",
 			func(a *Auditor) {
@@ -179,12 +188,12 @@
 		{"received after the final answer: sent before",
 			func(a *Auditor) {
 				a.RequestSent(later(0))
-				a.RequestEnded(End{"1", Rejected, 100 * ms, 1})
+				a.RequestEnded(Outcome{"1", Rejected, 100 * ms, 1})
 				a.RequestReceived(Receipt{"1", "b", time.Second, 0, 50 * ms})
 			},
 			func(a *Auditor) {
 				a.RequestSent(later(0))
-				a.RequestEnded(End{"1", Rejected, 100 * ms, 1})
+				a.RequestEnded(Outcome{"1", Rejected, 100 * ms, 1})
 				a.RequestReceived(Receipt{"1", "b", time.Second, 0, 500 * ms})
 			}},
 		{"keyed repeat after its key's time: sent before",
@@ -192,26 +201,26 @@
 				a.RequestSent(later(0))
 				a.RequestReceived(Receipt{"1", "b", 100 * ms, 0, 90 * ms})
 				a.RequestReceived(Receipt{"1", "c", 7 * time.Second, 0, 5 * time.Second})
-				a.RequestEnded(End{"1", Served, 8 * time.Second, 1})
+				a.RequestEnded(Outcome{"1", Served, 8 * time.Second, 1})
 			},
 			func(a *Auditor) {
 				a.RequestSent(later(0))
 				a.RequestReceived(Receipt{"1", "b", 100 * ms, 0, 90 * ms})
 				a.RequestReceived(Receipt{"1", "c", 7 * time.Second, 0, 6500 * ms})
-				a.RequestEnded(End{"1", Served, 8 * time.Second, 1})
+				a.RequestEnded(Outcome{"1", Served, 8 * time.Second, 1})
 			}},
 		{"no answer: its client left",
-			func(a *Auditor) { a.RequestSent(later(0)); a.RequestEnded(End{"1", ClientLeft, time.Second, 0}) },
+			func(a *Auditor) { a.RequestSent(later(0)); a.RequestEnded(Outcome{"1", ClientLeft, time.Second, 0}) },
 			func(a *Auditor) {
 				a.RequestSent(later(0))
-				a.RequestEnded(End{"1", ClientTimedOut, 20 * time.Second, 0})
+				a.RequestEnded(Outcome{"1", ClientTimedOut, 20 * time.Second, 0})
 			}},
 	} {
 		a, b := New(limits()), New(limits())
 		c.excused(a)
 		c.hides(b)
-		if v := a.Verdict(); v.Violations != 0 || v.Excuses[c.reason] != 1 {
-			t.Errorf("%s: %d violations, excuses %v", c.reason, v.Violations, v.Excuses)
+		if v := a.Verdict(); v.Violations != 0 || v.Exemptions[c.reason] != 1 {
+			t.Errorf("%s: %d violations, excuses %v", c.reason, v.Violations, v.Exemptions)
 		}
 		if v := b.Verdict(); v.Violations == 0 {
 			t.Errorf("a door hides behind %q", c.reason)
@@ -222,14 +231,14 @@
 // A late answer has a share of the worth; an answer in time to a later try has the rest.
 func TestTallyLateShare(t *testing.T) {
 	first, second := try("a", Idempotent), try("b", Idempotent)
-	first.Op, second.Op = "o", "o"
+	first.Operation, second.Operation = "o", "o"
 	first.Value, second.Value, first.LateShare, second.LateShare = 4, 4, 0.25, 0.25
-	ends := map[string]End{"a": {Ending: Served, At: first.LatencyObjective + 1}}
-	if p := Summarize([]*Request{&first, &second}, ends)[0]; p.WorthAsked != 4 || p.WorthServed != 1 || p.Late != 1 {
+	ends := map[string]Outcome{"a": {Ending: Served, At: first.LatencyObjective + 1}}
+	if p := Summarize([]*Request{&first, &second}, ends)[0]; p.ValueOffered != 4 || p.ValueServed != 1 || p.Late != 1 {
 		t.Errorf("late: %+v", p)
 	}
-	ends["b"] = End{Ending: Served, At: second.LatencyObjective}
-	if p := Summarize([]*Request{&first, &second}, ends)[0]; p.WorthAsked != 4 || p.WorthServed != 4 {
+	ends["b"] = Outcome{Ending: Served, At: second.LatencyObjective}
+	if p := Summarize([]*Request{&first, &second}, ends)[0]; p.ValueOffered != 4 || p.ValueServed != 4 {
 		t.Errorf("late, then in time: %+v", p)
 	}
 }
