--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -69,8 +69,8 @@
 	}
 	d.core = core
 	if r := d.sim.options.Record; r != nil {
-		core.Record = r(d.number, d.config, seed)
-		core.Record(core.FirstStep(d.now()))
+		core.RecordDecision = r(d.number, d.config, seed)
+		core.RecordDecision(core.InitialDecision(d.now()))
 	}
 	d.host.alive, d.host.paused, d.host.notAccepting = true, false, false
 	d.host.accept = d.accept
@@ -120,9 +120,9 @@
 				w.Conn.Owner.(*instanceBackendConn).abandon()
 			case proxy.Respond:
 				d.sim.cover(fmt.Sprintf("answer %d", w.Exchange.Status))
-				w.Exchange.Owner.(*instanceClientConn).respond(w.Exchange, w.Bytes, false, w.Closes)
+				w.Exchange.Owner.(*instanceClientConn).respond(w.Exchange, w.Bytes, false, w.CloseAfterResponse)
 			case proxy.StreamResponse:
-				w.Exchange.Owner.(*instanceClientConn).respond(w.Exchange, w.Bytes, true, w.Closes)
+				w.Exchange.Owner.(*instanceClientConn).respond(w.Exchange, w.Bytes, true, w.CloseAfterResponse)
 				w.Conn.Owner.(*instanceBackendConn).grantStream()
 			case proxy.AbortClient:
 				w.Exchange.Owner.(*instanceClientConn).relay(w.Exchange, nil, false, true)
@@ -191,8 +191,8 @@
 }
 
 func (d *simInstance) accept(e *netConn) {
-	if d.shared.Clients.Add(1) > int64(d.config.Limits.Connections) {
-		d.shared.Clients.Add(-1)
+	if d.shared.ClientConns.Add(1) > int64(d.config.Limits.Connections) {
+		d.shared.ClientConns.Add(-1)
 		d.sim.cover("connection turned away")
 		e.peer.tooManyConns = true
 		e.write(d.shared.TooManyConnections())
@@ -217,7 +217,7 @@
 			return
 		}
 		c.deadlineAt = 0
-		c.machine.Expired(c.instance.now())
+		c.machine.DeadlinePassed(c.instance.now())
 		c.proceed(nil)
 	}))
 }
@@ -243,7 +243,7 @@
 	if c.done {
 		return
 	}
-	ex := c.machine.Gone()
+	ex := c.machine.Disconnected()
 	c.close(true)
 	if ex != nil {
 		c.instance.sim.cover("client left")
@@ -257,7 +257,7 @@
 	}
 	c.done = true
 	c.conn.close(reset)
-	c.instance.shared.Clients.Add(-1)
+	c.instance.shared.ClientConns.Add(-1)
 	for i, o := range c.instance.clients {
 		if o == c {
 			c.instance.clients = append(c.instance.clients[:i], c.instance.clients[i+1:]...)
@@ -278,13 +278,13 @@
 			ex := ex
 			c.instance.post(func() { c.instance.core.RequestArrived(c.instance.now(), ex) })
 		}
-		for _, status := range c.machine.OwnStatuses {
+		for _, status := range c.machine.LocalStatuses {
 			c.instance.sim.cover("own answer " + strconv.Itoa(status))
 		}
-		c.machine.OwnStatuses = c.machine.OwnStatuses[:0]
-		if all := len(c.unsent) + len(c.machine.Out); all > 0 {
-			c.unsent = c.conn.writeBuffered(c.unsent, c.machine.Out)
-			c.machine.Out = c.machine.Out[:0]
+		c.machine.LocalStatuses = c.machine.LocalStatuses[:0]
+		if all := len(c.unsent) + len(c.machine.Outgoing); all > 0 {
+			c.unsent = c.conn.writeBuffered(c.unsent, c.machine.Outgoing)
+			c.machine.Outgoing = c.machine.Outgoing[:0]
 			if len(c.unsent) < all {
 				c.blockedSince = c.instance.sim.now
 			}
@@ -297,7 +297,7 @@
 			c.streamSource.readable(nil)
 		}
 		if closes, linger := c.machine.Closing(); closes {
-			if linger && !c.machine.Aborts() { // what still comes is read and dropped for a while
+			if linger && !c.machine.MustReset() { // what still comes is read and dropped for a while
 				if !c.lingering {
 					c.lingering = true
 					c.conn.closeWrite()
@@ -305,14 +305,14 @@
 				}
 				c.conn.read()
 			} else {
-				c.close(c.machine.Aborts())
+				c.close(c.machine.MustReset())
 			}
 			return
 		}
 		if ex != nil {
 			break
 		}
-		if ex = c.machine.Resume(c.instance.now()); ex == nil && len(c.machine.Out) == 0 {
+		if ex = c.machine.Resume(c.instance.now()); ex == nil && len(c.machine.Outgoing) == 0 {
 			if closes, _ := c.machine.Closing(); !closes {
 				break
 			}
@@ -338,7 +338,7 @@
 	if c.done {
 		return
 	}
-	c.machine.Answered(c.instance.now(), ex, b, more, closes)
+	c.machine.Respond(c.instance.now(), ex, b, more, closes)
 	c.proceed(nil)
 	c.readable(nil)
 }
@@ -347,7 +347,7 @@
 	if c.done {
 		return
 	}
-	c.machine.Relay(c.instance.now(), ex, b, end, broken)
+	c.machine.ContinueResponse(c.instance.now(), ex, b, end, broken)
 	if broken {
 		c.instance.sim.cover("answer cut off")
 	}
@@ -412,7 +412,7 @@
 		return
 	}
 	if v.exchange != nil && !unsent {
-		v.handleResponse(v.reader.Lost())
+		v.handleResponse(v.reader.ConnectionLost())
 		return
 	}
 	v.done = true
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -532,11 +532,11 @@
 		if !d.core.Quiescent() || d.core.Unanswered() != 0 {
 			s.report(RuleLeak, fmt.Sprintf("door %d holds %d exchanges, %d owed", d.number, requests, d.core.Unanswered()))
 		}
-		if n := d.shared.Memory.Load(); n != 0 {
+		if n := d.shared.ReservedBytes.Load(); n != 0 {
 			s.report(RuleLeak, fmt.Sprintf("door %d holds %d bytes of bodies", d.number, n))
 		}
-		if len(d.clients) > 0 || d.shared.Clients.Load() != 0 {
-			s.report(RuleLeak, fmt.Sprintf("door %d holds %d connections of clients, counts %d", d.number, len(d.clients), d.shared.Clients.Load()))
+		if len(d.clients) > 0 || d.shared.ClientConns.Load() != 0 {
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d connections of clients, counts %d", d.number, len(d.clients), d.shared.ClientConns.Load()))
 		}
 		if lines != len(d.backendConns) || lines > 0 {
 			s.report(RuleLeak, fmt.Sprintf("door %d holds %d lines to boxes, its runtime %d", d.number, lines, len(d.backendConns)))
