--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -38,12 +38,12 @@
 		debug.SetMemoryLimit(int64(heapShareOfMemoryLimit * float64(settings.Limits.MemoryMB<<20)))
 	}
 	log := slog.New(slog.NewTextHandler(c.Errs, nil))
-	server, err := server.Listen(settings.Config, settings.Listen, server.Options{Log: log, Seed: settings.Seed, Protocol: settings, DiscoveryAddress: settings.Discovery, EndpointsVersion: settings.Known.Seq})
+	server, err := server.Listen(settings.Config, settings.Listen, server.Options{Log: log, Seed: settings.Seed, Protocol: settings, DiscoveryAddress: settings.Discovery, EndpointsVersion: settings.CachedEndpoints.Version})
 	if err != nil {
 		return err
 	}
 	log.Info("listening", "addr", server.Addr().String(), "name", settings.Name, "cores", settings.Limits.Cores, "memory_mb", settings.Limits.MemoryMB,
-		"sockets", settings.Limits.Sockets, "seq", settings.Known.Seq, "boxes", len(settings.Known.Boxes))
+		"sockets", settings.Limits.Sockets, "seq", settings.CachedEndpoints.Version, "boxes", len(settings.CachedEndpoints.Endpoints))
 	done := make(chan struct{})
 	defer close(done)
 	go func() { // ends with Run
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -478,7 +478,7 @@
 	s.carryOutEffects()
 }
 
-// carryOutEffects does what the core wishes. Nothing here blocks: sockets are written as far as they take it, and what has
+// applyEffects does what the core wishes. Nothing here blocks: sockets are written as far as they take it, and what has
 // to wait does so in a goroutine of its own.
 func (s *Server) carryOutEffects() {
 	for _, effect := range s.instance.Effects() {
@@ -520,7 +520,7 @@
 	}
 }
 
-// readEndpointsFile reads the file of boxes in a goroutine of its own. A file that is broken or missing leaves the list as it
+// pollEndpoints reads the file of boxes in a goroutine of its own. A file that is broken or missing leaves the list as it
 // was.
 func (s *Server) readEndpointsFile() {
 	s.goroutines.Go(func() error {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -553,7 +553,7 @@
 	r.server.post(post{kind: inquiry, look: func(c *proxy.Instance, _ time.Duration) { name, weight, _ = c.Gateway().CounterName("c"); close(told) }})
 	<-told
 	k.mu.Lock()
-	calls, total := k.counter.Calls, k.counter.Total(k.now(), name)
+	calls, total := k.counter.Increments, k.counter.Total(k.now(), name)
 	k.mu.Unlock()
 	if used := total / weight; !(used > 1 && used < 9) { // what was refused may not be taken back yet
 		t.Errorf("%d served, %v units under %q", served, used, name)
@@ -782,7 +782,7 @@
 				if it.Event.Arrived != nil {
 					arrived++
 				}
-				if it.Event.Ended != nil {
+				if it.Event.AttemptEnded != nil {
 					served++
 				}
 			}
