--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -179,7 +179,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		text := []byte(strings.Join(rapid.SliceOfN(rapid.SampledFrom(pieces), 1, 14).Draw(t, "pieces"), ""))
 		cuts := rapid.SliceOfN(rapid.IntRange(0, len(text)), 0, 12).Draw(t, "cuts")
-		limits := Limits{Line: rapid.IntRange(10, 200).Draw(t, "line"), Head: rapid.IntRange(20, 400).Draw(t, "head")}
+		limits := Limits{RequestLine: rapid.IntRange(10, 200).Draw(t, "line"), Head: rapid.IntRange(20, 400).Draw(t, "head")}
 		for _, make := range []func() *Reader{
 			func() *Reader { return NewRequests(limits) },
 			func() *Reader { r := NewResponses(limits); r.Expect("GET"); return r },
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -7,19 +7,20 @@
 
 // Limits bound what a Reader keeps. The zero value stands for the defaults.
 type Limits struct {
-	Line     int // bytes of a request line: 414 beyond; default 8 KiB
-	Head     int // bytes of a head: 431 beyond; default 32 KiB
-	Fields   int // fields in a head: 431 beyond; default 128
-	Trailers int // bytes of trailers: 400 beyond; default 4 KiB
+	RequestLine int // bytes of a request line: 414 beyond; default 8 KiB
+	Head        int // bytes of a head: 431 beyond; default 32 KiB
+	Fields      int // fields in a head: 431 beyond; default 128
+	Trailers    int // bytes of trailers: 400 beyond; default 4 KiB
 }
 
+// orDefault returns the limits with defaults in place of zeros.
 func (l Limits) orDefault() Limits {
 	set := func(v *int, d int) {
 		if *v <= 0 {
 			*v = d
 		}
 	}
-	set(&l.Line, 8<<10)
+	set(&l.RequestLine, 8<<10)
 	set(&l.Head, 32<<10)
 	set(&l.Fields, 128)
 	set(&l.Trailers, 4<<10)
@@ -32,9 +33,9 @@
 // The kinds of parts.
 const (
 	More    Kind = iota // nothing yet: all bytes were used
-	HeadEnd             // Part.Head is whole
+	HeadEnd             // Part.Head is complete
 	Data                // Part.Data is body; valid until the next call
-	End                 // the message is over; Part.Trailers came after a chunked body
+	End                 // the message is complete; Part.Trailers came after a chunked body
 )
 
 // Part is a piece of a message.
@@ -45,97 +46,102 @@
 	Trailers []Field
 }
 
+// state is where a Reader stands in a message.
 type state int
 
+// The states of a Reader.
 const (
-	inHead state = iota
-	inFixed
-	inClose
-	inSize
-	inChunk
-	inChunkEnd
-	inTrailers
-	atEnd
-	broken
+	stateHead           state = iota // between messages, or in a head
+	stateFixedBody                   // in a body of a stated length
+	stateBodyUntilClose              // in a body that ends with the connection
+	stateChunkSize                   // in the line before a chunk
+	stateChunk                       // in a chunk
+	stateChunkEnd                    // in the line end behind a chunk
+	stateTrailers                    // behind the last chunk
+	stateEnd                         // the message is complete, and End is to be returned
+	stateFailed                      // an error was returned
 )
 
+// Bounds on the framing of chunks, in bytes, so that a sender can't make a reader work without sending a body.
 const (
-	mostSizeLine = 256       // bytes of a chunk's size line, extensions included
-	mostExcess   = 16 << 10  // bytes of chunk framing beyond what bodies of honest chunks have
-	mostChunk    = 1<<62 - 1 // bytes of a chunk
+	maxChunkSizeLine = 256       // of the line before a chunk, extensions included
+	maxExcessFraming = 16 << 10  // of framing beyond what bodies in chunks of ordinary size have
+	maxChunkSize     = 1<<62 - 1 // of a chunk; sums of two still fit an int64
 )
 
-var errCut = errors.New("http1: the connection ended within a message")
+// errTruncated is the error of EOF within a message.
+var errTruncated = errors.New("http1: the connection ended within a message")
 
-// Reader takes a connection's bytes apart. However the same bytes are split over calls, the parts are the same,
-// but for where Data is cut.
+// Reader parses what comes on a connection. However the same bytes are split over calls, the parts are the same, but for
+// where Data is cut. It belongs to one goroutine at a time, and no method blocks.
 type Reader struct {
-	limits   Limits
-	response bool
-	method   string // of the request that the next response answers
-	state    state
-	buf      []byte // an unfinished line or head
-	line     int    // where its last line begins
-	lines    int
-	skipped  bool // an empty line before the message
-	left     int64
-	excess   int64
-	err      *Error
+	limits           Limits
+	response         bool   // it reads responses
+	method           string // of the request that the next response answers
+	state            state
+	buf              []byte // the unfinished line or head
+	lineStart        int    // of a head or trailers: where the unfinished line begins in buf
+	lineCount        int    // of a head or trailers: complete lines in buf
+	skippedEmptyLine bool   // one before the message
+	bodyLeft         int64  // of a body or chunk: bytes that have not come
+	excessFraming    int64  // of a chunked body: see parseChunkSize
+	err              *Error // what every further call returns
 }
 
-// NewRequests reads what clients send.
+// NewRequests returns a reader of what clients send.
 func NewRequests(l Limits) *Reader { return &Reader{limits: l.orDefault()} }
 
-// NewResponses reads what servers send. Expect must be called before each answer.
+// NewResponses returns a reader of what servers send. Expect must be called before each response.
 func NewResponses(l Limits) *Reader { return &Reader{limits: l.orDefault(), response: true} }
 
 // Expect names the method of the request that the next response answers.
 func (r *Reader) Expect(method string) { r.method = method }
 
-// Idle tells whether the reader stands between messages with nothing begun.
-func (r *Reader) Idle() bool { return r.state == inHead && len(r.buf) == 0 && !r.skipped }
+// Idle reports whether the reader stands between messages with nothing begun.
+func (r *Reader) Idle() bool { return r.state == stateHead && len(r.buf) == 0 && !r.skippedEmptyLine }
 
-// Feed takes bytes in and returns how many it used and the next part. Call it with the rest until the part's
-// kind is More. An error is final.
+// Feed takes bytes in and returns how many it used and the next part. Call it with the rest until the part's kind is More.
+// An error is an *Error, and final.
 func (r *Reader) Feed(b []byte) (int, Part, error) {
 	if r.err != nil {
 		return 0, Part{}, r.err
 	}
 	n, p, err := r.feed(b)
 	if err != nil {
-		r.state, r.err, r.buf = broken, err, nil
+		r.state, r.err, r.buf = stateFailed, err, nil
 		return n, Part{}, err
 	}
 	return n, p, nil
 }
 
-// EOF tells that no more bytes come. It returns the end of a body that lasts until then, and an error where a
-// message was cut off.
+// EOF reports that no more bytes come. It returns the end of a body that lasts until then, and an error where a message was
+// cut off.
 func (r *Reader) EOF() (Part, error) {
 	switch {
-	case r.state == inClose:
-		r.state = inHead
+	case r.state == stateBodyUntilClose:
+		r.state = stateHead
 		return Part{Kind: End}, nil
 	case r.Idle() && r.err == nil:
 		return Part{}, nil
 	}
-	return Part{}, errCut
+	return Part{}, errTruncated
 }
 
+// feed is Feed without the care for errors.
 func (r *Reader) feed(b []byte) (int, Part, *Error) {
 	used := 0
 	for {
 		rest := b[used:]
 		switch r.state {
-		case inHead:
+		case stateHead:
 			n, p, err := r.head(rest)
 			return used + n, p, err
-		case inFixed, inChunk, inClose:
-			if r.left == 0 && r.state != inClose {
-				if r.state == inFixed {
-					r.state = atEnd
+		case stateFixedBody, stateChunk, stateBodyUntilClose:
+			if r.bodyLeft == 0 && r.state != stateBodyUntilClose {
+				if r.state == stateFixedBody {
+					r.state = stateEnd
 				} else {
-					r.state = inChunkEnd
+					r.state = stateChunkEnd
 				}
 				continue
 			}
@@ -143,42 +149,43 @@
 				return used, Part{}, nil
 			}
 			n := len(rest)
-			if r.state != inClose {
-				n = int(min(int64(n), r.left))
-				r.left -= int64(n)
+			if r.state != stateBodyUntilClose {
+				n = int(min(int64(n), r.bodyLeft))
+				r.bodyLeft -= int64(n)
 			}
 			return used + n, Part{Kind: Data, Data: rest[:n]}, nil
-		case inSize:
-			n, line, err := r.oneLine(rest, mostSizeLine)
+		case stateChunkSize:
+			n, line, err := r.collectLine(rest, maxChunkSizeLine)
 			used += n
 			if err != nil || line == nil {
 				return used, Part{}, err
 			}
-			if err := r.size(line); err != nil {
+			if err := r.parseChunkSize(line); err != nil {
 				return used, Part{}, err
 			}
 			r.buf = r.buf[:0]
-		case inChunkEnd:
-			n, line, err := r.oneLine(rest, 2)
+		case stateChunkEnd:
+			n, line, err := r.collectLine(rest, 2)
 			used += n
 			if err != nil || line == nil {
 				return used, Part{}, err
 			}
-			r.buf, r.state = r.buf[:0], inSize
-		case inTrailers:
+			r.buf, r.state = r.buf[:0], stateChunkSize
+		case stateTrailers:
 			n, p, err := r.trailers(rest)
 			return used + n, p, err
-		case atEnd:
-			r.state = inHead
+		case stateEnd:
+			r.state = stateHead
 			return used, Part{Kind: End}, nil
 		}
 	}
 }
 
-// oneLine collects a line of at most the given size; nil while it has not come.
-func (r *Reader) oneLine(b []byte, most int) (int, []byte, *Error) {
+// collectLine takes a line of chunk framing of at most limit bytes in, and returns it without its end; nil while it is not
+// complete.
+func (r *Reader) collectLine(b []byte, limit int) (int, []byte, *Error) {
 	for i, c := range b {
-		if len(r.buf) == most {
+		if len(r.buf) == limit {
 			return i, nil, bad("a line of chunk framing that is too long")
 		}
 		if l := len(r.buf); c != '\n' && l > 0 && r.buf[l-1] == '\r' {
@@ -191,16 +198,17 @@
 			}
 			return i + 1, r.buf[:len(r.buf)-2], nil
 		}
-		if r.state == inChunkEnd && c != '\r' {
+		if r.state == stateChunkEnd && c != '\r' {
 			return i, nil, bad("a chunk that is longer than its size")
 		}
 	}
 	return len(b), nil, nil
 }
 
-// size reads a chunk's size line. Extensions are skipped, but a sender that pads its chunks with framing makes
-// us work for nothing: what framing exceeds the body by is counted and bounded (net/http does the same).
-func (r *Reader) size(line []byte) *Error {
+// parseChunkSize reads the line before a chunk. Extensions are skipped. A sender that pads its chunks with framing makes the
+// reader work for nothing: what framing exceeds the body by, with 16 bytes and twice the chunk's size allowed for each
+// chunk, is counted and bounded, as in net/http.
+func (r *Reader) parseChunkSize(line []byte) *Error {
 	n, i := int64(0), 0
 	for ; i < len(line); i++ {
 		c, d := line[i], int64(0)
@@ -215,7 +223,7 @@
 		if d < 0 {
 			break
 		}
-		if i >= 15 || n > mostChunk>>4 {
+		if i >= 15 || n > maxChunkSize>>4 {
 			return bad("a chunk size that is too large")
 		}
 		n = n<<4 | d
@@ -228,27 +236,27 @@
 			return bad("a chunk size followed by something else")
 		}
 	}
-	r.excess = max(0, r.excess+int64(len(line))+4-16-2*n)
-	if r.excess > mostExcess {
+	r.excessFraming = max(0, r.excessFraming+int64(len(line))+4-16-2*n)
+	if r.excessFraming > maxExcessFraming {
 		return bad("more chunk framing than body")
 	}
-	if r.left = n; n == 0 {
-		r.state, r.line = inTrailers, 0
+	if r.bodyLeft = n; n == 0 {
+		r.state, r.lineStart = stateTrailers, 0
 	} else {
-		r.state = inChunk
+		r.state = stateChunk
 	}
 	return nil
 }
 
-// collect takes lines up to and with an empty one into r.buf; done tells that it has come. What is too long is
-// told by the count of bytes alone, so that it does not depend on how they were split.
-func (r *Reader) collect(b []byte, most int, over *Error) (used int, done bool, err *Error) {
+// collect takes lines up to and with an empty one into r.buf; done reports that it has come. What is too long is found by
+// the count of bytes alone, so that it does not depend on how they were split.
+func (r *Reader) collect(b []byte, limit int, over *Error) (used int, done bool, err *Error) {
 	for used < len(b) {
-		most, over := most, over
-		if r.state == inHead && !r.response && r.line == 0 && r.limits.Line < most {
-			most, over = r.limits.Line, &Error{414, "a request line that is too long"}
+		limit, over := limit, over
+		if r.state == stateHead && !r.response && r.lineStart == 0 && r.limits.RequestLine < limit {
+			limit, over = r.limits.RequestLine, &Error{414, "a request line that is too long"}
 		}
-		rest := b[used:min(len(b), used+most-len(r.buf))]
+		rest := b[used:min(len(b), used+limit-len(r.buf))]
 		if len(rest) == 0 {
 			return used, false, over
 		}
@@ -260,7 +268,7 @@
 		}
 		r.buf = append(r.buf, rest[:nl+1]...)
 		used += nl + 1
-		line := r.buf[r.line:]
+		line := r.buf[r.lineStart:]
 		if len(line) < 2 || line[len(line)-2] != '\r' {
 			return used, false, bad("a bare LF")
 		}
@@ -270,14 +278,15 @@
 		if len(line) == 2 {
 			return used, true, nil
 		}
-		if r.lines++; r.lines > r.limits.Fields+1 {
+		if r.lineCount++; r.lineCount > r.limits.Fields+1 {
 			return used, false, &Error{431, "too many fields"}
 		}
-		r.line = len(r.buf)
+		r.lineStart = len(r.buf)
 	}
 	return used, false, nil
 }
 
+// head takes a head in.
 func (r *Reader) head(b []byte) (int, Part, *Error) {
 	used := 0
 	for {
@@ -294,10 +303,10 @@
 			return used, Part{Kind: HeadEnd, Head: h}, nil
 		}
 		// One empty line before a request is forgiven (RFC 9112 section 2.2).
-		if r.response || r.skipped {
+		if r.response || r.skippedEmptyLine {
 			return used, Part{}, bad("an empty line in place of a message")
 		}
-		r.skipped, r.buf = true, r.buf[:0]
+		r.skippedEmptyLine, r.buf = true, r.buf[:0]
 	}
 }
 
@@ -307,7 +316,7 @@
 	if cap(r.buf) > 4<<10 { // a large head is rare; its room isn't kept over the connection's life
 		r.buf = nil
 	}
-	r.buf, r.line, r.lines, r.excess, r.skipped = r.buf[:0], 0, 0, 0, false
+	r.buf, r.lineStart, r.lineCount, r.excessFraming, r.skippedEmptyLine = r.buf[:0], 0, 0, 0, false
 	var h *Head
 	var err *Error
 	if r.response {
@@ -320,17 +329,18 @@
 	}
 	switch {
 	case r.response && h.Status < 200: // an interim answer; the final one follows
-		r.state = inHead
+		r.state = stateHead
 	case h.Length == Chunked:
-		r.state = inSize
+		r.state = stateChunkSize
 	case h.Length == UntilClose:
-		r.state = inClose
+		r.state = stateBodyUntilClose
 	default:
-		r.state, r.left = inFixed, h.Length
+		r.state, r.bodyLeft = stateFixedBody, h.Length
 	}
 	return h, nil
 }
 
+// trailers takes the trailers of a chunked body in, of which those are refused that would frame or route the message.
 func (r *Reader) trailers(b []byte) (int, Part, *Error) {
 	n, done, err := r.collect(b, r.limits.Trailers, bad("trailers that are too large"))
 	if err != nil || !done {
@@ -347,6 +357,6 @@
 			}
 		}
 	}
-	r.buf, r.line, r.lines, r.state = r.buf[:0], 0, 0, inHead
+	r.buf, r.lineStart, r.lineCount, r.state = r.buf[:0], 0, 0, stateHead
 	return n, Part{Kind: End, Trailers: fields}, nil
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -11,17 +11,17 @@
 // Type is the first byte of a value.
 type Type byte
 
-// The types.
+// The types of values.
 const (
 	Simple Type = '+'
-	Failed Type = '-'
+	Failed Type = '-' // an error reply
 	Int    Type = ':'
 	Bulk   Type = '$'
 	Array  Type = '*'
 	Null   Type = '_'
 )
 
-// Value is one whole value. Str is a copy and may be kept.
+// Value is one complete value. Str is a copy and may be kept.
 type Value struct {
 	Type  Type
 	Str   string // of Simple, Failed and Bulk
@@ -41,12 +41,12 @@
 	return 0, false
 }
 
-// Bounds of what a peer may make us keep.
+// Bounds on what a peer can make a Reader keep.
 const (
-	MostLine  = 512       // bytes of a line
-	MostBulk  = 512 << 10 // bytes of a bulk string
-	MostItems = 1024      // values in an array
-	mostDepth = 4
+	MaxLine  = 512       // bytes of a line
+	MaxBulk  = 512 << 10 // bytes of a bulk string
+	MaxItems = 1024      // values in an array
+	maxDepth = 4         // arrays within arrays
 )
 
 // Errors of a stream that is not RESP, or too large; all are final.
@@ -55,17 +55,18 @@
 	ErrSize   = errors.New("resp: a value beyond its bound")
 )
 
-type frame struct {
-	v    Value
-	left int
+// partialArray is an array whose items have not all come.
+type partialArray struct {
+	value Value
+	left  int
 }
 
-// Reader takes a stream apart into values.
+// Reader parses a stream into values. It belongs to one goroutine at a time, and no method blocks.
 type Reader struct {
-	buf   []byte
-	bulk  int // bytes that the bulk string still lacks, its CRLF included; 0: in a line
-	stack []frame
-	err   error
+	buf      []byte
+	bulkLeft int // bytes that the bulk string still lacks, its CRLF included; 0: in a line
+	stack    []partialArray
+	err      error
 }
 
 // Feed takes bytes in. It returns how many it used, and a value if one is whole; call again with the rest until
@@ -76,11 +77,11 @@
 	}
 	for used < len(b) {
 		var done bool
-		if r.bulk > 0 {
-			n := min(r.bulk, len(b)-used)
+		if r.bulkLeft > 0 {
+			n := min(r.bulkLeft, len(b)-used)
 			r.buf = append(r.buf, b[used:used+n]...)
-			used, r.bulk = used+n, r.bulk-n
-			if r.bulk > 0 {
+			used, r.bulkLeft = used+n, r.bulkLeft-n
+			if r.bulkLeft > 0 {
 				return used, v, false, nil
 			}
 			n = len(r.buf)
@@ -95,7 +96,7 @@
 			r.buf = append(r.buf, c)
 			n := len(r.buf)
 			if c != '\n' {
-				if n >= MostLine {
+				if n >= MaxLine {
 					return used, v, false, r.fail(ErrSize)
 				}
 				continue
@@ -103,19 +104,19 @@
 			if n < 3 || r.buf[n-2] != '\r' {
 				return used, v, false, r.fail(ErrSyntax)
 			}
-			if v, done, err = r.line(r.buf[0], string(r.buf[1:n-2])); err != nil {
+			if v, done, err = r.parseLine(r.buf[0], string(r.buf[1:n-2])); err != nil {
 				return used, v, false, r.fail(err)
 			}
 			r.buf = r.buf[:0]
 		}
 		for done && len(r.stack) > 0 { // into the array that waits for it
 			top := &r.stack[len(r.stack)-1]
-			top.v.Items = append(top.v.Items, v)
+			top.value.Items = append(top.value.Items, v)
 			if top.left--; top.left > 0 {
 				done = false
 				break
 			}
-			v = top.v
+			v = top.value
 			r.stack = r.stack[:len(r.stack)-1]
 		}
 		if done {
@@ -130,7 +131,7 @@
 	return err
 }
 
-func (r *Reader) line(t byte, s string) (v Value, done bool, err error) {
+func (r *Reader) parseLine(t byte, s string) (v Value, done bool, err error) {
 	for i := 0; i < len(s); i++ {
 		if s[i] == '\r' {
 			return v, false, ErrSyntax
@@ -159,17 +160,17 @@
 			return v, false, ErrSyntax
 		case n == -1:
 			return Value{Type: Null}, true, nil
-		case v.Type == Bulk && n > MostBulk, v.Type == Array && n > MostItems:
+		case v.Type == Bulk && n > MaxBulk, v.Type == Array && n > MaxItems:
 			return v, false, ErrSize
 		case v.Type == Bulk:
-			r.bulk = n + 2
+			r.bulkLeft = n + 2
 			return v, false, nil
 		case n == 0:
 			return v, true, nil
-		case len(r.stack) >= mostDepth:
+		case len(r.stack) >= maxDepth:
 			return v, false, ErrSize
 		}
-		r.stack = append(r.stack, frame{v: v, left: n})
+		r.stack = append(r.stack, partialArray{value: v, left: n})
 		return v, false, nil
 	}
 	return v, false, ErrSyntax
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -137,7 +137,7 @@
 // serve answers one request; tools need no more.
 func (a *adminServer) serve(c net.Conn) {
 	c.SetDeadline(time.Now().Add(adminTimeout))
-	rd := http1.NewRequests(http1.Limits{Line: 16 << 10, Head: 20 << 10})
+	rd := http1.NewRequests(http1.Limits{RequestLine: 16 << 10, Head: 20 << 10})
 	b := make([]byte, 4096)
 	for {
 		n, err := c.Read(b)
