--- a/proxy/counterclient.go
+++ b/proxy/counterclient.go
@@ -9,7 +9,7 @@
 
 // counterSilenceLimit is how long the oldest call may be without a reply, in counter timeouts, before the connection is
 // given up. It is long enough for a counter that is merely slow to catch up, and a connection that is dead without a sign
-// is replaced within a second at the usual timeout of 50 ms.
+// is replaced after a second at the default timeout of 50 ms.
 const counterSilenceLimit = 20
 
 // Backoff between dials to a counter that can't be reached. The least spares a counter that restarts a storm of dials;
