--- /dev/null
+++ b/decision/admission.go
@@ -0,0 +1,173 @@
+package decision
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"math"
+	"slices"
+	"time"
+)
+
+// This file decides which requests are admitted and which are shed. Each priority has a PI controller that moves the
+// admitted fraction of its customers so that the backends' utilization (load.go) stays at the set point. A request's
+// priority is its class's weight times its plan's; a higher priority is cut last. Requests beyond a quota that their
+// plan pays for share one more controller, below all others. The mechanism is section 5 of the paper that docs/design.md
+// names: a controller's set point is what those above it leave.
+//
+// A customer is admitted while its hash is below the fraction, so that all instances shed the same customers, and a
+// customer that is admitted gets all of its requests through.
+
+const (
+	// controlPeriod is the time between two steps of the controllers: several service times, so that a step shows
+	// before the next one, and few per fault.
+	controlPeriod = 300 * time.Millisecond
+	// controlGainMargin is G of the paper, by which the gain stays below the critical one: a queue integrates, so a
+	// larger gain makes the fraction swing.
+	controlGainMargin = 20.0
+	// workAverageTime is the time over which offered and admitted work fade: long against controlPeriod, short
+	// against a change of traffic.
+	workAverageTime = 2 * time.Second
+	// utilizationSetPoint is the utilization to hold; 1 is where backends reject.
+	utilizationSetPoint = 0.95
+	// maxUtilization bounds the utilization handed to the controllers: a jam is not more urgent for being long, and
+	// an unbounded error would shed everybody after it.
+	maxUtilization = 1.3
+	// offeredWorkDivisor: a controller that was offered less than the whole admitted work over this counts as offered
+	// that much, or its gain would have no bound.
+	offeredWorkDivisor = 20
+	// leastDivisor keeps divisions from zero where there was no work; any work is far above it.
+	leastDivisor = 1e-9
+)
+
+// piController is the control of one priority.
+type piController struct {
+	admitRatio   float64 // fraction of customers that is admitted, 0 to 1
+	lastError    float64
+	admittedWork float64 // admitted lately, in seconds of service
+	offeredWork  float64 // asked for lately, likewise
+}
+
+// update moves the fraction by one period. available is the utilization that higher priorities leave, share the part of
+// the present one that this priority causes, totalWork what all priorities had admitted. In this incremental form the
+// integral part cannot wind up: it halts at the bounds of the fraction.
+func (c *piController) update(available, share, totalWork, elapsed float64) {
+	controlError := available - share
+	// The utilization if all that was offered were admitted, p_max of the paper.
+	peakUtilization := utilizationSetPoint * max(c.offeredWork, totalWork/offeredWorkDivisor) / max(totalWork, leastDivisor)
+	proportionalGain := math.Sqrt(3) / (2 * controlGainMargin * peakUtilization)
+	integralGain := 5 * math.Pi / (3 * elapsed) / math.Sqrt(3)
+	c.admitRatio = min(1, max(0, c.admitRatio+proportionalGain*(controlError-c.lastError+integralGain*elapsed*controlError)))
+	c.lastError = controlError
+}
+
+// admissionControl holds the controllers of all priorities.
+type admissionControl struct {
+	controllers []piController // highest priority first; the last is for use beyond quotas
+	index       [][]int        // position in controllers, by class and plan
+}
+
+// newAdmissionControl gives each priority that a class under a plan can have its controller, all open.
+func newAdmissionControl(classes []Class, plans []Plan) admissionControl {
+	var priorities []float64 // negative, so that the highest comes first
+	for _, class := range classes {
+		for _, plan := range plans {
+			priorities = append(priorities, -class.PriorityWeight*plan.WeightFactor)
+		}
+	}
+	slices.Sort(priorities)
+	priorities = slices.Compact(priorities)
+	var admission admissionControl
+	admission.controllers = slices.Repeat([]piController{{admitRatio: 1}}, len(priorities)+1)
+	for _, class := range classes {
+		var row []int
+		for _, plan := range plans {
+			row = append(row, slices.Index(priorities, -class.PriorityWeight*plan.WeightFactor))
+		}
+		admission.index = append(admission.index, row)
+	}
+	return admission
+}
+
+// controller is that of a class under a plan.
+func (a *admissionControl) controller(class ClassID, plan int) *piController {
+	return &a.controllers[a.index[class][plan]]
+}
+
+// overQuotaController is that of requests beyond their quota.
+func (a *admissionControl) overQuotaController() *piController {
+	return &a.controllers[len(a.controllers)-1]
+}
+
+// update moves all fractions by one period of so many seconds. The utilization is split by the work that each priority
+// had admitted.
+func (a *admissionControl) update(utilization, elapsed float64) {
+	utilization = min(maxUtilization, utilization)
+	totalWork := 0.0
+	for _, controller := range a.controllers {
+		totalWork += controller.admittedWork
+	}
+	decay := math.Exp(-elapsed / workAverageTime.Seconds())
+	available := utilizationSetPoint
+	for i := range a.controllers {
+		controller := &a.controllers[i]
+		share := 0.0
+		if totalWork > 0 {
+			share = utilization * controller.admittedWork / totalWork
+		}
+		controller.update(available, share, totalWork, elapsed)
+		controller.admittedWork *= decay
+		controller.offeredWork *= decay
+		available -= share
+	}
+}
+
+// admissionHash maps a customer to [0, 1), alike at all instances.
+func admissionHash(customer string) float64 {
+	sum := sha256.Sum256([]byte(customer))
+	return float64(binary.BigEndian.Uint64(sum[:])>>11) / (1 << 53)
+}
+
+// quotaDecision is how a request stands with its customer's quota by the time that load shedding decides on it.
+type quotaDecision struct {
+	inside  bool // the quota allows it
+	counted bool // the shared counter has added its units, and said so
+}
+
+// admitOrShed sends the first attempt of a request or rejects it. A request is shed when the fraction of its priority
+// leaves its customer out, when it would pass the ceiling of its plan, when it is beyond a quota that its plan does not
+// pay for, or when no backend could answer it in time (sendAttempt).
+func (g *Gateway) admitOrShed(request *requestRecord, quota quotaDecision) {
+	customer := request.customer
+	plan := &g.settings.Plans[customer.plan]
+	controller := g.admission.controller(request.class, customer.plan)
+	if !quota.inside {
+		controller = g.admission.overQuotaController()
+		request.rejectReason = OverQuota
+		if plan.OverQuotaValue <= plan.OverQuotaCost {
+			g.finish(request, answerOwed)
+			return
+		}
+	}
+	work := g.classLatency[request.class].mean
+	controller.offeredWork += work
+	confirmed := quota.counted && quota.inside
+	ceilingExceeded := !confirmed && !customer.ceilingAllows(plan, request.units)
+	if ceilingExceeded {
+		request.rejectReason = OverQuota
+	}
+	if customer.admissionHash >= controller.admitRatio || ceilingExceeded || !g.sendAttempt(request) {
+		if confirmed {
+			g.takeBackUnits(request)
+		}
+		if !request.ended {
+			g.finish(request, answerOwed)
+		}
+		return
+	}
+	controller.admittedWork += work
+	if confirmed {
+		g.spendCountedUnits(request)
+	} else {
+		g.spendUncountedUnits(customer, request.units)
+	}
+}
--- /dev/null
+++ b/decision/balancer.go
@@ -0,0 +1,97 @@
+package decision
+
+import (
+	"cmp"
+	"slices"
+)
+
+// This file decides which backend gets the next attempt of a request: of a few drawn at random, the one with the lowest
+// cost, in latency objectives: the expected wait (load.go), times a little in another zone, and the risk of a failure
+// (outlier.go). Drawing few keeps the instances from sending all to the one backend that looks best. A warming backend
+// is drawn as often as its capacity share says, and may be passed over (slowstart.go). Backends that the request has
+// been tried at come last; those that do not know its idempotency key, if it may have run, are left out.
+
+const (
+	// candidatesPerChoice is the number of backends that are compared; two give most of the gain over one at random.
+	candidatesPerChoice = 3
+	// extraCandidates times the share of attempts that fail anywhere is the number of further ones: where many
+	// backends fail, those that work are to be found.
+	extraCandidates = 6.0
+	// maxDraws bounds the draws to find them, and with them the time of a choice.
+	maxDraws = 24
+	// otherZoneFactor is the factor on the expected wait in another zone: it decides between equals alone.
+	otherZoneFactor = 1.005
+	// failureCost is the cost of a sure failure, in latency objectives: about what it takes to notice and retry.
+	failureCost = 1.0
+)
+
+// candidate is a backend that was drawn, and its cost.
+type candidate struct {
+	backend *backendRecord
+	cost    float64
+}
+
+// chooseBackend gives the backend for the next attempt of a request, or nil if there is none. It may be called once for
+// an attempt: it draws random numbers and counts.
+func (g *Gateway) chooseBackend(request *requestRecord) *backendRecord {
+	g.slowStart.choices++
+	class := g.settings.Classes[request.class]
+	wanted := candidatesPerChoice + int(g.outliers.classFailureRate[request.class].value*extraCandidates)
+	drawn := make([]candidate, 0, candidatesPerChoice+extraCandidates)
+	var triedBefore *backendRecord
+	for draws := 0; draws < maxDraws && len(g.endpoints.up) > 0; draws++ {
+		backend := g.endpoints.up[g.rng.IntN(len(g.endpoints.up))]
+		if g.rng.Float64() >= g.capacityShare(backend) || !keyKnownAt(request, class, backend) {
+			continue
+		}
+		if request.attemptedAt(backend) {
+			triedBefore = backend
+			continue
+		}
+		drawn = append(drawn, candidate{backend, g.costAt(backend, request.class)})
+		if len(drawn) < wanted {
+			continue
+		}
+		if best := g.bestCandidate(drawn); best != nil {
+			return best
+		}
+		drawn = drawn[:0]
+	}
+	if best := g.bestCandidate(drawn); best != nil {
+		return best
+	}
+	if triedBefore != nil && g.slowStartAllows(triedBefore) {
+		return triedBefore
+	}
+	return nil
+}
+
+// costAt is the cost of an attempt of a class at a backend, in latency objectives.
+func (g *Gateway) costAt(backend *backendRecord, class ClassID) float64 {
+	wait := g.expectedWaitAt(backend)
+	if backend.Zone != g.settings.Zone {
+		wait *= otherZoneFactor
+	}
+	return wait + g.failureRisk(backend, class)*failureCost
+}
+
+// bestCandidate gives the backend of the lowest cost that may get one more attempt, or nil.
+func (g *Gateway) bestCandidate(drawn []candidate) *backendRecord {
+	slices.SortStableFunc(drawn, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
+	for _, candidate := range drawn {
+		g.slowStart.picks++
+		if g.slowStartAllows(candidate.backend) {
+			return candidate.backend
+		}
+	}
+	return nil
+}
+
+// keyKnownAt tells whether a backend discards a repeat of a request that may have run already.
+func keyKnownAt(request *requestRecord, class Class, backend *backendRecord) bool {
+	if class.Idempotency != IdempotentByKey || request.firstRunBackend == nil || class.KeyScope == KeyScopeAll {
+		return true
+	}
+	return class.KeyScope == KeyScopeZone && backend.Zone == request.firstRunBackend.Zone ||
+		class.KeyScope == KeyScopeCell && backend.Cell == request.firstRunBackend.Cell
+}
