--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,5 +1,6 @@
-// Package quota tells how a studio stands with its quota as one front door sees it, from the decision module's state. It
-// decides nothing: what would be decided is asked of the module itself, on a copy of its state. It has no I/O.
+// Package quota tells how a customer stands with its quota as one proxy instance sees it, from the state of the decision
+// package. It decides nothing: what would be decided is asked of the decision package itself, on a copy of its state.
+// It has no I/O.
 package quota
 
 import (
@@ -8,72 +9,124 @@
 	"sandyard/decision"
 )
 
-// View is a studio as one front door sees it. Times are in seconds before the look; -1 is never.
+// never is the age in seconds of what has not happened.
+const never = -1
+
+// View is a customer's quota as one proxy instance sees it. Times are in seconds, ages are before the inspection.
 type View struct {
 	Customer           string  `json:"studio"`
-	Known              bool    `json:"known"` // the front door has seen it lately
-	Rate               float64 `json:"rate"`  // of its plan, units a second; 0: no such limit
-	Burst              float64 `json:"burst"`
-	CeilingRate        float64 `json:"ceiling_rate"`
-	Spread             float64 `json:"spread"` // front doors that share its quota
-	UsesCounter        bool    `json:"asks_keeper"`
-	SplitTokens        float64 `json:"split_level"`   // units that this front door's split of the quota still holds
-	SplitCeilingTokens float64 `json:"split_ceiling"` // and that of the ceiling
-	CounterTotal       float64 `json:"total"`         // faded use over all front doors, as the keeper last told
-	CounterTotalAge    float64 `json:"heard_ago"`
-	RecentDemand       float64 `json:"asked_here"` // units asked for here lately
-	PendingUse         float64 `json:"untold"`     // units spent here that the keeper was not told of yet
-	InFlight           int     `json:"open"`       // attempts out
-	OverQuotaFor       float64 `json:"beyond_for"` // seconds until it is asked about again, if it was beyond its quota
+	Known              bool    `json:"known"`         // the instance has seen it lately; without it, only the plan's figures are set
+	Rate               float64 `json:"rate"`          // of its plan, units per second; 0: no such limit
+	Burst              float64 `json:"burst"`         // of its plan, units
+	CeilingRate        float64 `json:"ceiling_rate"`  // of its plan, units per second; 0: no ceiling
+	Spread             float64 `json:"spread"`        // instances that share its quota
+	UsesCounter        bool    `json:"asks_keeper"`   // the shared counter holds its use
+	SplitTokens        float64 `json:"split_level"`   // units left of this instance's split of the quota
+	SplitCeilingTokens float64 `json:"split_ceiling"` // units left of its split of the ceiling
+	CounterTotal       float64 `json:"total"`         // units, faded use at all instances, as the counter last told
+	CounterTotalAge    float64 `json:"heard_ago"`     // age of that; -1: it never told
+	RecentDemand       float64 `json:"asked_here"`    // units asked for here lately
+	PendingUse         float64 `json:"untold"`        // units spent here that the counter was not told of yet
+	InFlight           int     `json:"open"`          // attempts
+	OverQuotaFor       float64 `json:"beyond_for"`    // seconds until the counter is asked again, if it was beyond its quota
 }
 
-// Inspect makes a View of what the module knows.
-func Inspect(set decision.Settings, plan decision.PlanID, name string, c decision.CustomerState, known bool, now time.Duration) View {
-	v := View{Customer: name, Known: known, CounterTotalAge: -1}
-	if plan >= 0 && int(plan) < len(set.Plans) {
-		p := set.Plans[plan]
-		v.Rate, v.Burst, v.CeilingRate = p.Rate, p.Burst, p.CeilingRate
+// Inspect makes a View of what the decision package knows of a customer. known is false if it knows nothing; customer
+// is not read then.
+func Inspect(settings decision.Settings, plan decision.PlanID, name string, customer decision.CustomerState, known bool, now time.Duration) View {
+	view := View{Customer: name, Known: known, CounterTotalAge: never}
+	if plan >= 0 && int(plan) < len(settings.Plans) {
+		view.setPlan(settings.Plans[plan])
 	}
-	if !known {
-		return v
+	if known {
+		view.setState(customer, now)
 	}
-	v.Spread, v.UsesCounter, v.SplitTokens, v.SplitCeilingTokens, v.CounterTotal, v.RecentDemand, v.PendingUse, v.InFlight = c.Instances, c.UsesCounter, c.Tokens, c.CeilingTokens, c.CounterTotal, c.RecentDemand, c.PendingUse, c.InFlight
-	if c.CounterTotalAt > 0 {
-		v.CounterTotalAge = (now - c.CounterTotalAt).Seconds()
+	return view
+}
+
+func (v *View) setPlan(plan decision.Plan) {
+	v.Rate = plan.Rate
+	v.Burst = plan.Burst
+	v.CeilingRate = plan.CeilingRate
+}
+
+func (v *View) setState(customer decision.CustomerState, now time.Duration) {
+	v.Spread = customer.Instances
+	v.UsesCounter = customer.UsesCounter
+	v.SplitTokens = customer.Tokens
+	v.SplitCeilingTokens = customer.CeilingTokens
+	v.CounterTotal = customer.CounterTotal
+	v.RecentDemand = customer.RecentDemand
+	v.PendingUse = customer.PendingUse
+	v.InFlight = customer.InFlight
+	v.OverQuotaFor = max(0, (customer.OverQuotaUntil - now).Seconds())
+	if customer.CounterTotalAt > 0 {
+		v.CounterTotalAge = (now - customer.CounterTotalAt).Seconds()
 	}
-	v.OverQuotaFor = max(0, (c.OverQuotaUntil - now).Seconds())
-	return v
 }
 
-// Verdict is what the module would do with a try.
+// The answers of a Verdict.
+const (
+	answerAdmitted   = "admitted"
+	answerCounter    = "asks the keeper first"
+	answerOverQuota  = "refused: quota"
+	answerNoCapacity = "refused: no room"
+	answerFailed     = "failed"
+	answerHeld       = "held" // neither decided nor asked
+)
+
+// Verdict is what would be decided about a request.
 type Verdict struct {
-	Answer      string `json:"answer"` // admitted, asks the keeper first, refused: quota, refused: no room, failed
-	Backend     uint32 `json:"box,omitempty"`
-	UsesCounter bool   `json:"asks"` // the keeper would be asked, and decide
+	Answer      string `json:"answer"`        // one of the constants above
+	Backend     uint32 `json:"box,omitempty"` // that would get it, if it is admitted
+	UsesCounter bool   `json:"asks"`          // the shared counter would be called
 }
 
-// WouldDecide asks a copy of the module what it would do now with a try of a studio's. The state is not changed.
-func WouldDecide(set decision.Settings, st decision.State, plan decision.PlanID, name string, spread, first int, units float64, now time.Duration) (Verdict, error) {
-	g, err := decision.Restore(set, st)
+// WouldDecide tells what would be decided now about a request of a customer, on a copy of a gateway's state; state is
+// not changed. spread and first are those of decision.RequestArrived. The error is that of decision.Restore.
+func WouldDecide(settings decision.Settings, state decision.State, plan decision.PlanID, name string, spread, first int, units float64, now time.Duration) (Verdict, error) {
+	gateway, err := decision.Restore(settings, state)
 	if err != nil {
 		return Verdict{}, err
 	}
-	const id = ^decision.RequestID(0) // no request's number
-	v := Verdict{Answer: "held"}
-	for _, a := range g.Handle(decision.RequestArrived{Request: id, Plan: plan, Customer: name, TimeLeft: set.Classes[0].Deadline, Units: units, Spread: spread, First: first}, now) {
-		switch a := a.(type) {
+	const unusedID = ^decision.RequestID(0)
+	request := decision.RequestArrived{
+		Request:  unusedID,
+		Plan:     plan,
+		Customer: name,
+		TimeLeft: settings.Classes[0].Deadline,
+		Units:    units,
+		Spread:   spread,
+		First:    first,
+	}
+	return verdictOf(gateway.Handle(request, now)), nil
+}
+
+// verdictOf reads a verdict from the actions that answer a request.
+func verdictOf(actions []decision.Action) Verdict {
+	verdict := Verdict{Answer: answerHeld}
+	for _, action := range actions {
+		switch action := action.(type) {
 		case decision.SendAttempt:
-			v.Answer, v.Backend = "admitted", uint32(a.Backend)
+			verdict.Answer = answerAdmitted
+			verdict.Backend = uint32(action.Backend)
 		case decision.Reject:
-			v.Answer = map[decision.RejectReason]string{decision.OverQuota: "refused: quota", decision.NoCapacity: "refused: no room"}[a.Reason]
+			verdict.Answer = rejection(action.Reason)
 		case decision.Fail:
-			v.Answer = "failed"
+			verdict.Answer = answerFailed
 		case decision.AddToCounter:
-			v.UsesCounter = true
+			verdict.UsesCounter = true
 		}
 	}
-	if v.Answer == "held" && v.UsesCounter {
-		v.Answer = "asks the keeper first"
+	if verdict.Answer == answerHeld && verdict.UsesCounter {
+		verdict.Answer = answerCounter
+	}
+	return verdict
+}
+
+func rejection(reason decision.RejectReason) string {
+	if reason == decision.OverQuota {
+		return answerOverQuota
 	}
-	return v, nil
+	return answerNoCapacity
 }
