--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -164,7 +164,7 @@
 }
 
 func (s setFault) Run(c *Console) error {
-	if err := server.SetFault(s.Control, "set "+strings.Join(s.Fault, " ")); err != nil {
+	if err := server.SendFaultCommand(s.Control, "set "+strings.Join(s.Fault, " ")); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(c.Out, "ok")
@@ -177,7 +177,7 @@
 }
 
 func (s clearFault) Run(c *Console) error {
-	if err := server.SetFault(s.Control, "clear "+s.Fault); err != nil {
+	if err := server.SendFaultCommand(s.Control, "clear "+s.Fault); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(c.Out, "ok")
