--- /dev/null
+++ b/decision/load_test.go
@@ -0,0 +1,58 @@
+package decision_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"sandyard/decision"
+)
+
+// Backends are far away: the round trip is not taken for load, but the rest of the latency is. Impossible round-trip times hide
+// no load.
+func TestRoundTripIsNotTakenForLoad(t *testing.T) {
+	for _, c := range []struct {
+		roundTrip   time.Duration
+		latency     time.Duration
+		allAdmitted bool
+	}{{0, 600 * time.Millisecond, false}, {550 * time.Millisecond, 600 * time.Millisecond, true}, {50 * time.Millisecond, 600 * time.Millisecond, false},
+		{time.Hour, 600 * time.Millisecond, true}, {-time.Hour, 600 * time.Millisecond, false}} {
+		set := basicSettings()
+		set.Classes[0].Idempotency = decision.NotIdempotent
+		driver := startDriver(t, set, 0, upEndpoints(1, 2)...)
+		rejected := 0
+		for i := range 60 {
+			id, s, ok := driver.request(fmt.Sprint("c", i), 0, 1)
+			driver.advance(c.latency)
+			if ok {
+				driver.handle(decision.AttemptEnded{Request: id, Backend: s, Outcome: decision.OK, Latency: c.latency, RoundTrip: c.roundTrip})
+			} else {
+				rejected++
+			}
+		}
+		if c.allAdmitted != (rejected == 0) {
+			t.Errorf("%d of 60 rejected, one at a time, of %v each, %v of them the round trip", rejected, c.latency, c.roundTrip)
+		}
+	}
+}
+
+// A long queue was reported once, so everything is rejected and no more reports come. The report must not be believed for ever.
+func TestOldQueueReportFades(t *testing.T) {
+	set := basicSettings()
+	set.LoadFields = []decision.LoadField{decision.FieldInFlight}
+	driver := startDriver(t, set, 0, upEndpoints(1, 2)...)
+	for range 12 {
+		id, s, ok := driver.request("a", 0, 1)
+		driver.advance(100 * time.Millisecond)
+		if ok {
+			driver.handle(decision.AttemptEnded{Request: id, Backend: s, Answered: true, Load: []float64{500}})
+		}
+	}
+	if _, _, ok := driver.request("a", 0, 1); ok {
+		t.Error("an attempt at a queue of 500")
+	}
+	driver.advance(20 * time.Second)
+	if _, _, ok := driver.request("a", 0, 1); !ok {
+		t.Error("rejected 20 s after the last report")
+	}
+}
--- /dev/null
+++ b/decision/slowstart_test.go
@@ -0,0 +1,148 @@
+package decision_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"sandyard/decision"
+)
+
+// A warming backend answers faster than all others, so its queue is always the shortest: it must get no more than its capacity
+// share still.
+func TestWarmingBackendGetsItsShare(t *testing.T) {
+	set := basicSettings()
+	set.SlowStartTime = time.Hour // longer than the test
+	endpoints := upEndpoints(1, 2, 3, 4)
+	endpoints[3].Started = time.Hour
+	driver := startDriver(t, set, time.Hour, endpoints...)
+	got := playRequests(driver, 0, 1000, 5*time.Millisecond, func(s decision.BackendID) (time.Duration, decision.Outcome) {
+		if s == 4 {
+			return time.Millisecond, decision.OK // its queue is always the shortest
+		}
+		return 300 * time.Millisecond, decision.OK
+	})
+	all := got[1] + got[2] + got[3] + got[4]
+	if share := float64(got[4]) / float64(all); share > 3*0.2/3.2*1.1 { // drawn once in three choices by its capacity share
+		t.Errorf("warming backend got %.2f of %d", share, all)
+	}
+}
+
+// A fleet is replaced at one stroke: the only backend is warming up, and must not be sent all requests, but its share of what a
+// warm one served. With a warm one beside it nothing is rejected for it; where nothing is known yet, requests go out about one
+// after the other.
+func TestFleetReplacedAtOnceIsNotOverloaded(t *testing.T) {
+	set := basicSettings()
+	set.SlowStartTime = time.Hour // longer than the test
+	for _, c := range []struct {
+		name        string
+		known       bool
+		warm        int
+		least, most int
+	}{{"replaced", true, 0, 150, 400}, {"one is left", true, 1, 990, 1000}, {"unknown", false, 0, 5, 100}} {
+		endpoints := upEndpoints(1, 2, 3)
+		endpoints[0].Started = time.Hour
+		driver := startDriver(t, set, time.Hour, endpoints[2])
+		good := func(decision.BackendID) (time.Duration, decision.Outcome) { return time.Millisecond, decision.OK }
+		if c.known {
+			playRequests(driver, 0, 1000, 5*time.Millisecond, good)
+		}
+		driver.handle(decision.EndpointsChanged{Full: true, Endpoints: endpoints[:1+c.warm]})
+		got := playRequests(driver, 0, 1000, 5*time.Millisecond, good)
+		if all := got[1] + got[2]; all < c.least || all > c.most {
+			t.Errorf("%s: %d of 1000 were sent", c.name, all)
+		}
+	}
+}
+
+// Where the settings do not say what makes a warming backend fail, nothing is held back.
+func TestReplacedFleetWithoutOverloadLimit(t *testing.T) {
+	for _, change := range []func(*decision.Settings){
+		func(s *decision.Settings) { s.OverloadFactor = 0 },
+		func(s *decision.Settings) { s.OverloadTime = 0 },
+	} {
+		set := basicSettings()
+		set.SlowStartTime, set.SlowStartShare = time.Hour, 0.5
+		change(&set)
+		endpoints := upEndpoints(1)
+		endpoints[0].Started = time.Hour
+		driver := startDriver(t, set, time.Hour, endpoints...)
+		got := playRequests(driver, 0, 1000, 5*time.Millisecond, func(decision.BackendID) (time.Duration, decision.Outcome) { return time.Millisecond, decision.OK })
+		if got[1] < 990 {
+			t.Errorf("%d of 1000 were sent", got[1])
+		}
+	}
+}
+
+// Two hundred instances learn of a warming backend at once: their first attempts together stay near its capacity share.
+func TestWarmingBackendAndManyInstances(t *testing.T) {
+	endpoints := upEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
+	endpoints[9].Started = time.Hour
+	instances := startInstances(t, 200, basicSettings(), time.Hour, sharedCounter{}.add, endpoints...)
+	toWarming := 0
+	for i, driver := range instances {
+		driver.advanceTo(time.Hour + time.Duration(i)*time.Millisecond)
+		if _, s, ok := driver.request(fmt.Sprint("c", i), 0, 1); ok && s == 10 {
+			toWarming++
+		}
+	}
+	if toWarming > 12 { // 200 * 0.2/9.2 are 4, three times that where its queue looks shortest
+		t.Errorf("the warming one got %d of the first 200", toWarming)
+	}
+}
+
+// Where few attempts make a warming backend fail, it gets fewer still than its share of them, since chance decides how many come
+// together and what work they are: where five of mean work make it fail, hardly ever more than three come. Nor does the service
+// rate die away because little is sent: instances that hold back learn nothing.
+func TestSlowStartLeavesMarginForChance(t *testing.T) {
+	set := basicSettings()
+	set.SlowStartShare, set.SlowStartTime, set.OverloadFactor, set.OverloadTime = 0.25, time.Hour, 2, time.Second
+	instances := startInstances(t, 20, set, time.Hour, timesOut, upEndpoints(1)...)
+	rng := rand.New(rand.NewPCG(5, 6))
+	type attempt struct {
+		driver  *driver
+		request decision.RequestID
+		backend decision.BackendID
+		endsAt  time.Duration
+	}
+	var inFlight []attempt
+	var sent []time.Duration
+	play := func(from, to, gap time.Duration) {
+		for at := from; at < to; at += gap {
+			driver := instances[rng.IntN(len(instances))]
+			driver.advanceTo(at)
+			for len(inFlight) > 0 && inFlight[0].endsAt <= at {
+				inFlight[0].driver.advanceTo(at)
+				inFlight[0].driver.endAttempt(inFlight[0].request, inFlight[0].backend, decision.OK)
+				inFlight = inFlight[1:]
+			}
+			if id, s, ok := driver.request(fmt.Sprint("c", rng.IntN(1000)), 0, 1); ok {
+				inFlight = append(inFlight, attempt{driver, id, s, at + 100*time.Millisecond})
+				sent = append(sent, at)
+			}
+		}
+	}
+	const minute = time.Minute
+	play(time.Hour, time.Hour+minute, 100*time.Millisecond) // it serves ten a second
+	endpoints := upEndpoints(1)
+	endpoints[0].Started = time.Hour + minute
+	for _, driver := range instances {
+		driver.advanceTo(time.Hour + minute)
+		driver.handle(decision.EndpointsChanged{Full: true, Endpoints: endpoints})
+	}
+	sent = nil
+	play(time.Hour+minute, time.Hour+6*minute, 25*time.Millisecond)
+	over, window := 0, 0
+	for i, at := range sent {
+		for sent[window] <= at-time.Second {
+			window++
+		}
+		if i-window+1 > 3 {
+			over++
+		}
+	}
+	if len(sent) < 90 || len(sent) > 300 || over > 5 {
+		t.Errorf("%d sent in 300 s, where one a second is meant; %d of them as the fourth or later in a second", len(sent), over)
+	}
+}
