--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -10,15 +10,16 @@
 // estimates of the other files and for its request. Latencies are seconds.
 
 const (
-	// maxExpectedWait is the expected wait, as a share of the latency objective, above which no first attempt is
-	// begun: its answer would be late, and it would make others late.
+	// maxExpectedWait is the expected wait, as a share of the latency objective, above which no attempt is begun: its
+	// answer would be late, and it would make others late. A request that may have run is an exception, since
+	// without an answer it fails.
 	maxExpectedWait = 0.8
 	// timeoutDeviations is the number of deviations above the mean latency that an attempt may take if another could
 	// follow it: rarely is an answer that late still to come.
 	timeoutDeviations = 8.0
 	// latencySmoothing is the weight of a new latency in the mean of its class: some twenty attempts show a trend.
 	latencySmoothing = 0.05
-	// lostAttemptTTL is how long after its deadline a request whose attempts were never heard of is kept.
+	// lostAttemptTTL is how long after its deadline a request is kept whose attempts have no end yet.
 	lostAttemptTTL = 30 * time.Second
 )
 
--- a/decision/countersync.go
+++ b/decision/countersync.go
@@ -35,11 +35,11 @@
 	// pendingUseDelay is how long use is kept before it is added: one call then carries several requests' units.
 	pendingUseDelay = 250 * time.Millisecond
 	// pendingUseKeepShare is the share of a quota from which pending use waits for a call instead of being dropped:
-	// less than that changes no decision.
+	// less than that hardly changes a decision.
 	pendingUseKeepShare = 0.1
 	// rejectedCallFactor lowers the chance of a call after one that was rejected: the counter is at its limit.
 	rejectedCallFactor = 0.85
-	// slowCallFactor lowers it after one that was slow or timed out: then the counter works for nobody.
+	// slowCallFactor lowers it after one that was slow or timed out: all its callers wait then.
 	slowCallFactor = 0.6
 	// goodCallFactor raises it after a good answer.
 	goodCallFactor = 1.06
@@ -47,7 +47,7 @@
 	recoveryCallFactor = 1.25
 	// counterRecoveryTime is long enough for the counter to have recovered from an overload.
 	counterRecoveryTime = 4 * time.Second
-	// minCallProbability is the least chance of a call, which finds out that the counter is well again.
+	// minCallProbability is the least chance of a call, which finds out that the counter has recovered.
 	minCallProbability = 0.15
 )
 
@@ -63,9 +63,9 @@
 // counterSync holds what is known of the shared counter.
 type counterSync struct {
 	calls            map[string][]counterCall // not answered yet, by name, in order
-	pendingUseQueue  []*customerRecord        // those with use that the counter was not told of
+	pendingUseQueue  []*customerRecord        // those with use that was not added to the counter yet
 	insideShare      []movingAverage          // share of the requests asked about that were inside their quota, by plan
-	reportedUseShare movingAverage            // share of the use that the counter was told of
+	reportedUseShare movingAverage            // share of the use that reached the counter
 	maxPlanWeight    float64                  // highest WeightFactor of all plans
 	callProbability  float64
 	overloadedAt     time.Duration // when it last was slow or rejected a call
--- a/decision/driver_test.go
+++ b/decision/driver_test.go
@@ -141,27 +141,27 @@
 // backend that takes no time never answers.
 func playRequests(driver *driver, class decision.ClassID, n int, gap time.Duration,
 	behave func(backend decision.BackendID) (time.Duration, decision.Outcome)) map[decision.BackendID]int {
-	type out struct {
-		id  decision.RequestID
-		s   decision.BackendID
-		due time.Duration
-		o   decision.Outcome
+	type attempt struct {
+		request decision.RequestID
+		backend decision.BackendID
+		endsAt  time.Duration
+		outcome decision.Outcome
 	}
-	var waiting []out
+	var inFlight []attempt
 	got := map[decision.BackendID]int{}
 	for range n {
 		driver.advance(gap)
-		for i := 0; i < len(waiting); i++ {
-			if w := waiting[i]; w.due <= driver.now {
-				waiting = append(waiting[:i], waiting[i+1:]...)
+		for i := 0; i < len(inFlight); i++ {
+			if a := inFlight[i]; a.endsAt <= driver.now {
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				i--
-				driver.endAttempt(w.id, w.s, w.o)
+				driver.endAttempt(a.request, a.backend, a.outcome)
 			}
 		}
 		if id, s, ok := driver.request("a", class, 1); ok {
 			got[s]++
 			if took, o := behave(s); took > 0 {
-				waiting = append(waiting, out{id, s, driver.now + took, o})
+				inFlight = append(inFlight, attempt{id, s, driver.now + took, o})
 			}
 		}
 	}
--- a/decision/events.go
+++ b/decision/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// This file holds what a gateway is told. Times are durations since any fixed origin. Struct tags keep the names under
+// This file holds the events that a gateway takes in. Times are durations since any fixed origin. Struct tags keep the names under
 // which recorded traces hold the fields; neither they nor the order of the fields may change.
 
 // Event is something that happened: one of the types of this file.
@@ -18,7 +18,7 @@
 	TimeLeft time.Duration `json:"Left"` // until the client gives up
 	Units    float64       // what it counts in the customer's quota; an impossible number is taken as 1
 	Spread   int           // the customer comes in through so many instances,
-	First    int           // from this one on
+	First    int           // from this one on; no rule reads it
 	Retry    bool          // the client says that it has tried before; it does not count as demand
 }
 
@@ -46,10 +46,10 @@
 	Attempt   int       // number of the attempt, from 0
 	Backend   BackendID `json:"Server"`
 	Outcome   Outcome
-	Latency   time.Duration // from the first byte sent
+	Latency   time.Duration // no rule reads it: the gateway takes the time from SendAttempt on
 	RoundTrip time.Duration `json:"Way"`     // of that, what the network takes, as far as known; 0 else
 	Answered  bool          `json:"Settled"` // the client has its final answer
-	Units     float64       // true units, where they settle later; 0 if not told
+	Units     float64       // true units, where they settle later; 0 if unknown; no rule reads them
 	Load      []float64     // load report, in the order of Settings.LoadFields; nil if none came
 }
 
@@ -91,7 +91,7 @@
 	Zone    int
 	Cell    int
 	State   EndpointState
-	Weight  float64
+	Weight  float64       // no rule reads it
 	Started time.Duration // when its process last started; 0: long ago
 }
 
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -18,16 +18,16 @@
 		panic(err)
 	}
 	fmt.Println(len(first))
-	servers := decision.EndpointsChanged{Full: true, Endpoints: []decision.Endpoint{{Backend: 7}}}
-	g.Handle(servers, 0)
+	endpoints := decision.EndpointsChanged{Full: true, Endpoints: []decision.Endpoint{{Backend: 7}}}
+	g.Handle(endpoints, 0)
 	actions := g.Handle(decision.RequestArrived{Request: 1, Customer: "mill", TimeLeft: 3 * time.Second, Units: 1, Spread: 1},
 		time.Millisecond)
 	for _, a := range actions {
 		if s, ok := a.(decision.SendAttempt); ok {
-			fmt.Printf("send request %d to server %d\n", s.Request, s.Backend)
+			fmt.Printf("send request %d to backend %d\n", s.Request, s.Backend)
 		}
 	}
 	// Output:
 	// 1
-	// send request 1 to server 7
+	// send request 1 to backend 7
 }
--- a/decision/gateway_test.go
+++ b/decision/gateway_test.go
@@ -50,7 +50,7 @@
 
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{30, 100} {
-		b.Run(fmt.Sprint(n, " servers"), func(b *testing.B) {
+		b.Run(fmt.Sprint(n, " backends"), func(b *testing.B) {
 			set := basicSettings()
 			set.Instances = 300
 			var ids []decision.BackendID
--- a/decision/load.go
+++ b/decision/load.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// probeNext probes one backend, each in turn, so that each is heard of within loadReportTTL.
+// probeNext probes one backend, each in turn, so that each reports within loadReportTTL.
 func (g *Gateway) probeNext() {
 	count := len(g.endpoints.up)
 	if count == 0 || !g.settings.Probes || !g.settings.LoadByProbe || g.settings.ProbeCost >= maxProbeCost {
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -36,8 +36,8 @@
 	// customersPerSweep is the number of customers that are inspected per housekeeping, so that it takes no time to
 	// speak of however many there are.
 	customersPerSweep = 20
-	// customerIdleTTL is the time after which an idle customer is forgotten: its buckets are full again by then, and
-	// its name at the counter has changed.
+	// customerIdleTTL is the time after which an idle customer is forgotten, longer than the counter keeps a total
+	// under one name (maxCounterNamePeriod). If it comes again, it begins with a full bucket.
 	customerIdleTTL = 60 * time.Second
 )
 
@@ -97,7 +97,7 @@
 	overQuotaUntil         time.Duration // by that total
 	counterDistrustedUntil time.Duration // it had lost its total: until the use before that has faded
 
-	// What the shared counter was not told yet.
+	// What was not added to the shared counter yet.
 	pendingUse       float64 // units spent here
 	pendingUseDueAt  time.Duration
 	pendingUseQueued bool // it is in counterSync.pendingUseQueue
@@ -195,7 +195,7 @@
 	quotaExceeded
 )
 
-// checkQuota judges a request by what is known here. It is beyond the quota until the total that the counter last told
+// checkQuota judges a request by what is known here. It is beyond the quota until the total that the counter last gave
 // can have faded enough; it is inside while others could not have used up the rest even at several times the rate.
 func (g *Gateway) checkQuota(customer *customerRecord, units float64) quotaVerdict {
 	plan := &g.settings.Plans[customer.plan]
@@ -275,8 +275,8 @@
 	customer.ceilingTokens = max(0, customer.ceilingTokens-request.units)
 }
 
-// spendUncountedUnits takes an admitted request's units off the split when the counter has not been told of them; it
-// is told later. The ceiling's bucket may go below nothing here, so that what was passed is made up for.
+// spendUncountedUnits takes an admitted request's units off the split when the counter does not hold them; they are
+// added later. The ceiling's bucket may go below nothing here, so that what was passed is made up for.
 func (g *Gateway) spendUncountedUnits(customer *customerRecord, units float64) {
 	customer.tokens = max(0, customer.tokens-units)
 	customer.ceilingTokens -= units
--- a/decision/response.go
+++ b/decision/response.go
@@ -7,7 +7,7 @@
 // promises nothing. A request that may have run is rejected only if it is idempotent everywhere. A rejection may say
 // when to come back.
 
-// maxRetryAfterShare is the share of the latency objective that a client is told to stay away at most, so that several
+// maxRetryAfterShare is the share of the latency objective that a client is asked to stay away at most, so that several
 // tries fit in its time.
 const maxRetryAfterShare = 0.1
 
@@ -87,7 +87,7 @@
 }
 
 // handleDeadline answers a request while its client still waits, whatever became of its attempts. Later it is called
-// again, to close attempts that were never heard of, and at last to forget the request.
+// again, to close attempts whose end never came, and at last to forget the request.
 func (g *Gateway) handleDeadline(id RequestID) {
 	request := g.requests[id]
 	if request == nil || g.now < request.deadline {
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// This file holds what a gateway is told at its start. Struct tags keep the names under which recorded traces hold the
+// This file holds the configuration of a gateway. Struct tags keep the names under which recorded traces hold the
 // fields; neither they nor the order of the fields may change.
 
 // BackendID names a backend; it survives a restart of the backend's process.
@@ -49,7 +49,7 @@
 	KeyScope         KeyScope      `json:"Scope"` // of idempotency keys; only for IdempotentByKey
 	KeyTTL           time.Duration // how long backends remember an idempotency key
 	LatencyObjective time.Duration `json:"Aim"` // an answer within this earns the full value
-	Deadline         time.Duration // how long clients wait in all; the rules go by the time left that each request states
+	Deadline         time.Duration // how long clients wait in all; informative, since each request states its time left
 	PriorityWeight   float64       `json:"Worth"` // value of an answer in time; times the plan's WeightFactor it is the priority
 	LateShare        float64       // share of that value that an answer after the objective still earns, 0 to 1
 	Stream           bool          // answers are streams, which no attempt timeout and no deadline may cut
@@ -82,36 +82,37 @@
 	FieldErrors             // errors per second
 )
 
-// Settings is all that a gateway is told at its start. The zero value of a field means that the feature is absent or
-// the limit does not exist, where nothing else is said.
+// Settings is the configuration of a gateway, which does not change. The zero value of a field means that the feature is absent or
+// the limit does not exist, where nothing else is said. Fields marked as informative are in traces, and some are read
+// by the proxy, but no rule of this package reads them.
 type Settings struct {
-	Self             int     // this instance's number, from 0
+	Self             int     // this instance's number, from 0; informative
 	Instances        int     `json:"Gateways"` // proxy instances before the same backends; less than 1 is taken as 1
 	Zone             int     // where this instance stands; backends of it are preferred a little
 	Classes          []Class // at least one
 	Plans            []Plan
 	LoadFields       []LoadField   // what the values of a load report stand for, in order
-	LoadInAnswers    bool          // load reports come with answers
+	LoadInAnswers    bool          // load reports come with answers; informative, since any that comes is read
 	LoadByProbe      bool          // load reports come with probes only
 	Probes           bool          // probing is allowed
 	ProbeCost        float64       `json:"ProbePrice"` // of one probe, in requests
 	Cancel           bool          // attempts may be cancelled
-	Hedging          bool          `json:"SecondCopies"` // a request may have two attempts in flight; not used
-	RetryAfter       bool          // clients are told how long to stay away
+	Hedging          bool          `json:"SecondCopies"` // a request may have two attempts in flight; informative, none is hedged
+	RetryAfter       bool          // rejections say how long the client should stay away
 	MaxRetryAfter    time.Duration // longest time that clients heed
 	MaxAttempts      int           // per request, the first included; less than 1 is taken as 1
 	Subscribe        bool          // endpoints are watched, and the watch has to be asked for
-	PollInterval     time.Duration `json:"AskWithin"`
-	DrainGrace       time.Duration // how long a draining backend finishes what it has
+	PollInterval     time.Duration `json:"AskWithin"` // longest time between polls of the endpoint list; informative
+	DrainGrace       time.Duration // how long a draining backend finishes what it has; informative
 	SlowStartShare   float64       `json:"ColdShare"` // least share of its capacity that a started backend has; outside (0, 1] it is taken as 1: none warms up
 	SlowStartTime    time.Duration `json:"ColdTime"`  // from start to full capacity
 	OverloadFactor   float64       // multiple of its present capacity at which a warming backend fails; 0: nothing is held back
 	OverloadTime     time.Duration // window over which that multiple is measured; 0: nothing is held back
 	Counter          bool          // the shared counter may be called
 	CounterTimeout   time.Duration // of a call; answers slower than half of it count as slow
-	CounterCost      float64       `json:"CounterPrice"` // of a call, in requests
+	CounterCost      float64       `json:"CounterPrice"` // of a call, in requests; informative
 	MaxUnits         float64       `json:"MostUnits"`    // most units that one request counts; less than 1 is taken as 1
-	UnitsSettleLater bool          // units are an estimate until the first good answer
+	UnitsSettleLater bool          // units are an estimate until the first good answer; informative
 }
 
 // ErrBadSettings is the cause of every error about settings that no deployment can mean.
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -9,8 +9,9 @@
 // when all instances together send it several times that (Settings.OverloadFactor, within OverloadTime). It is bounded
 // twice: it is drawn for an attempt only as often as its capacity share says (balancer.go), and when it was drawn, a
 // token bucket must hold an attempt. The bucket fills at this instance's part of slowStartLoadShare of what makes the
-// backend fail. That is reckoned from the service rate of a warm backend, which is estimated from good answers. Without
-// the bucket, a fleet that is replaced at once would be pushed over, since there is hardly another backend to draw.
+// backend fail, which follows from the service rate of a warm one, estimated from good answers. Without the bucket, a
+// fleet that is replaced at once would fail: where hardly another backend can be drawn, drawing less often holds
+// nothing back.
 //
 // Rates are attempts per second of this instance, times are seconds.
 
@@ -22,8 +23,8 @@
 	confidenceMargin = 4.0
 	// slowStartBurstShare is the share of what goes in OverloadTime that may go at once.
 	slowStartBurstShare = 0.3
-	// workingBackendFactor times the share of good answers tells how far a backend counts as working, at most wholly:
-	// one that is overloaded still answers one in twelve, one that hangs answers none.
+	// workingBackendFactor times the share of good answers tells how far a backend counts as working: from one good
+	// answer in twelve on it does wholly. One that is only overloaded still gives many, one that hangs gives none.
 	workingBackendFactor = 12.0
 )
 
@@ -100,8 +101,8 @@
 	}
 	age := g.now - backend.startedAt
 	backend.warmingUp = age < g.settings.SlowStartTime+g.settings.OverloadTime
-	warmth := min(1, max(0, float64(age)/float64(max(1, g.settings.SlowStartTime))))
-	return g.settings.SlowStartShare + (1-g.settings.SlowStartShare)*warmth
+	progress := min(1, max(0, float64(age)/float64(max(1, g.settings.SlowStartTime))))
+	return g.settings.SlowStartShare + (1-g.settings.SlowStartShare)*progress
 }
 
 // totalCapacityShare is the sum over all backends that are up.
--- a/decision/state.go
+++ b/decision/state.go
@@ -79,7 +79,7 @@
 	CounterTotalAt         time.Duration `json:"Heard"`   // 0: never
 	OverQuotaUntil         time.Duration `json:"Next"`
 	CounterDistrustedUntil time.Duration `json:"Wary"`
-	PendingUse             float64       `json:"Fresh"` // units spent here that the counter was not told of
+	PendingUse             float64       `json:"Fresh"` // units spent here that were not added to the counter yet
 	RecentDemand           float64       `json:"Seen"`  // units asked for here lately
 	PendingUseDueAt        time.Duration `json:"AddAt"`
 	InFlight               int           `json:"Open"` // attempts
--- a/decision/text.go
+++ b/decision/text.go
@@ -8,6 +8,8 @@
 //go:embed *.go
 var source embed.FS
 
+// This file gives the identity of the rules: package coreid makes a digest of the text, which traces hold.
+
 // Text is the package's own source without its tests, file by file in the order of their names: two builds with the
 // same text decide alike. Files that are added are taken in by themselves.
 func Text() string {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -23,10 +23,10 @@
 	UsesCounter        bool    `json:"asks_keeper"`   // the shared counter holds its use
 	SplitTokens        float64 `json:"split_level"`   // units left of this instance's split of the quota
 	SplitCeilingTokens float64 `json:"split_ceiling"` // units left of its split of the ceiling
-	CounterTotal       float64 `json:"total"`         // units, faded use at all instances, as the counter last told
-	CounterTotalAge    float64 `json:"heard_ago"`     // age of that; -1: it never told
+	CounterTotal       float64 `json:"total"`         // units, faded use at all instances, as the counter last said
+	CounterTotalAge    float64 `json:"heard_ago"`     // age of that; -1: it never did
 	RecentDemand       float64 `json:"asked_here"`    // units asked for here lately
-	PendingUse         float64 `json:"untold"`        // units spent here that the counter was not told of yet
+	PendingUse         float64 `json:"untold"`        // units spent here that were not added to the counter yet
 	InFlight           int     `json:"open"`          // attempts
 	OverQuotaFor       float64 `json:"beyond_for"`    // seconds until the counter is asked again, if it was beyond its quota
 }
