--- /dev/null
+++ b/internal/server/accept.go
@@ -0,0 +1,124 @@
+package server
+
+import (
+	"errors"
+	"net"
+	"syscall"
+	"time"
+)
+
+const (
+	// minAcceptBackoff is the first wait after the machine had no descriptor or memory for a connection: a response
+	// sooner than that gives one back. The wait doubles up to the most.
+	minAcceptBackoff = 5 * time.Millisecond
+	// maxAcceptBackoff bounds that wait: a client in the backlog still gets its answer within its usual patience.
+	maxAcceptBackoff = time.Second
+	// backlogTime is how long accepting goes on after the deadline of the listener: a deadline that has passed ends an
+	// accept although connections lie in the backlog, and those would be reset.
+	backlogTime = 50 * time.Millisecond
+)
+
+// accept takes connections until the listener ends. It stops while the queue of the event loop is half full, so that
+// clients wait in the backlog before any is rejected. Only Serve calls it.
+func (s *Server) accept() error {
+	backoff, deadlinePassed := minAcceptBackoff, false
+	for {
+		s.waitForQueueSpace()
+		conn, err := s.listener.AcceptTCP()
+		switch {
+		case err == nil:
+			backoff = minAcceptBackoff
+			s.serveClient(conn)
+		case isShortage(err):
+			s.log.Warn("accept", "error", err, "again_in", backoff.String())
+			select {
+			case <-time.After(backoff):
+			case <-s.connectionsCtx.Done():
+			}
+			backoff = min(2*backoff, maxAcceptBackoff)
+		case isTimeout(err) && !deadlinePassed:
+			deadlinePassed = true
+			s.listener.SetDeadline(time.Now().Add(backlogTime))
+		case isTimeout(err):
+			return nil
+		default:
+			return err
+		}
+	}
+}
+
+// waitForQueueSpace returns when less than half of limits.queue messages wait for the event loop, or it has ended.
+func (s *Server) waitForQueueSpace() {
+	s.queueMu.Lock()
+	defer s.queueMu.Unlock()
+	for len(s.queue) >= s.cfg.Limits.Queue/2 && !s.loopEnded && s.connectionsCtx.Err() == nil {
+		s.queueSpace.Wait()
+	}
+}
+
+// isShortage tells errors of accept that pass: no descriptors or memory left, or a client that left the backlog.
+func isShortage(err error) bool {
+	for _, passing := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
+		if errors.Is(err, passing) {
+			return true
+		}
+	}
+	return false
+}
+
+// serveClient starts the goroutine of an accepted connection, or rejects it where limits.connections are open and none
+// makes room. It waits for clientSlotTimeout at most, and counts the connection in shared.Clients until it is closed.
+func (s *Server) serveClient(conn *net.TCPConn) {
+	if open := s.shared.Clients.Add(1); open > int64(s.cfg.Limits.Connections) && !s.waitForClientSlot() {
+		s.rejectClient(conn)
+		return
+	}
+	cc, err := s.newClientConn(conn)
+	if err != nil {
+		s.shared.Clients.Add(-1)
+		conn.Close()
+		return
+	}
+	s.clientsMu.Lock()
+	s.clients[cc] = struct{}{}
+	s.clientsMu.Unlock()
+	s.goroutines.Go(func() error {
+		cc.run()
+		s.clientsMu.Lock()
+		delete(s.clients, cc)
+		s.clientsMu.Unlock()
+		s.shared.Clients.Add(-1)
+		return nil
+	})
+}
+
+// rejectClient answers a connection beyond the limit, or closes it unread where maxRejectedConnections are being answered.
+func (s *Server) rejectClient(conn *net.TCPConn) {
+	if s.shared.Clients.Load() > int64(s.cfg.Limits.Connections)+maxRejectedConnections {
+		s.shared.Clients.Add(-1)
+		conn.Close()
+		return
+	}
+	s.goroutines.Go(func() error {
+		defer s.shared.Clients.Add(-1)
+		rejectConnection(conn, s.shared.TooManyConnections())
+		return nil
+	})
+}
+
+// rejectConnection writes a response and closes the connection. What the client has sent is read, a little and for
+// lingeringCloseTimeout at most: closing over unread bytes is a reset, which can take the response along.
+func rejectConnection(conn *net.TCPConn, response []byte) {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(lingeringCloseTimeout))
+	if _, err := conn.Write(response); err != nil {
+		return
+	}
+	conn.CloseWrite()
+	var unread [512]byte
+	for range rejectedReads {
+		if _, err := conn.Read(unread[:]); err != nil {
+			return
+		}
+	}
+}
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -12,6 +12,7 @@
 	"syscall"
 	"time"
 
+	"sandyard/config"
 	"sandyard/coreid"
 	"sandyard/decision"
 	"sandyard/internal/http1"
@@ -19,36 +20,69 @@
 	"sandyard/quota"
 )
 
-// The admin socket: a unix socket that its owner alone may open, on which tools look and change nothing. The protocol is
-// HTTP/1.1 by our own parser, versioned by its paths:
+// The admin socket: a unix socket that its owner alone may open, by which tools inspect an instance and change nothing.
+// The protocol is HTTP/1.1 by our own parser, versioned by its paths:
 //
-//	GET /v1/identity                     core, configuration, door
-//	GET /v1/studio?name=S                what the module knows of a studio
-//	GET /v1/counted?name=S               under which name the keeper holds its use, and where the keeper is
-//	GET /v1/would?name=S&units=N         what it would decide now, by a copy of its state
-//	GET /v1/match?method=M&target=T&...  what it makes of a request before it decides (see door.Look)
+//	GET /v1/identity                     core, configuration, instance
+//	GET /v1/studio?name=S                what the decision package knows of a customer
+//	GET /v1/counted?name=S               under which name the counter has its use, and where the counter is
+//	GET /v1/would?name=S&units=N         what would be decided now, by a copy of the state
+//	GET /v1/match?method=M&target=T&...  what becomes of a request before it is decided on (see proxy.Inspection)
 //
-// Its cost to requests is bounded: a look at a studio is one look-up between two events; a copy is taken at most once in
-// minSnapshotInterval, for all tools together, and used outside the loop.
+// Its cost to requests is bounded: a customer is looked up between two events; a copy of the state is taken at most once
+// in minSnapshotInterval, for all tools together, and used outside the event loop.
 const (
-	maxAdminConns       = 8
-	adminTimeout        = 5 * time.Second
+	// maxAdminConns is how many tools may be connected; each costs a descriptor.
+	maxAdminConns = 8
+	// adminTimeout bounds a request with its response; a tool sends its request at once.
+	adminTimeout = 5 * time.Second
+	// minSnapshotInterval keeps copies of the state, each of which holds up the event loop, to a few a second.
 	minSnapshotInterval = 250 * time.Millisecond
+	// takeoverTimeout is how long a socket file is tried for a process that listens there.
+	takeoverTimeout = time.Second
+	// maxAdminLine and maxAdminHead bound a request (bytes): a target holds the header fields of one that is matched.
+	maxAdminLine = 16 << 10
+	maxAdminHead = 20 << 10
+	// maxInspectedUnits bounds the units of /v1/would: beyond it no plan reaches.
+	maxInspectedUnits = 1e9
 )
 
+// ErrAdminSocketInUse is returned by Serve, wrapped, where another process listens on the admin socket.
+var ErrAdminSocketInUse = errors.New("another process listens there")
+
+// adminServer serves the admin socket, with a goroutine for each connection.
 type adminServer struct {
-	server   *Server
-	listener net.Listener
-	wg       sync.WaitGroup
-	mu       sync.Mutex
-	open     map[net.Conn]struct{}
-	closed   bool
+	server     *Server
+	listener   net.Listener
+	goroutines sync.WaitGroup
+
+	mu     sync.Mutex // guards open and closed
+	open   map[net.Conn]struct{}
+	closed bool
 
-	snapshotMu   sync.Mutex
+	snapshotMu   sync.Mutex // held while a copy of the state is waited for and used: one at a time
 	lastSnapshot time.Time
 }
 
-// Identity is the answer to /v1/identity.
+// adminResponse is a response of the admin socket; body is written as JSON.
+type adminResponse struct {
+	status int
+	body   any
+}
+
+// adminError is the body of a response other than 200.
+type adminError struct {
+	Error string `json:"error"`
+}
+
+func adminFailure(status int, format string, args ...any) adminResponse {
+	return adminResponse{status, adminError{fmt.Sprintf(format, args...)}}
+}
+
+// stoppingResponse is the response where the event loop has ended.
+func stoppingResponse() adminResponse { return adminFailure(503, "the front door is ending") }
+
+// Identity is the response to /v1/identity.
 type Identity struct {
 	Core     string `json:"core"`
 	Config   string `json:"config"`
@@ -56,45 +90,51 @@
 	Of       int    `json:"of"`
 }
 
-// CounterEntry is the answer to /v1/counted. Names change every while: it holds as of the front door's last event.
+// CounterEntry is the response to /v1/counted: where the shared counter has a customer's use. Names change with time; it
+// holds as of the instance's last event.
 type CounterEntry struct {
-	Known       bool    `json:"known"` // seen lately, and shared with other front doors
+	Known       bool    `json:"known"` // seen lately, and shared with other instances
 	Name        string  `json:"name"`
 	Weight      float64 `json:"weight"` // of a unit that is used now
 	CounterAddr string  `json:"keeper"` // host:port; empty: there is none
 }
 
-func (s *Server) startAdmin() (func(), error) {
+// startAdmin serves the admin socket, if one is configured, until the function returned is called.
+func (s *Server) startAdmin() (stop func(), err error) {
 	path := s.cfg.AdminSocket()
 	if path == "" {
 		return func() {}, nil
 	}
-	ln, err := listenUnix(path)
+	listener, err := listenUnix(path)
 	if err != nil {
 		return nil, fmt.Errorf("admin socket: %w", err)
 	}
-	a := &adminServer{server: s, listener: ln, open: map[net.Conn]struct{}{}}
-	a.wg.Go(a.accept)
+	a := &adminServer{server: s, listener: listener, open: map[net.Conn]struct{}{}}
+	a.goroutines.Go(a.accept)
 	s.log.Info("admin socket", "path", path)
 	return a.close, nil
 }
 
-// listenUnix takes over the socket of a process that is gone, never that of one that listens.
+// listenUnix takes over the socket file of a process that has ended, never that of one that listens.
 func listenUnix(path string) (net.Listener, error) {
-	old := syscall.Umask(0o177) // from the first moment on it is its owner's alone
-	ln, err := net.Listen("unix", path)
-	syscall.Umask(old)
+	listener, err := listenPrivately(path)
 	if !errors.Is(err, syscall.EADDRINUSE) {
-		return ln, err
+		return listener, err
 	}
-	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
+	if c, err := net.DialTimeout("unix", path, takeoverTimeout); err == nil {
 		c.Close()
-		return nil, fmt.Errorf("%s: another process listens there", path)
+		return nil, fmt.Errorf("%s: %w", path, ErrAdminSocketInUse)
 	}
 	if err := os.Remove(path); err != nil {
 		return nil, err
 	}
-	old = syscall.Umask(0o177)
+	return listenPrivately(path)
+}
+
+// listenPrivately listens on a socket file that is its owner's alone from the first moment on: a mode that is set later
+// leaves a moment in which others can connect. The mask is the whole process's meanwhile; it can only make a file more private.
+func listenPrivately(path string) (net.Listener, error) {
+	old := syscall.Umask(0o177)
 	defer syscall.Umask(old)
 	return net.Listen("unix", path)
 }
@@ -105,15 +145,11 @@
 		if err != nil {
 			return
 		}
-		a.mu.Lock()
-		if a.closed || len(a.open) >= maxAdminConns {
-			a.mu.Unlock()
+		if !a.admit(c) {
 			c.Close()
 			continue
 		}
-		a.open[c] = struct{}{}
-		a.mu.Unlock()
-		a.wg.Go(func() {
+		a.goroutines.Go(func() {
 			a.serve(c)
 			c.Close()
 			a.mu.Lock()
@@ -123,6 +159,17 @@
 	}
 }
 
+func (a *adminServer) admit(c net.Conn) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.closed || len(a.open) >= maxAdminConns {
+		return false
+	}
+	a.open[c] = struct{}{}
+	return true
+}
+
+// close ends all connections and waits for their goroutines.
 func (a *adminServer) close() {
 	a.listener.Close()
 	a.mu.Lock()
@@ -131,118 +178,152 @@
 		c.Close()
 	}
 	a.mu.Unlock()
-	a.wg.Wait()
+	a.goroutines.Wait()
 }
 
 // serve answers one request; tools need no more.
 func (a *adminServer) serve(c net.Conn) {
 	c.SetDeadline(time.Now().Add(adminTimeout))
-	rd := http1.NewRequests(http1.Limits{Line: 16 << 10, Head: 20 << 10})
+	requests := http1.NewRequests(http1.Limits{Line: maxAdminLine, Head: maxAdminHead})
 	b := make([]byte, 4096)
 	for {
 		n, err := c.Read(b)
 		if err != nil {
 			return
 		}
-		_, part, err := rd.Feed(b[:n])
-		status, answer := 200, any(nil)
+		_, part, err := requests.Feed(b[:n])
 		switch {
 		case err != nil:
-			status, answer = 400, map[string]string{"error": err.Error()}
+			writeAdminResponse(c, adminFailure(400, "%v", err))
 		case part.Kind != http1.HeadEnd:
 			continue
 		case part.Head.Method != "GET":
-			status, answer = 405, map[string]string{"error": "only GET is taken here"}
+			writeAdminResponse(c, adminFailure(405, "only GET is taken here"))
 		default:
-			status, answer = a.answer(part.Head)
+			writeAdminResponse(c, a.respond(part.Head))
 		}
-		body, err := json.Marshal(answer)
-		if err != nil {
-			status, body = 500, []byte(`{"error":"the answer can't be written as JSON"}`)
-		}
-		out := http1.AppendStatus(nil, status, http1.StatusText(status))
-		out = http1.AppendField(out, "Content-Type", "application/json")
-		out = http1.AppendField(out, "Sandyard-Core", coreid.Core())
-		out = http1.AppendLength(out, int64(len(body))+1)
-		out = append(out, "Connection: close\r\n\r\n"...)
-		c.Write(append(append(out, body...), '\n'))
 		return
 	}
 }
 
-func (a *adminServer) answer(h *http1.Head) (int, any) {
-	fail := func(status int, format string, args ...any) (int, any) {
-		return status, map[string]string{"error": fmt.Sprintf(format, args...)}
+func writeAdminResponse(c net.Conn, r adminResponse) {
+	body, err := json.Marshal(r.body)
+	if err != nil {
+		r.status, body = 500, []byte(`{"error":"the answer can't be written as JSON"}`)
 	}
-	q, err := parseQuery(h.Query)
+	out := http1.AppendStatus(nil, r.status, http1.StatusText(r.status))
+	out = http1.AppendField(out, "Content-Type", "application/json")
+	out = http1.AppendField(out, "Sandyard-Core", coreid.Core())
+	out = http1.AppendLength(out, int64(len(body))+1)
+	out = append(out, "Connection: close\r\n\r\n"...)
+	c.Write(append(append(out, body...), '\n'))
+}
+
+// respond is the routes of the admin socket.
+func (a *adminServer) respond(head *http1.Head) adminResponse {
+	query, err := parseQuery(head.Query)
 	if err != nil {
-		return fail(400, "%v", err)
+		return adminFailure(400, "%v", err)
 	}
 	cfg := a.server.cfg
-	if h.Path == "/v1/identity" {
-		return 200, Identity{coreid.Core(), cfg.Digest, cfg.Instance.Number, cfg.Instance.Total}
-	}
-	if h.Path == "/v1/match" {
-		return 200, proxy.ParseInspection(q).Run(cfg)
+	switch head.Path {
+	case "/v1/identity":
+		return adminResponse{200, Identity{coreid.Core(), cfg.Digest, cfg.Instance.Number, cfg.Instance.Total}}
+	case "/v1/match":
+		return adminResponse{200, proxy.ParseInspection(query).Run(cfg)}
+	case "/v1/studio", "/v1/would", "/v1/counted":
+	default:
+		return adminFailure(404, "no such path; version 1 has identity, studio, counted, would and match")
 	}
-	if h.Path != "/v1/studio" && h.Path != "/v1/would" && h.Path != "/v1/counted" {
-		return fail(404, "no such path; version 1 has identity, studio, counted, would and match")
+	customer := cfg.CustomerByName(query["name"])
+	if customer == nil {
+		return adminFailure(404, "no studio %q", query["name"])
 	}
-	studio := cfg.CustomerByName(q["name"])
-	if studio == nil {
-		return fail(404, "no studio %q", q["name"])
-	}
-	if h.Path == "/v1/studio" {
-		var v quota.View
-		if !a.runInLoop(func(c *proxy.Instance, now time.Duration) {
-			st, known := c.Gateway().Customer(studio.Name)
-			v = quota.Inspect(cfg.Settings, studio.Plan, studio.Name, st, known, now)
-		}) {
-			return fail(503, "the front door is ending")
-		}
-		return 200, v
+	switch head.Path {
+	case "/v1/studio":
+		return a.inspectCustomer(customer)
+	case "/v1/counted":
+		return a.inspectCounter(customer)
 	}
-	if h.Path == "/v1/counted" {
-		n := CounterEntry{CounterAddr: cfg.Counter.Address}
-		if !a.runInLoop(func(c *proxy.Instance, _ time.Duration) {
-			n.Name, n.Weight, n.Known = c.Gateway().CounterName(studio.Name)
-		}) {
-			return fail(503, "the front door is ending")
-		}
-		return 200, n
+	return a.inspectDecision(customer, query["units"])
+}
+
+// inspectCustomer is /v1/studio.
+func (a *adminServer) inspectCustomer(customer *config.Customer) adminResponse {
+	var view quota.View
+	asked := a.runInLoop(func(instance *proxy.Instance, now time.Duration) {
+		state, known := instance.Gateway().Customer(customer.Name)
+		view = quota.Inspect(a.server.cfg.Settings, customer.Plan, customer.Name, state, known, now)
+	})
+	if !asked {
+		return stoppingResponse()
 	}
-	units, err := strconv.ParseFloat(q["units"], 64)
-	if q["units"] == "" {
-		units, err = 1, nil
+	return adminResponse{200, view}
+}
+
+// inspectCounter is /v1/counted.
+func (a *adminServer) inspectCounter(customer *config.Customer) adminResponse {
+	entry := CounterEntry{CounterAddr: a.server.cfg.Counter.Address}
+	asked := a.runInLoop(func(instance *proxy.Instance, _ time.Duration) {
+		entry.Name, entry.Weight, entry.Known = instance.Gateway().CounterName(customer.Name)
+	})
+	if !asked {
+		return stoppingResponse()
 	}
-	if err != nil || !(units >= 0) || units > 1e9 {
-		return fail(400, "units %q: expected a number, 0 or more", q["units"])
+	return adminResponse{200, entry}
+}
+
+// inspectDecision is /v1/would: what a copy of the instance's state decides on a request of some units, 1 if none are given. It waits
+// for its turn, and for minSnapshotInterval since the copy before.
+func (a *adminServer) inspectDecision(customer *config.Customer, unitsText string) adminResponse {
+	units, err := parseUnits(unitsText)
+	if err != nil {
+		return adminFailure(400, "%v", err)
 	}
-	a.snapshotMu.Lock() // one copy at a time, and not more often than every minSnapshotInterval
+	a.snapshotMu.Lock()
 	defer a.snapshotMu.Unlock()
 	if wait := minSnapshotInterval - time.Since(a.lastSnapshot); wait > 0 {
 		time.Sleep(wait)
 	}
 	a.lastSnapshot = time.Now()
-	var st decision.State
+	var state decision.State
 	var at time.Duration
-	if !a.runInLoop(func(c *proxy.Instance, now time.Duration) { st, err = c.Gateway().Snapshot(); at = now }) {
-		return fail(503, "the front door is ending")
+	asked := a.runInLoop(func(instance *proxy.Instance, now time.Duration) {
+		state, err = instance.Gateway().Snapshot()
+		at = now
+	})
+	if !asked {
+		return stoppingResponse()
 	}
 	if err != nil {
-		return fail(500, "%v", err)
+		return adminFailure(500, "%v", err)
 	}
-	w, err := quota.WouldDecide(cfg.Settings, st, studio.Plan, studio.Name, studio.Spread, studio.First, units, at)
+	would, err := quota.WouldDecide(a.server.cfg.Settings, state, customer.Plan, customer.Name, customer.Spread, customer.First, units, at)
 	if err != nil {
-		return fail(500, "%v", err)
+		return adminFailure(500, "%v", err)
 	}
-	return 200, w
+	return adminResponse{200, would}
 }
 
-// runInLoop runs a look in the loop and waits for it; false: the loop has ended.
-func (a *adminServer) runInLoop(inspect func(*proxy.Instance, time.Duration)) bool {
+func parseUnits(text string) (float64, error) {
+	if text == "" {
+		return 1, nil
+	}
+	units, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(units >= 0) || units > maxInspectedUnits {
+		return 0, fmt.Errorf("units %q: expected a number, 0 or more", text)
+	}
+	return units, nil
+}
+
+// runInLoop runs an inspection in the event loop and waits for it; false: the loop has ended.
+func (a *adminServer) runInLoop(inspect inspection) bool {
 	done := make(chan struct{})
-	if !a.server.post(post{kind: inquiry, look: func(c *proxy.Instance, now time.Duration) { inspect(c, now); close(done) }}) {
+	queued := a.server.post(inspection(func(instance *proxy.Instance, now time.Duration) {
+		inspect(instance, now)
+		close(done)
+	}))
+	if !queued {
 		return false
 	}
 	select {
@@ -253,22 +334,21 @@
 	}
 }
 
+// parseQuery parses the pairs of a query string; of a name that stands twice the last one holds.
 func parseQuery(s string) (map[string]string, error) {
-	q := map[string]string{}
-	for _, pair := range strings.Split(s, "&") {
-		k, v, _ := strings.Cut(pair, "=")
-		if strings.ContainsAny(v, "+") {
-			v = strings.ReplaceAll(v, "+", " ")
-		}
-		var err error
-		if v, err = unescapePercent(v); err != nil {
+	query := map[string]string{}
+	for pair := range strings.SplitSeq(s, "&") {
+		name, value, _ := strings.Cut(pair, "=")
+		value, err := unescapePercent(strings.ReplaceAll(value, "+", " "))
+		if err != nil {
 			return nil, err
 		}
-		q[k] = v
+		query[name] = value
 	}
-	return q, nil
+	return query, nil
 }
 
+// unescapePercent decodes percent escapes. Unlike net/url it takes every byte.
 func unescapePercent(s string) (string, error) {
 	out := make([]byte, 0, len(s))
 	for i := 0; i < len(s); i++ {
--- a/internal/server/backendconn.go
+++ b/internal/server/backendconn.go
@@ -10,164 +10,206 @@
 	"sandyard/proxy"
 )
 
-// backendConn is a connection to a box. Whoever holds mu owns the machine.
+// backendConn is the TCP side of a connection to a backend. Its goroutine reads; the event loop writes and closes.
 type backendConn struct {
 	server       *Server
-	conn         *proxy.BackendConn
-	cancel       context.CancelFunc
-	streamPermit chan bool // a begun answer may flow, or is not wanted
+	conn         *proxy.BackendConn // the instance's side
+	cancel       context.CancelFunc // of the dial
+	streamPermit chan bool          // of one place: whether the response that has started may stream, or is not wanted
+	received     responseReceived   // the one that may be queued; of the reading goroutine until it is posted
 
+	// mu guards all below, and what responses holds.
 	mu        sync.Mutex
 	responses *proxy.ResponseReader
-	socket    *socket
-	exchange  *proxy.Exchange // whose answer is awaited
-	closed    bool            // closed, or its end was told
+	socket    *socket         // nil until the dial has succeeded
+	exchange  *proxy.Exchange // whose response is awaited
+	closed    bool            // closed by the event loop, or its end was posted: nothing more is posted
 }
 
+// dialBackend starts the goroutine of a new connection, which dials for limits.connect-timeout at most.
 func (s *Server) dialBackend(conn *proxy.BackendConn) {
 	ctx, cancel := context.WithTimeout(s.connectionsCtx, time.Duration(s.cfg.Limits.ConnectTimeout))
-	lc := &backendConn{server: s, conn: conn, cancel: cancel, responses: proxy.NewResponseReader(s.shared), streamPermit: make(chan bool, 1)}
-	conn.Owner = lc
+	bc := &backendConn{server: s, conn: conn, cancel: cancel, responses: proxy.NewResponseReader(s.shared),
+		streamPermit: make(chan bool, 1)}
+	conn.Owner = bc
 	s.goroutines.Go(func() error {
 		defer cancel()
-		lc.run(ctx)
+		bc.run(ctx)
 		return nil
 	})
 }
 
-// dialTCP connects, and hands over what can be written without blocking.
-func dialTCP(ctx context.Context, addr string, timeout time.Duration) (*socket, error) {
+// dialTCP connects to an address (host:port). It blocks until ctx ends at most.
+func dialTCP(ctx context.Context, addr string, writeTimeout time.Duration) (*socket, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	socket, err := newSocket(conn.(*net.TCPConn), timeout)
+	socket, err := newSocket(conn.(*net.TCPConn), writeTimeout)
 	if err != nil {
 		conn.Close()
 	}
 	return socket, err
 }
 
-func (lc *backendConn) run(ctx context.Context) {
-	socket, err := dialTCP(ctx, lc.conn.Addr, time.Duration(lc.server.cfg.Limits.WriteTimeout))
-	lc.mu.Lock()
-	if lc.closed || err != nil {
-		reported := lc.closed
-		lc.closed = true
-		lc.mu.Unlock()
-		if !reported {
-			lc.server.post(post{kind: lineDown, line: lc.conn, unsent: true})
-		}
+// run dials and reads until the connection ends.
+func (bc *backendConn) run(ctx context.Context) {
+	socket, err := dialTCP(ctx, bc.conn.Addr, time.Duration(bc.server.cfg.Limits.WriteTimeout))
+	if !bc.begin(socket, err) {
 		if err == nil {
 			socket.close()
 		}
 		return
 	}
-	lc.socket = socket
-	lc.mu.Unlock()
-	lc.server.post(post{kind: lineUp, line: lc.conn})
 	defer socket.close()
 	defer socket.releaseBuffer()
-	for lc.readOnce(socket) {
+	for bc.readOnce(socket) {
 	}
 }
 
-// readOnce reads once and hands on what came; false ends the connection.
-func (lc *backendConn) readOnce(socket *socket) bool {
+// begin reports how the dial went, unless the event loop has closed the connection meanwhile. It tells whether there is a
+// connection to read.
+func (bc *backendConn) begin(socket *socket, err error) bool {
+	bc.mu.Lock()
+	if bc.closed || err != nil {
+		reported := bc.closed
+		bc.closed = true
+		bc.mu.Unlock()
+		if !reported {
+			bc.postLostNotSent()
+		}
+		return false
+	}
+	bc.socket = socket
+	bc.mu.Unlock()
+	bc.server.post(backendConnected{bc.conn})
+	return true
+}
+
+// readOnce waits for bytes and hands on what came of them; false ends the connection.
+func (bc *backendConn) readOnce(socket *socket) bool {
 	b, err := socket.read()
-	lc.mu.Lock()
-	if lc.closed {
-		lc.mu.Unlock()
+	bc.mu.Lock()
+	if bc.closed {
+		bc.mu.Unlock()
 		return false
 	}
-	ex := lc.exchange
-	if ex == nil { // its end, or bytes that nobody asked for: it is of no use, and nothing of a request was written
-		lc.closed = true
-		lc.mu.Unlock()
-		lc.server.post(post{kind: lineDown, line: lc.conn, unsent: true})
+	exchange := bc.exchange
+	if exchange == nil { // its end, or bytes without a request: it is of no use, and nothing of a request was written
+		bc.closed = true
+		bc.mu.Unlock()
+		bc.postLostNotSent()
 		return false
 	}
+	response := bc.parseLocked(b, err)
+	bc.mu.Unlock()
+	return bc.handOn(exchange, response) && err == nil
+}
+
+// parseLocked feeds what a read returned to the state machine, and ends the exchange where its response is over.
+func (bc *backendConn) parseLocked(b []byte, err error) proxy.Response {
 	var response proxy.Response
-	switch {
-	case err == nil:
-		response = lc.responses.Feed(b)
-	case err == io.EOF:
-		response = lc.responses.EOF()
+	switch err {
+	case nil:
+		response = bc.responses.Feed(b)
+	case io.EOF:
+		response = bc.responses.EOF()
 	default:
-		response = lc.responses.Lost()
+		response = bc.responses.Lost()
 	}
-	if response.Kind == proxy.Complete || response.Kind == proxy.Ended || response.Kind == proxy.Malformed {
-		lc.exchange = nil
-		response.Reuse = response.Reuse && socket.unwrittenBytes() == 0
-	}
-	if response.Kind == proxy.Malformed {
-		lc.closed = true
+	switch response.Kind {
+	case proxy.Complete, proxy.Ended, proxy.Malformed:
+		bc.exchange = nil
+		bc.closed = response.Kind == proxy.Malformed
+		response.Reuse = response.Reuse && bc.socket.unwrittenBytes() == 0
 	}
-	lc.mu.Unlock()
+	return response
+}
+
+// handOn gives the event loop what it decides on, and the body of a streamed response to its client. It blocks while the
+// event loop has not permitted the stream, and while the client has too much to take. False ends the connection.
+func (bc *backendConn) handOn(exchange *proxy.Exchange, response proxy.Response) bool {
 	switch response.Kind {
-	case proxy.NeedMore:
 	case proxy.Complete:
-		lc.server.post(post{kind: answer, line: lc.conn, answer: response})
+		bc.postResponse(response)
 	case proxy.Started:
-		lc.server.post(post{kind: answer, line: lc.conn, answer: response})
-		select {
-		case ok := <-lc.streamPermit:
-			if !ok {
-				return false
-			}
-		case <-lc.server.connectionsCtx.Done():
+		bc.postResponse(response)
+		if !bc.waitForStreamPermit() {
 			return false
 		}
-		socket.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.server.cfg.Limits.StreamIdleTimeout)))
+		bc.setStreamDeadline()
 	case proxy.Continued:
-		ex.Owner.(*clientConn).relayBody(lc.server.now(), ex, response.Bytes, false, false)
-		socket.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.server.cfg.Limits.StreamIdleTimeout)))
+		exchange.Owner.(*clientConn).relayBody(bc.server.now(), exchange, response.Bytes, false, false)
+		bc.setStreamDeadline()
 	case proxy.Ended:
-		socket.conn.SetReadDeadline(time.Time{})
-		ex.Owner.(*clientConn).relayBody(lc.server.now(), ex, response.Bytes, true, false)
-		lc.server.post(post{kind: answer, line: lc.conn, answer: response})
+		bc.socket.conn.SetReadDeadline(time.Time{})
+		exchange.Owner.(*clientConn).relayBody(bc.server.now(), exchange, response.Bytes, true, false)
+		bc.postResponse(response)
 	case proxy.Malformed:
-		if !socket.closeAndFlushed() { // the request's last byte never went out: the box can't have begun on it
-			lc.server.post(post{kind: lineDown, line: lc.conn, unsent: true})
-			return false
+		if bc.socket.closeAndFlushed() {
+			bc.postResponse(response)
+		} else { // the request's last byte never went out: the backend can't have begun on it
+			bc.postLostNotSent()
 		}
-		lc.server.post(post{kind: answer, line: lc.conn, answer: response})
 		return false
 	}
-	return err == nil
+	return true
+}
+
+func (bc *backendConn) waitForStreamPermit() bool {
+	select {
+	case permitted := <-bc.streamPermit:
+		return permitted
+	case <-bc.server.connectionsCtx.Done():
+		return false
+	}
+}
+
+// setStreamDeadline ends a stream from which nothing comes for limits.stream-silence.
+func (bc *backendConn) setStreamDeadline() {
+	bc.socket.conn.SetReadDeadline(time.Now().Add(time.Duration(bc.server.cfg.Limits.StreamIdleTimeout)))
 }
 
-// write sends a request; it never blocks. A line on which something lies to be read, which would be taken for the answer,
-// or on which not all of the request goes out, is of no use: the box can't have begun.
-func (lc *backendConn) write(ex *proxy.Exchange, request []byte) {
-	lc.mu.Lock()
-	if lc.closed { // its end is on its way to the core, as that of a line on which nothing was sent
-		lc.mu.Unlock()
+func (bc *backendConn) postResponse(response proxy.Response) {
+	bc.received = responseReceived{conn: bc.conn, response: response}
+	bc.server.post(&bc.received)
+}
+
+func (bc *backendConn) postLostNotSent() { bc.server.post(backendLostNotSent{bc.conn}) }
+
+// write sends a request. Only the event loop calls it; it never blocks. A connection with unread bytes, which would be
+// taken for the response, or one that fails before all of the request is out, is closed and reported as lost with nothing
+// sent: the backend can't have begun on a part of a request.
+func (bc *backendConn) write(exchange *proxy.Exchange, request []byte) {
+	bc.mu.Lock()
+	if bc.closed { // its end is queued for the event loop, as that of a connection on which nothing was sent
+		bc.mu.Unlock()
 		return
 	}
-	notSent := !lc.socket.nothingToRead()
+	notSent := !bc.socket.nothingToRead()
 	if !notSent {
-		lc.responses.Expect(ex)
-		lc.exchange = ex
-		notSent = lc.socket.write(request)
+		bc.responses.Expect(exchange)
+		bc.exchange = exchange
+		notSent = bc.socket.write(request)
 	}
-	lc.closed = notSent
-	lc.mu.Unlock()
+	bc.closed = notSent
+	bc.mu.Unlock()
 	if notSent {
-		lc.server.post(post{kind: lineDown, line: lc.conn, unsent: true})
-		lc.socket.close()
+		bc.postLostNotSent()
+		bc.socket.close()
 	}
 }
 
-// close closes the connection; nothing more is told of it.
-func (lc *backendConn) close() {
-	lc.mu.Lock()
-	lc.closed, lc.exchange = true, nil
-	socket := lc.socket
-	lc.mu.Unlock()
-	lc.cancel()
+// close closes the connection, or ends its dial; nothing more is posted of it. Only the event loop calls it; it never
+// blocks.
+func (bc *backendConn) close() {
+	bc.mu.Lock()
+	bc.closed, bc.exchange = true, nil
+	socket := bc.socket
+	bc.mu.Unlock()
+	bc.cancel()
 	select {
-	case lc.streamPermit <- false:
+	case bc.streamPermit <- false:
 	default:
 	}
 	if socket != nil {
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -9,24 +9,39 @@
 )
 
 const (
-	lingeringCloseTimeout   = time.Second // how long a client that still sends is read after its last answer
-	maxLingeringCloseBytes  = 256 << 10   // and how much
-	maxUnwrittenClientBytes = 64 << 10    // bytes that a client has not taken; a flowing answer pauses there
+	// lingeringCloseTimeout is how long a client that still sends is read after its last response: some round trips.
+	lingeringCloseTimeout = time.Second
+	// maxLingeringCloseBytes (256 KiB) bounds what is read then: what a client may have under way on a usual network.
+	maxLingeringCloseBytes = 256 << 10
+	// maxUnwrittenClientBytes (64 KiB) is what is kept for a client that has not taken it. A streamed response pauses
+	// there, and so does the reading of further requests.
+	maxUnwrittenClientBytes = 64 << 10
+	// maxIdleOutputBytes (16 KiB) is the largest output buffer that a connection keeps between responses; thousands of idle
+	// connections would hold the memory of their largest response otherwise.
+	maxIdleOutputBytes = 16 << 10
 )
 
-// clientConn is a client's connection. Whoever holds mu owns the machine.
+// inThePast is a read deadline that ends a read at once, and all that follow.
+var inThePast = time.Unix(1, 0)
+
+// clientConn is the TCP side of a client's connection. Its goroutine reads; whoever has something for the client (the
+// event loop, the reader of a backend that streams) writes.
+//
+// Only the reader ends it: closing over bytes that were not read is a reset, which can take the last response along. Others ask for the
+// end by requestClose.
 type clientConn struct {
 	server *Server
 	socket *socket
 
+	// mu guards all below, and what client holds.
 	mu             sync.Mutex
-	readable       sync.Cond // signalled when reading may go on
+	readable       sync.Cond // on mu: signalled when reading may go on
 	client         *proxy.ClientConn
-	readDeadline   time.Duration // the read deadline that is set, 0: none
-	closed         bool          // the last bytes are out
-	lingers        bool
-	closeRequested bool // it is to end if nothing of a request has been read; its reader sees to that
-	evicted        bool // and at once: another needs the room, and its last answer arrived long ago
+	readDeadline   time.Duration // that is set at the socket; 0: none
+	closed         bool          // the last bytes are written: the reader is to close
+	lingers        bool          // and to read on a while before
+	closeRequested bool          // the reader is to close it if no part of a request has been read
+	evicted        bool          // and without lingering: its last response arrived long ago, and another needs the place
 }
 
 func (s *Server) newClientConn(conn *net.TCPConn) (*clientConn, error) {
@@ -42,49 +57,60 @@
 	return cc, nil
 }
 
-// run reads until the connection is over.
+// run reads until the connection is over. It owns the connection's end.
 func (cc *clientConn) run() {
 	defer cc.socket.releaseBuffer()
 	defer cc.socket.close()
 	for {
-		cc.mu.Lock()
-		for cc.socket.unwrittenBytes() > maxUnwrittenClientBytes && !cc.closed && !cc.socket.writeFailed() {
-			cc.readable.Wait()
-		}
-		cc.setReadDeadline()
-		closed := cc.closed
-		cc.mu.Unlock()
-		if closed {
+		if cc.waitReadable() {
 			cc.closeGracefully()
 			return
 		}
 		b, err := cc.socket.read()
-		now := cc.server.now()
-		cc.mu.Lock()
-		switch {
-		case isTimeout(err) && !cc.socket.writeFailed() && cc.closeRequested && !cc.closed:
-			cc.closeIfIdle(now)
-		case isTimeout(err) && !cc.socket.writeFailed():
-			cc.readDeadline = 0
-			cc.server.expiredReads.Add(1)
-			cc.socket.clearReadDeadline() // a deadline that has passed would end every read from now on at once
-			cc.client.Expired(now)
-			cc.advance(now, nil)
-		case err != nil:
-			ex := cc.client.Gone()
-			cc.closed = true
-			cc.mu.Unlock()
-			if ex != nil {
-				cc.server.post(post{kind: leave, ex: ex})
-			}
+		if !cc.handleRead(b, err) {
 			return
-		default:
-			cc.advance(now, cc.client.Feed(now, b))
 		}
-		cc.mu.Unlock()
 	}
 }
 
+// waitReadable waits while the client has too much to take, sets the read deadline, and tells whether the last bytes are
+// written.
+func (cc *clientConn) waitReadable() (closed bool) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	for cc.socket.unwrittenBytes() > maxUnwrittenClientBytes && !cc.closed && !cc.socket.writeFailed() {
+		cc.readable.Wait()
+	}
+	cc.setReadDeadline()
+	return cc.closed
+}
+
+// handleRead feeds what a read returned to the state machine; false: the client has disconnected.
+func (cc *clientConn) handleRead(b []byte, err error) bool {
+	now := cc.server.now()
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	switch {
+	case err == nil:
+		cc.advance(now, cc.client.Feed(now, b))
+	case isTimeout(err) && !cc.socket.writeFailed() && cc.closeRequested && !cc.closed:
+		cc.closeIfIdle(now)
+	case isTimeout(err) && !cc.socket.writeFailed():
+		cc.readDeadline = 0
+		cc.server.expiredReads.Add(1)
+		cc.socket.clearReadDeadline() // a deadline that has passed would end every read from now on at once
+		cc.client.Expired(now)
+		cc.advance(now, nil)
+	default:
+		cc.closed = true
+		if exchange := cc.client.Gone(); exchange != nil {
+			cc.server.post(clientLeft{exchange})
+		}
+		return false
+	}
+	return true
+}
+
 // closeIfIdle ends a connection that was asked to end, if nothing of a request has been read by now. What lies there unread is
 // read first: a request that came before the end is answered. mu is held, by the reader, so that nothing is read and then
 // dropped unseen.
@@ -138,35 +164,26 @@
 	}
 }
 
-// advance carries out what the machine wants; mu is held.
-func (cc *clientConn) advance(now time.Duration, ex *proxy.Exchange) {
+// advance posts a request that the state machine has completed, writes what it has for the client, and goes on with
+// requests that came ahead, until nothing is left to do or the client takes no more. mu is held.
+func (cc *clientConn) advance(now time.Duration, request *proxy.Exchange) {
 	for {
-		if ex != nil && !cc.server.post(post{kind: arrive, ex: ex}) {
-			cc.client.RejectOverload(now, ex)
-		} else if ex != nil {
-			break
-		}
-		if len(cc.client.OwnStatuses) > 0 {
-			if cc.server.debug {
-				for _, status := range cc.client.OwnStatuses {
-					cc.server.log.Debug("answer", "status", status, "client", cc.socket.conn.RemoteAddr().String())
-				}
-			}
-			cc.client.OwnStatuses = cc.client.OwnStatuses[:0]
-		}
-		if len(cc.client.Out) > 0 {
-			cc.socket.write(cc.client.Out)
-			if cc.client.Out = cc.client.Out[:0]; cap(cc.client.Out) > 16<<10 {
-				cc.client.Out = nil
+		if request != nil {
+			if cc.server.postRequest(request) {
+				break
 			}
+			cc.client.RejectOverload(now, request)
 		}
-		if cc.socket.unwrittenBytes() > 0 { // the flusher goes on
+		cc.logOwnResponses()
+		cc.writeOutput()
+		if cc.socket.unwrittenBytes() > 0 { // flushed goes on
 			break
 		}
 		if cc.markClosedIfFinished() {
 			return
 		}
-		if ex = cc.client.Resume(now); ex == nil && len(cc.client.Out) == 0 {
+		request = cc.client.Resume(now)
+		if request == nil && len(cc.client.Out) == 0 {
 			if cc.markClosedIfFinished() {
 				return
 			}
@@ -177,6 +194,28 @@
 	cc.readable.Signal()
 }
 
+// logOwnResponses logs the responses that the connection has given without the instance. mu is held.
+func (cc *clientConn) logOwnResponses() {
+	if cc.server.debug {
+		for _, status := range cc.client.OwnStatuses {
+			cc.server.log.Debug("answer", "status", status, "client", cc.socket.conn.RemoteAddr().String())
+		}
+	}
+	cc.client.OwnStatuses = cc.client.OwnStatuses[:0]
+}
+
+// writeOutput writes what the state machine has for the client. mu is held.
+func (cc *clientConn) writeOutput() {
+	if len(cc.client.Out) == 0 {
+		return
+	}
+	cc.socket.write(cc.client.Out)
+	cc.client.Out = cc.client.Out[:0]
+	if cap(cc.client.Out) > maxIdleOutputBytes {
+		cc.client.Out = nil
+	}
+}
+
 // markClosedIfFinished tells whether the connection is over, and lets its reader know; mu is held and nothing is unwritten.
 func (cc *clientConn) markClosedIfFinished() bool {
 	closes, linger := cc.client.Closing()
@@ -185,7 +224,7 @@
 	}
 	if !cc.closed {
 		cc.closed, cc.lingers = true, linger
-		cc.socket.conn.SetReadDeadline(time.Unix(1, 0))
+		cc.socket.conn.SetReadDeadline(inThePast)
 		cc.readable.Signal()
 	}
 	return true
@@ -232,6 +271,6 @@
 func (cc *clientConn) requestCloseLocked() {
 	if cc.client.Idle() && !cc.closed && !cc.closeRequested {
 		cc.closeRequested = true
-		cc.socket.conn.SetReadDeadline(time.Unix(1, 0))
+		cc.socket.conn.SetReadDeadline(inThePast)
 	}
 }
--- a/internal/server/counterconn.go
+++ b/internal/server/counterconn.go
@@ -7,70 +7,84 @@
 	"time"
 )
 
-const maxUnwrittenCounterBytes = 4 << 20 // bytes that a keeper has not taken; the connection is given up there
+const (
+	// maxUnwrittenCounterBytes (4 MiB) is how many bytes of calls a counter may leave untaken: far more than are under way
+	// in any interval of its time-out. The connection is closed there.
+	maxUnwrittenCounterBytes = 4 << 20
+	// minCounterDialTimeout keeps a short limits.connect-timeout, meant for backends nearby, from cutting off a counter
+	// that is further away.
+	minCounterDialTimeout = time.Second
+)
 
-// counterConn is a connection to the tally keeper.
+// counterConn is the TCP side of a connection to the shared counter. Its goroutine reads; the event loop writes and closes.
 type counterConn struct {
 	server *Server
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	socket *socket
-	closed bool
+	cancel context.CancelFunc // of the dial
+
+	mu     sync.Mutex // guards all below
+	socket *socket    // nil until the dial has succeeded
+	closed bool       // by the event loop
 }
 
+// dialCounter starts the goroutine of a new connection, which takes the place of the one before. Only the event loop
+// calls it.
 func (s *Server) dialCounter(addr string) {
-	ctx, cancel := context.WithTimeout(s.connectionsCtx, max(time.Second, time.Duration(s.cfg.Limits.ConnectTimeout)))
-	k := &counterConn{server: s, cancel: cancel}
-	s.counter = k
+	timeout := max(minCounterDialTimeout, time.Duration(s.cfg.Limits.ConnectTimeout))
+	ctx, cancel := context.WithTimeout(s.connectionsCtx, timeout)
+	c := &counterConn{server: s, cancel: cancel}
+	s.counter = c
 	s.goroutines.Go(func() error {
 		defer cancel()
-		k.run(ctx, addr)
+		c.run(ctx, addr)
 		return nil
 	})
 }
 
-func (k *counterConn) run(ctx context.Context, addr string) {
-	defer k.server.post(post{kind: keeperDown, keeper: k})
-	socket, err := dialTCP(ctx, addr, time.Duration(k.server.cfg.Limits.WriteTimeout))
+// run dials and reads until the connection ends. Its end is posted also after close: the event loop drops it then.
+func (c *counterConn) run(ctx context.Context, addr string) {
+	defer c.server.post(counterDisconnected{c})
+	socket, err := dialTCP(ctx, addr, time.Duration(c.server.cfg.Limits.WriteTimeout))
 	if err != nil {
 		return
 	}
 	defer socket.close()
 	defer socket.releaseBuffer()
-	k.mu.Lock()
-	closed := k.closed
-	k.socket = socket
-	k.mu.Unlock()
+	c.mu.Lock()
+	closed := c.closed
+	c.socket = socket
+	c.mu.Unlock()
 	if closed {
 		return
 	}
-	k.server.post(post{kind: keeperUp, keeper: k})
-	k.server.log.Info("keeper connected", "addr", addr)
+	c.server.post(counterConnected{c})
+	c.server.log.Info("keeper connected", "addr", addr)
 	for {
 		b, err := socket.read()
 		if err != nil {
 			return
 		}
-		k.server.post(post{kind: keeperBytes, keeper: k, bytes: slices.Clone(b)})
+		c.server.post(&counterReceived{conn: c, bytes: slices.Clone(b)})
 	}
 }
 
-// write writes without blocking. A keeper that takes nothing is given up.
-func (k *counterConn) write(b []byte) {
-	k.mu.Lock()
-	socket := k.socket
-	k.mu.Unlock()
-	if socket.write(b) || socket.unwrittenBytes() > maxUnwrittenCounterBytes {
+// write writes calls. Only the event loop calls it, after counterConnected; it never blocks. A counter that takes nothing is
+// disconnected.
+func (c *counterConn) write(calls []byte) {
+	c.mu.Lock()
+	socket := c.socket
+	c.mu.Unlock()
+	if socket.write(calls) || socket.unwrittenBytes() > maxUnwrittenCounterBytes {
 		socket.close()
 	}
 }
 
-func (k *counterConn) close() {
-	k.mu.Lock()
-	k.closed = true
-	socket := k.socket
-	k.mu.Unlock()
-	k.cancel()
+// close closes the connection, or ends its dial. Only the event loop calls it; it never blocks.
+func (c *counterConn) close() {
+	c.mu.Lock()
+	c.closed = true
+	socket := c.socket
+	c.mu.Unlock()
+	c.cancel()
 	if socket != nil {
 		socket.close()
 	}
--- a/internal/server/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -57,8 +57,12 @@
 // requireReportedNotSent fails unless the last thing that the core was told is that the line went down and nothing had been sent on it.
 func requireReportedNotSent(t *testing.T, s *Server) {
 	t.Helper()
-	if n := len(s.queue); n != 1 || s.queue[0].kind != lineDown || !s.queue[0].unsent {
-		t.Errorf("the core is told %+v", s.queue)
+	if len(s.queue) != 1 {
+		t.Errorf("the event loop is given %+v", s.queue)
+		return
+	}
+	if _, ok := s.queue[0].(backendLostNotSent); !ok {
+		t.Errorf("the event loop is given %+v", s.queue[0])
 	}
 }
 
@@ -131,8 +135,13 @@
 		}
 		if !whole {
 			requireReportedNotSent(t, s)
-		} else if n := len(s.queue); n != 1 || s.queue[0].kind != answer || s.queue[0].answer.Kind != proxy.Malformed {
-			t.Errorf("the core is told %+v", s.queue)
+			continue
+		}
+		if len(s.queue) != 1 {
+			t.Fatalf("the event loop is given %+v", s.queue)
+		}
+		if m, ok := s.queue[0].(*responseReceived); !ok || m.response.Kind != proxy.Malformed {
+			t.Errorf("the event loop is given %+v", s.queue[0])
 		}
 	}
 }
@@ -274,7 +283,7 @@
 	}
 	cc := r.clientConnOf(c)
 	hold, held := make(chan struct{}), make(chan struct{})
-	r.server.post(post{kind: inquiry, look: func(*proxy.Instance, time.Duration) { close(held); <-hold }}) // what comes now waits in the queue
+	r.server.post(inspection(func(*proxy.Instance, time.Duration) { close(held); <-hold })) // what comes now waits in the queue
 	<-held
 	io.WriteString(c, strings.Replace(lookRequest(7), "spread=2", "spread=1", 1)) // no counter is asked
 	for waiting := false; !waiting; runtime.Gosched() {
--- /dev/null
+++ b/internal/server/descriptors.go
@@ -0,0 +1,89 @@
+package server
+
+import "time"
+
+// The budget of descriptors. Clients hold limits.connections at most, and maxRejectedConnections more while they are rejected; package proxy bounds the connections to backends; counter, discovery and listener have one each, and the
+// admin socket maxAdminConns. At the bound of clients an idle connection makes room for the new one.
+const (
+	// maxRejectedConnections is how many connections beyond limits.connections get a response at a time; more are closed
+	// unread. Each costs a descriptor and a goroutine for lingeringCloseTimeout.
+	maxRejectedConnections = 16
+	// rejectedReads is how often such a connection is read, 512 bytes at a time: a request's head, not a body.
+	rejectedReads = 16
+	// minIdleTime is how long a connection must have been idle after a response to be evicted: a client that sends its
+	// next request sooner does not find its connection closed.
+	minIdleTime = 2 * time.Second
+	// firstRequestTime is how long a new connection has for the first byte of a request before it may be evicted: some
+	// round trips, and no more, since silent connections cost an attacker nothing.
+	firstRequestTime = 150 * time.Millisecond
+	// clientSlotTimeout is how long accepting waits for an eviction; others wait in the backlog meanwhile.
+	clientSlotTimeout = 300 * time.Millisecond
+	// clientSlotPoll is how often it looks: an evicted connection closes within a few milliseconds.
+	clientSlotPoll = 5 * time.Millisecond
+	// neverRequestedRank puts connections that have sent no request before all that have, in the order of eviction.
+	neverRequestedRank = time.Hour
+)
+
+// waitForClientSlot evicts an idle connection to make room for a new one, and waits for clientSlotTimeout at most until
+// there is room or one is on its way out. The accept loop calls it; connections that come meanwhile wait in the backlog.
+func (s *Server) waitForClientSlot() bool {
+	for range clientSlotTimeout / clientSlotPoll {
+		over := s.shared.Clients.Load() - int64(s.cfg.Limits.Connections)
+		if over <= 0 {
+			return true
+		}
+		// One that is evicted closes in a moment, or turns out to be in use: half of maxRejectedConnections may wait for that.
+		if over <= maxRejectedConnections/2 && s.evictIdleClient() {
+			return true
+		}
+		select {
+		case <-time.After(clientSlotPoll):
+		case <-s.connectionsCtx.Done():
+			return false
+		}
+	}
+	return false
+}
+
+// evictIdleClient asks one idle connection to close, and tells whether there is one: one that has sent no request yet, or
+// else the one that has been idle for longest.
+func (s *Server) evictIdleClient() bool {
+	candidate := s.leastUsefulClient()
+	if candidate == nil {
+		return false
+	}
+	candidate.mu.Lock()
+	defer candidate.mu.Unlock()
+	candidate.evicted = true
+	candidate.requestCloseLocked()
+	return true
+}
+
+func (s *Server) leastUsefulClient() *clientConn {
+	s.clientsMu.Lock()
+	defer s.clientsMu.Unlock()
+	var candidate *clientConn
+	var lowest time.Duration
+	now := s.now()
+	for cc := range s.clients {
+		rank, evictable := cc.evictionRank(now)
+		if evictable && (candidate == nil || rank < lowest) {
+			candidate, lowest = cc, rank
+		}
+	}
+	return candidate
+}
+
+// evictionRank tells whether a connection may be evicted; the one of the lowest rank is evicted first.
+func (cc *clientConn) evictionRank(now time.Duration) (rank time.Duration, evictable bool) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	since, requested, idle := cc.client.IdleSince()
+	if cc.closed || cc.closeRequested || !idle {
+		return 0, false
+	}
+	if requested {
+		return since, now-since >= minIdleTime
+	}
+	return since - neverRequestedRank, now-since >= firstRequestTime
+}
--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -16,68 +16,82 @@
 	"sandyard/internal/platform"
 )
 
+// The deadlines of the watch. docs/design/platform.md has the sums that must stay under the platform's bounds;
+// TestEndpointUpdateDeadlines adds them up.
 const (
-	watchSilenceTimeout   = 3 * time.Second        // half as much again as the time between the empty lines by which a watch shows that it stands
-	watchDialTimeout      = time.Second            // for the connection of a watch; the agent is on this machine
-	minWatchBackoff       = 100 * time.Millisecond // until a watch that ended is begun again; doubled up to the most
-	maxWatchBackoff       = time.Second
-	firstEndpointsTimeout = 2 * time.Second // that a new front door waits for its first list; then it goes on with the one it was started with
+	// watchSilenceTimeout ends a watch from which nothing comes: half as much again as the time between the empty lines
+	// by which discovery shows that a watch stands.
+	watchSilenceTimeout = 3 * time.Second
+	// watchDialTimeout bounds the dial of a watch; the agent is on this machine.
+	watchDialTimeout = time.Second
+	// minWatchBackoff is the wait before a watch that ended is begun again; it doubles, with jitter, up to the most.
+	minWatchBackoff = 100 * time.Millisecond
+	// maxWatchBackoff bounds that wait, since discovery that can be reached again must be followed within a few seconds.
+	maxWatchBackoff = time.Second
+	// firstEndpointsTimeout is how long a new instance waits for its first endpoint list, and rejects requests; then it
+	// goes by the one in its configuration.
+	firstEndpointsTimeout = 2 * time.Second
 )
 
-// endpointWatch watches the list of boxes. One watch stands at a time; one that ends or falls silent is begun again from
-// the version that was seen last, so that no change is missed.
+var (
+	errWatchEnded      = errors.New("the watch ended")
+	errMessageTooLarge = fmt.Errorf("a message of more than %d bytes", platform.MaxListBytes)
+)
+
+// watchStatusError is a status other than 200 in answer to a watch.
+type watchStatusError int
+
+func (status watchStatusError) Error() string { return fmt.Sprintf("status %d", int(status)) }
+
+// endpointWatch follows the endpoint list at discovery. One watch stands at a time; one that ends or falls silent is
+// begun again from the version that was seen last, so that no change is missed.
 //
 // Versions: changes up to an older version than the one held are an echo, and are dropped; those up to the same one are
-// taken again, which changes nothing. Gaps mean nothing, since each message tells all that changed since the one before it.
+// taken again, which changes nothing. Gaps mean nothing, since each message has all that changed since the one before it.
 // A whole list holds whatever its version is: discovery may have begun to count anew.
 type endpointWatch struct {
 	server *Server
 
-	mu             sync.Mutex
-	addr           string
-	addressChanged chan struct{} // closed when addr is another
+	mu             sync.Mutex // guards address and addressChanged
+	address        string     // host:port
+	addressChanged chan struct{}
 
-	// the watch's alone
-	version   uint64                     // of the list as it was told to the core
-	endpoints map[string]config.Endpoint // that list, without what is gone
+	// Of the goroutine of the watch.
+	version   uint64                     // of the endpoint list as it was handed to the event loop
+	endpoints map[string]config.Endpoint // that list by name, without what is removed
 }
 
-func newEndpointWatch(s *Server, addr string, seq uint64) *endpointWatch {
-	d := &endpointWatch{server: s, addr: addr, version: seq, addressChanged: make(chan struct{}), endpoints: map[string]config.Endpoint{}}
-	for _, b := range s.cfg.Endpoints {
-		d.endpoints[b.Name] = b
+func newEndpointWatch(s *Server, address string, version uint64) *endpointWatch {
+	w := &endpointWatch{server: s, address: address, addressChanged: make(chan struct{}), version: version,
+		endpoints: map[string]config.Endpoint{}}
+	for _, e := range s.cfg.Endpoints {
+		w.endpoints[e.Name] = e
 	}
-	return d
+	return w
 }
 
-// setAddress goes on at another address.
-func (d *endpointWatch) setAddress(addr string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if addr != d.addr {
-		d.addr = addr
-		close(d.addressChanged)
-		d.addressChanged = make(chan struct{})
+// setAddress goes on at another address. Any goroutine may call it; it does not block.
+func (w *endpointWatch) setAddress(address string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if address != w.address {
+		w.address = address
+		close(w.addressChanged)
+		w.addressChanged = make(chan struct{})
 	}
 }
 
-// run goes on until its context ends.
-func (d *endpointWatch) run(ctx context.Context) error {
+// run follows discovery until its context ends; it returns nil. Requests are rejected until discovery has answered, or for
+// firstEndpointsTimeout.
+func (w *endpointWatch) run(ctx context.Context) error {
+	late := time.AfterFunc(firstEndpointsTimeout, func() { w.server.post(endpointsInForce{}) })
+	defer late.Stop()
 	backoff := minWatchBackoff
 	for ctx.Err() == nil {
-		d.mu.Lock()
-		addr, addressChanged := d.addr, d.addressChanged
-		d.mu.Unlock()
-		watchCtx, cancel := context.WithCancel(ctx)
-		go func() { // ends with one
-			select {
-			case <-addressChanged:
-				cancel()
-			case <-watchCtx.Done():
-			}
-		}()
-		received, err := d.watchOnce(watchCtx, addr)
-		cancel()
+		w.mu.Lock()
+		address, addressChanged := w.address, w.addressChanged
+		w.mu.Unlock()
+		received, err := w.watchUntilChanged(ctx, address, addressChanged)
 		if received {
 			backoff = minWatchBackoff
 		}
@@ -87,18 +101,37 @@
 			continue
 		case <-ctx.Done():
 			return nil
-		case <-time.After(time.Duration((0.5 + rand.Float64()/2) * float64(backoff))):
+		case <-time.After(jitter(backoff)):
 		}
-		d.server.log.Warn("watch of discovery", "addr", addr, "error", err, "seq", d.version)
+		w.server.log.Warn("watch of discovery", "addr", address, "error", err, "seq", w.version)
 		backoff = min(2*backoff, maxWatchBackoff)
 	}
 	return nil
 }
 
-// watchOnce runs one watch until it ends, and tells whether it told anything.
-func (d *endpointWatch) watchOnce(ctx context.Context, addr string) (received bool, err error) {
-	dial, cancel := context.WithTimeout(ctx, watchDialTimeout)
-	socket, err := dialTCP(dial, addr, watchSilenceTimeout)
+// jitter draws a wait between a half of d and d, so that instances that lost discovery together do not come back together.
+func jitter(d time.Duration) time.Duration {
+	return time.Duration((0.5 + rand.Float64()/2) * float64(d))
+}
+
+// watchUntilChanged runs one watch until it ends, its context does, or the address has changed.
+func (w *endpointWatch) watchUntilChanged(ctx context.Context, address string, changed <-chan struct{}) (received bool, err error) {
+	watchCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	go func() { // ends with watchCtx
+		select {
+		case <-changed:
+			cancel()
+		case <-watchCtx.Done():
+		}
+	}()
+	return w.watchOnce(watchCtx, address)
+}
+
+// watchOnce runs one watch until it ends, and tells whether anything came of it.
+func (w *endpointWatch) watchOnce(ctx context.Context, address string) (received bool, err error) {
+	dialCtx, cancel := context.WithTimeout(ctx, watchDialTimeout)
+	socket, err := dialTCP(dialCtx, address, watchSilenceTimeout)
 	cancel()
 	if err != nil {
 		return false, err
@@ -107,13 +140,11 @@
 	defer socket.releaseBuffer()
 	stop := context.AfterFunc(ctx, socket.close)
 	defer stop()
-	socket.write(fmt.Appendf(nil, "GET /v1/endpoints?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n\r\n", d.version, addr))
-	body := &watchBody{socket: socket, responses: http1.NewResponses(http1.Limits{})}
-	body.responses.Expect("GET")
-	body.onHeartbeat = func() { // an empty line in the first place: nothing has changed
+	socket.write(fmt.Appendf(nil, "GET /v1/endpoints?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n\r\n", w.version, address))
+	body := newWatchBody(socket, func() { // nothing has changed since the version that is held
 		received = true
-		d.server.post(post{kind: begin})
-	}
+		w.server.post(endpointsInForce{})
+	})
 	messages := json.NewDecoder(body)
 	for {
 		var text json.RawMessage
@@ -121,97 +152,111 @@
 			return received, err
 		}
 		body.messageBytes = 0
-		if err := d.handleEvent(text); err != nil {
+		if err := w.handleMessage(text); err != nil {
 			return received, err
 		}
 		received = true
 	}
 }
 
-// watchBody is the body of a watch's answer as a stream, for as long as something comes: a message is one JSON value,
+// watchBody is the body of the answer to a watch as a stream, for as long as something comes: a message is one JSON value,
 // however it is laid out and wherever it is cut, with empty lines between.
 type watchBody struct {
 	socket       *socket
 	responses    *http1.Reader
-	unparsed     []byte // of the connection, not yet taken apart
-	unread       []byte // of the body, not yet read
-	messageBytes int    // read of the message that is being read, and of what came after it
+	unparsed     []byte // bytes of the connection
+	unread       []byte // bytes of the body
+	messageBytes int    // bytes of the message that is being read, and of what came after it
 	onHeartbeat  func() // called for each part that is blank while no message has begun
 }
 
-func (w *watchBody) Read(p []byte) (int, error) {
-	for len(w.unread) == 0 {
-		n, part, err := w.responses.Feed(w.unparsed)
-		w.unparsed = w.unparsed[n:]
-		if err != nil {
+func newWatchBody(socket *socket, onHeartbeat func()) *watchBody {
+	body := &watchBody{socket: socket, responses: http1.NewResponses(http1.Limits{}), onHeartbeat: onHeartbeat}
+	body.responses.Expect("GET")
+	return body
+}
+
+// Read waits for a part of the body, for watchSilenceTimeout at most. The end of the body is an error.
+func (b *watchBody) Read(p []byte) (int, error) {
+	for len(b.unread) == 0 {
+		if err := b.readPart(); err != nil {
 			return 0, err
 		}
-		switch part.Kind {
-		case http1.More:
-			w.socket.conn.SetReadDeadline(time.Now().Add(watchSilenceTimeout))
-			if w.unparsed, err = w.socket.read(); err != nil {
-				return 0, err
-			}
-		case http1.HeadEnd:
-			if s := part.Head.Status; s != 200 && s/100 != 1 {
-				return 0, fmt.Errorf("status %d", s)
-			}
-		case http1.Data:
-			if w.unread = part.Data; w.messageBytes == 0 {
-				if w.unread = bytes.TrimLeft(w.unread, " \t\r\n"); len(w.unread) == 0 {
-					w.onHeartbeat()
-				}
-			}
-		case http1.End:
-			return 0, errors.New("the watch ended")
-		}
 	}
-	if w.messageBytes += len(w.unread); w.messageBytes > platform.MaxListBytes {
-		return 0, fmt.Errorf("a message of more than %d bytes", platform.MaxListBytes)
+	if b.messageBytes += len(b.unread); b.messageBytes > platform.MaxListBytes {
+		return 0, errMessageTooLarge
 	}
-	n := copy(p, w.unread)
-	w.unread = w.unread[n:]
-	w.messageBytes -= len(w.unread)
+	n := copy(p, b.unread)
+	b.unread = b.unread[n:]
+	b.messageBytes -= len(b.unread)
 	return n, nil
 }
 
-// handleEvent tells the core of a message.
-func (d *endpointWatch) handleEvent(text []byte) error {
+// readPart parses the next part of the answer, or reads what it lacks.
+func (b *watchBody) readPart() error {
+	n, part, err := b.responses.Feed(b.unparsed)
+	b.unparsed = b.unparsed[n:]
+	if err != nil {
+		return err
+	}
+	switch part.Kind {
+	case http1.More:
+		b.socket.conn.SetReadDeadline(time.Now().Add(watchSilenceTimeout))
+		if b.unparsed, err = b.socket.read(); err != nil {
+			return err
+		}
+	case http1.HeadEnd:
+		if status := part.Head.Status; status != 200 && status/100 != 1 {
+			return watchStatusError(status)
+		}
+	case http1.Data:
+		b.unread = part.Data
+		if b.messageBytes == 0 {
+			b.unread = bytes.TrimLeft(b.unread, " \t\r\n")
+			if len(b.unread) == 0 {
+				b.onHeartbeat()
+			}
+		}
+	case http1.End:
+		return errWatchEnded
+	}
+	return nil
+}
+
+// handleMessage hands a message of discovery to the event loop. An entry that can't be read is logged; what is held of it
+// stays. It fails where the message as a whole can't be read.
+func (w *endpointWatch) handleMessage(text []byte) error {
 	update, err := platform.ParseList(text)
 	if err != nil {
 		return err
 	}
-	if !update.Whole && update.Seq < d.version {
-		d.server.log.Warn("list of boxes: changes of an older version are dropped", "seq", update.Seq, "held", d.version)
+	if !update.Whole && update.Seq < w.version {
+		w.server.log.Warn("list of boxes: changes of an older version are dropped", "seq", update.Seq, "held", w.version)
 		return nil
 	}
-	for _, w := range update.Wrong { // what is held of such a box stays
-		d.server.log.Warn("list of boxes: an entry is not taken", "seq", update.Seq, "error", w.Err)
-		if held, ok := d.endpoints[w.Host]; ok && update.Whole {
-			update.Boxes = append(update.Boxes, held)
+	endpoints := update.Boxes
+	for _, wrong := range update.Wrong {
+		w.server.log.Warn("list of boxes: an entry is not taken", "seq", update.Seq, "error", wrong.Err)
+		if held, ok := w.endpoints[wrong.Host]; ok && update.Whole {
+			endpoints = append(endpoints, held)
 		}
 	}
-	kind := changes
 	if update.Whole {
-		kind = list
-		clear(d.endpoints)
+		clear(w.endpoints)
 	}
-	for _, b := range update.Boxes {
-		if d.endpoints[b.Name] = b; decision.EndpointState(b.State) == decision.Removed {
-			delete(d.endpoints, b.Name)
+	for _, e := range endpoints {
+		w.endpoints[e.Name] = e
+		if decision.EndpointState(e.State) == decision.Removed {
+			delete(w.endpoints, e.Name)
 		}
 	}
-	d.version = update.Seq
-	d.server.post(post{kind: kind, boxes: update.Boxes})
-	d.server.post(post{kind: begin})
-	d.server.log.Info("list of boxes", "seq", update.Seq, "whole", update.Whole, "entries", len(update.Boxes))
-	return nil
-}
-
-// SetAddresses goes on with a discovery and a counter at other addresses. Any goroutine may call it.
-func (s *Server) SetAddresses(discovery, counter string) {
-	if s.discovery != nil {
-		s.discovery.setAddress(discovery)
+	w.version = update.Seq
+	if update.Whole {
+		w.server.post(endpointsReplaced{endpoints})
+	} else {
+		w.server.post(endpointsUpdated{endpoints})
 	}
-	s.post(post{kind: counterAddress, bytes: []byte(counter)})
+	w.server.post(endpointsInForce{})
+	w.server.log.Info("list of boxes", "seq", update.Seq, "whole", update.Whole, "entries", len(endpoints))
+	return nil
 }
--- /dev/null
+++ b/internal/server/eventloop.go
@@ -0,0 +1,140 @@
+package server
+
+import (
+	"time"
+
+	"sandyard/proxy"
+)
+
+// post queues a message for the event loop, and tells whether it will be handled: false, the loop has ended. It never
+// blocks, and takes any number: messages other than new requests are bounded by the requests and connections there are,
+// and what ends work must always get through.
+func (s *Server) post(m message) bool {
+	s.queueMu.Lock()
+	defer s.queueMu.Unlock()
+	return s.postLocked(m)
+}
+
+// postRequest queues a new request. It never blocks. It tells false where limits.queue messages wait, or the loop has
+// ended: the request is to be rejected.
+func (s *Server) postRequest(exchange *proxy.Exchange) bool {
+	s.queueMu.Lock()
+	defer s.queueMu.Unlock()
+	if len(s.queue) >= s.cfg.Limits.Queue {
+		return false
+	}
+	return s.postLocked(requestArrived{exchange})
+}
+
+func (s *Server) postLocked(m message) bool {
+	if s.loopEnded {
+		return false
+	}
+	s.queue = append(s.queue, m)
+	if s.loopIdle {
+		s.loopIdle = false
+		select {
+		case s.wakeLoop <- struct{}{}:
+		default:
+		}
+	}
+	return true
+}
+
+// eventLoop owns the instance: it takes what is queued, hands it over in order, carries out the effects of each message
+// before the next, and keeps the instance's timers. Nothing blocks it. Only Serve runs it.
+func (s *Server) eventLoop(stop <-chan struct{}) {
+	s.carryOutEffects()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	var batch []message
+	for {
+		batch = s.takeQueue(batch)
+		now := s.now()
+		for i, m := range batch {
+			m.apply(s, now)
+			s.carryOutEffects()
+			batch[i] = nil // the array is used again: what it holds would not be freed
+		}
+		if s.instance.NextTimer() <= now {
+			s.instance.Tick(now)
+			s.carryOutEffects()
+		}
+		if len(batch) > 0 {
+			continue
+		}
+		timer.Reset(max(0, s.instance.NextTimer()-s.now()))
+		select {
+		case <-s.wakeLoop:
+		case <-timer.C:
+		case <-stop:
+			s.endQueue()
+			s.instance.Stop(s.now())
+			s.carryOutEffects()
+			return
+		}
+	}
+}
+
+// takeQueue returns what is queued, and leaves the array of the batch before for what comes next. An empty batch marks the
+// loop idle: the next message wakes it.
+func (s *Server) takeQueue(last []message) []message {
+	s.queueMu.Lock()
+	defer s.queueMu.Unlock()
+	batch := s.queue
+	s.queue = last[:0]
+	s.loopIdle = len(batch) == 0
+	if len(batch) >= s.cfg.Limits.Queue/2 {
+		s.queueSpace.Broadcast()
+	}
+	return batch
+}
+
+func (s *Server) endQueue() {
+	s.queueMu.Lock()
+	defer s.queueMu.Unlock()
+	s.loopEnded = true
+	s.queueSpace.Broadcast()
+}
+
+// carryOutEffects does what the instance has asked for, in order. Nothing here blocks: sockets are written as far as the
+// kernel takes it, and what has to wait does so in a goroutine of its own.
+func (s *Server) carryOutEffects() {
+	for _, effect := range s.instance.Effects() {
+		switch effect.Kind {
+		case proxy.DialBackend:
+			s.dialBackend(effect.Conn)
+		case proxy.WriteAttempt:
+			effect.Conn.Owner.(*backendConn).write(effect.Exchange, effect.Bytes)
+		case proxy.CloseBackend:
+			effect.Conn.Owner.(*backendConn).close()
+		case proxy.Respond:
+			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, false, effect.Closes)
+			s.logResponse(effect.Exchange)
+		case proxy.StreamResponse:
+			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, true, effect.Closes)
+			effect.Conn.Owner.(*backendConn).streamPermit <- true
+			s.logResponse(effect.Exchange)
+		case proxy.AbortClient:
+			effect.Exchange.Owner.(*clientConn).relayBody(s.now(), effect.Exchange, nil, false, true)
+		case proxy.DialCounter:
+			s.dialCounter(effect.Addr)
+		case proxy.WriteCounter:
+			s.counter.write(effect.Bytes)
+		case proxy.CloseCounter:
+			s.counter.close()
+			s.counter = nil
+		case proxy.PollEndpoints:
+			if s.discovery == nil { // discovery is watched from the start
+				s.readEndpointsFile()
+			}
+		}
+	}
+}
+
+func (s *Server) logResponse(exchange *proxy.Exchange) {
+	if s.debug {
+		s.log.Debug("answer", "request", exchange.ID, "operation", exchange.Operation.ID, "studio", exchange.Customer.Name,
+			"status", exchange.Status, "ms", float64((s.now()-exchange.Arrived).Microseconds())/1000)
+	}
+}
--- a/internal/server/faultcontrol.go
+++ b/internal/server/faultcontrol.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"net"
 	"strings"
@@ -11,62 +12,99 @@
 	"sandyard/fault"
 )
 
-// FaultTarget is a stand-in whose faults can be set while it runs.
+const (
+	// maxFaultControlConns is how many connections a fault control takes; a script or an engineer needs one.
+	maxFaultControlConns = 16
+	// maxFaultCommand (bytes) bounds a command; the longest verb with a number is far shorter.
+	maxFaultCommand = 256
+	// faultCommandTimeout bounds the dial of a fault control, and a command with its reply.
+	faultCommandTimeout = 2 * time.Second
+)
+
+// ErrFaultCommand is returned by SendFaultCommand, wrapped, where the emulator has rejected a command.
+var ErrFaultCommand = errors.New("the fault command is rejected")
+
+// rejectedFaultCommand is an emulator's reply other than "ok". It is ErrFaultCommand.
+type rejectedFaultCommand struct{ reply string }
+
+func (e rejectedFaultCommand) Error() string        { return e.reply }
+func (e rejectedFaultCommand) Is(target error) bool { return target == ErrFaultCommand }
+
+// FaultTarget is an emulated backend or counter whose faults can be set while it runs.
 type FaultTarget interface {
+	// Set begins a fault with a value, or ends it. Any goroutine may call it.
 	Set(v fault.Verb, value float64, on bool) error
 }
 
-// ServeFaultControl listens for lines that set a stand-in's faults: "set slow 3", "clear slow". Each is answered "ok" or
-// "error: ...". The function returned stops it.
-func ServeFaultControl(addr string, f FaultTarget) (net.Addr, func(), error) {
-	ln, err := net.Listen("tcp", addr)
+// faultControl serves the commands that set an emulator's faults, with a goroutine for each connection.
+type faultControl struct {
+	target     FaultTarget
+	listener   net.Listener
+	goroutines sync.WaitGroup
+
+	mu     sync.Mutex // guards all below
+	open   map[net.Conn]struct{}
+	closed bool
+}
+
+// ServeFaultControl listens on an address (host:port) for commands that set a target's faults, one a line: "set slow 3",
+// "clear slow". Each is answered "ok" or "error: ...". The function returned stops it and waits for its end.
+func ServeFaultControl(addr string, target FaultTarget) (listening net.Addr, stop func(), err error) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, nil, err
 	}
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	open := map[net.Conn]struct{}{}
-	closed := false
-	wg.Go(func() {
-		for {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			if closed || len(open) >= 16 { // few have business here
-				mu.Unlock()
-				conn.Close()
-				continue
-			}
-			open[conn] = struct{}{}
-			mu.Unlock()
-			wg.Go(func() {
-				serveFaultControlConn(conn, f)
-				mu.Lock()
-				delete(open, conn)
-				mu.Unlock()
-			})
+	c := &faultControl{target: target, listener: listener, open: map[net.Conn]struct{}{}}
+	c.goroutines.Go(c.accept)
+	return listener.Addr(), c.close, nil
+}
+
+func (c *faultControl) accept() {
+	for {
+		conn, err := c.listener.Accept()
+		if err != nil {
+			return
 		}
-	})
-	return ln.Addr(), func() {
-		ln.Close()
-		mu.Lock()
-		closed = true
-		for c := range open {
-			c.Close()
+		if !c.admit(conn) {
+			conn.Close()
+			continue
 		}
-		mu.Unlock()
-		wg.Wait()
-	}, nil
+		c.goroutines.Go(func() {
+			c.serve(conn)
+			c.mu.Lock()
+			delete(c.open, conn)
+			c.mu.Unlock()
+		})
+	}
+}
+
+func (c *faultControl) admit(conn net.Conn) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed || len(c.open) >= maxFaultControlConns {
+		return false
+	}
+	c.open[conn] = struct{}{}
+	return true
+}
+
+func (c *faultControl) close() {
+	c.listener.Close()
+	c.mu.Lock()
+	c.closed = true
+	for conn := range c.open {
+		conn.Close()
+	}
+	c.mu.Unlock()
+	c.goroutines.Wait()
 }
 
-func serveFaultControlConn(conn net.Conn, f FaultTarget) {
+func (c *faultControl) serve(conn net.Conn) {
 	defer conn.Close()
-	in := bufio.NewScanner(conn)
-	in.Buffer(make([]byte, 256), 256)
-	for in.Scan() {
-		if err := runFaultCommand(in.Text(), f); err != nil {
+	commands := bufio.NewScanner(conn)
+	commands.Buffer(make([]byte, maxFaultCommand), maxFaultCommand)
+	for commands.Scan() {
+		if err := runFaultCommand(commands.Text(), c.target); err != nil {
 			fmt.Fprintf(conn, "error: %v\n", err)
 		} else {
 			fmt.Fprintln(conn, "ok")
@@ -74,33 +112,34 @@
 	}
 }
 
-func runFaultCommand(command string, f FaultTarget) error {
+func runFaultCommand(command string, target FaultTarget) error {
 	word, rest, _ := strings.Cut(strings.TrimSpace(command), " ")
 	switch word {
 	case "set":
-		v, x, err := fault.Parse(rest)
+		verb, value, err := fault.Parse(rest)
 		if err != nil {
 			return err
 		}
-		return f.Set(v, x, true)
+		return target.Set(verb, value, true)
 	case "clear":
-		v, _, err := fault.Parse(rest + " 0")
+		verb, _, err := fault.Parse(rest + " 0")
 		if err != nil {
 			return err
 		}
-		return f.Set(v, 0, false)
+		return target.Set(verb, 0, false)
 	}
 	return fmt.Errorf("%q: expected set or clear", word)
 }
 
-// SendFaultCommand tells a stand-in's control address a line.
+// SendFaultCommand sends a command to a fault control at an address (host:port) and waits for its reply, for
+// faultCommandTimeout at most. A command that the emulator rejects is ErrFaultCommand.
 func SendFaultCommand(addr, command string) error {
-	conn, err := net.DialTimeout("tcp", addr, 2*time.Second)
+	conn, err := net.DialTimeout("tcp", addr, faultCommandTimeout)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(2 * time.Second))
+	conn.SetDeadline(time.Now().Add(faultCommandTimeout))
 	if _, err := fmt.Fprintln(conn, command); err != nil {
 		return err
 	}
@@ -109,7 +148,7 @@
 		return err
 	}
 	if reply = strings.TrimSpace(reply); reply != "ok" {
-		return fmt.Errorf("%s", reply)
+		return rejectedFaultCommand{reply}
 	}
 	return nil
 }
--- a/internal/server/filewatch.go
+++ b/internal/server/filewatch.go
@@ -2,58 +2,112 @@
 
 import (
 	"context"
+	"os"
 	"path/filepath"
 	"slices"
-	"time"
 
 	"github.com/fsnotify/fsnotify"
+
+	"sandyard/config"
 )
 
-// startEndpointWatch reads the list of boxes and begins to watch it; the function returned goes on until its context ends. The
-// folder is watched rather than the file, since a file that is replaced atomically is another file.
-func (s *Server) startEndpointWatch() (func(context.Context) error, error) {
+// endpointWatchFunc follows the endpoint list until its context ends.
+type endpointWatchFunc func(context.Context) error
+
+// startEndpointWatch hands the configured endpoint list to the instance and returns what follows its changes, at
+// discovery or in a file.
+func (s *Server) startEndpointWatch() (endpointWatchFunc, error) {
 	if s.discovery != nil {
-		s.post(post{kind: list, boxes: slices.Clone(s.cfg.Endpoints)})
-		return func(ctx context.Context) error {
-			late := time.AfterFunc(firstEndpointsTimeout, func() { s.post(post{kind: begin}) })
-			defer late.Stop()
-			return s.discovery.run(ctx)
-		}, nil
+		s.post(endpointsReplaced{slices.Clone(s.cfg.Endpoints)})
+		return s.discovery.run, nil
 	}
-	watcher, err := fsnotify.NewWatcher()
+	path, err := filepath.Abs(s.cfg.EndpointsPath())
 	if err != nil {
 		return nil, err
 	}
-	path, err := filepath.Abs(s.cfg.EndpointsPath())
-	if err == nil {
-		err = watcher.Add(filepath.Dir(path))
-	}
+	watcher, err := watchFolder(filepath.Dir(path))
 	if err != nil {
-		watcher.Close()
 		return nil, err
 	}
-	s.post(post{kind: list, boxes: s.withBackendAddresses(slices.Clone(s.cfg.Endpoints))})
+	s.post(endpointsReplaced{s.withBackendAddresses(slices.Clone(s.cfg.Endpoints))})
 	s.readEndpointsFile() // it may have changed since the configuration was read
 	return func(ctx context.Context) error {
 		defer watcher.Close()
-		for {
-			select {
-			case <-ctx.Done():
-				return nil
-			case e, ok := <-watcher.Events:
-				if !ok {
-					return nil
-				}
-				if filepath.Clean(e.Name) == path && e.Op&^fsnotify.Chmod != 0 {
-					s.readEndpointsFile()
-				}
-			case err, ok := <-watcher.Errors:
-				if !ok {
-					return nil
-				}
-				s.log.Error("watching the list of boxes", "error", err)
-				s.readEndpointsFile() // what was missed is read
+		s.followEndpointsFile(ctx, watcher, path)
+		return nil
+	}, nil
+}
+
+// watchFolder watches a folder rather than a file in it: a file that is replaced atomically is another file, and a watch
+// of the old one would notice no further change.
+func watchFolder(folder string) (*fsnotify.Watcher, error) {
+	watcher, err := fsnotify.NewWatcher()
+	if err != nil {
+		return nil, err
+	}
+	if err := watcher.Add(folder); err != nil {
+		watcher.Close()
+		return nil, err
+	}
+	return watcher, nil
+}
+
+// followEndpointsFile reads the file after each change, until its context ends.
+func (s *Server) followEndpointsFile(ctx context.Context, watcher *fsnotify.Watcher, path string) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case event, ok := <-watcher.Events:
+			if !ok {
+				return
+			}
+			if filepath.Clean(event.Name) == path && event.Op&^fsnotify.Chmod != 0 {
+				s.readEndpointsFile()
+			}
+		case err, ok := <-watcher.Errors:
+			if !ok {
+				return
 			}
+			s.log.Error("watching the list of boxes", "error", err)
+			s.readEndpointsFile() // what was missed is read
 		}
-	}, nil
+	}
+}
+
+// readEndpointsFile reads the endpoint file in a goroutine of its own: it does not block. A file that is broken or missing
+// leaves the list as it was.
+func (s *Server) readEndpointsFile() {
+	s.goroutines.Go(func() error {
+		s.endpointsFileMu.Lock()
+		defer s.endpointsFileMu.Unlock()
+		path := s.cfg.EndpointsPath()
+		endpoints, err := loadEndpoints(path)
+		if err != nil {
+			s.log.Error("list of boxes: the last one stays in force", "error", err)
+			s.post(endpointPollFailed{})
+			return nil
+		}
+		s.post(endpointsReplaced{s.withBackendAddresses(endpoints)})
+		s.log.Info("list of boxes", "file", path, "boxes", len(endpoints))
+		return nil
+	})
+}
+
+func loadEndpoints(path string) ([]config.Endpoint, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return config.ParseEndpoints(path, text)
+}
+
+// withBackendAddresses replaces the addresses of endpoints that Options.BackendAddresses has elsewhere.
+func (s *Server) withBackendAddresses(endpoints []config.Endpoint) []config.Endpoint {
+	for i := range endpoints {
+		if addr, ok := s.backendAddresses[endpoints[i].Name]; ok {
+			endpoints[i].Address = addr
+		}
+	}
+	return endpoints
 }
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -18,61 +18,56 @@
 )
 
 const (
-	maxFrameItems = 2048                   // steps in a frame at most
-	frameInterval = 200 * time.Millisecond // until what there is is written
+	// maxFrameItems bounds the items of a frame, and so what a reader of a trace has to hold.
+	maxFrameItems = 2048
+	// frameInterval is how often what was recorded is written: what a killed process loses.
+	frameInterval = 200 * time.Millisecond
+	// traceSuffix and tracePrefix are of the names of trace files: door-INSTANCE-START-PART.trace.
+	traceSuffix = ".trace"
+	tracePrefix = "door-"
 )
 
-// recorder writes a front door's trace. The core's goroutine only appends to a bounded buffer; steps that find it full
-// are dropped and counted, and the count stands in the file where they are missing. A disk that is full, or any other
-// error, ends the recording and not the front door.
+// recorder writes the trace of an instance's decisions. The event loop only appends to a bounded buffer; steps that find it
+// full are dropped and counted, and the count stands in the file where they are missing. A disk that is full, or any other
+// error, ends the recording and not the instance. A nil recorder records nothing.
 type recorder struct {
-	server *Server
-	cfg    config.Trace
-	dir    string
-	head   trace.Head
-	stop   chan struct{}
-	done   chan struct{}
+	server    *Server
+	cfg       config.Trace
+	dir       string
+	stop      chan struct{} // closed by close
+	done      chan struct{} // closed when the writing has ended
+	firstFile *os.File
 
-	firstFile *os.File // the first file
-
-	mu      sync.Mutex
+	mu      sync.Mutex // guards all below
 	steps   []proxy.Step
-	dropped uint64
-	ended   bool
+	dropped uint64 // since the steps were last taken
+	ended   bool   // by an error
 
-	// of the writing goroutine
+	// Of the writing goroutine.
+	head         trace.Head
 	writer       *trace.Writer
 	file         *os.File
-	size         int
-	backendNames map[decision.BackendID]string
+	size         int                           // of file, in bytes
+	backendNames map[decision.BackendID]string // that the files have been given
 	droppedTotal uint64
 }
 
+// startRecorder opens the first file and hooks the recorder into the instance, before the event loop starts. It returns nil
+// where no trace is configured.
 func (s *Server) startRecorder(seed uint64) (*recorder, error) {
-	t := s.cfg.Trace
-	if t.Mode == "off" {
+	if s.cfg.Trace.Mode == "off" {
 		return nil, nil
 	}
 	dir := s.cfg.TraceFolder()
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	w, err := trace.NewWriter()
+	writer, err := trace.NewWriter()
 	if err != nil {
 		return nil, err
 	}
-	r := &recorder{server: s, cfg: t, dir: dir, writer: w, stop: make(chan struct{}), done: make(chan struct{}), backendNames: map[decision.BackendID]string{}}
-	r.head = trace.Head{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, Began: s.startedAt,
-		Origin: s.clockOrigin().UnixNano(), Settings: s.cfg.Settings, Classes: s.cfg.ClassNames, Share: 1}
-	if t.Mode == "sampled" {
-		r.head.Share = t.Share
-	}
-	for _, p := range s.cfg.Plans {
-		r.head.Plans = append(r.head.Plans, p.Name)
-	}
-	for _, op := range s.cfg.Routes.Operations {
-		r.head.Ops = append(r.head.Ops, op.ID)
-	}
+	r := &recorder{server: s, cfg: s.cfg.Trace, dir: dir, head: s.traceHead(seed), writer: writer, stop: make(chan struct{}),
+		done: make(chan struct{}), backendNames: map[decision.BackendID]string{}}
 	if err := r.openNextFile(); err != nil {
 		return nil, err
 	}
@@ -82,123 +77,133 @@
 	return r, nil
 }
 
-// startWriting starts the writing; close ends it.
+func (s *Server) traceHead(seed uint64) trace.Head {
+	head := trace.Head{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, Began: s.startedAt,
+		Origin: s.clockOrigin().UnixNano(), Settings: s.cfg.Settings, Classes: s.cfg.ClassNames, Share: 1}
+	if s.cfg.Trace.Mode == "sampled" {
+		head.Share = s.cfg.Trace.Share
+	}
+	for _, plan := range s.cfg.Plans {
+		head.Plans = append(head.Plans, plan.Name)
+	}
+	for _, operation := range s.cfg.Routes.Operations {
+		head.Ops = append(head.Ops, operation.ID)
+	}
+	return head
+}
+
+// startWriting starts the goroutine that writes; close ends it.
 func (r *recorder) startWriting() {
-	if r != nil {
-		go func() { // its owner waits for it in close
-			defer close(r.done)
-			r.run()
-		}()
+	if r == nil {
+		return
 	}
+	go func() { // close waits for it
+		defer close(r.done)
+		r.run()
+	}()
 }
 
-// requestOf is the one that a step is about, 0 if none.
-func requestOf(e decision.Event) decision.RequestID {
-	switch e := e.(type) {
-	case decision.RequestArrived:
-		return e.Request
-	case decision.ClientDisconnected:
-		return e.Request
-	case decision.AttemptEnded:
-		return e.Request
-	case decision.StreamStarted:
-		return e.Request
+// close writes what is held and ends the recording. It waits for the disk.
+func (r *recorder) close() {
+	if r == nil {
+		return
 	}
-	return 0
+	close(r.stop)
+	<-r.done
 }
 
-// record takes a step in; the core's goroutine calls it.
-func (r *recorder) record(st proxy.Step) {
-	if r.head.Share < 1 { // a sample is of requests, drawn by their number; what concerns no one request is left out
-		id := uint64(requestOf(st.Event))
-		if id == 0 || float64(id*0x9E3779B97F4A7C15>>11)/(1<<53) >= r.head.Share {
-			return
-		}
+// record takes a step. Only the event loop calls it; it waits for no disk.
+func (r *recorder) record(step proxy.Step) {
+	if !r.sampled(step) {
+		return
 	}
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch {
 	case r.ended:
 	case len(r.steps) >= r.cfg.Buffer:
 		r.dropped++
 	default:
-		r.steps = append(r.steps, st)
+		r.steps = append(r.steps, step)
+	}
+}
+
+// sampled tells whether a step belongs to the recorded share. A sample is of requests, drawn by a hash of their number;
+// steps that concern no one request are left out of it.
+func (r *recorder) sampled(step proxy.Step) bool {
+	if r.cfg.Mode != "sampled" || r.cfg.Share >= 1 {
+		return true
 	}
-	r.mu.Unlock()
+	const multiplier = 0x9E3779B97F4A7C15 // of Fibonacci hashing: neighbouring numbers fall far apart
+	id := uint64(requestOf(step.Event))
+	return id != 0 && float64(id*multiplier>>11)/(1<<53) < r.cfg.Share
 }
 
+// requestOf is the request that an event is about, 0 if none.
+func requestOf(event decision.Event) decision.RequestID {
+	switch event := event.(type) {
+	case decision.RequestArrived:
+		return event.Request
+	case decision.ClientDisconnected:
+		return event.Request
+	case decision.AttemptEnded:
+		return event.Request
+	case decision.StreamStarted:
+		return event.Request
+	}
+	return 0
+}
+
+// run writes every frameInterval until close, or until an error.
 func (r *recorder) run() {
-	t := time.NewTicker(frameInterval)
-	defer t.Stop()
+	defer func() { r.file.Close() }()
+	ticker := time.NewTicker(frameInterval)
+	defer ticker.Stop()
 	for {
 		last := false
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-r.stop:
 			last = true
 		}
-		r.mu.Lock()
-		steps, dropped := r.steps, r.dropped
-		r.steps, r.dropped = nil, 0
-		r.mu.Unlock()
-		if err := r.write(steps, dropped); err != nil {
+		if err := r.write(r.takeSteps()); err != nil {
 			r.server.log.Error("recording has ended; the front door goes on", "error", err)
-			r.mu.Lock()
-			r.ended, r.steps = true, nil
-			r.mu.Unlock()
-			last = true
+			r.end()
+			return
 		}
 		if last {
-			r.file.Close()
 			return
 		}
 	}
 }
 
+func (r *recorder) takeSteps() (steps []proxy.Step, dropped uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	steps, dropped = r.steps, r.dropped
+	r.steps, r.dropped = nil, 0
+	return steps, dropped
+}
+
+func (r *recorder) end() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.ended, r.steps = true, nil
+}
+
+// write writes steps in frames, and behind them the count of those that were dropped after they had filled the buffer.
 func (r *recorder) write(steps []proxy.Step, dropped uint64) error {
 	var items []trace.Item
-	flush := func() error {
-		if len(items) == 0 {
-			return nil
-		}
-		b, err := r.writer.Frame(items)
-		if err != nil {
-			return err
-		}
-		items = items[:0]
-		if r.size+len(b) > int(r.cfg.FileSize) {
-			r.head.Part++
-			r.file.Close()
-			if err := r.openNextFile(); err != nil {
-				return err
-			}
-		}
-		n, err := r.file.Write(b)
-		r.size += n
-		return err
-	}
 	for i := range steps {
-		st := &steps[i]
-		if list, ok := st.Event.(decision.EndpointsChanged); ok {
-			for k, name := range st.EndpointNames {
-				if id := list.Endpoints[k].Backend; r.backendNames[id] != name {
-					r.backendNames[id] = name
-					items = append(items, trace.Item{At: st.At, Backend: &trace.BackendName{Server: id, Name: name}})
-				}
-			}
-		}
-		if st.State != nil {
-			items = append(items, trace.Item{At: st.At, State: st.State})
-			continue
-		}
-		items = append(items, trace.Item{At: st.At, Event: trace.FromEvent(st.Event), Actions: trace.FromActions(st.Actions), Op: st.Operation,
-			First: st.Event == nil})
-		if len(items) >= maxFrameItems {
-			if err := flush(); err != nil {
+		items = r.appendStep(items, &steps[i])
+		if len(items) >= maxFrameItems && steps[i].State == nil {
+			if err := r.writeItems(items); err != nil {
 				return err
 			}
+			items = items[:0]
 		}
 	}
-	if dropped > 0 { // they were dropped behind those that had filled the buffer
+	if dropped > 0 {
 		r.droppedTotal += dropped
 		var at time.Duration
 		if len(steps) > 0 {
@@ -207,70 +212,131 @@
 		items = append(items, trace.Item{At: at, Dropped: dropped})
 		r.server.log.Warn("steps dropped from the trace", "steps", dropped, "in_all", r.droppedTotal)
 	}
-	return flush()
+	return r.writeItems(items)
+}
+
+// appendStep appends a step, behind the names of backends that it is the first to have.
+func (r *recorder) appendStep(items []trace.Item, step *proxy.Step) []trace.Item {
+	if list, ok := step.Event.(decision.EndpointsChanged); ok {
+		for i, name := range step.EndpointNames {
+			id := list.Endpoints[i].Backend
+			if r.backendNames[id] != name {
+				r.backendNames[id] = name
+				items = append(items, trace.Item{At: step.At, Backend: &trace.BackendName{Server: id, Name: name}})
+			}
+		}
+	}
+	if step.State != nil {
+		return append(items, trace.Item{At: step.At, State: step.State})
+	}
+	return append(items, trace.Item{At: step.At, Event: trace.FromEvent(step.Event), Actions: trace.FromActions(step.Actions),
+		Op: step.Operation, First: step.Event == nil})
+}
+
+// writeItems writes items as one frame, in the next file where this one would grow beyond trace.file-size.
+func (r *recorder) writeItems(items []trace.Item) error {
+	if len(items) == 0 {
+		return nil
+	}
+	frame, err := r.writer.Frame(items)
+	if err != nil {
+		return err
+	}
+	if r.size+len(frame) > int(r.cfg.FileSize) {
+		r.head.Part++
+		r.file.Close()
+		if err := r.openNextFile(); err != nil {
+			return err
+		}
+	}
+	return r.writeFrame(frame)
+}
+
+func (r *recorder) writeFrame(frame []byte) error {
+	n, err := r.file.Write(frame)
+	r.size += n
+	return err
 }
 
-// openNextFile begins a file, and removes the oldest of this folder's while there are more bytes than allowed.
+// openNextFile begins a file with the head and the names of all backends, and removes the oldest files beyond trace.most.
 func (r *recorder) openNextFile() error {
-	name := fmt.Sprintf("door-%d-%s-%03d.trace", r.head.Instance, r.server.startTime.UTC().Format("20060102T150405.000"), r.head.Part)
-	f, err := os.OpenFile(filepath.Join(r.dir, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	name := fmt.Sprintf("%s%d-%s-%03d%s", tracePrefix, r.head.Instance, r.server.startTime.UTC().Format("20060102T150405.000"),
+		r.head.Part, traceSuffix)
+	file, err := os.OpenFile(filepath.Join(r.dir, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	b, err := r.writer.Begin(r.head)
+	head, err := r.writer.Begin(r.head)
 	if err == nil {
-		_, err = f.Write(b)
+		_, err = file.Write(head)
 	}
 	if err != nil {
-		f.Close()
+		file.Close()
 		return err
 	}
-	r.file, r.size = f, len(b)
-	for id, name := range r.backendNames { // each file names its boxes
-		b, err := r.writer.Frame([]trace.Item{{Backend: &trace.BackendName{Server: id, Name: name}}})
+	r.file, r.size = file, len(head)
+	for id, name := range r.backendNames {
+		frame, err := r.writer.Frame([]trace.Item{{Backend: &trace.BackendName{Server: id, Name: name}}})
 		if err != nil {
 			return err
 		}
-		if _, err := f.Write(b); err != nil {
+		if err := r.writeFrame(frame); err != nil {
 			return err
 		}
-		r.size += len(b)
 	}
-	return r.prune()
+	return r.removeOldFiles()
 }
 
-func (r *recorder) prune() error {
-	entries, err := os.ReadDir(r.dir)
+// traceFile is a file of the folder of traces, other than the one that is written.
+type traceFile struct {
+	name string
+	size int64 // bytes
+}
+
+// order sorts trace files by the time of their process's start and their part, whatever their instance.
+func (f traceFile) order() string {
+	_, order, _ := strings.Cut(strings.TrimPrefix(f.name, tracePrefix), "-")
+	return order
+}
+
+// removeOldFiles removes the oldest files of the folder while it would have more bytes than trace.most with a full file
+// that is begun now.
+func (r *recorder) removeOldFiles() error {
+	files, err := r.otherFiles()
 	if err != nil {
 		return err
 	}
-	var names []string
-	sizes, total := map[string]int64{}, int64(r.cfg.FileSize) // for the one that is begun
-	for _, e := range entries {
-		if info, err := e.Info(); err == nil && strings.HasSuffix(e.Name(), ".trace") && filepath.Join(r.dir, e.Name()) != r.file.Name() {
-			names = append(names, e.Name())
-			sizes[e.Name()] = info.Size()
-			total += info.Size()
-		}
+	total := int64(r.cfg.FileSize)
+	for _, f := range files {
+		total += f.size
 	}
-	slices.SortFunc(names, func(a, b string) int { // by time of start and part, whatever door
-		_, x, _ := strings.Cut(strings.TrimPrefix(a, "door-"), "-")
-		_, y, _ := strings.Cut(strings.TrimPrefix(b, "door-"), "-")
-		return strings.Compare(x, y)
-	})
-	for len(names) > 0 && total > int64(r.cfg.MaxTotalSize) {
-		if err := os.Remove(filepath.Join(r.dir, names[0])); err != nil && !errors.Is(err, os.ErrNotExist) {
+	for _, f := range files {
+		if total <= int64(r.cfg.MaxTotalSize) {
+			break
+		}
+		if err := os.Remove(filepath.Join(r.dir, f.name)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
-		total -= sizes[names[0]]
-		names = names[1:]
+		total -= f.size
 	}
 	return nil
 }
 
-func (r *recorder) close() {
-	if r != nil {
-		close(r.stop)
-		<-r.done
+// otherFiles is the trace files of the folder but for the one that is written, oldest first.
+func (r *recorder) otherFiles() ([]traceFile, error) {
+	entries, err := os.ReadDir(r.dir)
+	if err != nil {
+		return nil, err
+	}
+	var files []traceFile
+	for _, e := range entries {
+		if !strings.HasSuffix(e.Name(), traceSuffix) || filepath.Join(r.dir, e.Name()) == r.file.Name() {
+			continue
+		}
+		if info, err := e.Info(); err == nil { // one that is removed meanwhile is no matter
+			files = append(files, traceFile{e.Name(), info.Size()})
+		}
 	}
+	slices.SortFunc(files, func(a, b traceFile) int { return strings.Compare(a.order(), b.order()) })
+	return files, nil
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -550,7 +550,7 @@
 	var name string
 	var weight float64
 	told := make(chan struct{})
-	r.server.post(post{kind: inquiry, look: func(c *proxy.Instance, _ time.Duration) { name, weight, _ = c.Gateway().CounterName("c"); close(told) }})
+	r.server.post(inspection(func(c *proxy.Instance, _ time.Duration) { name, weight, _ = c.Gateway().CounterName("c"); close(told) }))
 	<-told
 	k.mu.Lock()
 	calls, total := k.counter.Calls, k.counter.Total(k.now(), name)
--- /dev/null
+++ b/internal/server/shutdown.go
@@ -0,0 +1,105 @@
+package server
+
+import (
+	"time"
+)
+
+// The order of a shutdown. A step begins when the one before it is over.
+//
+//	step  begins                          what stops
+//	1     with the end of Serve's         the endpoint watch, of file or discovery: endpoints that are removed from here on are
+//	      context (SIGTERM)               not noticed. With limits.stop-delay, responses close their connections from now on,
+//	                                      and connections are accepted through the delay, and backlogTime after it; without,
+//	                                      the listener closes at once
+//	2     when accepting is over          new requests: they are rejected. The listener and idle client connections close.
+//	                                      Requests under way are answered, for limits.shutdown-timeout at most
+//	3     when no client is left, or      the event loop: proxy.Instance.Stop, and what follows from it
+//	      after limits.shutdown-timeout
+//	4     at once                         dials, backend connections that wait to stream, inspections by the admin socket
+//	5     at once                         the client connections that are left
+//	6     at once                         nothing: it waits for the goroutines of connections, and logs "stopped"
+//	7     at once                         the admin socket
+//	8     at once                         the trace recorder, once it has written what it holds
+
+// drainPoll is how often clients are looked over during a shutdown: short beside a response, so that the last one is not
+// what a shutdown waits for.
+const drainPoll = 10 * time.Millisecond
+
+// stopAccepting is step 1, but for the endpoint watch, which sees the end of its context itself. signalled tells that the
+// instance was told to stop, rather than that its accept loop or its watch has failed.
+func (s *Server) stopAccepting(signalled bool) {
+	if delay := time.Duration(s.cfg.Limits.StopDelay); delay > 0 && signalled {
+		s.shared.CloseAfterResponses()
+		s.listener.SetDeadline(time.Now().Add(delay)) // what has come in by then is accepted
+		return
+	}
+	s.listener.Close()
+	s.queueMu.Lock()
+	s.queueSpace.Broadcast()
+	s.queueMu.Unlock()
+}
+
+// shutDown is steps 2 to 6.
+func (s *Server) shutDown(stopLoop chan<- struct{}, loopDone <-chan struct{}) {
+	s.drainClients()
+	close(stopLoop)
+	<-loopDone
+	s.cancelConnections()
+	s.closeClients()
+	s.goroutines.Wait()
+	s.logStatistics()
+}
+
+// drainClients waits until all requests under way are answered and their connections closed, or
+// limits.shutdown-timeout is over.
+func (s *Server) drainClients() {
+	s.shared.RejectNewRequests()
+	s.listener.Close()
+	limit := time.NewTimer(time.Duration(s.cfg.Limits.ShutdownTimeout))
+	defer limit.Stop()
+	for {
+		open := s.openClients()
+		if len(open) == 0 {
+			return
+		}
+		for _, cc := range open {
+			cc.requestClose()
+		}
+		select {
+		case <-limit.C:
+			s.log.Warn("shutdown: clients left without their answer's end", "connections", len(open))
+			return
+		case <-time.After(drainPoll):
+		}
+	}
+}
+
+// openClients copies the set of client connections, so that their locks are taken without clientsMu.
+func (s *Server) openClients() []*clientConn {
+	s.clientsMu.Lock()
+	defer s.clientsMu.Unlock()
+	open := make([]*clientConn, 0, len(s.clients))
+	for cc := range s.clients {
+		open = append(open, cc)
+	}
+	return open
+}
+
+// closeClients closes the connections that are left, and wakes their readers.
+func (s *Server) closeClients() {
+	s.clientsMu.Lock()
+	defer s.clientsMu.Unlock()
+	for cc := range s.clients {
+		cc.socket.close()
+		cc.mu.Lock()
+		cc.readable.Signal()
+		cc.mu.Unlock()
+	}
+}
+
+func (s *Server) logStatistics() {
+	st := s.instance.Stats
+	s.log.Info("stopped", "arrived", st.Arrived, "served", st.Served, "refused_quota", st.RejectedOverQuota,
+		"refused_room", st.RejectedNoCapacity, "failed", st.Failed, "left", st.ClientsLeft, "broken", st.BrokenResponses,
+		"attempts", st.Attempts, "dials", st.Dials, "expiries", s.expiredReads.Load(), "keeper_calls", st.CounterCalls)
+}
--- a/internal/server/socket.go
+++ b/internal/server/socket.go
@@ -1,8 +1,3 @@
-// Package server runs a front door on TCP connections: it carries bytes between sockets and the machines of package
-// door, keeps the time and owns the goroutines. It decides nothing.
-//
-// Goroutines: one that owns door.Core and carries out its wishes; one that accepts; one for each connection, which
-// reads; and one for a connection's writing for as long as its peer takes less than we have. Errgroups own them all.
 package server
 
 import (
@@ -15,246 +10,255 @@
 	"time"
 )
 
-const readSize = 16 << 10 // bytes read at once
+const (
+	// readSize (16 KiB) is how much is read at once: a head of usual size with a small body.
+	readSize = 16 << 10
+	// flushChunk (64 KiB) is how much a peer has to take within a write timeout: a slow peer that takes some is not cut off.
+	flushChunk = 64 << 10
+)
 
 var readBuffers = sync.Pool{New: func() any { b := make([]byte, readSize); return &b }}
 
-// socket is a connection that is written without blocking: what the kernel does not take at once is kept, and a
-// goroutine writes it. It is read into borrowed buffers that are held only while there is something to read, so
-// that an idle connection costs none.
+// socket is a TCP connection that is written without blocking: what the kernel does not take at once is kept, and a
+// goroutine writes it. It is read into borrowed buffers that are held only while there is something to read, so that an
+// idle connection costs none.
+//
+// One goroutine reads: read, readAvailable, releaseBuffer. All other methods may be called by any.
 type socket struct {
 	conn         *net.TCPConn
 	raw          syscall.RawConn
-	writeTimeout time.Duration // for the peer to take 64 KiB
-	onFlushed    func()        // called, without locks held, when what was kept is out or lost
+	writeTimeout time.Duration // for the peer to take flushChunk
+	onFlushed    func()        // called, without locks held, when what was kept is written or lost; set before the first write
 
+	// mu guards all below, but for the fields of the reading goroutine.
 	mu            sync.Mutex
-	writeProgress sync.Cond // signalled when out shrinks or the link fails
+	writeProgress sync.Cond // on mu: signalled when unwritten shrinks, flushing ends or the socket fails
 	unwritten     []byte
-	flushing      bool
-	failed        bool
-	incomplete    bool // it failed, and not all that it was handed went out
+	flushing      bool // a goroutine writes what is unwritten
+	failed        bool // closed, or a write has failed: nothing more is written
+	incomplete    bool // it failed, and not all that it was handed was written
+	tryWriteFunc  func(fd uintptr) bool
+	writeSource   []byte // of the write under way, with its result
+	writeCount    int
+	writeError    error
 
-	// of the reading goroutine
+	// Of the reading goroutine.
 	tryReadFunc func(fd uintptr) bool
-	readBuffer  *[]byte
-	readCount   int
+	readBuffer  *[]byte // nil: none is borrowed
+	readCount   int     // the result of the read under way
 	readError   error
-	// of the writing side, under mu
-	tryWriteFunc func(fd uintptr) bool
-	writeSource  []byte
-	writeCount   int
-	writeError   error
 }
 
-func newSocket(conn *net.TCPConn, timeout time.Duration) (*socket, error) {
+func newSocket(conn *net.TCPConn, writeTimeout time.Duration) (*socket, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	l := &socket{conn: conn, raw: raw, writeTimeout: timeout}
-	l.writeProgress.L = &l.mu
-	l.tryReadFunc, l.tryWriteFunc = l.tryRead, l.tryWrite
-	return l, nil
+	s := &socket{conn: conn, raw: raw, writeTimeout: writeTimeout}
+	s.writeProgress.L = &s.mu
+	s.tryReadFunc, s.tryWriteFunc = s.tryRead, s.tryWrite
+	return s, nil
 }
 
-func (l *socket) tryRead(fd uintptr) bool {
-	if l.readBuffer == nil {
-		l.readBuffer = readBuffers.Get().(*[]byte)
+// tryRead reads what is there, and tells whether the read is over: false, nothing is there. The buffer is given back then.
+func (s *socket) tryRead(fd uintptr) bool {
+	if s.readBuffer == nil {
+		s.readBuffer = readBuffers.Get().(*[]byte)
 	}
 	for {
-		n, err := syscall.Read(int(fd), *l.readBuffer)
+		n, err := syscall.Read(int(fd), *s.readBuffer)
 		switch err {
 		case syscall.EINTR:
 			continue
 		case syscall.EAGAIN:
-			readBuffers.Put(l.readBuffer)
-			l.readBuffer = nil
+			s.releaseBuffer()
 			return false
 		}
-		l.readCount, l.readError = max(0, n), err
+		s.readCount, s.readError = max(0, n), err
 		return true
 	}
 }
 
-// read waits for bytes. They are good until the next call, which must come even after an error has been seen only
-// to give the buffer back with done.
-func (l *socket) read() ([]byte, error) {
-	l.releaseBuffer()
-	l.readCount, l.readError = 0, nil
-	if err := l.raw.Read(l.tryReadFunc); err != nil {
+// read waits for bytes, until the read deadline at most. They are good until the next call of read, readAvailable or
+// releaseBuffer. The end of the peer's sending is io.EOF; a deadline that passes is an error that isTimeout tells.
+func (s *socket) read() ([]byte, error) {
+	s.releaseBuffer()
+	s.readCount, s.readError = 0, nil
+	if err := s.raw.Read(s.tryReadFunc); err != nil {
 		return nil, err
 	}
-	if l.readError != nil {
-		return nil, l.readError
+	if s.readError != nil {
+		return nil, s.readError
 	}
-	if l.readCount == 0 {
+	if s.readCount == 0 {
 		return nil, io.EOF
 	}
-	return (*l.readBuffer)[:l.readCount], nil
+	return (*s.readBuffer)[:s.readCount], nil
+}
+
+// readAvailable reads what is there without waiting: nil, there is nothing. The bytes are good as those of read.
+func (s *socket) readAvailable() []byte {
+	s.releaseBuffer()
+	s.readCount, s.readError = 0, nil
+	err := s.raw.Control(func(fd uintptr) { s.tryRead(fd) })
+	if err != nil || s.readError != nil || s.readCount == 0 {
+		return nil
+	}
+	return (*s.readBuffer)[:s.readCount]
+}
+
+// releaseBuffer gives the borrowed buffer back. The reading goroutine calls it when it has done with the last read.
+func (s *socket) releaseBuffer() {
+	if s.readBuffer != nil {
+		readBuffers.Put(s.readBuffer)
+		s.readBuffer = nil
+	}
+}
+
+// nothingToRead tells that no byte and no end of the peer is there to be read. A byte that is there is lost: the
+// connection is of no use then. It does not wait.
+func (s *socket) nothingToRead() bool {
+	nothing := false
+	err := s.raw.Control(func(fd uintptr) {
+		var b [1]byte
+		_, err := syscall.Read(int(fd), b[:])
+		nothing = err == syscall.EAGAIN || err == syscall.EINTR
+	})
+	return err == nil && nothing
 }
 
-// releaseBuffer gives the buffer back.
-func (l *socket) releaseBuffer() {
-	if l.readBuffer != nil {
-		readBuffers.Put(l.readBuffer)
-		l.readBuffer = nil
+// clearReadDeadline takes the read deadline back, unless it is there because writing has failed.
+func (s *socket) clearReadDeadline() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.failed {
+		s.conn.SetReadDeadline(time.Time{})
 	}
 }
 
-func (l *socket) tryWrite(fd uintptr) bool {
+// tryWrite writes what the kernel takes at once. It is always over: the rest is flush's.
+func (s *socket) tryWrite(fd uintptr) bool {
 	for {
-		n, err := syscall.Write(int(fd), l.writeSource[l.writeCount:])
+		n, err := syscall.Write(int(fd), s.writeSource[s.writeCount:])
 		if n > 0 {
-			l.writeCount += n
+			s.writeCount += n
 		}
-		switch {
-		case err == syscall.EINTR:
+		switch err {
+		case syscall.EINTR:
 			continue
-		case err == syscall.EAGAIN || err == nil && l.writeCount < len(l.writeSource):
-			return true // the rest is the flusher's
-		case err != nil:
-			l.writeError = err
+		case nil, syscall.EAGAIN:
+		default:
+			s.writeError = err
 		}
 		return true
 	}
 }
 
-// write hands bytes to the kernel as far as it takes them and keeps the rest. It never blocks. short tells that the
-// connection failed before all of b went out.
-func (l *socket) write(b []byte) (incomplete bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.failed {
-		l.incomplete = true
+// write hands bytes to the kernel as far as it takes them and keeps the rest. It never blocks. incomplete tells that the
+// connection failed before all of b was written.
+func (s *socket) write(b []byte) (incomplete bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.failed {
+		s.incomplete = true
 		return true
 	}
-	if l.flushing {
-		l.unwritten = append(l.unwritten, b...)
+	if s.flushing {
+		s.unwritten = append(s.unwritten, b...)
 		return false
 	}
-	l.writeSource, l.writeCount, l.writeError = b, 0, nil
-	err := l.raw.Write(l.tryWriteFunc)
-	l.writeSource = nil
-	if err != nil || l.writeError != nil {
-		l.incomplete = l.writeCount < len(b)
-		l.failLocked()
-		return l.incomplete
+	s.writeSource, s.writeCount, s.writeError = b, 0, nil
+	err := s.raw.Write(s.tryWriteFunc)
+	s.writeSource = nil
+	if err != nil || s.writeError != nil {
+		s.incomplete = s.writeCount < len(b)
+		s.failLocked()
+		return s.incomplete
 	}
-	if l.writeCount < len(b) {
-		l.unwritten = append(l.unwritten, b[l.writeCount:]...)
-		l.flushing = true
-		go l.flush()
+	if s.writeCount < len(b) {
+		s.unwritten = append(s.unwritten, b[s.writeCount:]...)
+		s.flushing = true
+		go s.flush() // ends within writeTimeout of the last chunk, or with close
 	}
 	return false
 }
 
-// flush writes what was kept. It ends when all is out, or the peer takes too long over 64 KiB, or the link closes.
-func (l *socket) flush() {
-	l.mu.Lock()
-	for len(l.unwritten) > 0 && !l.failed {
-		chunk := l.unwritten[:min(len(l.unwritten), 64<<10)]
-		l.mu.Unlock()
-		l.conn.SetWriteDeadline(time.Now().Add(l.writeTimeout))
-		n, err := l.conn.Write(chunk)
-		l.mu.Lock()
-		l.unwritten = l.unwritten[n:]
+// flush writes what was kept. It ends when all is written, the peer takes too long over flushChunk, or the socket closes.
+func (s *socket) flush() {
+	s.mu.Lock()
+	for len(s.unwritten) > 0 && !s.failed {
+		chunk := s.unwritten[:min(len(s.unwritten), flushChunk)]
+		s.mu.Unlock()
+		s.conn.SetWriteDeadline(time.Now().Add(s.writeTimeout))
+		n, err := s.conn.Write(chunk)
+		s.mu.Lock()
+		s.unwritten = s.unwritten[n:]
 		if err != nil {
-			l.failLocked()
+			s.failLocked()
 		}
-		l.writeProgress.Broadcast()
+		s.writeProgress.Broadcast()
 	}
-	l.incomplete = len(l.unwritten) > 0
-	l.unwritten, l.flushing = nil, false
-	l.writeProgress.Broadcast()
-	if !l.failed {
-		l.conn.SetWriteDeadline(time.Time{})
+	s.incomplete = len(s.unwritten) > 0
+	s.unwritten, s.flushing = nil, false
+	s.writeProgress.Broadcast()
+	if !s.failed {
+		s.conn.SetWriteDeadline(time.Time{})
 	}
-	f := l.onFlushed
-	l.mu.Unlock()
-	if f != nil {
-		f()
+	onFlushed := s.onFlushed
+	s.mu.Unlock()
+	if onFlushed != nil {
+		onFlushed()
 	}
 }
 
-func (l *socket) failLocked() {
-	l.failed = true
-	l.writeProgress.Broadcast()
-	l.conn.SetReadDeadline(time.Unix(1, 0)) // the reader finds out
-}
-
-// clearReadDeadline takes the read deadline back, unless it is there to end the reading for good.
-func (l *socket) clearReadDeadline() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.failed {
-		l.conn.SetReadDeadline(time.Time{})
-	}
+func (s *socket) failLocked() {
+	s.failed = true
+	s.writeProgress.Broadcast()
+	s.conn.SetReadDeadline(inThePast) // the reader finds out
 }
 
 // unwrittenBytes is how many bytes are kept.
-func (l *socket) unwrittenBytes() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.unwritten)
-}
-
-// writeFailed tells whether writing has failed.
-func (l *socket) writeFailed() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.failed
+func (s *socket) unwrittenBytes() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.unwritten)
 }
 
-// waitUnwrittenBelow waits until less than n bytes are kept or the link has failed.
-func (l *socket) waitUnwrittenBelow(n int) {
-	l.mu.Lock()
-	for len(l.unwritten) >= n && !l.failed {
-		l.writeProgress.Wait()
-	}
-	l.mu.Unlock()
+// writeFailed tells whether a write has failed, or the socket was closed.
+func (s *socket) writeFailed() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.failed
 }
 
-// nothingToRead tells that nothing lies there to be read, and that the other side has not ended; what does lie there is lost. It
-// does not wait.
-func (l *socket) nothingToRead() bool {
-	quiet := false
-	err := l.raw.Control(func(fd uintptr) {
-		var b [1]byte
-		_, err := syscall.Read(int(fd), b[:])
-		quiet = err == syscall.EAGAIN || err == syscall.EINTR
-	})
-	return err == nil && quiet
-}
-
-// readAvailable reads what lies there, and does not wait. The bytes are good until the next read.
-func (l *socket) readAvailable() []byte {
-	l.releaseBuffer()
-	l.readCount, l.readError = 0, nil
-	if l.raw.Control(func(fd uintptr) { l.tryRead(fd) }) != nil || l.readError != nil || l.readCount == 0 {
-		return nil
+// waitUnwrittenBelow waits until less than n bytes are kept or the socket has failed.
+func (s *socket) waitUnwrittenBelow(n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for len(s.unwritten) >= n && !s.failed {
+		s.writeProgress.Wait()
 	}
-	return (*l.readBuffer)[:l.readCount]
 }
 
-// closeAndFlushed closes the link and tells whether the kernel took all that it was handed.
-func (l *socket) closeAndFlushed() (whole bool) {
-	l.close()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for l.flushing {
-		l.writeProgress.Wait()
+// closeAndFlushed closes the socket and tells whether the kernel had taken all that it was handed.
+func (s *socket) closeAndFlushed() bool {
+	s.close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for s.flushing {
+		s.writeProgress.Wait()
 	}
-	return !l.incomplete
+	return !s.incomplete
 }
 
-// close ends the link; what was kept is lost.
-func (l *socket) close() {
-	l.mu.Lock()
-	l.failed = true
-	l.writeProgress.Broadcast()
-	l.mu.Unlock()
-	l.conn.Close()
+// close closes the connection; what was kept is lost.
+func (s *socket) close() {
+	s.mu.Lock()
+	s.failed = true
+	s.writeProgress.Broadcast()
+	s.mu.Unlock()
+	s.conn.Close()
 }
 
+// isTimeout tells an error of a read, write or accept whose deadline has passed.
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
