--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -67,15 +67,15 @@
 }
 
 // serveClient starts the goroutine of an accepted connection, or rejects it where limits.connections are open and none
-// makes room. It waits for clientSlotTimeout at most, and counts the connection in shared.Clients until it is closed.
+// makes room. It waits for clientSlotTimeout at most, and counts the connection in shared.ClientConns until it is closed.
 func (s *Server) serveClient(conn *net.TCPConn) {
-	if open := s.shared.Clients.Add(1); open > int64(s.cfg.Limits.Connections) && !s.waitForClientSlot() {
+	if open := s.shared.ClientConns.Add(1); open > int64(s.cfg.Limits.Connections) && !s.waitForClientSlot() {
 		s.rejectClient(conn)
 		return
 	}
 	cc, err := s.newClientConn(conn)
 	if err != nil {
-		s.shared.Clients.Add(-1)
+		s.shared.ClientConns.Add(-1)
 		conn.Close()
 		return
 	}
@@ -87,20 +87,20 @@
 		s.clientsMu.Lock()
 		delete(s.clients, cc)
 		s.clientsMu.Unlock()
-		s.shared.Clients.Add(-1)
+		s.shared.ClientConns.Add(-1)
 		return nil
 	})
 }
 
 // rejectClient answers a connection beyond the limit, or closes it unread where maxRejectedConnections are being answered.
 func (s *Server) rejectClient(conn *net.TCPConn) {
-	if s.shared.Clients.Load() > int64(s.cfg.Limits.Connections)+maxRejectedConnections {
-		s.shared.Clients.Add(-1)
+	if s.shared.ClientConns.Load() > int64(s.cfg.Limits.Connections)+maxRejectedConnections {
+		s.shared.ClientConns.Add(-1)
 		conn.Close()
 		return
 	}
 	s.goroutines.Go(func() error {
-		defer s.shared.Clients.Add(-1)
+		defer s.shared.ClientConns.Add(-1)
 		rejectConnection(conn, s.shared.TooManyConnections())
 		return nil
 	})
--- a/internal/server/backendconn.go
+++ b/internal/server/backendconn.go
@@ -115,13 +115,13 @@
 	case io.EOF:
 		response = bc.responses.EOF()
 	default:
-		response = bc.responses.Lost()
+		response = bc.responses.ConnectionLost()
 	}
 	switch response.Kind {
 	case proxy.Complete, proxy.Ended, proxy.Malformed:
 		bc.exchange = nil
 		bc.closed = response.Kind == proxy.Malformed
-		response.Reuse = response.Reuse && bc.socket.unwrittenBytes() == 0
+		response.ReuseConn = response.ReuseConn && bc.socket.unwrittenBytes() == 0
 	}
 	return response
 }
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -99,11 +99,11 @@
 		cc.readDeadline = 0
 		cc.server.expiredReads.Add(1)
 		cc.socket.clearReadDeadline() // a deadline that has passed would end every read from now on at once
-		cc.client.Expired(now)
+		cc.client.DeadlinePassed(now)
 		cc.advance(now, nil)
 	default:
 		cc.closed = true
-		if exchange := cc.client.Gone(); exchange != nil {
+		if exchange := cc.client.Disconnected(); exchange != nil {
 			cc.server.post(clientLeft{exchange})
 		}
 		return false
@@ -134,7 +134,7 @@
 func (cc *clientConn) closeGracefully() {
 	cc.mu.Lock()
 	linger := cc.lingers && !cc.evicted
-	if cc.client.Aborts() {
+	if cc.client.MustReset() {
 		cc.socket.conn.SetLinger(0)
 		cc.mu.Unlock()
 		return
@@ -183,7 +183,7 @@
 			return
 		}
 		request = cc.client.Resume(now)
-		if request == nil && len(cc.client.Out) == 0 {
+		if request == nil && len(cc.client.Outgoing) == 0 {
 			if cc.markClosedIfFinished() {
 				return
 			}
@@ -197,29 +197,29 @@
 // logOwnResponses logs the responses that the connection has given without the instance. mu is held.
 func (cc *clientConn) logOwnResponses() {
 	if cc.server.debug {
-		for _, status := range cc.client.OwnStatuses {
+		for _, status := range cc.client.LocalStatuses {
 			cc.server.log.Debug("answer", "status", status, "client", cc.socket.conn.RemoteAddr().String())
 		}
 	}
-	cc.client.OwnStatuses = cc.client.OwnStatuses[:0]
+	cc.client.LocalStatuses = cc.client.LocalStatuses[:0]
 }
 
 // writeOutput writes what the state machine has for the client. mu is held.
 func (cc *clientConn) writeOutput() {
-	if len(cc.client.Out) == 0 {
+	if len(cc.client.Outgoing) == 0 {
 		return
 	}
-	cc.socket.write(cc.client.Out)
-	cc.client.Out = cc.client.Out[:0]
-	if cap(cc.client.Out) > maxIdleOutputBytes {
-		cc.client.Out = nil
+	cc.socket.write(cc.client.Outgoing)
+	cc.client.Outgoing = cc.client.Outgoing[:0]
+	if cap(cc.client.Outgoing) > maxIdleOutputBytes {
+		cc.client.Outgoing = nil
 	}
 }
 
 // markClosedIfFinished tells whether the connection is over, and lets its reader know; mu is held and nothing is unwritten.
 func (cc *clientConn) markClosedIfFinished() bool {
 	closes, linger := cc.client.Closing()
-	if !closes || len(cc.client.Out) > 0 {
+	if !closes || len(cc.client.Outgoing) > 0 {
 		return false
 	}
 	if !cc.closed {
@@ -245,7 +245,7 @@
 // respond hands an answer, or its beginning, to the client.
 func (cc *clientConn) respond(now time.Duration, ex *proxy.Exchange, b []byte, more, closes bool) {
 	cc.mu.Lock()
-	cc.client.Answered(now, ex, b, more, closes)
+	cc.client.Respond(now, ex, b, more, closes)
 	cc.advance(now, nil)
 	cc.mu.Unlock()
 }
@@ -253,7 +253,7 @@
 // relayBody hands on more of an answer and waits until the client has taken enough of it.
 func (cc *clientConn) relayBody(now time.Duration, ex *proxy.Exchange, b []byte, end, broken bool) {
 	cc.mu.Lock()
-	cc.client.Relay(now, ex, b, end, broken)
+	cc.client.ContinueResponse(now, ex, b, end, broken)
 	cc.advance(now, nil)
 	cc.mu.Unlock()
 	if !end && !broken {
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -28,7 +28,7 @@
 // there is room or one is on its way out. The accept loop calls it; connections that come meanwhile wait in the backlog.
 func (s *Server) waitForClientSlot() bool {
 	for range clientSlotTimeout / clientSlotPoll {
-		over := s.shared.Clients.Load() - int64(s.cfg.Limits.Connections)
+		over := s.shared.ClientConns.Load() - int64(s.cfg.Limits.Connections)
 		if over <= 0 {
 			return true
 		}
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -109,10 +109,10 @@
 		case proxy.CloseBackend:
 			effect.Conn.Owner.(*backendConn).close()
 		case proxy.Respond:
-			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, false, effect.Closes)
+			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, false, effect.CloseAfterResponse)
 			s.logResponse(effect.Exchange)
 		case proxy.StreamResponse:
-			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, true, effect.Closes)
+			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, true, effect.CloseAfterResponse)
 			effect.Conn.Owner.(*backendConn).streamPermit <- true
 			s.logResponse(effect.Exchange)
 		case proxy.AbortClient:
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -39,7 +39,7 @@
 	firstFile *os.File
 
 	mu      sync.Mutex // guards all below
-	steps   []proxy.Step
+	steps   []proxy.DecisionStep
 	dropped uint64 // since the steps were last taken
 	ended   bool   // by an error
 
@@ -72,8 +72,8 @@
 		return nil, err
 	}
 	r.firstFile = r.file
-	r.steps = append(r.steps, s.instance.FirstStep(s.startedAt))
-	s.instance.Record = r.record
+	r.steps = append(r.steps, s.instance.InitialDecision(s.startedAt))
+	s.instance.RecordDecision = r.record
 	return r, nil
 }
 
@@ -113,7 +113,7 @@
 }
 
 // record takes a step. Only the event loop calls it; it waits for no disk.
-func (r *recorder) record(step proxy.Step) {
+func (r *recorder) record(step proxy.DecisionStep) {
 	if !r.sampled(step) {
 		return
 	}
@@ -130,7 +130,7 @@
 
 // sampled tells whether a step belongs to the recorded share. A sample is of requests, drawn by a hash of their number;
 // steps that concern no one request are left out of it.
-func (r *recorder) sampled(step proxy.Step) bool {
+func (r *recorder) sampled(step proxy.DecisionStep) bool {
 	if r.cfg.Mode != "sampled" || r.cfg.Share >= 1 {
 		return true
 	}
@@ -177,7 +177,7 @@
 	}
 }
 
-func (r *recorder) takeSteps() (steps []proxy.Step, dropped uint64) {
+func (r *recorder) takeSteps() (steps []proxy.DecisionStep, dropped uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	steps, dropped = r.steps, r.dropped
@@ -192,11 +192,11 @@
 }
 
 // write writes steps in frames, and behind them the count of those that were dropped after they had filled the buffer.
-func (r *recorder) write(steps []proxy.Step, dropped uint64) error {
+func (r *recorder) write(steps []proxy.DecisionStep, dropped uint64) error {
 	var items []trace.Item
 	for i := range steps {
 		items = r.appendStep(items, &steps[i])
-		if len(items) >= maxFrameItems && steps[i].State == nil {
+		if len(items) >= maxFrameItems && steps[i].Snapshot == nil {
 			if err := r.writeItems(items); err != nil {
 				return err
 			}
@@ -216,7 +216,7 @@
 }
 
 // appendStep appends a step, behind the names of backends that it is the first to have.
-func (r *recorder) appendStep(items []trace.Item, step *proxy.Step) []trace.Item {
+func (r *recorder) appendStep(items []trace.Item, step *proxy.DecisionStep) []trace.Item {
 	if list, ok := step.Event.(decision.EndpointsChanged); ok {
 		for i, name := range step.EndpointNames {
 			id := list.Endpoints[i].Backend
@@ -226,11 +226,11 @@
 			}
 		}
 	}
-	if step.State != nil {
-		return append(items, trace.Item{At: step.At, State: step.State})
+	if step.Snapshot != nil {
+		return append(items, trace.Item{At: step.At, State: step.Snapshot})
 	}
 	return append(items, trace.Item{At: step.At, Event: trace.FromEvent(step.Event), Actions: trace.FromActions(step.Actions),
-		Op: step.Operation, First: step.Event == nil})
+		Op: step.OperationNumber, First: step.Event == nil})
 }
 
 // writeItems writes items as one frame, in the next file where this one would grow beyond trace.file-size.
