--- /dev/null
+++ b/internal/cli/serve.go
@@ -0,0 +1,122 @@
+package cli
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"sandyard/config"
+	"sandyard/emulator"
+	"sandyard/internal/server"
+)
+
+// serve is "sandyard serve".
+type serve struct {
+	Config       string        `required:"" type:"path" help:"The gateway.yaml to serve." placeholder:"FILE"`
+	Listen       string        `help:"Address to listen on, instead of the configured one." placeholder:"ADDR"`
+	WithStandIns bool          `help:"Start stand-ins for the keeper and the listed boxes in this process."`
+	StandInWork  time.Duration `default:"20ms" help:"Mean work of a request at a stand-in box."`
+	Seed         uint64        `help:"Seed of the decisions; drawn if absent."`
+}
+
+// Run serves until SIGTERM or SIGINT, and then until what is under way is answered.
+func (s serve) Run(c *Console) error {
+	cfg, err := config.Load(s.Config)
+	if err != nil {
+		return err
+	}
+	log := logger(c.Errs, cfg)
+	options := server.Options{Log: log, Seed: s.Seed}
+	if options.Seed == 0 {
+		options.Seed = rand.Uint64()
+	}
+	if s.Listen != "" {
+		cfg.Listen = s.Listen
+	}
+	if s.WithStandIns {
+		addresses, stop, err := startEmulators(cfg, s.StandInWork, log)
+		if err != nil {
+			return err
+		}
+		defer stop()
+		options.BackendAddresses = addresses
+	}
+	instance, err := server.Listen(cfg, cfg.Listen, options)
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	log.Info("listening", "addr", instance.Addr().String(), "door", cfg.Instance.Number, "of", cfg.Instance.Total, "seed", options.Seed)
+	return instance.Serve(ctx)
+}
+
+// logger writes at the configured level and in the configured format.
+func logger(w io.Writer, cfg *config.Config) *slog.Logger {
+	var level slog.Level
+	level.UnmarshalText([]byte(cfg.Log.Level)) // checked with the configuration
+	opt := &slog.HandlerOptions{Level: level}
+	if cfg.Log.Format == "text" {
+		return slog.New(slog.NewTextHandler(w, opt))
+	}
+	return slog.New(slog.NewJSONHandler(w, opt))
+}
+
+// anyAddress is a free port of this machine.
+const anyAddress = "127.0.0.1:0"
+
+// startEmulators starts an emulated counter and the listed backends at the addresses that the configuration gives them, or
+// at others of this machine where those are taken; the configuration gets the counter's. It returns the addresses of the
+// backends by name, and what stops all.
+func startEmulators(cfg *config.Config, work time.Duration, log *slog.Logger) (map[string]string, func(), error) {
+	var running []interface{ Close() }
+	stop := func() {
+		for _, emulated := range running {
+			emulated.Close()
+		}
+	}
+	if cfg.Counter.Address != "" {
+		counter, err := startEmulatedCounter(cfg.Counter.Address)
+		if err != nil {
+			return nil, nil, fmt.Errorf("emulated counter: %w", err)
+		}
+		running = append(running, counter)
+		cfg.Counter.Address = counter.Addr()
+		log.Info("emulated counter", "addr", counter.Addr())
+	}
+	addresses := map[string]string{}
+	for i, endpoint := range cfg.Endpoints {
+		backend, err := startEmulatedBackend(endpoint.Address,
+			emulator.BackendConfig{Name: endpoint.Name, Work: work, Spread: 1, Seed: uint64(i)})
+		if err != nil {
+			stop()
+			return nil, nil, fmt.Errorf("emulated backend %s: %w", endpoint.Name, err)
+		}
+		running = append(running, backend)
+		addresses[endpoint.Name] = backend.Addr()
+		log.Info("emulated backend", "name", endpoint.Name, "addr", backend.Addr())
+	}
+	return addresses, stop, nil
+}
+
+func startEmulatedCounter(addr string) (*server.EmulatedCounter, error) {
+	counter, err := server.StartCounter(addr)
+	if errors.Is(err, syscall.EADDRINUSE) {
+		return server.StartCounter(anyAddress)
+	}
+	return counter, err
+}
+
+func startEmulatedBackend(addr string, cfg emulator.BackendConfig) (*server.EmulatedBackend, error) {
+	backend, err := server.StartBackend(addr, cfg, nil)
+	if errors.Is(err, syscall.EADDRINUSE) {
+		return server.StartBackend(anyAddress, cfg, nil)
+	}
+	return backend, err
+}
--- a/internal/server/socket.go
+++ b/internal/server/socket.go
@@ -28,10 +28,10 @@
 	conn         *net.TCPConn
 	raw          syscall.RawConn
 	writeTimeout time.Duration // for the peer to take flushChunk
-	onFlushed    func()        // called, without locks held, when what was kept is written or lost; set before the first write
 
 	// mu guards all below, but for the fields of the reading goroutine.
 	mu            sync.Mutex
+	onFlushed     func()    // called, without locks held, when what was kept is written or lost; nil: nothing is
 	writeProgress sync.Cond // on mu: signalled when unwritten shrinks, flushing ends or the socket fails
 	unwritten     []byte
 	flushing      bool // a goroutine writes what is unwritten
@@ -251,6 +251,25 @@
 	return !s.incomplete
 }
 
+// closeAfterFlush closes the connection when all that it was handed is written. It does not wait.
+func (s *socket) closeAfterFlush() {
+	s.mu.Lock()
+	flushing := s.flushing
+	if flushing {
+		s.onFlushed = func() { s.conn.Close() }
+	}
+	s.mu.Unlock()
+	if !flushing {
+		s.close()
+	}
+}
+
+// reset closes the connection with a reset; what the peer has not read by then may be lost.
+func (s *socket) reset() {
+	s.conn.SetLinger(0)
+	s.close()
+}
+
 // close closes the connection; what was kept is lost.
 func (s *socket) close() {
 	s.mu.Lock()
