--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// TestMain lets the test's program play a front door as a process of its own, with few descriptors.
+// TestMain lets the test binary run an instance as a process of its own, with few descriptors.
 func TestMain(m *testing.M) {
 	if os.Getenv("TEST_AS_NODE") != "" {
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: nodeSockets, Max: nodeSockets}); err != nil {
@@ -60,7 +60,7 @@
 	return ln.Addr().String()
 }
 
-// nodeProcess is a front door as a process.
+// nodeProcess is an instance on the platform as a process.
 type nodeProcess struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -163,13 +163,13 @@
 // TestNodeWithFewDescriptors: idle clients take all connections that there may be while discovery is silent; requests are
 // still served, the configuration is read at SIGHUP, and the new discovery and counter are reached.
 func TestNodeWithFewDescriptors(t *testing.T) {
-	box, other := startPeer(t, serveHTTP), startPeer(t, serveHTTP)
-	text := func(disco, counter, box string) func(string) string {
+	backend, other := startPeer(t, serveHTTP), startPeer(t, serveHTTP)
+	text := func(discovery, counter, backend string) func(string) string {
 		return func(listen string) string {
-			return fmt.Sprintf(nodeText, listen, disco, counter, nodeSockets, box, false)
+			return fmt.Sprintf(nodeText, listen, discovery, counter, nodeSockets, backend, false)
 		}
 	}
-	p := startProcess(t, text(startPeer(t, discardInput), startPeer(t, serveCounter), box))
+	p := startProcess(t, text(startPeer(t, discardInput), startPeer(t, serveCounter), backend))
 	p.waitForLog("msg=listening")
 	for s := 0; s != 200; { // with the list that it was started with
 		var c net.Conn
@@ -201,7 +201,7 @@
 		discardInput(c, in)
 	})
 	counter := startPeer(t, serveCounter)
-	p.configure(text(lists, counter, box)(p.listen))
+	p.configure(text(lists, counter, backend)(p.listen))
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.waitForLog("msg=reload", lists)
 	p.waitForLog("list of boxes", "seq=9")
@@ -210,14 +210,14 @@
 // TestNodeSignals: SIGHUP with a broken file leaves all as it was; SIGHUP twice at once, SIGTERM right behind one, and SIGTERM twice
 // end in order; a broken file at the start is one line with the field, and status 1.
 func TestNodeSignals(t *testing.T) {
-	disco := startPeer(t, func(c net.Conn, in *bufio.Reader) {
+	discovery := startPeer(t, func(c net.Conn, in *bufio.Reader) {
 		http.ReadRequest(in)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
 		discardInput(c, in)
 	})
-	counter, box := startPeer(t, serveCounter), startPeer(t, serveHTTP)
+	counter, backend := startPeer(t, serveCounter), startPeer(t, serveHTTP)
 	text := func(listen string) string {
-		return fmt.Sprintf(nodeText, listen, disco, counter, nodeSockets, box, false)
+		return fmt.Sprintf(nodeText, listen, discovery, counter, nodeSockets, backend, false)
 	}
 	p := startProcess(t, text)
 	p.waitForLog("msg=listening")
--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// isShortage tells errors of accept that pass: no descriptors or memory left, or a client that left the backlog.
+// isShortage reports errors of accept that pass: no descriptors or memory left, or a client that left the backlog.
 func isShortage(err error) bool {
 	for _, passing := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
 		if errors.Is(err, passing) {
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -40,9 +40,9 @@
 	minSnapshotInterval = 250 * time.Millisecond
 	// takeoverTimeout is how long a socket file is tried for a process that listens there.
 	takeoverTimeout = time.Second
-	// maxAdminLine and maxAdminHead bound a request (bytes): a target holds the header fields of one that is matched.
-	maxAdminLine = 16 << 10
-	maxAdminHead = 20 << 10
+	// maxAdminRequestTarget and maxAdminHead bound a request (bytes): a target holds the header fields of one that is matched.
+	maxAdminRequestTarget = 16 << 10
+	maxAdminHead          = 20 << 10
 	// maxInspectedUnits bounds the units of /v1/would: beyond it no plan reaches.
 	maxInspectedUnits = 1e9
 )
@@ -184,7 +184,7 @@
 // serve answers one request; tools need no more.
 func (a *adminServer) serve(c net.Conn) {
 	c.SetDeadline(time.Now().Add(adminTimeout))
-	requests := http1.NewRequests(http1.Limits{Line: maxAdminLine, Head: maxAdminHead})
+	requests := http1.NewRequests(http1.Limits{Line: maxAdminRequestTarget, Head: maxAdminHead})
 	b := make([]byte, 4096)
 	for {
 		n, err := c.Read(b)
--- a/internal/server/backendconn.go
+++ b/internal/server/backendconn.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// begin reports how the dial went, unless the event loop has closed the connection meanwhile. It tells whether there is a
+// begin reports how the dial went, unless the event loop has closed the connection meanwhile. It reports whether there is a
 // connection to read.
 func (bc *backendConn) begin(socket *socket, err error) bool {
 	bc.mu.Lock()
@@ -139,11 +139,11 @@
 		}
 		bc.setStreamDeadline()
 	case proxy.Continued:
-		exchange.Owner.(*clientConn).relayBody(bc.server.now(), exchange, response.Bytes, false, false)
+		exchange.Owner.(*clientConn).continueStream(bc.server.now(), exchange, response.Bytes)
 		bc.setStreamDeadline()
 	case proxy.Ended:
 		bc.socket.conn.SetReadDeadline(time.Time{})
-		exchange.Owner.(*clientConn).relayBody(bc.server.now(), exchange, response.Bytes, true, false)
+		exchange.Owner.(*clientConn).endStream(bc.server.now(), exchange, response.Bytes)
 		bc.postResponse(response)
 	case proxy.Malformed:
 		if bc.socket.closeAndFlushed() {
--- /dev/null
+++ b/internal/server/backendconn_test.go
@@ -0,0 +1,199 @@
+package server
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"runtime"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"sandyard/internal/platform"
+	"sandyard/proxy"
+)
+
+// newTestBackendConn is a connection to a backend on which nothing reads, with a server that keeps the messages to its
+// event loop.
+func newTestBackendConn(t *testing.T) (*backendConn, *net.TCPConn, *Server) {
+	t.Helper()
+	n, err := platform.ParseConfig(fmt.Appendf(nil, nodeConfig, "127.0.0.1:1", "127.0.0.1:1", 64, "127.0.0.1:1"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	l, peer := newSocketPair(t)
+	s := &Server{cfg: n.Config, shared: &proxy.Shared{Config: n.Config, Protocol: n}}
+	return &backendConn{server: s, socket: l, conn: &proxy.BackendConn{}, cancel: func() {}, responses: proxy.NewResponseReader(s.shared), streamPermit: make(chan bool, 1)}, peer, s
+}
+
+// requireReportedNotSent fails unless the only message to the event loop is that the connection was lost with nothing
+// sent.
+func requireReportedNotSent(t *testing.T, s *Server) {
+	t.Helper()
+	if len(s.queue) != 1 {
+		t.Errorf("the event loop is given %+v", s.queue)
+		return
+	}
+	if _, ok := s.queue[0].(backendLostNotSent); !ok {
+		t.Errorf("the event loop is given %+v", s.queue[0])
+	}
+}
+
+// TestNoRequestIsWrittenBehindUnreadBytes: Bytes that lie unread on an idle backend connection, a second response or a
+// part of one, would be taken for the response to the next request. The request must not be written, and counts as
+// never sent, so that it may go to another backend.
+func TestNoRequestIsWrittenBehindUnreadBytes(t *testing.T) {
+	for name, act := range map[string]func(*net.TCPConn){
+		"an answer":   func(p *net.TCPConn) { io.WriteString(p, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno") },
+		"half a line": func(p *net.TCPConn) { io.WriteString(p, "HTT") },
+		"an end":      func(p *net.TCPConn) { p.Close() },
+		"a reset":     func(p *net.TCPConn) { p.SetLinger(0); p.Close() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			bc, peer, s := newTestBackendConn(t)
+			act(peer)
+			waitReadable(t, bc.socket)
+			bc.write(&proxy.Exchange{Method: "GET"}, []byte("GET / HTTP/1.1\r\n\r\n"))
+			requireReportedNotSent(t, s)
+			bc.socket.close()
+			if b, _ := io.ReadAll(peer); len(b) > 0 {
+				t.Errorf("written all the same: %q", b)
+			}
+		})
+	}
+}
+
+// TestIdleBackendConnectionEndCountsAsNotSent: A backend closes an idle connection, or sends bytes on it, and before
+// the event loop handles that it has put a request on the connection. The request counts as never sent, and is reported
+// once.
+func TestIdleBackendConnectionEndCountsAsNotSent(t *testing.T) {
+	for name, act := range map[string]func(*net.TCPConn){
+		"noise": func(p *net.TCPConn) { io.WriteString(p, "noise\r\n\r\n") },
+		"end":   func(p *net.TCPConn) { p.Close() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			bc, peer, s := newTestBackendConn(t)
+			act(peer)
+			if bc.readOnce(bc.socket) {
+				t.Error("the connection is still read")
+			}
+			bc.write(&proxy.Exchange{Method: "GET"}, []byte("x")) // decided before the event loop has handled the connection's end
+			requireReportedNotSent(t, s)
+		})
+	}
+}
+
+// TestPartlyWrittenRequestCountsAsNotSent: A connection breaks while a request is written. If the kernel took only a
+// part of it the backend can't have begun: it counts as never sent, and may be retried. If all of it went out it may
+// have run, and is a malformed response.
+func TestPartlyWrittenRequestCountsAsNotSent(t *testing.T) {
+	for _, whole := range []bool{false, true} {
+		bc, peer, s := newTestBackendConn(t)
+		wire := []byte("POST / HTTP/1.1\r\n\r\n")
+		if !whole {
+			wire = append(wire, make([]byte, 32<<20)...) // more than kernels hold
+		}
+		bc.write(&proxy.Exchange{Method: "POST"}, wire)
+		if whole {
+			io.ReadFull(peer, wire)
+		}
+		peer.SetLinger(0)
+		peer.Close()
+		for bc.readOnce(bc.socket) {
+		}
+		if !whole {
+			requireReportedNotSent(t, s)
+			continue
+		}
+		if len(s.queue) != 1 {
+			t.Fatalf("the event loop is given %+v", s.queue)
+		}
+		if m, ok := s.queue[0].(*responseReceived); !ok || m.response.Kind != proxy.Malformed {
+			t.Errorf("the event loop is given %+v", s.queue[0])
+		}
+	}
+}
+
+// TestNothingIsSentForDisconnectedClient: A client disconnects while the connection for its request is made. Nothing
+// may be sent for it, also where an attempt can't be cancelled once it is sent, as on the platform.
+func TestNothingIsSentForDisconnectedClient(t *testing.T) {
+	asked := make(chan string, 16)
+	backend := startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
+		for {
+			req, err := http.ReadRequest(in)
+			if err != nil {
+				return
+			}
+			asked <- req.Header.Get("X-Request-Id")
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		}
+	})
+	count, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, count, 64, backend)
+	c, err := net.Dial("tcp", r.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cc := r.clientConnOf(c)
+	hold, held := make(chan struct{}), make(chan struct{})
+	r.server.post(inspection(func(*proxy.Instance, time.Duration) { close(held); <-hold })) // what comes now waits in the queue
+	<-held
+	io.WriteString(c, strings.Replace(nodeRequest(7), "spread=2", "spread=1", 1)) // no counter is asked
+	for waiting := false; !waiting; runtime.Gosched() {
+		cc.mu.Lock()
+		waiting = cc.client.AwaitingResponse()
+		cc.mu.Unlock()
+	}
+	c.Close()
+	for gone := false; !gone; runtime.Gosched() {
+		cc.mu.Lock()
+		gone = cc.closed
+		cc.mu.Unlock()
+	}
+	close(hold)
+	r.status(strings.Replace(nodeRequest(8), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
+	close(asked)
+	for id := range asked {
+		if id != "0000000000000008" {
+			t.Errorf("sent for a client that had gone: %s", id)
+		}
+	}
+}
+
+// TestBackendClosingIdleConnections: A backend closes each connection after its response without announcing it. No
+// request may run twice, and requests that are not idempotent must not fail in numbers.
+func TestBackendClosingIdleConnections(t *testing.T) {
+	var runs atomic.Int64
+	addr := startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
+		q, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		io.Copy(io.Discard, q.Body)
+		runs.Add(1)
+		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	})
+	r := startGateway(t, "", "", addr, addr)
+	served, failed := 0, 0
+	for range 60 {
+		switch s := r.status(request("POST", "/pay", "ka", "Content-Length: 0\r\n")); s {
+		case 200:
+			served++
+		case 502:
+			failed++
+		default:
+			t.Errorf("unsafe: %d", s)
+		}
+	}
+	if int(runs.Load()) > 60 || served < 30 {
+		t.Errorf("60 unsafe requests ran %d times; %d served, %d failed", runs.Load(), served, failed)
+	}
+	for range 60 {
+		if s := r.status(request("GET", "/look", "ka", "")); s != 200 && s != 503 {
+			t.Errorf("safe: %d", s)
+		}
+	}
+}
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -44,16 +44,17 @@
 	evicted        bool          // and without lingering: its last response arrived long ago, and another needs the place
 }
 
+// newClientConn sets up an accepted connection; its run has not begun.
 func (s *Server) newClientConn(conn *net.TCPConn) (*clientConn, error) {
-	l, err := newSocket(conn, time.Duration(s.cfg.Limits.WriteTimeout))
+	socket, err := newSocket(conn, time.Duration(s.cfg.Limits.WriteTimeout))
 	if err != nil {
 		return nil, err
 	}
-	cc := &clientConn{server: s, socket: l}
+	cc := &clientConn{server: s, socket: socket}
 	cc.readable.L = &cc.mu
 	host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
 	cc.client = proxy.NewClientConn(s.shared, cc, host, s.now())
-	l.onFlushed = cc.flushed
+	socket.onFlushed = cc.flushed
 	return cc, nil
 }
 
@@ -73,7 +74,7 @@
 	}
 }
 
-// waitReadable waits while the client has too much to take, sets the read deadline, and tells whether the last bytes are
+// waitReadable waits while the client has too much to take, sets the read deadline, and reports whether the last bytes are
 // written.
 func (cc *clientConn) waitReadable() (closed bool) {
 	cc.mu.Lock()
@@ -111,37 +112,40 @@
 	return true
 }
 
-// closeIfIdle ends a connection that was asked to end, if nothing of a request has been read by now. What lies there unread is
-// read first: a request that came before the end is answered. mu is held, by the reader, so that nothing is read and then
-// dropped unseen.
+// closeIfIdle ends a connection that was asked to end, if no part of a request has been read by now. What has come and is
+// unread is read first: a request that came before the end is answered. mu is held, and the reader calls it, so that
+// nothing is read and then dropped.
 func (cc *clientConn) closeIfIdle(now time.Duration) {
 	cc.closeRequested, cc.readDeadline = false, 0
 	cc.socket.clearReadDeadline()
-	if cc.client.Idle() {
-		if b := cc.socket.readAvailable(); len(b) > 0 {
-			cc.evicted = false
-			cc.advance(now, cc.client.Feed(now, b))
-			return
-		}
-		cc.client.Drain()
-	} else {
-		cc.evicted = false // it is in use
+	if !cc.client.Idle() {
+		cc.evicted = false
+		cc.advance(now, nil)
+		return
+	}
+	if b := cc.socket.readAvailable(); len(b) > 0 {
+		cc.evicted = false
+		cc.advance(now, cc.client.Feed(now, b))
+		return
 	}
+	cc.client.Drain()
 	cc.advance(now, nil)
 }
 
-// closeGracefully reads what a client still sends after its last answer, since closing on it could take the answer along.
+// closeGracefully shuts the sending side and reads what the client still sends, within lingeringCloseTimeout and
+// maxLingeringCloseBytes. run closes the connection then. One whose response broke off is reset: the client must not take
+// the end for that of a response without a length.
 func (cc *clientConn) closeGracefully() {
 	cc.mu.Lock()
-	linger := cc.lingers && !cc.evicted
-	if cc.client.MustReset() {
+	lingers := cc.lingers && !cc.evicted
+	resets := cc.client.MustReset()
+	cc.mu.Unlock()
+	if resets {
 		cc.socket.conn.SetLinger(0)
-		cc.mu.Unlock()
 		return
 	}
-	cc.mu.Unlock()
 	cc.socket.conn.CloseWrite()
-	if !linger || cc.socket.writeFailed() {
+	if !lingers || cc.socket.writeFailed() {
 		return
 	}
 	cc.socket.conn.SetReadDeadline(time.Now().Add(lingeringCloseTimeout))
@@ -154,13 +158,13 @@
 	}
 }
 
-// setReadDeadline sets the read deadline when the one that is set would come too late. One that comes too early is looked at
-// when it comes; so a busy connection sets none from request to request.
+// setReadDeadline sets the read deadline when the one that is set would come too late. One that comes too early ends a
+// read, and handleRead sets the next: so a busy connection sets none from request to request. mu is held.
 func (cc *clientConn) setReadDeadline() {
-	d := cc.client.Deadline()
-	if d != 0 && !cc.closeRequested && (cc.readDeadline == 0 || cc.readDeadline > d) {
-		cc.readDeadline = d
-		cc.socket.conn.SetReadDeadline(cc.server.clockOrigin().Add(d))
+	deadline := cc.client.Deadline()
+	if deadline != 0 && !cc.closeRequested && (cc.readDeadline == 0 || cc.readDeadline > deadline) {
+		cc.readDeadline = deadline
+		cc.socket.conn.SetReadDeadline(cc.server.clockOrigin().Add(deadline))
 	}
 }
 
@@ -216,21 +220,22 @@
 	}
 }
 
-// markClosedIfFinished tells whether the connection is over, and lets its reader know; mu is held and nothing is unwritten.
+// markClosedIfFinished reports whether the connection is over, and wakes its reader to close it. mu is held, and nothing is
+// unwritten.
 func (cc *clientConn) markClosedIfFinished() bool {
-	closes, linger := cc.client.Closing()
+	closes, lingers := cc.client.Closing()
 	if !closes || len(cc.client.Outgoing) > 0 {
 		return false
 	}
 	if !cc.closed {
-		cc.closed, cc.lingers = true, linger
+		cc.closed, cc.lingers = true, lingers
 		cc.socket.conn.SetReadDeadline(inThePast)
 		cc.readable.Signal()
 	}
 	return true
 }
 
-// flushed goes on once a slow client has taken what was kept for it.
+// flushed goes on once a slow client has taken what was kept for it. The socket's flusher calls it.
 func (cc *clientConn) flushed() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -242,30 +247,55 @@
 	cc.advance(cc.server.now(), nil)
 }
 
-// respond hands an answer, or its beginning, to the client.
-func (cc *clientConn) respond(now time.Duration, ex *proxy.Exchange, b []byte, more, closes bool) {
+// respond writes a whole response. closes says that its head announces the connection's end. It does not block.
+func (cc *clientConn) respond(now time.Duration, exchange *proxy.Exchange, response []byte, closes bool) {
 	cc.mu.Lock()
-	cc.client.Respond(now, ex, b, more, closes)
+	defer cc.mu.Unlock()
+	const more = false
+	cc.client.Respond(now, exchange, response, more, closes)
 	cc.advance(now, nil)
-	cc.mu.Unlock()
 }
 
-// relayBody hands on more of an answer and waits until the client has taken enough of it.
-func (cc *clientConn) relayBody(now time.Duration, ex *proxy.Exchange, b []byte, end, broken bool) {
+// startStream writes the beginning of a streamed response. closes says that only the connection's end can end it. It does
+// not block.
+func (cc *clientConn) startStream(now time.Duration, exchange *proxy.Exchange, beginning []byte, closes bool) {
 	cc.mu.Lock()
-	cc.client.ContinueResponse(now, ex, b, end, broken)
+	defer cc.mu.Unlock()
+	const more = true
+	cc.client.Respond(now, exchange, beginning, more, closes)
 	cc.advance(now, nil)
-	cc.mu.Unlock()
-	if !end && !broken {
-		cc.socket.waitUnwrittenBelow(maxUnwrittenClientBytes)
-	}
 }
 
-// requestClose asks for the connection's end if it is idle. Its reader ends it: what has been read by then is no idle connection.
+// continueStream writes more of a streamed response, and blocks while the client has maxUnwrittenClientBytes or more to
+// take: the backend's connection is not read meanwhile. The reader of that connection calls it.
+func (cc *clientConn) continueStream(now time.Duration, exchange *proxy.Exchange, part []byte) {
+	cc.relay(now, exchange, part, false, false)
+	cc.socket.waitUnwrittenBelow(maxUnwrittenClientBytes)
+}
+
+// endStream writes the end of a streamed response. It does not block.
+func (cc *clientConn) endStream(now time.Duration, exchange *proxy.Exchange, end []byte) {
+	cc.relay(now, exchange, end, true, false)
+}
+
+// abortStream ends the connection of a streamed response that broke off. It does not block.
+func (cc *clientConn) abortStream(now time.Duration, exchange *proxy.Exchange) {
+	cc.relay(now, exchange, nil, false, true)
+}
+
+func (cc *clientConn) relay(now time.Duration, exchange *proxy.Exchange, part []byte, end, broken bool) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	cc.client.ContinueResponse(now, exchange, part, end, broken)
+	cc.advance(now, nil)
+}
+
+// requestClose asks the reader to close the connection if it is idle. A request that comes before that is answered. Any
+// goroutine may call it; it does not block.
 func (cc *clientConn) requestClose() {
 	cc.mu.Lock()
+	defer cc.mu.Unlock()
 	cc.requestCloseLocked()
-	cc.mu.Unlock()
 }
 
 func (cc *clientConn) requestCloseLocked() {
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -45,7 +45,7 @@
 	return false
 }
 
-// evictIdleClient asks one idle connection to close, and tells whether there is one: one that has sent no request yet, or
+// evictIdleClient asks one idle connection to close, and reports whether there is one: one that has sent no request yet, or
 // else the one that has been idle for longest.
 func (s *Server) evictIdleClient() bool {
 	candidate := s.leastUsefulClient()
@@ -74,7 +74,7 @@
 	return candidate
 }
 
-// evictionRank tells whether a connection may be evicted; the one of the lowest rank is evicted first.
+// evictionRank reports whether a connection may be evicted; the one of the lowest rank is evicted first.
 func (cc *clientConn) evictionRank(now time.Duration) (rank time.Duration, evictable bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -128,7 +128,7 @@
 	return w.watchOnce(watchCtx, address)
 }
 
-// watchOnce runs one watch until it ends, and tells whether anything came of it.
+// watchOnce runs one watch until it ends, and reports whether anything came of it.
 func (w *endpointWatch) watchOnce(ctx context.Context, address string) (received bool, err error) {
 	dialCtx, cancel := context.WithTimeout(ctx, watchDialTimeout)
 	socket, err := dialTCP(dialCtx, address, watchSilenceTimeout)
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -15,8 +15,9 @@
 	"sandyard/internal/platform"
 )
 
-// TestEndpointUpdateDeadlines adds up what a change of the list waits for on its way here, row by row of the table in
-// docs/design/platform.md: each has to stay a margin under the time after which it counts as told.
+// TestEndpointUpdateDeadlines adds up what a change of the endpoint list waits for on its way here, row by row of the
+// table in docs/design/platform.md. Each sum must stay a margin under the time after which the platform counts the
+// change as known.
 func TestEndpointUpdateDeadlines(t *testing.T) {
 	const (
 		margin = 500 * time.Millisecond // for reading, handing over and closing what is out, on a part of a core
@@ -45,7 +46,7 @@
 			sum += w
 		}
 		if sum > r.bound {
-			t.Errorf("%s: %v with the margin, told after %v", r.name, sum, r.bound)
+			t.Errorf("%s: %v with the margin, counts as known after %v", r.name, sum, r.bound)
 		}
 	}
 	if least := 2 * time.Second; watchSilenceTimeout < least+margin {
@@ -53,7 +54,7 @@
 	}
 }
 
-// startAgent is discovery as a function of the number of the watch; it has read the request.
+// startAgent is discovery as a function that is called for each watch, with its number; the request has been read.
 func startAgent(t *testing.T, answer func(n int, c net.Conn, since string)) string {
 	calls := make(chan int, 1)
 	calls <- 0
@@ -69,11 +70,13 @@
 	})
 }
 
+// writeChunk writes a chunk of a chunked body.
 func writeChunk(c net.Conn, s string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
 
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// TestWatchEventsInAnyFraming: a message is one JSON value, however it is laid out and wherever it is cut.
+// TestWatchEventsInAnyFraming: A message of discovery is one JSON value, however it is laid out and wherever it is cut
+// into chunks. A reader that took a line, or a chunk, for a message would begin its watch again and again.
 func TestWatchEventsInAnyFraming(t *testing.T) {
 	host := func(seq int, name, addr string) string {
 		return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":"%s","dial":"%s","health":"active","share":1}]}`, seq, name, addr)
@@ -105,12 +108,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := startNamedBackend(t, "a"), startNamedBackend(t, "b")
-			count, _ := startCounter(t)
-			disco := startAgent(t, func(_ int, c net.Conn, _ string) {
+			counterAddr, _ := startCounter(t)
+			discovery := startAgent(t, func(_ int, c net.Conn, _ string) {
 				io.WriteString(c, watchHead)
 				send(c, host(8, "x", a), host(9, "b", b))
 			})
-			r := startNode(t, disco, count, 64, startNamedBackend(t, "old"))
+			r := startNode(t, discovery, counterAddr, 64, startNamedBackend(t, "old"))
 			r.waitForLog("seq=9")
 			r.requireServedBy(1, "b")
 			if s := r.log.String(); strings.Contains(s, "watch of discovery") {
@@ -120,14 +123,14 @@
 	}
 }
 
-// TestEndpointListVersions: changes up to an older version are dropped, those of the same one are taken again, and a whole list holds
-// whatever its version; a watch goes on from the version that is held.
+// TestEndpointListVersions: Changes up to an older version are dropped, those of the same one are taken again, and a
+// whole list holds whatever its version. A new watch goes on from the version that is held.
 func TestEndpointListVersions(t *testing.T) {
 	a, b := startNamedBackend(t, "a"), startNamedBackend(t, "b")
-	count, _ := startCounter(t)
+	counterAddr, _ := startCounter(t)
 	more := make(chan string)
 	end := sync.OnceFunc(func() { close(more) })
-	disco := startAgent(t, func(n int, c net.Conn, since string) {
+	discovery := startAgent(t, func(n int, c net.Conn, since string) {
 		if n == 2 && since != "3" {
 			t.Errorf("the second watch goes on from %s", since)
 		}
@@ -144,7 +147,7 @@
 	t.Cleanup(end) // before the agent's own, which waits for its connections
 	const up = `{"seq":%d,"whole":%v,"hosts":[{"host":"%s","dial":"%s","health":"active","share":1}]}`
 	go func() { more <- fmt.Sprintf(up, 8, true, "b", b) }()
-	r := startNode(t, disco, count, 64, a)
+	r := startNode(t, discovery, counterAddr, 64, a)
 	r.requireServedBy(1, "b")
 	more <- fmt.Sprintf(up, 7, false, "a", a) + `{"seq":8,"whole":false,"hosts":[]}`
 	r.waitForLog("older version are dropped")
@@ -159,19 +162,20 @@
 	r.requireServedBy(21, "a")
 }
 
-// TestInvalidEndpointLeavesOthersInForce: an entry that can't be read spoils no other, is logged with its place, and leaves what was known of its box.
+// TestInvalidEndpointLeavesOthersInForce: One entry of an endpoint list can't be parsed. It must not spoil the others:
+// it is logged with its place, and what was known of that endpoint stays.
 func TestInvalidEndpointLeavesOthersInForce(t *testing.T) {
 	a, b := startNamedBackend(t, "a"), startNamedBackend(t, "b")
-	count, _ := startCounter(t)
-	disco := startAgent(t, func(_ int, c net.Conn, _ string) {
+	counterAddr, _ := startCounter(t)
+	discovery := startAgent(t, func(_ int, c net.Conn, _ string) {
 		io.WriteString(c, watchHead)
 		writeChunk(c, fmt.Sprintf(`{"seq":8,"whole":true,"hosts":[{"host":"a","dial":7},{"host":"b","dial":"%s","health":"active","share":1}]}`, b))
 	})
-	r := startNode(t, disco, count, 64, a)
+	r := startNode(t, discovery, counterAddr, 64, a)
 	r.waitForLog("hosts[0].dial")
 	by := map[string]bool{}
 	for id := 1; len(by) < 2; id++ {
-		resp := r.exchange(lookRequest(id), 1)[0]
+		resp := r.exchange(nodeRequest(id), 1)[0]
 		body, _ := io.ReadAll(resp.Body)
 		name, _, _ := strings.Cut(string(body), " ")
 		if by[name] = true; resp.StatusCode != 200 || id > 1000 {
@@ -180,9 +184,9 @@
 	}
 }
 
-// startNodeUnready is a front door whose agent has not said anything yet.
-func startNodeUnready(t *testing.T, disco string) *gateway {
-	n, err := platform.ParseConfig(fmt.Appendf(nil, nodeConfig, disco, "127.0.0.1:1", 64, startNamedBackend(t, "known")))
+// startNodeUnready starts an instance on the platform to which discovery has not said anything yet.
+func startNodeUnready(t *testing.T, discovery string) *gateway {
+	n, err := platform.ParseConfig(fmt.Appendf(nil, nodeConfig, discovery, "127.0.0.1:1", 64, startNamedBackend(t, "known")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,24 +195,25 @@
 	return r
 }
 
-// TestNotReadyBeforeFirstEndpointList: what the agent holds counts from the first moment of a process, and the list that it was started
-// with may be old: until the first word of the agent nothing is sent by it, and the front door is not ready.
+// TestNotReadyBeforeFirstEndpointList: What discovery holds counts from the first moment of a process, and the list in
+// its configuration may be old: requests went to backends that had been removed. Until discovery's first message
+// requests are rejected, and the instance is not ready.
 func TestNotReadyBeforeFirstEndpointList(t *testing.T) {
 	tell := make(chan struct{})
 	b := startNamedBackend(t, "b")
 	asked := make(chan struct{}, 1)
-	disco := startAgent(t, func(n int, c net.Conn, _ string) {
+	discovery := startAgent(t, func(n int, c net.Conn, _ string) {
 		io.WriteString(c, watchHead)
 		asked <- struct{}{}
 		<-tell
 		writeChunk(c, fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"b","dial":"%s","health":"active","share":1}]}`, b))
 	})
-	r := startNodeUnready(t, disco)
+	r := startNodeUnready(t, discovery)
 	<-asked
 	if s := r.status(readyRequest); s != 503 {
 		t.Errorf("ready: %d", s)
 	}
-	if s := r.status(lookRequest(1)); s != 503 {
+	if s := r.status(nodeRequest(1)); s != 503 {
 		t.Errorf("a request: %d", s)
 	}
 	close(tell)
@@ -218,7 +223,8 @@
 	r.requireServedBy(2, "b")
 }
 
-// TestReadyWithoutDiscovery: where discovery is down, a new process goes on with the list that it was started with.
+// TestReadyWithoutDiscovery: Discovery is down when a process starts. After firstEndpointsTimeout it goes by the list
+// in its configuration.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	r := startNodeUnready(t, startAgent(t, func(int, net.Conn, string) {}))
 	began := time.Now()
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -6,7 +6,7 @@
 	"sandyard/proxy"
 )
 
-// post queues a message for the event loop, and tells whether it will be handled: false, the loop has ended. It never
+// post queues a message for the event loop, and reports whether it will be handled: false, the loop has ended. It never
 // blocks, and takes any number: messages other than new requests are bounded by the requests and connections there are,
 // and what ends work must always get through.
 func (s *Server) post(m message) bool {
@@ -15,7 +15,7 @@
 	return s.postLocked(m)
 }
 
-// postRequest queues a new request. It never blocks. It tells false where limits.queue messages wait, or the loop has
+// postRequest queues a new request. It never blocks. It reports false where limits.queue messages wait, or the loop has
 // ended: the request is to be rejected.
 func (s *Server) postRequest(exchange *proxy.Exchange) bool {
 	s.queueMu.Lock()
@@ -109,14 +109,14 @@
 		case proxy.CloseBackend:
 			effect.Conn.Owner.(*backendConn).close()
 		case proxy.Respond:
-			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, false, effect.CloseAfterResponse)
+			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, effect.CloseAfterResponse)
 			s.logResponse(effect.Exchange)
 		case proxy.StreamResponse:
-			effect.Exchange.Owner.(*clientConn).respond(s.now(), effect.Exchange, effect.Bytes, true, effect.CloseAfterResponse)
+			effect.Exchange.Owner.(*clientConn).startStream(s.now(), effect.Exchange, effect.Bytes, effect.CloseAfterResponse)
 			effect.Conn.Owner.(*backendConn).streamPermit <- true
 			s.logResponse(effect.Exchange)
 		case proxy.AbortClient:
-			effect.Exchange.Owner.(*clientConn).relayBody(s.now(), effect.Exchange, nil, false, true)
+			effect.Exchange.Owner.(*clientConn).abortStream(s.now(), effect.Exchange)
 		case proxy.DialCounter:
 			s.dialCounter(effect.Addr)
 		case proxy.WriteCounter:
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// sampled tells whether a step belongs to the recorded share. A sample is of requests, drawn by a hash of their number;
+// sampled reports whether a step belongs to the recorded share. A sample is of requests, drawn by a hash of their number;
 // steps that concern no one request are left out of it.
 func (r *recorder) sampled(step proxy.DecisionStep) bool {
 	if r.cfg.Mode != "sampled" || r.cfg.Share >= 1 {
--- /dev/null
+++ b/internal/server/recorder_test.go
@@ -0,0 +1,79 @@
+package server
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"sandyard/emulator"
+	"sandyard/trace"
+)
+
+// TestTraceRecording: All decisions must be in the trace, and no API key; a new file is begun at trace.file-size.
+func TestTraceRecording(t *testing.T) {
+	b := startBackend(t, emulator.BackendConfig{}, nil)
+	dir := t.TempDir()
+	r := startGateway(t, fmt.Sprintf("trace: {mode: full, folder: %q, file-size: 64KiB, most: 1MiB}\n", dir), "", b.Addr())
+	for range 300 {
+		if s := r.status(request("GET", "/look", "ka", "")); s != 200 {
+			t.Fatal(s)
+		}
+	}
+	r.stop()
+	if err := <-r.served; err != nil {
+		t.Fatal(err)
+	}
+	close(r.served)
+	files, _ := filepath.Glob(filepath.Join(dir, "*.trace"))
+	arrived, served := 0, 0
+	for _, f := range files {
+		text, err := os.ReadFile(f)
+		if err != nil {
+			t.Fatal(err)
+		}
+		rd, err := trace.NewReader(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for {
+			items, err := rd.Next()
+			if err != nil {
+				t.Fatal(err)
+			}
+			if items == nil {
+				break
+			}
+			for _, it := range items {
+				b, _ := json.Marshal(it)
+				if strings.Contains(string(b), `"ka"`) {
+					t.Error("a key in the trace")
+				}
+				if it.Event.Arrived != nil {
+					arrived++
+				}
+				if it.Event.Ended != nil {
+					served++
+				}
+			}
+		}
+		rd.Close()
+	}
+	if arrived != 300 || served != 300 {
+		t.Errorf("%d arrived and %d were served in %d files", arrived, served, len(files))
+	}
+}
+
+// TestUnwritableTraceEndsRecordingOnly: A trace that can't be written any more, on a full disk say, must end the
+// recording and not the instance.
+func TestUnwritableTraceEndsRecordingOnly(t *testing.T) {
+	b := startBackend(t, emulator.BackendConfig{}, nil)
+	r := startGateway(t, fmt.Sprintf("trace: {mode: full, folder: %q}\n", t.TempDir()), "", b.Addr())
+	r.server.recorder.firstFile.Close() // before Serve has begun to write, or between two frames
+	r.waitForLog("recording has ended")
+	if s := r.status(request("GET", "/look", "ka", "")); s != 200 {
+		t.Errorf("%d", s)
+	}
+}
--- /dev/null
+++ b/internal/server/shutdown_test.go
@@ -0,0 +1,134 @@
+package server
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestBacklogIsAnsweredWhenAcceptingEnds: The deadline of the listener passes while a connection lies in the backlog.
+// An accept then ends without taking it, and it would be reset with its request. It must be accepted and answered.
+func TestBacklogIsAnsweredWhenAcceptingEnds(t *testing.T) {
+	count, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
+	r.requireServedBy(1, "a")
+	r.server.queueMu.Lock() // accepting waits here, once the first of these is in
+	first, err := net.Dial("tcp", r.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer first.Close()
+	r.clientConnOf(first)
+	c, err := net.Dial("tcp", r.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	io.WriteString(c, nodeRequest(2))
+	r.server.listener.SetDeadline(time.Unix(1, 0)) // as at the end of limits.stop-delay
+	r.server.queueMu.Unlock()
+	c.SetReadDeadline(time.Now().Add(5 * time.Second))
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if body, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 {
+		t.Errorf("%d %s", resp.StatusCode, body)
+	}
+}
+
+// TestFirstRequestDuringDrainIsRejected: A connection was accepted but not read when the instance stopped taking
+// requests. Its request must be answered, with 503, rather than be reset.
+func TestFirstRequestDuringDrainIsRejected(t *testing.T) {
+	count, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
+	c, err := net.Dial("tcp", r.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	cc := r.clientConnOf(c)
+	cc.mu.Lock()
+	io.WriteString(c, nodeRequest(1))
+	r.stop()
+	for !r.server.shared.Draining() {
+		runtime.Gosched()
+	}
+	cc.mu.Unlock()
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 503 || !resp.Close {
+		t.Errorf("%d %s %v", resp.StatusCode, body, err)
+	}
+}
+
+// TestConnectionsAreAcceptedDuringStopDelay: After the signal to stop, a load balancer still sends connections for a
+// moment. Those that come within limits.stop-delay must be served, and the instance then ends without leaving a client
+// unanswered.
+func TestConnectionsAreAcceptedDuringStopDelay(t *testing.T) {
+	count, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
+	r.requireServedBy(1, "a")
+	r.stop()
+	resp := r.exchange(nodeRequest(2), 1)[0]
+	if resp.StatusCode != 200 {
+		t.Errorf("%d", resp.StatusCode)
+	}
+	if err := <-r.served; err != nil {
+		t.Error(err)
+	}
+	close(r.served)
+	if c, err := net.DialTimeout("tcp", r.addr, time.Second); err == nil {
+		c.Close()
+		t.Error("still accepting")
+	}
+	if strings.Contains(r.log.text.String(), "left without") {
+		t.Error("it ended with clients unanswered")
+	}
+}
+
+// TestGracefulShutdown: An instance is stopped with a request under way and an idle connection. The idle connection
+// closes, the request is answered, no new connection is accepted, and Serve returns nil.
+func TestGracefulShutdown(t *testing.T) {
+	got, answer := make(chan struct{}), make(chan struct{})
+	addr := startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
+		if _, err := http.ReadRequest(in); err != nil {
+			return
+		}
+		close(got)
+		<-answer
+		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+		io.Copy(io.Discard, in)
+	})
+	r := startGateway(t, "", "", addr)
+	idle, err := net.Dial("tcp", r.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer idle.Close()
+	done := make(chan *http.Response)
+	go func() { done <- r.exchange(request("GET", "/look", "ka", ""), 1)[0] }()
+	<-got
+	r.stop()
+	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
+		t.Errorf("an idle connection: %v", err)
+	}
+	close(answer)
+	if resp := <-done; resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("%d, close %v", resp.StatusCode, resp.Close)
+	}
+	if err := <-r.served; err != nil {
+		t.Error(err)
+	}
+	close(r.served)
+	if _, err := net.Dial("tcp", r.addr); err == nil {
+		t.Error("still accepting")
+	}
+}
--- a/internal/server/socket.go
+++ b/internal/server/socket.go
@@ -60,7 +60,7 @@
 	return s, nil
 }
 
-// tryRead reads what is there, and tells whether the read is over: false, nothing is there. The buffer is given back then.
+// tryRead reads what is there, and reports whether the read is over: false, nothing is there. The buffer is given back then.
 func (s *socket) tryRead(fd uintptr) bool {
 	if s.readBuffer == nil {
 		s.readBuffer = readBuffers.Get().(*[]byte)
@@ -80,7 +80,7 @@
 }
 
 // read waits for bytes, until the read deadline at most. They are good until the next call of read, readAvailable or
-// releaseBuffer. The end of the peer's sending is io.EOF; a deadline that passes is an error that isTimeout tells.
+// releaseBuffer. The end of the peer's sending is io.EOF; a deadline that passes is an error that isTimeout reports.
 func (s *socket) read() ([]byte, error) {
 	s.releaseBuffer()
 	s.readCount, s.readError = 0, nil
@@ -115,7 +115,7 @@
 	}
 }
 
-// nothingToRead tells that no byte and no end of the peer is there to be read. A byte that is there is lost: the
+// nothingToRead reports that no byte and no end of the peer is there to be read. A byte that is there is lost: the
 // connection is of no use then. It does not wait.
 func (s *socket) nothingToRead() bool {
 	nothing := false
@@ -154,7 +154,7 @@
 	}
 }
 
-// write hands bytes to the kernel as far as it takes them and keeps the rest. It never blocks. incomplete tells that the
+// write hands bytes to the kernel as far as it takes them and keeps the rest. It never blocks. incomplete reports that the
 // connection failed before all of b was written.
 func (s *socket) write(b []byte) (incomplete bool) {
 	s.mu.Lock()
@@ -224,7 +224,7 @@
 	return len(s.unwritten)
 }
 
-// writeFailed tells whether a write has failed, or the socket was closed.
+// writeFailed reports whether a write has failed, or the socket was closed.
 func (s *socket) writeFailed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,7 +240,7 @@
 	}
 }
 
-// closeAndFlushed closes the socket and tells whether the kernel had taken all that it was handed.
+// closeAndFlushed closes the socket and reports whether the kernel had taken all that it was handed.
 func (s *socket) closeAndFlushed() bool {
 	s.close()
 	s.mu.Lock()
@@ -279,5 +279,5 @@
 	s.conn.Close()
 }
 
-// isTimeout tells an error of a read, write or accept whose deadline has passed.
+// isTimeout reports an error of a read, write or accept whose deadline has passed.
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
