--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -38,13 +38,13 @@
 	applyMachineLimits(settings.Limits)
 	log := slog.New(slog.NewTextHandler(c.Errs, nil))
 	instance, err := server.Listen(settings.Config, settings.Listen, server.Options{Log: log, Seed: settings.Seed,
-		Protocol: settings, DiscoveryAddress: settings.Discovery, EndpointsVersion: settings.Known.Seq})
+		Protocol: settings, DiscoveryAddress: settings.Discovery, EndpointsVersion: settings.CachedEndpoints.Version})
 	if err != nil {
 		return err
 	}
 	log.Info("listening", "addr", instance.Addr().String(), "name", settings.Name, "cores", settings.Limits.Cores,
-		"memory_mb", settings.Limits.MemoryMB, "sockets", settings.Limits.Sockets, "seq", settings.Known.Seq,
-		"boxes", len(settings.Known.Boxes))
+		"memory_mb", settings.Limits.MemoryMB, "sockets", settings.Limits.Sockets, "seq", settings.CachedEndpoints.Version,
+		"boxes", len(settings.CachedEndpoints.Endpoints))
 	done := make(chan struct{})
 	defer close(done)
 	go k.reloadAtSignal(reloads, done, instance, log)
--- a/internal/server/counterconn_test.go
+++ b/internal/server/counterconn_test.go
@@ -36,7 +36,7 @@
 	r.server.post(inspection(func(c *proxy.Instance, _ time.Duration) { name, weight, _ = c.Gateway().CounterName("c"); close(done) }))
 	<-done
 	k.mu.Lock()
-	calls, total := k.counter.Calls, k.counter.Total(k.now(), name)
+	calls, total := k.counter.Increments, k.counter.Total(k.now(), name)
 	k.mu.Unlock()
 	if used := total / weight; !(used > 1 && used < 9) { // what was refused may not be taken back yet
 		t.Errorf("%d served, %v units under %q", served, used, name)
--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -35,7 +35,7 @@
 
 var (
 	errWatchEnded      = errors.New("the watch ended")
-	errMessageTooLarge = fmt.Errorf("a message of more than %d bytes", platform.MaxListBytes)
+	errMessageTooLarge = fmt.Errorf("a message of more than %d bytes", platform.MaxEndpointListBytes)
 )
 
 // watchStatusError is a status other than 200 in answer to a watch.
@@ -183,7 +183,7 @@
 			return 0, err
 		}
 	}
-	if b.messageBytes += len(b.unread); b.messageBytes > platform.MaxListBytes {
+	if b.messageBytes += len(b.unread); b.messageBytes > platform.MaxEndpointListBytes {
 		return 0, errMessageTooLarge
 	}
 	n := copy(p, b.unread)
@@ -226,22 +226,22 @@
 // handleMessage hands a message of discovery to the event loop. An entry that can't be read is logged; what is held of it
 // stays. It fails where the message as a whole can't be read.
 func (w *endpointWatch) handleMessage(text []byte) error {
-	update, err := platform.ParseList(text)
+	update, err := platform.ParseEndpointList(text)
 	if err != nil {
 		return err
 	}
-	if !update.Whole && update.Seq < w.version {
-		w.server.log.Warn("list of boxes: changes of an older version are dropped", "seq", update.Seq, "held", w.version)
+	if !update.Full && update.Version < w.version {
+		w.server.log.Warn("list of boxes: changes of an older version are dropped", "seq", update.Version, "held", w.version)
 		return nil
 	}
-	endpoints := update.Boxes
-	for _, wrong := range update.Wrong {
-		w.server.log.Warn("list of boxes: an entry is not taken", "seq", update.Seq, "error", wrong.Err)
-		if held, ok := w.endpoints[wrong.Host]; ok && update.Whole {
+	endpoints := update.Endpoints
+	for _, wrong := range update.Malformed {
+		w.server.log.Warn("list of boxes: an entry is not taken", "seq", update.Version, "error", wrong.Err)
+		if held, ok := w.endpoints[wrong.Host]; ok && update.Full {
 			endpoints = append(endpoints, held)
 		}
 	}
-	if update.Whole {
+	if update.Full {
 		clear(w.endpoints)
 	}
 	for _, e := range endpoints {
@@ -250,13 +250,13 @@
 			delete(w.endpoints, e.Name)
 		}
 	}
-	w.version = update.Seq
-	if update.Whole {
+	w.version = update.Version
+	if update.Full {
 		w.server.post(endpointsReplaced{endpoints})
 	} else {
 		w.server.post(endpointsUpdated{endpoints})
 	}
 	w.server.post(endpointsInForce{})
-	w.server.log.Info("list of boxes", "seq", update.Seq, "whole", update.Whole, "entries", len(endpoints))
+	w.server.log.Info("list of boxes", "seq", update.Version, "whole", update.Full, "entries", len(endpoints))
 	return nil
 }
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -44,7 +44,7 @@
 	ended   bool   // by an error
 
 	// Of the writing goroutine.
-	head         trace.Head
+	head         trace.Header
 	writer       *trace.Writer
 	file         *os.File
 	size         int                           // of file, in bytes
@@ -77,8 +77,8 @@
 	return r, nil
 }
 
-func (s *Server) traceHead(seed uint64) trace.Head {
-	head := trace.Head{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, Began: s.startedAt,
+func (s *Server) traceHead(seed uint64) trace.Header {
+	head := trace.Header{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, StartedAt: s.startedAt,
 		Origin: s.clockOrigin().UnixNano(), Settings: s.cfg.Settings, Classes: s.cfg.ClassNames, Share: 1}
 	if s.cfg.Trace.Mode == "sampled" {
 		head.Share = s.cfg.Trace.Share
@@ -87,7 +87,7 @@
 		head.Plans = append(head.Plans, plan.Name)
 	}
 	for _, operation := range s.cfg.Routes.Operations {
-		head.Ops = append(head.Ops, operation.ID)
+		head.Operations = append(head.Operations, operation.ID)
 	}
 	return head
 }
@@ -193,7 +193,7 @@
 
 // write writes steps in frames, and behind them the count of those that were dropped after they had filled the buffer.
 func (r *recorder) write(steps []proxy.DecisionStep, dropped uint64) error {
-	var items []trace.Item
+	var items []trace.Record
 	for i := range steps {
 		items = r.appendStep(items, &steps[i])
 		if len(items) >= maxFrameItems && steps[i].Snapshot == nil {
@@ -209,32 +209,32 @@
 		if len(steps) > 0 {
 			at = steps[len(steps)-1].At
 		}
-		items = append(items, trace.Item{At: at, Dropped: dropped})
+		items = append(items, trace.Record{At: at, Dropped: dropped})
 		r.server.log.Warn("steps dropped from the trace", "steps", dropped, "in_all", r.droppedTotal)
 	}
 	return r.writeItems(items)
 }
 
 // appendStep appends a step, behind the names of backends that it is the first to have.
-func (r *recorder) appendStep(items []trace.Item, step *proxy.DecisionStep) []trace.Item {
+func (r *recorder) appendStep(items []trace.Record, step *proxy.DecisionStep) []trace.Record {
 	if list, ok := step.Event.(decision.EndpointsChanged); ok {
 		for i, name := range step.EndpointNames {
 			id := list.Endpoints[i].Backend
 			if r.backendNames[id] != name {
 				r.backendNames[id] = name
-				items = append(items, trace.Item{At: step.At, Backend: &trace.BackendName{Server: id, Name: name}})
+				items = append(items, trace.Record{At: step.At, Backend: &trace.BackendName{Backend: id, Name: name}})
 			}
 		}
 	}
 	if step.Snapshot != nil {
-		return append(items, trace.Item{At: step.At, State: step.Snapshot})
+		return append(items, trace.Record{At: step.At, Snapshot: step.Snapshot})
 	}
-	return append(items, trace.Item{At: step.At, Event: trace.FromEvent(step.Event), Actions: trace.FromActions(step.Actions),
-		Op: step.OperationNumber, First: step.Event == nil})
+	return append(items, trace.Record{At: step.At, Event: trace.NewEvent(step.Event), Actions: trace.NewActions(step.Actions),
+		Operation: step.OperationNumber, Initial: step.Event == nil})
 }
 
 // writeItems writes items as one frame, in the next file where this one would grow beyond trace.file-size.
-func (r *recorder) writeItems(items []trace.Item) error {
+func (r *recorder) writeItems(items []trace.Record) error {
 	if len(items) == 0 {
 		return nil
 	}
@@ -276,7 +276,7 @@
 	}
 	r.file, r.size = file, len(head)
 	for id, name := range r.backendNames {
-		frame, err := r.writer.Frame([]trace.Item{{Backend: &trace.BackendName{Server: id, Name: name}}})
+		frame, err := r.writer.Frame([]trace.Record{{Backend: &trace.BackendName{Backend: id, Name: name}}})
 		if err != nil {
 			return err
 		}
