--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -88,7 +88,7 @@
 		}
 		running = append(running, counter)
 		cfg.Counter.Address = counter.Addr()
-		log.Info("emulated counter", "addr", counter.Addr())
+		log.Info("stand-in keeper", "addr", counter.Addr())
 	}
 	addresses := map[string]string{}
 	for i, endpoint := range cfg.Endpoints {
@@ -100,7 +100,7 @@
 		}
 		running = append(running, backend)
 		addresses[endpoint.Name] = backend.Addr()
-		log.Info("emulated backend", "name", endpoint.Name, "addr", backend.Addr())
+		log.Info("stand-in box", "name", endpoint.Name, "addr", backend.Addr())
 	}
 	return addresses, stop, nil
 }
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -273,8 +273,8 @@
 	return adminResponse{200, entry}
 }
 
-// inspectDecision is /v1/would: what a copy of the instance's state decides on a request of some units, 1 if none are given. It waits
-// for its turn, and for minSnapshotInterval since the copy before.
+// inspectDecision is /v1/would: what a copy of the instance's state decides on a request of some units, 1 if none are
+// given. It waits for its turn, and until minSnapshotInterval after the copy before.
 func (a *adminServer) inspectDecision(customer *config.Customer, unitsText string) adminResponse {
 	units, err := parseUnits(unitsText)
 	if err != nil {
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -27,8 +27,8 @@
 // clientConn is the TCP side of a client's connection. Its goroutine reads; whoever has something for the client (the
 // event loop, the reader of a backend that streams) writes.
 //
-// Only the reader ends it: closing over bytes that were not read is a reset, which can take the last response along. Others ask for the
-// end by requestClose.
+// Only the reader ends it: closing over bytes that were not read is a reset, which can take the last response along.
+// Others ask for the end by requestClose.
 type clientConn struct {
 	server *Server
 	socket *socket
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -2,8 +2,19 @@
 
 import "time"
 
-// The budget of descriptors. Clients hold limits.connections at most, and maxRejectedConnections more while they are rejected; package proxy bounds the connections to backends; counter, discovery and listener have one each, and the
-// admin socket maxAdminConns. At the bound of clients an idle connection makes room for the new one.
+// The budget of descriptors:
+//
+//	holder                          at most                       bounded by
+//	client connections              limits.connections            waitForClientSlot
+//	clients that are rejected       maxRejectedConnections        rejectClient
+//	connections to backends         limits.lines                  proxy/pool.go, which closes idle ones to make room
+//	counter, watch of discovery     one each; two as one moves    the event loop, endpointWatch
+//	admin socket                    maxAdminConns                 adminServer.admit
+//	listeners, log, trace file,     one each
+//	watch of the endpoint file
+//
+// At the limit of clients an idle connection makes room for a new one. Where the process has no descriptors all the same,
+// accepting waits (accept.go), and a dial fails as an attempt that was never sent.
 const (
 	// maxRejectedConnections is how many connections beyond limits.connections get a response at a time; more are closed
 	// unread. Each costs a descriptor and a goroutine for lingeringCloseTimeout.
--- a/internal/server/message.go
+++ b/internal/server/message.go
@@ -34,8 +34,9 @@
 	s.instance.BackendConnected(now, m.conn)
 }
 
-// backendLostNotSent tells that a backend connection could not be made, or ended, and that no backend can have begun on the
-// request that it was given, if any: not all of it was written. A loss after the last byte is a responseReceived that is malformed.
+// backendLostNotSent tells that a backend connection could not be made, or ended, and that no backend can have begun on
+// the request that it was given, if any: not all of it was written. A loss after the last byte is a responseReceived that
+// is malformed.
 type backendLostNotSent struct{ conn *proxy.BackendConn }
 
 func (m backendLostNotSent) apply(s *Server, now time.Duration) {
@@ -93,7 +94,8 @@
 
 func (m counterMoved) apply(s *Server, now time.Duration) { s.instance.SetCounter(now, m.address) }
 
-// endpointsReplaced is a whole endpoint list: what it leaves out is removed.
+// endpointsReplaced is a whole endpoint list: what it leaves out is removed. A removal takes effect here: from the next
+// message on no attempt begins at a removed endpoint, not even one that was decided before (proxy/attempts.go).
 type endpointsReplaced struct{ endpoints []config.Endpoint }
 
 func (m endpointsReplaced) apply(s *Server, now time.Duration) {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -10,7 +10,7 @@
 //	stop of accepting             Serve                  the context of Serve
 //	client connection, reading    accept loop            its client, its last response, or step 5
 //	client over the limit         accept loop            its rejection: lingeringCloseTimeout at most
-//	backend connection, reading   event loop             its backend, CloseBackend, or step 4
+//	backend connection, reading   event loop             its backend, or CloseBackend; a dial also with step 4
 //	counter connection, reading   event loop             the counter, CloseCounter, or step 3
 //	reading of the endpoint file  endpoint watch, loop   the end of the reading
 //	socket, flushing              a write                all bytes written, or the socket's end; nothing waits for it
@@ -22,7 +22,8 @@
 //
 // Locks. Server.clientsMu comes before clientConn.mu, that before Server.queueMu and socket.mu; backendConn.mu comes before
 // socket.mu. The event loop holds no lock while it decides, and takes one connection's mu at a time while it carries out
-// an effect. Server.endpointsFileMu comes before Server.queueMu. No lock is held while a goroutine waits for its peer.
+// an effect. Server.endpointsFileMu, held through the reading of a file, and adminServer.snapshotMu come before
+// Server.queueMu. None of the others is held while its holder waits for a peer, a file or the event loop.
 package server
 
 import (
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -13,11 +13,14 @@
 //	                                      the listener closes at once
 //	2     when accepting is over          new requests: they are rejected. The listener and idle client connections close.
 //	                                      Requests under way are answered, for limits.shutdown-timeout at most
-//	3     when no client is left, or      the event loop: proxy.Instance.Stop, and what follows from it
-//	      after limits.shutdown-timeout
-//	4     at once                         dials, backend connections that wait to stream, inspections by the admin socket
+//	3     when no client is left, or      the event loop: proxy.Instance.Stop, which closes idle backend connections and the
+//	      after limits.shutdown-timeout   counter's
+//	4     at once                         dials, backend connections that wait for a stream's permit, inspections by the
+//	                                      admin socket
 //	5     at once                         the client connections that are left
-//	6     at once                         nothing: it waits for the goroutines of connections, and logs "stopped"
+//	6     at once                         nothing: it waits for the goroutines of connections, and logs "stopped". A backend
+//	                                      connection with an attempt under way is not closed before: where step 3 began by
+//	                                      the timeout, this waits for its backend
 //	7     at once                         the admin socket
 //	8     at once                         the trace recorder, once it has written what it holds
 
