--- /dev/null
+++ b/emulator/backend_test.go
@@ -0,0 +1,146 @@
+package emulator
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"sandyard/fault"
+)
+
+func request(id, key string) []byte {
+	s := "POST /x HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\n"
+	if key != "" {
+		s += "Idempotency-Key: " + key + "\r\n"
+	}
+	return []byte(s + "Content-Length: 0\r\n\r\n")
+}
+
+type recordedBackend struct {
+	*Backend
+	facts []Fact
+}
+
+func newRecordedBackend(c BackendConfig) *recordedBackend {
+	b := &recordedBackend{}
+	c.Name = "b"
+	b.Backend = NewBackend(c, time.Second)
+	b.Facts = func(f Fact) { b.facts = append(b.facts, f) }
+	return b
+}
+
+func (b *recordedBackend) count(k FactKind) (n int) {
+	for _, f := range b.facts {
+		if f.Kind == k {
+			n++
+		}
+	}
+	return n
+}
+
+func (b *recordedBackend) advance(until time.Duration) {
+	for t := b.Next(); t != 0 && t <= until; t = b.Next() {
+		b.Advance(t, func(j *Job) { j.Conn().Done(t, j) })
+	}
+}
+
+// A core that worked on two requests at once would hide queues from everything that is tried against the emulator. With one
+// core and one place in the queue, of three requests one works, one waits and one is rejected.
+func TestBackendQueuesBeyondItsCores(t *testing.T) {
+	b := newRecordedBackend(BackendConfig{Cores: 1, Queue: 1, Work: 100 * time.Millisecond})
+	var conns []*BackendConn
+	for range 3 {
+		c := b.NewConn()
+		c.Feed(time.Second, request("r", ""))
+		conns = append(conns, c)
+	}
+	if got := string(conns[2].Out); !strings.HasPrefix(got, "HTTP/1.1 503") {
+		t.Fatalf("beyond the queue: %q", got)
+	}
+	b.advance(time.Second + 150*time.Millisecond)
+	if len(conns[0].Out) == 0 || len(conns[1].Out) != 0 {
+		t.Fatal("one core has worked on both, or on none")
+	}
+	b.advance(2 * time.Second)
+	if len(conns[1].Out) == 0 || b.count(RequestExecuted) != 2 {
+		t.Fatalf("ran %d", b.count(RequestExecuted))
+	}
+}
+
+// A fault that does less than its verb says proves nothing about who survives it. For each verb: what the client sees, and
+// whether the work took place.
+func TestBackendFaults(t *testing.T) {
+	feed := func(v fault.Verb, value float64) (*recordedBackend, *BackendConn) {
+		b := newRecordedBackend(BackendConfig{Work: 10 * time.Millisecond})
+		b.Set(time.Second, v, value, true)
+		c := b.NewConn()
+		c.Feed(time.Second, request("r", "k"))
+		b.advance(10 * time.Second)
+		return b, c
+	}
+	if b, c := feed(fault.Hang, 0); len(c.Out) != 0 || b.count(RequestExecuted) != 0 || b.count(RequestReceived) != 1 {
+		t.Error("hang: work or a response")
+	}
+	if b, c := feed(fault.DropResponse, 0); len(c.Out) != 0 || !c.Close || b.count(RequestExecuted) != 1 {
+		t.Error("lose: no work, or a response")
+	}
+	if b, c := feed(fault.ResetResponse, 10); len(c.Out) != 10 || !c.Abort || b.count(RequestExecuted) != 1 {
+		t.Error("reset: not after 10 bytes")
+	}
+	if b, c := feed(fault.ServerErrors, 1); !strings.HasPrefix(string(c.Out), "HTTP/1.1 500") || b.count(RequestExecuted) != 0 {
+		t.Error("fault: work, or no 500")
+	}
+	b, c := feed(fault.Hang, 0)
+	b.Set(10*time.Second, fault.Hang, 0, false)
+	b.Advance(10*time.Second, func(*Job) {})
+	b.advance(11 * time.Second)
+	if len(c.Out) == 0 {
+		t.Error("a hang that is over leaves its requests without a response")
+	}
+}
+
+// A repeat of an idempotency key must have no second effect while the key is remembered, and must run after that.
+func TestIdempotencyKeyRunsOnceWithinItsTTL(t *testing.T) {
+	b := newRecordedBackend(BackendConfig{KeyTTL: time.Second})
+	c := b.NewConn()
+	c.Feed(time.Second, request("1", "k"))
+	c.Feed(1500*time.Millisecond, request("2", "k"))
+	if b.count(RequestExecuted) != 1 || b.count(RepeatDiscarded) != 1 {
+		t.Fatalf("%+v", b.facts)
+	}
+	c.Feed(2500*time.Millisecond, request("3", "k"))
+	if b.count(RequestExecuted) != 2 {
+		t.Fatal("a key is remembered for ever")
+	}
+}
+
+// A backend in slow start that is sent too much must collapse, or nothing would show that a gateway sends too much.
+func TestOverloadedBackendCollapsesInSlowStart(t *testing.T) {
+	b := newRecordedBackend(BackendConfig{Cores: 1, Queue: 1000, Work: 100 * time.Millisecond, SlowStartShare: 0.2, SlowStartTime: 10 * time.Second,
+		OverloadFactor: 2, OverloadTime: time.Second})
+	for i := 0; i < 100 && !b.HasCollapsed(); i++ {
+		b.NewConn().Feed(time.Second, request("r", ""))
+	}
+	if n := b.count(RequestReceived); !b.HasCollapsed() || n < 3 || n > 6 {
+		t.Fatalf("collapsed %v after %d requests: 0.4 s of work in a second is its limit", b.HasCollapsed(), n)
+	}
+}
+
+// Backends that were slowed for some milliseconds once collapsed from work that was sent when they were fast, which nobody
+// could have held back. A slowdown counts once OverloadTime has passed, in which it could be noticed.
+func TestSlowdownCountsForCollapseAfterOverloadTime(t *testing.T) {
+	for _, c := range []struct {
+		after     time.Duration // the slowdown began, until the requests come
+		collapsed bool
+	}{{500 * time.Millisecond, false}, {3 * time.Second, true}} {
+		b := newRecordedBackend(BackendConfig{Cores: 1, Queue: 1000, Work: 100 * time.Millisecond, SlowStartShare: 0.5, SlowStartTime: 10 * time.Second,
+			OverloadFactor: 2, OverloadTime: time.Second})
+		b.Set(time.Second, fault.Slow, 4, true)
+		for range 9 { // 0.9 s of work in a second; it could do 1.3 or more, slowed 0.4
+			b.NewConn().Feed(time.Second+c.after, request("r", ""))
+		}
+		if b.HasCollapsed() != c.collapsed {
+			t.Errorf("%v after it was slowed: collapsed %v", c.after, b.HasCollapsed())
+		}
+	}
+}
--- a/emulator/backendconn.go
+++ b/emulator/backendconn.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"bytes"
 	"strconv"
 	"time"
 
@@ -8,7 +9,13 @@
 	"sandyard/internal/http1"
 )
 
-// BackendConn is a connection to a stand-in box. It answers one request at a time, in order.
+// maxPipelinedBytes bounds what a client may send behind a request that is in work.
+const maxPipelinedBytes = 1 << 20
+
+// maxRequestedWork is in milliseconds: what a client may ask for in X-Work.
+const maxRequestedWork = 1e6
+
+// BackendConn is a connection to an emulated backend. It responds to one request at a time, in order.
 type BackendConn struct {
 	Out   []byte // for the peer, to be written and cut off by the owner
 	Close bool   // the connection is to be closed once Out is written,
@@ -16,11 +23,10 @@
 
 	backend   *Backend
 	reader    *http1.Reader
-	pipelined []byte
-	head      *http1.Head
-	body      int
-	busy      bool
-	seq       uint64
+	head      *http1.Head // of the request in work
+	busy      bool        // a request is in work or queued
+	pipelined []byte      // what came behind it
+	seq       uint64      // of the requests
 	closed    bool
 }
 
@@ -29,7 +35,8 @@
 	return &BackendConn{backend: b, reader: http1.NewRequests(http1.Limits{})}
 }
 
-const maxPipelinedBytes = 1 << 20
+// Busy reports whether a request is in work or queued, so that the connection is not idle.
+func (c *BackendConn) Busy() bool { return c.busy }
 
 // Feed takes bytes in.
 func (c *BackendConn) Feed(now time.Duration, in []byte) {
@@ -55,12 +62,10 @@
 		case http1.More:
 			return
 		case http1.HeadEnd:
-			c.head, c.body = part.Head, 0
+			c.head = part.Head
 			if part.Head.Continue && part.Head.Length != 0 {
 				c.Out = append(c.Out, "HTTP/1.1 100 Continue\r\n\r\n"...)
 			}
-		case http1.Data:
-			c.body += len(part.Data)
 		case http1.End:
 			c.requestComplete(now)
 		}
@@ -68,14 +73,13 @@
 	c.pipelined = append(c.pipelined, in...)
 }
 
-// requestComplete takes a request to the box. Two fields let a client say what it asks of the stand-in: X-Request-Id names the
-// request in the record, X-Work is the work in milliseconds.
+// requestComplete takes a request to the backend. Two fields let a client say what it asks of the emulator: X-Request-Id
+// names the request in the record, X-Work is the work in milliseconds.
 func (c *BackendConn) requestComplete(now time.Duration) {
-	if c.head.Path == "/load" { // a probe: no work to speak of
+	c.busy = true
+	if c.head.Path == "/load" { // a health check: no work to speak of
 		if !c.backend.faulty(fault.Hang) && c.backend.stalledAt == 0 {
 			c.respond(now, 200)
-		} else {
-			c.busy = true
 		}
 		return
 	}
@@ -83,17 +87,16 @@
 	j.ID, _ = c.head.Get("X-Request-Id")
 	j.Key, _ = c.head.Get("Idempotency-Key")
 	if v, ok := c.head.Get("X-Work"); ok {
-		if ms, err := strconv.ParseFloat(v, 64); err == nil && ms >= 0 && ms < 1e6 {
+		if ms, err := strconv.ParseFloat(v, 64); err == nil && ms >= 0 && ms < maxRequestedWork {
 			j.RequestedWork = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
-	c.busy = true
 	if status := c.backend.accept(now, j); status != 0 {
 		c.respond(now, status)
 	}
 }
 
-// Done answers a job that the box has finished.
+// Done responds to a job that the backend has finished.
 func (c *BackendConn) Done(now time.Duration, j *Job) {
 	if c.closed || j.seq != c.seq {
 		return
@@ -106,69 +109,71 @@
 	}
 }
 
-var bodyFiller = func() []byte {
-	b := make([]byte, 64<<10)
-	for i := range b {
-		b[i] = "clay and glaze, "[i%16]
+// Closed notes that the connection is gone.
+func (c *BackendConn) Closed() {
+	if !c.closed {
+		c.closed = true
+		c.backend.dropQueued(c)
 	}
-	return b
-}()
+}
 
+// bodyFiller is what the bodies of responses consist of.
+var bodyFiller = bytes.Repeat([]byte("clay and glaze, "), 4<<10)
+
+// extraResponse is what fault.ExtraResponse sends behind a response.
+const extraResponse = "HTTP/1.1 200 OK\r\nX-Answers: nobody\r\nContent-Length: 0\r\n\r\n"
+
+// respond ends the request in work with a response, or as a fault says.
 func (c *BackendConn) respond(now time.Duration, status int) {
 	c.busy = false
 	c.seq++
-	box := c.backend
-	if box.faulty(fault.DropResponse) && status == 200 {
+	b := c.backend
+	if b.faulty(fault.DropResponse) && status == 200 {
 		c.Close = true
 		return
 	}
-	at := len(c.Out)
-	size := box.cfg.Body
-	c.Out = http1.AppendStatus(c.Out, status, http1.StatusText(status))
-	c.Out = append(c.Out, "Content-Type: text/plain\r\n"...)
-	inFlight, use := box.loadReport(now)
-	c.Out = append(c.Out, "endpoint-load-metrics: TEXT cpu_utilization="...)
-	c.Out = strconv.AppendFloat(c.Out, use, 'f', 3, 64)
-	c.Out = append(c.Out, ", named_metrics.in_flight="...)
-	c.Out = strconv.AppendFloat(c.Out, inFlight, 'f', -1, 64)
-	c.Out = append(c.Out, "\r\nX-Box: "...)
-	c.Out = append(c.Out, box.cfg.Name...)
-	c.Out = append(c.Out, '\r', '\n')
-	if id, ok := c.head.Get("X-Request-Id"); ok { // so that a client can tell whose answer it got
-		c.Out = http1.AppendField(c.Out, "X-Answers", id)
-	}
-	c.Out = http1.AppendLength(c.Out, int64(size))
-	if c.head.Close {
-		c.Close = true
-		c.Out = append(c.Out, "Connection: close\r\n"...)
-	}
-	c.Out = append(c.Out, '\r', '\n')
+	begin := len(c.Out)
+	c.writeHead(now, status)
 	if c.head.Method != "HEAD" {
-		for size > 0 {
-			n := min(size, len(bodyFiller))
-			c.Out = append(c.Out, bodyFiller[:n]...)
-			size -= n
-		}
+		c.writeBody()
 	}
-	if _, ok := box.faults[fault.ExtraResponse]; ok { // what follows an answer that nobody asked for
-		c.Out = append(c.Out, "HTTP/1.1 200 OK\r\nX-Answers: nobody\r\nContent-Length: 0\r\n\r\n"...)
+	if b.faulty(fault.ExtraResponse) {
+		c.Out = append(c.Out, extraResponse...)
 	}
-	if after, ok := box.faults[fault.ResetResponse]; ok && status == 200 {
-		c.Out = c.Out[:at+min(len(c.Out)-at, int(after))]
+	if after, ok := b.faults[fault.ResetResponse]; ok && status == 200 {
+		c.Out = c.Out[:begin+min(len(c.Out)-begin, int(after))]
 		c.Close, c.Abort = true, true
 	}
 }
 
-// Closed tells that the connection is gone.
-func (c *BackendConn) Closed() {
-	if !c.closed {
-		c.closed = true
-		c.backend.dropQueued(c)
+// writeHead writes a response's head with the load report, the backend's name and the id of the request, so that a client
+// can tell whose response it got.
+func (c *BackendConn) writeHead(now time.Duration, status int) {
+	out := http1.AppendStatus(c.Out, status, http1.StatusText(status))
+	out = append(out, "Content-Type: text/plain\r\n"...)
+	inFlight, utilization := c.backend.loadReport(now)
+	out = append(out, "endpoint-load-metrics: TEXT cpu_utilization="...)
+	out = strconv.AppendFloat(out, utilization, 'f', 3, 64)
+	out = append(out, ", named_metrics.in_flight="...)
+	out = strconv.AppendFloat(out, inFlight, 'f', -1, 64)
+	out = append(out, "\r\nX-Box: "...)
+	out = append(out, c.backend.config.Name...)
+	out = append(out, '\r', '\n')
+	if id, ok := c.head.Get("X-Request-Id"); ok {
+		out = http1.AppendField(out, "X-Answers", id)
 	}
+	out = http1.AppendLength(out, int64(c.backend.config.BodySize))
+	if c.head.Close {
+		c.Close = true
+		out = append(out, "Connection: close\r\n"...)
+	}
+	c.Out = append(out, '\r', '\n')
 }
 
-// Busy tells that a request is in work or queued, so that the connection is not idle.
-func (c *BackendConn) Busy() bool { return c.busy }
-
-// Conn is the connection that a job came on.
-func (j *Job) Conn() *BackendConn { return j.conn }
+func (c *BackendConn) writeBody() {
+	for size := c.backend.config.BodySize; size > 0; {
+		n := min(size, len(bodyFiller))
+		c.Out = append(c.Out, bodyFiller[:n]...)
+		size -= n
+	}
+}
--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -117,9 +117,9 @@
 			rec.write(BackendFact{time.Now().UnixNano(), f.Backend, f.Kind, f.ID, f.Key})
 		}
 	}
-	box, err := server.StartBackend(b.Listen, emulator.BackendConfig{Name: b.Name, Cores: b.Cores, Queue: b.Queue, Work: b.Work, Spread: b.Spread,
-		ColdShare: b.SlowStartShare, ColdTime: b.SlowStartTime, OverloadFactor: b.OverloadFactor, OverloadTime: b.OverloadTime, KeyTTL: b.KeyTTL,
-		Body: b.Body, Seed: b.Seed}, facts)
+	box, err := server.StartBackend(b.Listen, emulator.BackendConfig{Name: b.Name, Cores: b.Cores, Queue: b.Queue, Work: b.Work, WorkVariation: b.Spread,
+		SlowStartShare: b.SlowStartShare, SlowStartTime: b.SlowStartTime, OverloadFactor: b.OverloadFactor, OverloadTime: b.OverloadTime, KeyTTL: b.KeyTTL,
+		BodySize: b.Body, Seed: b.Seed}, facts)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -185,7 +185,7 @@
 		log.Info("stand-in keeper", "addr", k.Addr())
 	}
 	for i, b := range cfg.Endpoints {
-		like := emulator.BackendConfig{Name: b.Name, Work: work, Spread: 1, Seed: uint64(i)}
+		like := emulator.BackendConfig{Name: b.Name, Work: work, WorkVariation: 1, Seed: uint64(i)}
 		box, err := server.StartBackend(b.Address, like, nil)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			box, err = server.StartBackend(any, like, nil)
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -341,11 +341,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch f.Kind {
-	case emulator.Received:
+	case emulator.RequestReceived:
 		d.audit.RequestReceived(invariant.Receipt{ID: f.ID, Backend: f.Box, At: at})
-	case emulator.Executed:
+	case emulator.RequestExecuted:
 		d.audit.RequestExecuted(invariant.Execution{ID: f.ID, Key: f.Key, Backend: f.Box, At: at})
-	case emulator.Collapsed:
+	case emulator.BackendCollapsed:
 		d.audit.BackendCollapsed(f.Box, at)
 	}
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -274,7 +274,7 @@
 // nothing holds up nobody else and is cut off.
 func TestLargeAnswersAndSlowReaders(t *testing.T) {
 	const size = 16 << 20
-	b := aBox(t, emulator.BackendConfig{Body: size}, nil)
+	b := aBox(t, emulator.BackendConfig{BodySize: size}, nil)
 	small := aBox(t, emulator.BackendConfig{}, nil)
 	r := start(t, "", "limits: {write-timeout: 300ms, stream-silence: 20s}\n", b.Addr())
 	resp := r.talk(req("GET", "/look", "ka", ""), 1)[0]
--- a/internal/simulation/peers.go
+++ b/internal/simulation/peers.go
@@ -44,11 +44,11 @@
 	b.incarnation++
 	b.startedCold, b.startedAt, b.nextWake = cold, s.now, 0
 	p := s.script.Backends
-	c := emulator.BackendConfig{Name: b.name, Cores: p.Cores, Queue: p.Queue, Work: time.Duration(p.Work), Spread: 0.8, Body: p.Body,
+	c := emulator.BackendConfig{Name: b.name, Cores: p.Cores, Queue: p.Queue, Work: time.Duration(p.Work), WorkVariation: 0.8, BodySize: p.Body,
 		KeyTTL: 2 * s.keyTTL, Seed: s.script.Seed*1000 + uint64(len(b.name)) + uint64(b.incarnation)}
 	set := s.config.Settings
 	if cold {
-		c.ColdShare, c.ColdTime = set.SlowStartShare, set.SlowStartTime
+		c.SlowStartShare, c.SlowStartTime = set.SlowStartShare, set.SlowStartTime
 		c.OverloadFactor, c.OverloadTime = set.OverloadFactor, set.OverloadTime
 		s.checker.BackendStarted(b.name, s.now)
 	}
@@ -91,11 +91,11 @@
 	s.logEvent(string(f.Kind) + " " + f.ID + " " + f.Backend)
 	s.digest(backendFact, nil, string(f.Kind), f.ID, f.Backend)
 	switch f.Kind {
-	case emulator.Received:
+	case emulator.RequestReceived:
 		s.checker.RequestReceived(invariant.Receipt{ID: f.ID, Backend: f.Backend, At: s.now, Instance: s.sendingInstance, SentAt: s.sentAt})
-	case emulator.Executed:
+	case emulator.RequestExecuted:
 		s.checker.RequestExecuted(invariant.Execution{ID: f.ID, Key: f.Key, Backend: f.Backend, At: s.now})
-	case emulator.Collapsed:
+	case emulator.BackendCollapsed:
 		s.checker.BackendCollapsed(f.Backend, s.now)
 		b.setRefusing(true)
 	}
