--- /dev/null
+++ b/internal/simulation/backend.go
@@ -0,0 +1,135 @@
+package simulation
+
+import (
+	"time"
+
+	"sandyard/emulator"
+	"sandyard/fault"
+	"sandyard/invariant"
+)
+
+// simBackend is a stand-in box in virtual time.
+type simBackend struct {
+	sim            *Sim
+	host           *host
+	name           string
+	number         int
+	address        string
+	listedState    string // in the list
+	startedAt      time.Duration
+	startedCold    bool
+	model          *emulator.Backend
+	conns          []*simBackendConn
+	nextWake       time.Duration
+	incarnation    int
+	extraResponses bool
+}
+
+// start begins a process; one that is started while the day runs is cold.
+func (b *simBackend) start(cold bool) {
+	s := b.sim
+	b.incarnation++
+	b.startedCold, b.startedAt, b.nextWake = cold, s.now, 0
+	p := s.script.Backends
+	c := emulator.BackendConfig{Name: b.name, Cores: p.Cores, Queue: p.Queue, Work: time.Duration(p.Work), WorkVariation: 0.8, BodySize: p.Body,
+		KeyTTL: 2 * s.keyTTL, Seed: s.script.Seed*1000 + uint64(len(b.name)) + uint64(b.incarnation)}
+	set := s.config.Settings
+	if cold {
+		c.SlowStartShare, c.SlowStartTime = set.SlowStartShare, set.SlowStartTime
+		c.OverloadFactor, c.OverloadTime = set.OverloadFactor, set.OverloadTime
+		s.checker.BackendStarted(b.name, s.now)
+	}
+	b.model = emulator.NewBackend(c, s.now)
+	b.model.Facts = b.recordFact
+	b.conns = nil
+	b.host.alive, b.host.paused = true, false
+	b.host.accept = b.acceptConn
+}
+
+func (b *simBackend) setFault(v fault.Verb, value float64, on bool) {
+	b.model.Set(b.sim.now, v, value, on)
+	if v == fault.ExtraResponse {
+		b.extraResponses = on
+	}
+	if v == fault.Refuse && !b.model.HasCollapsed() {
+		b.setRefusing(on)
+	}
+	if b.host.alive {
+		b.advance()
+	}
+}
+
+// acceptConn takes a connection in.
+func (b *simBackend) acceptConn(e *netConn) {
+	c := &simBackendConn{backend: b, conn: e, model: b.model.NewConn(), instance: b.sim.instanceOf(e.peer.host), lastUsed: b.sim.now}
+	e.handler = c
+	b.conns = append(b.conns, c)
+	if idle := time.Duration(b.sim.script.Backends.IdleTimeout); idle > 0 {
+		b.sim.scheduleAfter(idle, func() { c.closeIfIdle(idle) })
+	}
+}
+
+func (b *simBackend) recordFact(f emulator.Fact) {
+	s := b.sim
+	s.logEvent(string(f.Kind) + " " + f.ID + " " + f.Backend)
+	s.digest(backendFact, nil, string(f.Kind), f.ID, f.Backend)
+	switch f.Kind {
+	case emulator.RequestReceived:
+		s.checker.RequestReceived(invariant.Receipt{ID: f.ID, Backend: f.Backend, At: s.now, Instance: s.sendingInstance, SentAt: s.sentAt})
+	case emulator.RequestExecuted:
+		s.checker.RequestExecuted(invariant.Execution{ID: f.ID, Key: f.Key, Backend: f.Backend, At: s.now})
+	case emulator.BackendCollapsed:
+		s.checker.BackendCollapsed(f.Backend, s.now)
+		b.setRefusing(true)
+	}
+}
+
+func (b *simBackend) setRefusing(on bool) {
+	if on {
+		b.host.accept = nil
+		for len(b.conns) > 0 {
+			b.conns[0].close(true)
+		}
+		return
+	}
+	b.host.accept = b.acceptConn
+}
+
+// scheduleWork plans the box's next end of work.
+func (b *simBackend) scheduleWork() {
+	t := b.model.Next()
+	if t == 0 || b.nextWake != 0 && b.nextWake <= t && b.nextWake > b.sim.now {
+		return
+	}
+	b.nextWake = t
+	life := b.incarnation
+	b.sim.schedule(t, func() {
+		if b.incarnation != life || !b.host.alive {
+			return
+		}
+		b.host.run(func() {
+			if b.incarnation != life {
+				return
+			}
+			b.nextWake = 0
+			b.advance()
+		})
+	})
+}
+
+func (b *simBackend) advance() {
+	now := b.sim.now
+	var done []*emulator.Job
+	b.model.Advance(now, func(j *emulator.Job) { done = append(done, j) })
+	for _, j := range done {
+		for _, c := range b.conns {
+			if c.model == j.Conn() {
+				b.sim.sendingInstance, b.sim.sentAt = c.instance, c.conn.peer.messageBegan
+				c.model.Done(now, j)
+				c.flush()
+				break
+			}
+		}
+	}
+	b.scheduleWork()
+}
--- /dev/null
+++ b/internal/simulation/backendconn.go
@@ -0,0 +1,85 @@
+package simulation
+
+import (
+	"time"
+
+	"sandyard/emulator"
+)
+
+type simBackendConn struct {
+	backend  *simBackend
+	conn     *netConn
+	model    *emulator.BackendConn
+	unsent   []byte
+	done     bool
+	instance int
+	lastUsed time.Duration // when bytes last came or went
+}
+
+// closeIfIdle closes a connection on which nothing has happened for a while, as servers do; a request may be on its way then.
+func (c *simBackendConn) closeIfIdle(after time.Duration) {
+	if c.done || c.conn.closed { // shut: by a kill of the box's process
+		return
+	}
+	if left := c.lastUsed + after - c.backend.sim.now; left > 0 || c.model.Busy() {
+		c.backend.sim.scheduleAfter(max(left, after/2), func() { c.closeIfIdle(after) })
+		return
+	}
+	c.backend.host.run(func() {
+		if !c.done && !c.conn.closed && len(c.conn.received) == 0 && !c.model.Busy() {
+			c.backend.sim.cover("box closed idle line")
+			c.close(false)
+		}
+	})
+}
+
+func (c *simBackendConn) readable(*netConn) {
+	if c.done {
+		return
+	}
+	c.lastUsed = c.backend.sim.now
+	c.backend.sim.sendingInstance, c.backend.sim.sentAt = c.instance, c.conn.peer.messageBegan
+	c.model.Feed(c.backend.sim.now, c.conn.read())
+	if !c.done {
+		c.flush()
+	}
+	c.backend.scheduleWork()
+}
+
+func (c *simBackendConn) writable(*netConn) { c.flush() }
+
+func (c *simBackendConn) flush() {
+	if c.done {
+		return
+	}
+	// Bytes that nobody asked for are told from an answer only if they come before the next request is sent: that is
+	// beyond what HTTP/1.1 lets a client know, and so they come with the answer that they follow.
+	c.conn.unsplit, c.lastUsed = c.backend.extraResponses, c.backend.sim.now
+	c.unsent = c.conn.writeBuffered(c.unsent, c.model.Out)
+	c.model.Out = c.model.Out[:0]
+	if c.model.Close && len(c.unsent) == 0 {
+		abort := c.model.Abort
+		if abort { // what was written arrives, then the reset
+			c.backend.sim.scheduleAfter(2*c.backend.sim.network.latency, func() { c.close(true) })
+			return
+		}
+		c.close(false)
+	}
+}
+
+func (c *simBackendConn) closed(*netConn, bool) { c.close(false) }
+
+func (c *simBackendConn) close(reset bool) {
+	if c.done {
+		return
+	}
+	c.done = true
+	c.model.Closed()
+	c.conn.close(reset)
+	for i, o := range c.backend.conns {
+		if o == c {
+			c.backend.conns = append(c.backend.conns[:i], c.backend.conns[i+1:]...)
+			break
+		}
+	}
+}
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -1,12 +1,6 @@
-// Package simulation runs whole deployments in one process and in virtual time: front doors made of the same machines that
-// package sockets runs, stand-in boxes and keepers, clients, and a network that carries bytes. One queue of events and
-// one seed decide everything that happens: the same script gives the same events, byte for byte, on any machine.
-//
-// Nothing here starts a goroutine or reads a clock. A Sim has one owner; any number may run side by side.
 package simulation
 
 import (
-	"encoding/binary"
 	"hash"
 	"hash/fnv"
 	"math/rand/v2"
@@ -114,32 +108,3 @@
 		c.log(c.now, what)
 	}
 }
-
-// eventKind numbers what goes into the digest. The numbers are part of every digest that is written down: new kinds
-// follow the last one.
-type eventKind byte
-
-const (
-	requestSent   eventKind = iota + 1 // its id
-	requestEnded                       // its id, and how
-	backendFact                        // the kind of fact, the request's id and the backend's name
-	faultBegun                         // verb, target and value
-	faultOver                          // verb and target
-	ruleBroken                         // the rule's number
-	instanceStats                      // an instance's counts at the end
-)
-
-// digest takes an event into the run's digest: the time, the kind, numbers, and bytes that scripts, clients or peers
-// chose. No text of ours goes in, so that a log line can be worded anew without another digest.
-func (c *clock) digest(kind eventKind, numbers []uint64, texts ...string) {
-	b := binary.LittleEndian.AppendUint64(make([]byte, 0, 64), uint64(c.now))
-	b = append(b, byte(kind))
-	for _, n := range numbers {
-		b = binary.LittleEndian.AppendUint64(b, n)
-	}
-	for _, t := range texts {
-		b = append(b, t...)
-		b = append(b, 0)
-	}
-	c.digestState.Write(b)
-}
--- a/internal/simulation/net.go
+++ b/internal/simulation/connection.go
@@ -1,39 +1,9 @@
 package simulation
 
 import (
-	"math/rand/v2"
 	"time"
 )
 
-// The network's figures.
-const (
-	windowBytes    = 64 << 10               // bytes on their way or unread, after which a sender waits
-	partitionRetry = 100 * time.Millisecond // until what a broken link holds back is tried again
-	connectRetry   = 300 * time.Millisecond // until an unanswered connection is tried again
-	maxBacklog     = 128                    // connections that wait to be accepted
-)
-
-// host is a process as the network sees it.
-type host struct {
-	name         string
-	alive        bool
-	paused       bool
-	notAccepting bool
-	descriptors  int // descriptors that are left; -1: no limit
-	conns        []*netConn
-	backlog      []*dialing     // connections that wait to be accepted
-	deferred     []func()       // what happens once a pause is over
-	accept       func(*netConn) // nil: nobody listens
-}
-
-// dialing is a connection that was asked for.
-type dialing struct {
-	from, to  *host
-	handler   connHandler
-	connected func(*netConn, bool)
-	ended     bool // given up
-}
-
 // connHandler is told of what happens on a connection.
 type connHandler interface {
 	readable(*netConn)
@@ -66,136 +36,6 @@
 	rst       bool
 }
 
-// link is what ails the way from one host to another.
-type link struct {
-	blocked        int
-	addedLatency   time.Duration
-	bytesPerSecond float64 // bytes a second; 0: no limit
-}
-
-// network carries bytes between hosts.
-type network struct {
-	*clock
-	rng              *rand.Rand
-	latency          time.Duration
-	jitter           float64
-	splitProbability float64 // chance that a write is cut in two, again and again
-	hosts            map[string]*host
-	byAddr           map[string]*host
-	links            map[[2]*host]*link
-	open             int // connections
-	refused          int
-}
-
-func (n *network) link(a, b *host) *link {
-	k := [2]*host{a, b}
-	l := n.links[k]
-	if l == nil {
-		l = &link{}
-		n.links[k] = l
-	}
-	return l
-}
-
-// transitTime is how long a segment takes.
-func (n *network) transitTime(a, b *host, size int) time.Duration {
-	d := float64(n.latency) * (1 + n.jitter*n.rng.ExpFloat64())
-	if l := n.links[[2]*host{a, b}]; l != nil {
-		d += float64(l.addedLatency)
-		if l.bytesPerSecond > 0 {
-			d += float64(size) / l.bytesPerSecond * float64(time.Second)
-		}
-	}
-	return time.Duration(d)
-}
-
-func (n *network) blocked(a, b *host) bool {
-	l := n.links[[2]*host{a, b}]
-	return l != nil && l.blocked > 0
-}
-
-// run lets a host do something, once it is not paused.
-func (h *host) run(do func()) {
-	if h.paused {
-		h.deferred = append(h.deferred, do)
-		return
-	}
-	do()
-}
-
-func (h *host) pause(on bool) {
-	h.paused = on
-	for !h.paused && len(h.deferred) > 0 {
-		do := h.deferred[0]
-		h.deferred = h.deferred[1:]
-		do()
-	}
-}
-
-// dial asks for a connection. done is told its end, or nil if it was refused; never, if nobody answers.
-func (n *network) dial(from *host, addr string, o connHandler, done func(*netConn, bool)) *dialing {
-	p := &dialing{from: from, to: n.byAddr[addr], handler: o, connected: done}
-	if from.descriptors == 0 {
-		n.scheduleAfter(0, func() { p.refuse(n) })
-		return p
-	}
-	n.scheduleAfter(n.transitTime(from, p.to, 0), func() { n.connect(p) })
-	return p
-}
-
-func (p *dialing) refuse(n *network) {
-	if !p.ended {
-		p.ended = true
-		n.refused++
-		p.from.run(func() { p.connected(nil, false) })
-	}
-}
-
-// connect is a connection's first segment at its target.
-func (n *network) connect(p *dialing) {
-	switch {
-	case p.ended || !p.from.alive:
-	case p.to == nil || (!p.to.alive || p.to.accept == nil) && !n.blocked(p.from, p.to):
-		n.scheduleAfter(n.latency, func() { p.refuse(n) })
-	case n.blocked(p.from, p.to) || n.blocked(p.to, p.from) || len(p.to.backlog) >= maxBacklog:
-		n.scheduleAfter(connectRetry, func() { n.connect(p) })
-	default:
-		p.to.backlog = append(p.to.backlog, p)
-		n.acceptPending(p.to)
-	}
-}
-
-// acceptPending accepts what waits, as far as the host can.
-func (n *network) acceptPending(h *host) {
-	for len(h.backlog) > 0 && h.alive && !h.notAccepting && !h.paused && h.descriptors != 0 {
-		p := h.backlog[0]
-		h.backlog = h.backlog[1:]
-		if p.ended || !p.from.alive {
-			continue
-		}
-		if h.accept == nil { // it listens no more
-			n.scheduleAfter(n.latency, func() { p.refuse(n) })
-			continue
-		}
-		a, b := &netConn{network: n, host: p.from, handler: p.handler}, &netConn{network: n, host: h}
-		a.peer, b.peer = b, a
-		for _, e := range [2]*netConn{a, b} {
-			e.host.conns = append(e.host.conns, e)
-			if e.host.descriptors > 0 {
-				e.host.descriptors--
-			}
-		}
-		n.open++
-		p.ended = true
-		n.scheduleAfter(n.transitTime(h, p.from, 0), func() {
-			if p.from.alive && !a.closed {
-				p.from.run(func() { p.connected(a, true) })
-			}
-		})
-		h.accept(b)
-	}
-}
-
 // write sends as many bytes as the window has room for; the owner hears of writable if that was not all.
 func (e *netConn) write(b []byte) int {
 	if e.closed || e.peerClosed && len(e.inFlight) == 0 && e.peer.closed {
@@ -360,22 +200,7 @@
 	if h.descriptors >= 0 {
 		h.descriptors++
 	}
-	if e.peer.closed {
-		e.network.open--
-	}
 	if len(h.backlog) > 0 {
 		e.network.scheduleAfter(0, func() { e.network.acceptPending(h) })
 	}
 }
-
-// kill ends a host's process: its peers get resets, as from a kernel whose process is gone.
-func (n *network) kill(h *host) {
-	for len(h.conns) > 0 {
-		h.conns[0].close(true)
-	}
-	h.alive, h.paused, h.deferred = false, false, nil
-	for _, p := range h.backlog {
-		n.scheduleAfter(n.latency, func() { p.refuse(n) })
-	}
-	h.backlog = nil
-}
--- /dev/null
+++ b/internal/simulation/coverage.go
@@ -0,0 +1,28 @@
+package simulation
+
+import (
+	"slices"
+)
+
+// Verbs are the troubles that a generator draws.
+func Verbs() (names []string) {
+	for _, k := range faultKinds {
+		if !slices.Contains(names, string(k.verb)) {
+			names = append(names, string(k.verb))
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// Reachable are the things that a search should reach: troubles, wishes of the core, ends of tries and error paths.
+func Reachable() []string {
+	names := []string{"answer broken", "answer cut off", "answer flows", "client drips", "client left", "client makes noise", "client quits",
+		"client reset", "client too slow", "dial refused", "line reset", "list broken", "stream silent", "status 200", "status 400", "status 408",
+		"status 413", "status 429", "status 502", "status 503", "status 504", "try served", "try refused", "try failed", "try cut", "try no door", "try left"}
+	names = append(names, effectNames...)
+	for _, v := range Verbs() {
+		names = append(names, "trouble "+v)
+	}
+	return names
+}
--- /dev/null
+++ b/internal/simulation/digest.go
@@ -0,0 +1,34 @@
+package simulation
+
+import (
+	"encoding/binary"
+)
+
+// eventKind numbers what goes into the digest. The numbers are part of every digest that is written down: new kinds
+// follow the last one.
+type eventKind byte
+
+const (
+	requestSent   eventKind = iota + 1 // its id
+	requestEnded                       // its id, and how
+	backendFact                        // the kind of fact, the request's id and the backend's name
+	faultBegun                         // verb, target and value
+	faultOver                          // verb and target
+	ruleBroken                         // the rule's number
+	instanceStats                      // an instance's counts at the end
+)
+
+// digest takes an event into the run's digest: the time, the kind, numbers, and bytes that scripts, clients or peers
+// chose. No text of ours goes in, so that a log line can be worded anew without another digest.
+func (c *clock) digest(kind eventKind, numbers []uint64, texts ...string) {
+	b := binary.LittleEndian.AppendUint64(make([]byte, 0, 64), uint64(c.now))
+	b = append(b, byte(kind))
+	for _, n := range numbers {
+		b = binary.LittleEndian.AppendUint64(b, n)
+	}
+	for _, t := range texts {
+		b = append(b, t...)
+		b = append(b, 0)
+	}
+	c.digestState.Write(b)
+}
--- /dev/null
+++ b/internal/simulation/faultkinds.go
@@ -0,0 +1,111 @@
+package simulation
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"sandyard/fault"
+)
+
+// faultKind is a trouble that a generator can draw.
+type faultKind struct {
+	verb        fault.Verb
+	target      string // box, boxes, keeper, door, link, studio, plan, all
+	value       func(*rand.Rand) float64
+	maxDuration time.Duration // of its duration
+}
+
+func uniform(a, b float64) func(*rand.Rand) float64 {
+	return func(r *rand.Rand) float64 { return math.Round((a+(b-a)*r.Float64())*100) / 100 }
+}
+
+var faultKinds = []faultKind{
+	{fault.Slow, "boxes", uniform(1.2, 4), 4 * time.Second},
+	{fault.Slow, "box", uniform(2, 12), 6 * time.Second},
+	{fault.Hang, "box", nil, 5 * time.Second},
+	{fault.ResetResponse, "box", func(r *rand.Rand) float64 { return float64(r.IntN(300)) }, 4 * time.Second},
+	{fault.DropResponse, "box", nil, 3 * time.Second},
+	{fault.ExtraResponse, "box", nil, 3 * time.Second},
+	{fault.ServerErrors, "box", uniform(0.2, 1), 4 * time.Second},
+	{fault.Refuse, "box", nil, 4 * time.Second},
+	{fault.FalseReports, "box", uniform(-2, 8), 5 * time.Second},
+	{fault.Stall, "box", nil, 3 * time.Second},
+	{fault.Delay, "box", uniform(20, 900), 4 * time.Second},
+	{fault.NoReply, "keeper", nil, 5 * time.Second},
+	{fault.Refuse, "keeper", nil, 5 * time.Second},
+	{fault.Stall, "keeper", nil, 3 * time.Second},
+	{fault.Delay, "keeper", uniform(10, 300), 5 * time.Second},
+	{fault.ResetTotals, "keeper", nil, 0},
+	{fault.Rollback, "keeper", uniform(100, 5000), 0},
+	{fault.PartialOutage, "keeper", uniform(0.1, 1), 5 * time.Second},
+	{fault.Split, "keeper", uniform(0.2, 0.8), 5 * time.Second},
+	{fault.InvalidReplies, "keeper", nil, 2 * time.Second},
+	{fault.Kill, "keeper", nil, 3 * time.Second},
+	{fault.Kill, "box", nil, 3 * time.Second},
+	{fault.Kill, "door", nil, 3 * time.Second},
+	{fault.Pause, "door", nil, 900 * time.Millisecond},
+	{fault.Pause, "box", nil, 3 * time.Second},
+	{fault.Drain, "box", nil, 3 * time.Second},
+	{fault.Replace, "box", nil, 3 * time.Second},
+	{fault.Vanish, "box", nil, time.Second},
+	{fault.TornEndpointFile, "list", nil, 2 * time.Second},
+	{fault.Surge, "all", uniform(1.2, 3), 4 * time.Second},
+	{fault.Surge, "studio", uniform(3, 15), 6 * time.Second},
+	{fault.Surge, "plan", uniform(2, 6), 5 * time.Second},
+	{fault.MoveTraffic, "all", nil, 0},
+	{fault.ClientsAbort, "all", uniform(0.05, 0.5), 5 * time.Second},
+	{fault.SlowClients, "all", uniform(0.02, 0.2), 5 * time.Second},
+	{fault.InvalidRequests, "all", uniform(0.02, 0.3), 5 * time.Second},
+	{fault.Partition, "door/box", nil, 7 * time.Second},
+	{fault.Partition, "door/keeper", nil, 4 * time.Second},
+	{fault.OneWayPartition, "door/box", nil, 4 * time.Second},
+	{fault.OneWayPartition, "box/door", nil, 4 * time.Second},
+	{fault.AddedLatency, "door/box", uniform(1, 120), 5 * time.Second},
+	{fault.Throttle, "door/box", uniform(2000, 50000), 4 * time.Second},
+	{fault.NotAccepting, "box", nil, 3 * time.Second},
+	{fault.DescriptorLimit, "door", func(r *rand.Rand) float64 { return float64(2 + r.IntN(20)) }, 3 * time.Second},
+}
+
+const faultPeriodShare = 0.6 // share of a run in which single troubles begin
+
+// drawFault draws one of a kind. What follows the first part of a run shows whether service comes back.
+func (s *Script) drawFault(rng *rand.Rand, k faultKind) fault.Event {
+	e := fault.Event{At: time.Duration(rng.Float64()*s.Seconds*faultPeriodShare*1000) * time.Millisecond, Verb: k.verb}
+	if k.maxDuration > 0 {
+		e.Duration = time.Duration(rng.Float64()*float64(k.maxDuration)/1e6) * time.Millisecond
+		e.Duration = max(e.Duration, 50*time.Millisecond)
+	}
+	if k.value != nil {
+		e.Value = k.value(rng)
+	}
+	e.Target = s.drawTarget(rng, k.target)
+	return e
+}
+
+func (s *Script) drawTarget(rng *rand.Rand, what string) string {
+	box := func() string { return fmt.Sprintf("box-%d", rng.IntN(s.Backends.Count)) }
+	door := func() string { return fmt.Sprintf("door-%d", rng.IntN(s.Instances)) }
+	switch what {
+	case "box":
+		return box()
+	case "door":
+		return door()
+	case "door/box":
+		return door() + "/" + box()
+	case "box/door":
+		return box() + "/" + door()
+	case "door/keeper":
+		return door() + "/keeper"
+	case "studio":
+		return []string{"school-0", "school-1", "studio-0", "hobby-0"}[rng.IntN(4)]
+	case "plan":
+		return []string{"school", "studio", "hobby"}[rng.IntN(3)]
+	case "boxes":
+		return "boxes"
+	case "keeper", "list":
+		return what
+	}
+	return "*"
+}
--- /dev/null
+++ b/internal/simulation/instanceclient.go
@@ -0,0 +1,186 @@
+package simulation
+
+import (
+	"strconv"
+	"time"
+
+	"sandyard/proxy"
+)
+
+// instanceClientConn is a client's connection at its door.
+type instanceClientConn struct {
+	instance     *simInstance
+	conn         *netConn
+	machine      *proxy.ClientConn
+	unsent       []byte
+	done         bool
+	deadlineAt   time.Duration
+	blockedSince time.Duration        // since when nothing of out was taken
+	streamSource *instanceBackendConn // whose answer flows
+	lingering    bool                 // all is written; what still comes is read and dropped
+}
+
+func (d *simInstance) accept(e *netConn) {
+	if d.shared.Clients.Add(1) > int64(d.config.Limits.Connections) {
+		d.shared.Clients.Add(-1)
+		d.sim.cover("connection turned away")
+		e.peer.tooManyConns = true
+		e.write(d.shared.TooManyConnections())
+		e.close(false)
+		return
+	}
+	c := &instanceClientConn{instance: d, conn: e}
+	c.machine = proxy.NewClientConn(d.shared, c, "192.0.2.1", d.now())
+	e.handler = c
+	d.clients = append(d.clients, c)
+	c.armDeadline()
+}
+
+func (c *instanceClientConn) armDeadline() {
+	d := c.machine.Deadline()
+	if d == 0 || c.deadlineAt != 0 && c.deadlineAt <= d {
+		return
+	}
+	c.deadlineAt = d
+	c.instance.sim.schedule(c.instance.simTime(d), c.instance.thisIncarnation(func() {
+		if c.done || c.deadlineAt != d {
+			return
+		}
+		c.deadlineAt = 0
+		c.machine.Expired(c.instance.now())
+		c.proceed(nil)
+	}))
+}
+
+func (c *instanceClientConn) readable(*netConn) {
+	for !c.done && len(c.conn.received) > 0 && len(c.unsent) <= maxUnsentBytes {
+		if closes, _ := c.machine.Closing(); closes {
+			c.conn.read() // what comes after the last answer is dropped
+			return
+		}
+		c.proceed(c.machine.Feed(c.instance.now(), c.conn.read()))
+	}
+}
+
+func (c *instanceClientConn) closed(_ *netConn, reset bool) {
+	if reset {
+		c.instance.sim.cover("client reset")
+	}
+	c.disconnect()
+}
+
+func (c *instanceClientConn) disconnect() {
+	if c.done {
+		return
+	}
+	ex := c.machine.Gone()
+	c.close(true)
+	if ex != nil {
+		c.instance.sim.cover("client left")
+		c.instance.post(func() { c.instance.core.ClientLeft(c.instance.now(), ex) })
+	}
+}
+
+func (c *instanceClientConn) close(reset bool) {
+	if c.done {
+		return
+	}
+	c.done = true
+	c.conn.close(reset)
+	c.instance.shared.Clients.Add(-1)
+	for i, o := range c.instance.clients {
+		if o == c {
+			c.instance.clients = append(c.instance.clients[:i], c.instance.clients[i+1:]...)
+			break
+		}
+	}
+	if c.streamSource != nil {
+		c.streamSource.readable(nil)
+	}
+}
+
+func (c *instanceClientConn) writable(*netConn) { c.proceed(nil); c.readable(nil) }
+
+// proceed carries out what the machine wants.
+func (c *instanceClientConn) proceed(ex *proxy.Exchange) {
+	for !c.done {
+		if ex != nil {
+			ex := ex
+			c.instance.post(func() { c.instance.core.RequestArrived(c.instance.now(), ex) })
+		}
+		for _, status := range c.machine.OwnStatuses {
+			c.instance.sim.cover("own answer " + strconv.Itoa(status))
+		}
+		c.machine.OwnStatuses = c.machine.OwnStatuses[:0]
+		if all := len(c.unsent) + len(c.machine.Out); all > 0 {
+			c.unsent = c.conn.writeBuffered(c.unsent, c.machine.Out)
+			c.machine.Out = c.machine.Out[:0]
+			if len(c.unsent) < all {
+				c.blockedSince = c.instance.sim.now
+			}
+		}
+		if len(c.unsent) > 0 {
+			c.watchWrite()
+			break
+		}
+		if c.streamSource != nil {
+			c.streamSource.readable(nil)
+		}
+		if closes, linger := c.machine.Closing(); closes {
+			if linger && !c.machine.Aborts() { // what still comes is read and dropped for a while
+				if !c.lingering {
+					c.lingering = true
+					c.conn.closeWrite()
+					c.instance.sim.scheduleAfter(time.Second, c.instance.thisIncarnation(func() { c.close(false) }))
+				}
+				c.conn.read()
+			} else {
+				c.close(c.machine.Aborts())
+			}
+			return
+		}
+		if ex != nil {
+			break
+		}
+		if ex = c.machine.Resume(c.instance.now()); ex == nil && len(c.machine.Out) == 0 {
+			if closes, _ := c.machine.Closing(); !closes {
+				break
+			}
+		}
+	}
+	if !c.done {
+		c.armDeadline()
+	}
+}
+
+// watchWrite cuts off a client that takes nothing for limits.write-timeout.
+func (c *instanceClientConn) watchWrite() {
+	since := c.blockedSince
+	c.instance.sim.scheduleAfter(time.Duration(c.instance.config.Limits.WriteTimeout), c.instance.thisIncarnation(func() {
+		if !c.done && len(c.unsent) > 0 && c.blockedSince == since {
+			c.instance.sim.cover("client too slow")
+			c.disconnect()
+		}
+	}))
+}
+
+func (c *instanceClientConn) respond(ex *proxy.Exchange, b []byte, more, closes bool) {
+	if c.done {
+		return
+	}
+	c.machine.Answered(c.instance.now(), ex, b, more, closes)
+	c.proceed(nil)
+	c.readable(nil)
+}
+
+func (c *instanceClientConn) relay(ex *proxy.Exchange, b []byte, end, broken bool) {
+	if c.done {
+		return
+	}
+	c.machine.Relay(c.instance.now(), ex, b, end, broken)
+	if broken {
+		c.instance.sim.cover("answer cut off")
+	}
+	c.proceed(nil)
+	c.readable(nil)
+}
--- /dev/null
+++ b/internal/simulation/misbehave.go
@@ -0,0 +1,80 @@
+package simulation
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"time"
+
+	"sandyard/internal/http1"
+)
+
+// misbehave is a client that sends what is no request, or sends one so slowly that nobody waits for it.
+func (s *Sim) misbehave(rng *rand.Rand, slow bool) {
+	a := s.clientPools[rng.IntN(len(s.clientPools))]
+	c := &clientConn{pool: a, reader: http1.NewResponses(http1.Limits{}), misbehaving: true}
+	if slow && rng.IntN(3) == 0 {
+		s.requestWithoutReading(a, c)
+		return
+	}
+	text := []string{"GET / HTTP/1.1\n\n", "POST /payments HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"\x16\x03\x01\x00\xa5\x01\x00\x00", "GET /bookings HTTP/1.1\r\nHost: h\r\nX-Api-Key: nobody\r\n\r\nGET", fmt.Sprintf("POST /payments HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 999999999\r\n\r\nx", s.config.Headers.Key, s.config.Customers[0].Keys[0]),
+		strings.Repeat("a", 9000)}[rng.IntN(6)]
+	gap := time.Duration(0)
+	if slow {
+		text = fmt.Sprintf("POST /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 50\r\n\r\n%s", s.config.Headers.Key, s.config.Customers[0].Keys[0], strings.Repeat("y", 30))
+		gap = time.Duration(50+rng.IntN(500)) * time.Millisecond
+	}
+	if slow {
+		s.cover("client drips")
+	} else {
+		s.cover("client makes noise")
+	}
+	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", a.instance), c, func(e *netConn, ok bool) {
+		if !ok || c.done {
+			if e != nil {
+				e.close(true)
+			}
+			return
+		}
+		c.conn = e
+		var feed func()
+		feed = func() {
+			if c.done || len(text) == 0 {
+				return
+			}
+			n := len(text)
+			if gap > 0 {
+				n = 1
+			}
+			c.unsent = append(c.unsent, text[:n]...)
+			text = text[n:]
+			c.flush()
+			s.scheduleAfter(gap, feed)
+		}
+		feed()
+	})
+	s.scheduleAfter(12*time.Second, func() { c.close(true) })
+}
+
+// requestWithoutReading is a client that asks for a lot and reads nothing.
+func (s *Sim) requestWithoutReading(a *clientPool, c *clientConn) {
+	s.cover("client reads nothing")
+	text := strings.Repeat(fmt.Sprintf("GET /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", s.config.Headers.Key, s.config.Customers[0].Keys[0]), 8)
+	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", a.instance), nonReader{c}, func(e *netConn, ok bool) {
+		if ok && !c.done {
+			c.conn = e
+			e.write([]byte(text))
+		}
+	})
+	s.scheduleAfter(12*time.Second, func() { c.close(true) })
+}
+
+// nonReader owns the connection of a client that does not read.
+type nonReader struct{ c *clientConn }
+
+func (nonReader) readable(*netConn) {}
+
+func (nonReader) writable(*netConn) {}
+
+func (m nonReader) closed(*netConn, bool) { m.c.close(true) }
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -3,111 +3,12 @@
 import (
 	"fmt"
 	"math"
-	"math/rand/v2"
-	"slices"
 	"time"
 
 	"sandyard/fault"
 	"sandyard/internal/strictyaml"
 )
 
-// A shape is a whole day rather than single troubles: it brings a deployment to where a rule's defences act and keeps it
-// there for long enough that loops settle. Troubles of the usual kinds come on top in half of the days.
-type scenario struct {
-	name string
-	draw func(d *scenarioBuilder)
-}
-
-// scenarioBuilder is a script under way.
-type scenarioBuilder struct {
-	*Script
-	rng *rand.Rand
-}
-
-// Bounds of drawn days, so that a sweep of thousands stays within minutes.
-const (
-	maxRate               = 420.0  // requests a second at the usual rate
-	maxRequests           = 5000.0 // requests in all at the usual rate
-	minRequestsToCollapse = 14.0   // mean requests that push a cold box over, at the least: fewer are chance
-)
-
-var scenarios = []scenario{
-	{"overload", (*scenarioBuilder).overload},
-	{"replacement", (*scenarioBuilder).replacement},
-	{"ceilings", (*scenarioBuilder).ceilings},
-	{"keys", (*scenarioBuilder).keyExpiry},
-	{"drains", (*scenarioBuilder).draining},
-	{"flows", (*scenarioBuilder).streaming},
-}
-
-// Shapes names the shapes of days, in the order in which a generator draws them.
-func Shapes() (names []string) {
-	for _, s := range scenarios {
-		names = append(names, s.name)
-	}
-	return names
-}
-
-func (d *scenarioBuilder) oneOf(xs ...float64) float64 { return xs[d.rng.IntN(len(xs))] }
-
-// between draws evenly, to two places.
-func (d *scenarioBuilder) between(a, b float64) float64 {
-	return math.Round((a+(b-a)*d.rng.Float64())*100) / 100
-}
-
-func (d *scenarioBuilder) milliseconds(a, b float64) time.Duration {
-	return time.Duration(d.between(a, b)) * time.Millisecond
-}
-
-// chance tells yes with a chance.
-func (d *scenarioBuilder) chance(p float64) bool { return d.rng.Float64() < p }
-
-// fleet draws boxes and doors, with 1 to 75 and 1 to 40 of them.
-func (d *scenarioBuilder) fleet() {
-	d.Backends.Cores = int(d.oneOf(1, 1, 2))
-	d.Backends.Work = strictyaml.Duration(time.Duration(d.oneOf(40, 80, 120, 160)) * time.Millisecond)
-	d.Backends.Queue = int(d.oneOf(8, 24, 64))
-	d.Backends.Count = 1 + d.rng.IntN(int(d.oneOf(3, 8, 8, 20, 75)))
-	d.Instances = 1 + d.rng.IntN(int(d.oneOf(2, 4, 8, 40)))
-}
-
-// setLoad sets the rate to a share of what the boxes can do, and the length of the day by what that asks for.
-func (d *scenarioBuilder) setLoad(share float64) {
-	can := float64(d.Backends.Count*d.Backends.Cores) / time.Duration(d.Backends.Work).Seconds()
-	d.Rate = math.Round(min(maxRate, max(2, share*can)))
-	d.Seconds = math.Round(min(d.Seconds, max(6, maxRequests/d.Rate)))
-}
-
-// drawSlowStart draws how boxes start, such that it takes some requests to push one over.
-func (d *scenarioBuilder) drawSlowStart() {
-	c := &d.SlowStart
-	c.Share, c.OverloadFactor = d.oneOf(0.1, 0.22, 0.25, 0.5), d.oneOf(3, 4, 4, 6)
-	c.Duration, c.OverloadTime = strictyaml.Duration(time.Duration(d.oneOf(4, 8, 16))*time.Second), strictyaml.Duration(time.Duration(d.oneOf(1, 1.5, 2)*1000)*time.Millisecond)
-	d.boundWork()
-}
-
-// boundWork bounds the work of a request, so that it takes some to push a cold box over.
-func (s *Script) boundWork() {
-	c := s.SlowStart
-	if c.OverloadFactor == 0 {
-		return
-	}
-	most := c.OverloadFactor * c.Share * float64(s.Backends.Cores) * time.Duration(c.OverloadTime).Seconds() / minRequestsToCollapse
-	s.Backends.Work = strictyaml.Duration(min(time.Duration(s.Backends.Work), time.Duration(most*float64(time.Second)).Truncate(time.Millisecond)))
-}
-
-func (d *scenarioBuilder) addFault(at time.Duration, e fault.Event) {
-	e.At = at.Truncate(time.Millisecond)
-	d.Events = append(d.Events, e)
-}
-
-func (d *scenarioBuilder) backendName(i int) string { return fmt.Sprintf("box-%d", i) }
-
-// portion is a tenth, a half or all of the boxes, one at least.
-func (d *scenarioBuilder) portion() int {
-	return max(1, int(math.Round(float64(d.Backends.Count)*d.oneOf(0.1, 0.5, 0.5, 1))))
-}
-
 // overload: the fleet is asked for 0.6 to 3 times what it can do, at times in surges.
 func (d *scenarioBuilder) overload() {
 	d.fleet()
@@ -289,20 +190,3 @@
 		d.addFault(at, fault.Event{Duration: d.milliseconds(300, 3000), Verb: []fault.Verb{fault.Drain, fault.Replace, fault.Vanish}[d.rng.IntN(3)], Target: b})
 	}
 }
-
-// drawScenario draws a day of one of the shapes.
-func drawScenario(s *Script, rng *rand.Rand) string {
-	d := &scenarioBuilder{s, rng}
-	k := scenarios[rng.IntN(len(scenarios))]
-	k.draw(d)
-	return k.name
-}
-
-// sortEvents puts troubles in the order of their times, within the traffic's.
-func (s *Script) sortEvents() {
-	end := time.Duration(s.Seconds * float64(time.Second))
-	for i := range s.Events {
-		s.Events[i].At = min(max(0, s.Events[i].At), end)
-	}
-	slices.SortStableFunc(s.Events, func(a, b fault.Event) int { return int(a.At - b.At) })
-}
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -91,14 +91,6 @@
 	Value    float64             `yaml:"value"`
 }
 
-// Bounds of a script.
-const (
-	maxInstances  = 128
-	maxBackends   = 256
-	maxSeconds    = 24 * 3600
-	maxScriptRate = 20000
-)
-
 func defaults() Script {
 	return Script{Version: Version, Seconds: 15, Instances: 3, Rate: 40, PlanFactor: 1,
 		Backends: Backends{Count: 4, Cores: 2, Queue: 24, Work: strictyaml.Duration(30 * time.Millisecond), Body: 64},
@@ -106,64 +98,6 @@
 		Clients:  Clients{Retries: 2, PipelineShare: 0.03, NewConnShare: 0.2, MaxBody: 40}}
 }
 
-// ReadScript reads a script; the error is a diag.Problems.
-func ReadScript(file string, text []byte) (*Script, error) {
-	s := defaults()
-	s.Version = 0
-	d := strictyaml.Read(file, text, &s)
-	if d.Whole() && s.Version != Version {
-		d.Reportf("version", "%d: this program reads scripts of version %d; write the script anew from its seed, or with the program that wrote it", s.Version, Version)
-	}
-	s.Seed = uint64(s.WrittenSeed)
-	check := func(field string, x, least, most float64) {
-		if !(x >= least) || x > most {
-			d.Reportf(field, "%g: expected %g to %g", x, least, most)
-		}
-	}
-	check("seed", float64(s.WrittenSeed), 0, 1<<53)
-	check("seconds", s.Seconds, 0.1, maxSeconds)
-	check("doors", float64(s.Instances), 1, maxInstances)
-	check("rate", s.Rate, 0.01, maxScriptRate)
-	check("boxes.count", float64(s.Backends.Count), 0, maxBackends)
-	check("boxes.cores", float64(s.Backends.Cores), 1, 1024)
-	check("boxes.cells", float64(s.Backends.Cells), 0, maxBackends)
-	check("boxes.queue", float64(s.Backends.Queue), 1, 1<<20)
-	check("boxes.body", float64(s.Backends.Body), 1, 16<<20)
-	check("cold.share", s.SlowStart.Share, 0, 1)
-	check("cold.factor", s.SlowStart.OverloadFactor, 0, 100)
-	check("soft", s.OverQuotaValue, 0, 1000)
-	check("late", s.LateShare, 0, 1)
-	check("plans", s.PlanFactor, 0.001, 1000)
-	check("net.jitter", s.Net.Jitter, 0, 100)
-	check("net.split", s.Net.SplitProbability, 0, 0.95)
-	check("drift", s.Drift, 0, 0.2)
-	check("clients.retries", float64(s.Clients.Retries), 0, 10)
-	check("clients.pipeline", s.Clients.PipelineShare, 0, 1)
-	check("clients.fresh", s.Clients.NewConnShare, 0, 1)
-	check("clients.body", float64(s.Clients.MaxBody), 0, 1<<20)
-	if s.Net.Latency == 0 {
-		d.Reportf("net.latency", "expected more than 0")
-	}
-	for i, t := range s.Faults {
-		at := fmt.Sprintf("troubles[%d]", i)
-		v, _, err := fault.Parse(t.Verb + " " + strconv.FormatFloat(t.Value, 'g', -1, 64))
-		if err != nil {
-			d.Reportf(at+".verb", "%v", err)
-		}
-		if t.Target == "" {
-			d.Reportf(at+".target", "missing; * stands for all")
-		}
-		if time.Duration(t.At) > time.Duration(s.Seconds*float64(time.Second)) {
-			d.Reportf(at+".at", "after the end of the traffic")
-		}
-		s.Events = append(s.Events, fault.Event{At: time.Duration(t.At), Duration: time.Duration(t.Duration), Verb: v, Target: t.Target, Value: t.Value})
-	}
-	if err := d.Problems.Err(); err != nil {
-		return nil, err
-	}
-	return &s, nil
-}
-
 // Text writes a script; ReadScript reads it back.
 func (s *Script) Text() string {
 	var b strings.Builder
@@ -259,46 +193,3 @@
 	}
 	return &c
 }
-
-// Deployment is the configuration that scripts run on which name none: two front doors a studio, three plans with a
-// ceiling in the highest, three ways of repeating.
-func Deployment() (*config.Config, error) {
-	var s strings.Builder
-	s.WriteString(`openapi: openapi.yaml
-door: {number: 0, of: 64}
-classes:
-  - {name: slot-booking, repeat: safe, aim: 600ms, deadline: 2.5s, worth: 1, late-share: 0.2}
-  - {name: firing, repeat: keyed, key-ttl: 6s, aim: 1s, deadline: 3s, worth: 2, late-share: 0.2}
-  - {name: payment, repeat: unsafe, aim: 1s, deadline: 3s, worth: 4}
-  - {name: feed, repeat: safe, aim: 1s, deadline: 3s, worth: 0.5, stream: true}
-plans:
-  - {name: hobby, rate: 4/s, burst: 8, price: 0.8, over-cost: 1.2}
-  - {name: studio, rate: 8/s, burst: 12, price: 1.2, over-cost: 0.5}
-  - {name: school, rate: 24/s, burst: 36, price: 1.8, over-cost: 1.2, ceiling: {rate: 40/s, burst: 60, slack: 6}}
-studios:
-`)
-	n := 0
-	for _, p := range []struct {
-		plan    string
-		studios int
-	}{{"hobby", 5}, {"studio", 3}, {"school", 2}} {
-		for i := range p.studios {
-			fmt.Fprintf(&s, "  - {name: %s-%d, plan: %s, keys: [key-%d], doors: {first: %d, spread: 2}}\n", p.plan, i, p.plan, n, n)
-			n++
-		}
-	}
-	s.WriteString(`boxes: {file: boxes.yaml, subscribe: true, drain-grace: 300ms, cold: {share: 0.25, time: 8s}, overload: {factor: 4, time: 2s}}
-load: {via: answers, fields: [{name: named_metrics.in_flight, is: in-flight}, {name: cpu_utilization, is: utilization}]}
-attempts: {most: 3}
-keeper: {address: "10.0.0.1:6379", timeout: 80ms, price: 0.02}
-limits: {hold-answer: 4KiB, write-timeout: 5s, idle-timeout: 20s, head-timeout: 5s, body-timeout: 5s, box-idle-timeout: 5s, stream-silence: 1500ms, lines-per-box: 64, connect-timeout: 600ms}
-`)
-	return config.Parse("gateway.yaml", []byte(s.String()), []byte(`openapi: 3.0.3
-info: {title: simulated, version: "1"}
-paths:
-  /bookings: {post: {x-sandyard-class: slot-booking, responses: {}}, get: {x-sandyard-class: slot-booking, responses: {}}}
-  /firings: {post: {x-sandyard-class: firing, responses: {}}}
-  /payments: {post: {x-sandyard-class: payment, responses: {}}}
-  /feed: {get: {x-sandyard-class: feed, responses: {}}}
-`), []byte("boxes: []\n"))
-}
