--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -60,9 +60,9 @@
 }
 
 // acceptConn takes a connection in.
-func (b *simBackend) acceptConn(e *netConn) {
-	c := &simBackendConn{backend: b, conn: e, model: b.model.NewConn(), instance: b.sim.instanceOf(e.peer.host), lastUsed: b.sim.now}
-	e.handler = c
+func (b *simBackend) acceptConn(conn *netConn) {
+	c := &simBackendConn{backend: b, conn: conn, model: b.model.NewConn(), instance: b.sim.instanceOf(conn.peer.host), lastUsed: b.sim.now}
+	conn.handler = c
 	b.conns = append(b.conns, c)
 	if idle := time.Duration(b.sim.script.Backends.IdleTimeout); idle > 0 {
 		b.sim.scheduleAfter(idle, func() { c.closeIfIdle(idle) })
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -18,31 +18,31 @@
 }
 
 // get finds a connection with nothing out, or begins one.
-func (a *clientPool) get(rng *rand.Rand) *clientConn {
-	if rng.Float64() >= a.sim.script.Clients.NewConnShare {
-		for len(a.idle) > 0 {
-			c := a.idle[len(a.idle)-1]
-			a.idle = a.idle[:len(a.idle)-1]
-			if !c.done && a.sim.now-c.lastUsed < 3*time.Second {
+func (p *clientPool) get(rng *rand.Rand) *clientConn {
+	if rng.Float64() >= p.sim.script.Clients.NewConnShare {
+		for len(p.idle) > 0 {
+			c := p.idle[len(p.idle)-1]
+			p.idle = p.idle[:len(p.idle)-1]
+			if !c.done && p.sim.now-c.lastUsed < 3*time.Second {
 				return c
 			}
 			c.close(false)
 		}
 	}
-	c := &clientConn{pool: a, reader: http1.NewResponses(http1.Limits{}), lastUsed: a.sim.now}
-	c.dialing = a.sim.network.dial(a.sim.clientHost, fmt.Sprintf("door-%d", a.instance), c, func(e *netConn, ok bool) {
+	c := &clientConn{pool: p, reader: http1.NewResponses(http1.Limits{}), lastUsed: p.sim.now}
+	c.dialing = p.sim.network.dial(p.sim.clientHost, fmt.Sprintf("door-%d", p.instance), c, func(conn *netConn, ok bool) {
 		switch {
 		case c.done:
-			if e != nil {
-				e.close(true)
+			if conn != nil {
+				conn.close(true)
 			}
 		case !ok:
 			c.fail(invariant.NotAccepted)
 		default:
-			c.conn, c.acceptedAt = e, a.sim.now
+			c.conn, c.acceptedAt = conn, p.sim.now
 			c.flush()
-			if len(e.received) > 0 { // a door may turn a connection away before its client knows that it stands
-				c.readable(e)
+			if len(conn.received) > 0 { // a door may turn a connection away before its client knows that it stands
+				c.readable(conn)
 			}
 		}
 	})
@@ -74,9 +74,9 @@
 
 func (c *clientConn) writable(*netConn) { c.flush() }
 
-func (c *clientConn) closed(e *netConn, reset bool) {
+func (c *clientConn) closed(conn *netConn, reset bool) {
 	if c.conn == nil { // it ended before its client knew that it stood
-		c.conn = e
+		c.conn = conn
 	}
 	c.fail(invariant.ConnectionBroken)
 }
@@ -90,17 +90,17 @@
 		e = invariant.NotAccepted
 	}
 	c.close(true)
-	for i, t := range out {
+	for i, r := range out {
 		if i == 0 && c.responseBegan && e == invariant.ConnectionBroken { // an answer that flowed and broke off: its client knows that it failed
 			c.pool.sim.cover("excuse: broken off: an answer that flowed")
-			c.pool.sim.finish(t, invariant.Failed, 1)
+			c.pool.sim.finish(r, invariant.Failed, 1)
 			continue
 		}
 		if i > 0 && e == invariant.ConnectionBroken { // a door takes one request at a time: those behind were not accepted
 			c.pool.sim.cover("excuse: no answer: behind one that was cut")
 			e = invariant.ClientLeft
 		}
-		c.pool.sim.finish(t, e, 0)
+		c.pool.sim.finish(r, e, 0)
 	}
 }
 
@@ -122,8 +122,8 @@
 	}
 	if out := c.awaiting; len(out) > 0 { // a client that gives up on one gives up on all that it sent behind it
 		c.awaiting = nil
-		for _, t := range out {
-			c.pool.sim.finish(t, invariant.ClientLeft, 0)
+		for _, r := range out {
+			c.pool.sim.finish(r, invariant.ClientLeft, 0)
 		}
 	}
 }
@@ -148,12 +148,12 @@
 			c.close(true)
 			return
 		}
-		t := c.awaiting[0]
-		c.reader.Expect(s.config.Routes.Operations[t.operation].Method)
+		r := c.awaiting[0]
+		c.reader.Expect(s.config.Routes.Operations[r.operation].Method)
 		n, part, err := c.reader.Feed(in)
 		in = in[n:]
 		if err != nil {
-			s.report(RuleOwnResponse, fmt.Sprintf("door %d answers %s with what is no answer: %v", c.pool.instance, t.ID, err))
+			s.report(RuleOwnResponse, fmt.Sprintf("door %d answers %s with what is no answer: %v", c.pool.instance, r.ID, err))
 			return
 		}
 		if part.Kind == http1.More {
@@ -167,7 +167,7 @@
 		case http1.End:
 			c.responseBegan = false
 			c.awaiting = c.awaiting[1:]
-			c.responseComplete(t)
+			c.responseComplete(r)
 			if c.head.Close {
 				c.fail(invariant.NotAccepted) // what it sent behind was never taken
 				return
@@ -181,13 +181,13 @@
 }
 
 // responseComplete is the end of an answer.
-func (c *clientConn) responseComplete(t *clientRequest) {
+func (c *clientConn) responseComplete(r *clientRequest) {
 	s, h := c.pool.sim, c.head
 	s.cover("status " + strconv.Itoa(h.Status))
-	if id, ok := h.Get("X-Answers"); ok && id != t.ID {
-		s.report(RuleOwnResponse, fmt.Sprintf("%s got the answer to %s", t.ID, id))
+	if id, ok := h.Get("X-Answers"); ok && id != r.ID {
+		s.report(RuleOwnResponse, fmt.Sprintf("%s got the answer to %s", r.ID, id))
 	}
-	t.status = h.Status
+	r.status = h.Status
 	e := invariant.Failed
 	switch {
 	case h.Status < 400:
@@ -195,5 +195,5 @@
 	case h.Status == 429, h.Status == 503, h.Status < 500:
 		e = invariant.Rejected
 	}
-	s.finish(t, e, 1)
+	s.finish(r, e, 1)
 }
--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -37,78 +37,78 @@
 }
 
 // write sends as many bytes as the window has room for; the owner hears of writable if that was not all.
-func (e *netConn) write(b []byte) int {
-	if e.closed || e.peerClosed && len(e.inFlight) == 0 && e.peer.closed {
+func (c *netConn) write(b []byte) int {
+	if c.closed || c.peerClosed && len(c.inFlight) == 0 && c.peer.closed {
 		return len(b) // into the void; the owner hears of the close
 	}
-	took := min(len(b), windowBytes-e.unacknowledged)
-	e.writeBlocked = took < len(b)
-	e.unacknowledged += took
-	n := e.network
+	took := min(len(b), windowBytes-c.unacknowledged)
+	c.writeBlocked = took < len(b)
+	c.unacknowledged += took
+	n := c.network
 	for rest := b[:took]; len(rest) > 0; {
 		size := len(rest)
-		for size > 1 && n.splitProbability > 0 && !e.unsplit && n.rng.Float64() < n.splitProbability {
+		for size > 1 && n.splitProbability > 0 && !c.unsplit && n.rng.Float64() < n.splitProbability {
 			size = 1 + n.rng.IntN(size-1)
 		}
-		e.send(segment{data: append([]byte(nil), rest[:size]...)})
+		c.send(segment{data: append([]byte(nil), rest[:size]...)})
 		rest = rest[size:]
 	}
 	return took
 }
 
 // writeBuffered writes what was held back and then what is new, and returns what must be held back now.
-func (e *netConn) writeBuffered(held, fresh []byte) []byte {
+func (c *netConn) writeBuffered(held, fresh []byte) []byte {
 	if len(held) == 0 { // the usual case: nothing is copied twice
-		n := e.write(fresh)
+		n := c.write(fresh)
 		return append(held, fresh[n:]...)
 	}
 	held = append(held, fresh...)
-	if n := e.write(held); n < len(held) {
+	if n := c.write(held); n < len(held) {
 		return held[n:]
 	}
 	return held[:0]
 }
 
-func (e *netConn) send(s segment) {
-	n := e.network
-	s.arrivesAt = n.now + n.transitTime(e.host, e.peer.host, len(s.data))
-	if k := len(e.inFlight); k > 0 {
-		s.arrivesAt = max(s.arrivesAt, e.inFlight[k-1].arrivesAt)
-	}
-	e.inFlight = append(e.inFlight, s)
-	e.scheduleDelivery()
+func (c *netConn) send(s segment) {
+	n := c.network
+	s.arrivesAt = n.now + n.transitTime(c.host, c.peer.host, len(s.data))
+	if k := len(c.inFlight); k > 0 {
+		s.arrivesAt = max(s.arrivesAt, c.inFlight[k-1].arrivesAt)
+	}
+	c.inFlight = append(c.inFlight, s)
+	c.scheduleDelivery()
 }
 
 // scheduleDelivery plans the arrival of what is on its way, in order.
-func (e *netConn) scheduleDelivery() {
-	if e.deliveryScheduled || len(e.inFlight) == 0 {
+func (c *netConn) scheduleDelivery() {
+	if c.deliveryScheduled || len(c.inFlight) == 0 {
 		return
 	}
-	e.deliveryScheduled = true
-	e.network.schedule(e.inFlight[0].arrivesAt, e.deliver)
+	c.deliveryScheduled = true
+	c.network.schedule(c.inFlight[0].arrivesAt, c.deliver)
 }
 
-func (e *netConn) deliver() {
-	e.deliveryScheduled = false
-	n, to := e.network, e.peer
-	if n.blocked(e.host, to.host) {
-		if len(e.inFlight) > 0 {
-			e.deliveryScheduled = true
-			n.scheduleAfter(partitionRetry, e.deliver)
+func (c *netConn) deliver() {
+	c.deliveryScheduled = false
+	n, to := c.network, c.peer
+	if n.blocked(c.host, to.host) {
+		if len(c.inFlight) > 0 {
+			c.deliveryScheduled = true
+			n.scheduleAfter(partitionRetry, c.deliver)
 		}
 		return
 	}
-	for len(e.inFlight) > 0 && e.inFlight[0].arrivesAt <= n.now {
-		s := e.inFlight[0]
-		if e.inFlight[0] = (segment{}); len(e.inFlight) > 1 {
-			e.inFlight = e.inFlight[1:]
+	for len(c.inFlight) > 0 && c.inFlight[0].arrivesAt <= n.now {
+		s := c.inFlight[0]
+		if c.inFlight[0] = (segment{}); len(c.inFlight) > 1 {
+			c.inFlight = c.inFlight[1:]
 		} else {
-			e.inFlight = e.inFlight[:0] // its room is used again
+			c.inFlight = c.inFlight[:0] // its room is used again
 		}
 		switch {
 		case to.closed: // the kernel of a host that has closed answers with a reset
-			if len(s.data) > 0 && !e.peerClosed {
-				e.notifyClosed(true)
+			if len(s.data) > 0 && !c.peerClosed {
+				c.notifyClosed(true)
 			}
 		case s.rst:
 			to.notifyClosed(true)
@@ -127,33 +127,33 @@
 			})
 		}
 	}
-	e.scheduleDelivery()
+	c.scheduleDelivery()
 }
 
 // notifyClosed tells an end's owner that its peer has closed.
-func (e *netConn) notifyClosed(reset bool) {
-	if e.peerClosed {
+func (c *netConn) notifyClosed(reset bool) {
+	if c.peerClosed {
 		return
 	}
-	e.peerClosed = true
+	c.peerClosed = true
 	if reset {
-		e.received = nil
+		c.received = nil
 	}
-	e.host.run(func() {
-		if !e.closed && e.handler != nil {
-			e.handler.closed(e, reset)
+	c.host.run(func() {
+		if !c.closed && c.handler != nil {
+			c.handler.closed(c, reset)
 		}
 	})
 }
 
 // read takes what has come.
-func (e *netConn) read() []byte {
-	b := e.received
-	e.received = nil
-	from := e.peer
+func (c *netConn) read() []byte {
+	b := c.received
+	c.received = nil
+	from := c.peer
 	from.unacknowledged -= len(b)
 	if from.writeBlocked && from.unacknowledged < windowBytes && !from.closed {
-		e.network.scheduleAfter(e.network.transitTime(e.host, from.host, 0), func() {
+		c.network.scheduleAfter(c.network.transitTime(c.host, from.host, 0), func() {
 			from.host.run(func() {
 				if !from.closed && from.writeBlocked && from.handler != nil {
 					from.writeBlocked = false
@@ -166,33 +166,33 @@
 }
 
 // closeWrite ends the sending: the peer hears of it after all that was written, and what it still sends is read.
-func (e *netConn) closeWrite() {
-	if !e.closed && e.host.alive {
-		e.send(segment{fin: true})
+func (c *netConn) closeWrite() {
+	if !c.closed && c.host.alive {
+		c.send(segment{fin: true})
 	}
 }
 
 // close ends this side: the peer hears of it after all that was written. With unread bytes, or asked for, it is a reset.
-func (e *netConn) close(reset bool) {
-	if e.closed {
+func (c *netConn) close(reset bool) {
+	if c.closed {
 		return
 	}
-	e.closed = true
-	reset = reset || len(e.received) > 0
-	e.received = nil
-	if reset && len(e.inFlight) > 0 {
-		e.inFlight = nil
+	c.closed = true
+	reset = reset || len(c.received) > 0
+	c.received = nil
+	if reset && len(c.inFlight) > 0 {
+		c.inFlight = nil
 	}
-	if e.host.alive {
-		e.send(segment{fin: !reset, rst: reset})
+	if c.host.alive {
+		c.send(segment{fin: !reset, rst: reset})
 	}
-	e.release()
+	c.release()
 }
 
-func (e *netConn) release() {
-	h := e.host
+func (c *netConn) release() {
+	h := c.host
 	for i, o := range h.conns {
-		if o == e {
+		if o == c {
 			h.conns = append(h.conns[:i], h.conns[i+1:]...)
 			break
 		}
@@ -201,6 +201,6 @@
 		h.descriptors++
 	}
 	if len(h.backlog) > 0 {
-		e.network.scheduleAfter(0, func() { e.network.acceptPending(h) })
+		c.network.scheduleAfter(0, func() { c.network.acceptPending(h) })
 	}
 }
--- a/internal/simulation/counter.go
+++ b/internal/simulation/counter.go
@@ -17,36 +17,36 @@
 	conns             []*simCounterConn
 }
 
-func (k *simCounter) start() {
-	k.host.alive = true
-	k.host.accept = func(e *netConn) {
-		c := &simCounterConn{counter: k, conn: e, model: k.model.NewConn()}
-		c.model.ClientPosition = spreadPosition(k.sim.instanceOf(e.peer.host))
-		e.handler = c
-		k.conns = append(k.conns, c)
+func (c *simCounter) start() {
+	c.host.alive = true
+	c.host.accept = func(conn *netConn) {
+		cc := &simCounterConn{counter: c, conn: conn, model: c.model.NewConn()}
+		cc.model.ClientPosition = spreadPosition(c.sim.instanceOf(conn.peer.host))
+		conn.handler = cc
+		c.conns = append(c.conns, cc)
 	}
 }
 
-func (k *simCounter) setFault(v fault.Verb, value float64, on bool) {
+func (c *simCounter) setFault(v fault.Verb, value float64, on bool) {
 	switch v {
 	case fault.InvalidReplies:
-		k.invalidReplies = on
+		c.invalidReplies = on
 	case fault.Refuse:
-		k.model.Set(k.sim.now, v, value, on)
+		c.model.Set(c.sim.now, v, value, on)
 		if on {
-			k.host.accept = nil
-			for len(k.conns) > 0 {
-				k.conns[0].close(true)
+			c.host.accept = nil
+			for len(c.conns) > 0 {
+				c.conns[0].close(true)
 			}
 		} else {
-			k.start()
+			c.start()
 		}
 	default:
-		k.model.Set(k.sim.now, v, value, on)
+		c.model.Set(c.sim.now, v, value, on)
 		if v == fault.Stall && !on {
-			for _, c := range append([]*simCounterConn(nil), k.conns...) {
-				if len(c.conn.received) > 0 {
-					c.readable(nil)
+			for _, cc := range append([]*simCounterConn(nil), c.conns...) {
+				if len(cc.conn.received) > 0 {
+					cc.readable(nil)
 				}
 			}
 		}
@@ -68,18 +68,18 @@
 }
 
 func (c *simCounterConn) readable(*netConn) {
-	k := c.counter
-	if c.done || k.model.Stalled() {
+	counter := c.counter
+	if c.done || counter.model.Stalled() {
 		return // the bytes wait
 	}
-	c.model.Feed(k.sim.now, c.conn.read())
+	c.model.Feed(counter.sim.now, c.conn.read())
 	b := append([]byte(nil), c.model.Out...)
 	c.model.Out = c.model.Out[:0]
-	if k.invalidReplies && len(b) > 0 {
+	if counter.invalidReplies && len(b) > 0 {
 		b = []byte("HTTP/1.1 400 Bad Request\r\n\r\n")
 	}
-	if d := k.model.Delay(); d > 0 {
-		k.sim.scheduleAfter(d, func() { c.write(b) })
+	if d := counter.model.Delay(); d > 0 {
+		counter.sim.scheduleAfter(d, func() { c.write(b) })
 	} else {
 		c.write(b)
 	}
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -61,29 +61,29 @@
 
 // parseEndpoints reads the list as it is now, once for all doors that read the same.
 func (s *Sim) parseEndpoints() ([]config.Endpoint, error) {
-	r := &s.parsedFile
-	if r.endpoints == nil && r.err == nil || r.text != s.endpointFile {
-		r.text = s.endpointFile
-		r.endpoints, r.err = config.ParseEndpoints("boxes.yaml", []byte(r.text))
+	parsed := &s.parsedFile
+	if parsed.endpoints == nil && parsed.err == nil || parsed.text != s.endpointFile {
+		parsed.text = s.endpointFile
+		parsed.endpoints, parsed.err = config.ParseEndpoints("boxes.yaml", []byte(parsed.text))
 	}
-	return slices.Clone(r.endpoints), r.err
+	return slices.Clone(parsed.endpoints), parsed.err
 }
 
 func (s *Sim) notifyInstances() {
 	rng := s.network.rng
-	for _, d := range s.instances {
-		s.scheduleAfter(time.Duration(rng.Int64N(int64(20*time.Millisecond))), d.thisIncarnation(d.pollEndpoints))
+	for _, inst := range s.instances {
+		s.scheduleAfter(time.Duration(rng.Int64N(int64(20*time.Millisecond))), inst.thisIncarnation(inst.pollEndpoints))
 	}
 }
 
 // recordEndpointView notes what a door was told.
-func (s *Sim) recordEndpointView(d *simInstance, boxes []config.Endpoint) {
+func (s *Sim) recordEndpointView(inst *simInstance, endpoints []config.Endpoint) {
 	for _, b := range s.backends {
-		i := slices.IndexFunc(boxes, func(c config.Endpoint) bool { return c.Name == b.name })
-		if i < 0 || decision.EndpointState(boxes[i].State) != decision.Up {
-			s.checker.EndpointRemoved(d.number, b.name, s.now)
+		i := slices.IndexFunc(endpoints, func(c config.Endpoint) bool { return c.Name == b.name })
+		if i < 0 || decision.EndpointState(endpoints[i].State) != decision.Up {
+			s.checker.EndpointRemoved(inst.number, b.name, s.now)
 		} else {
-			s.checker.EndpointListed(d.number, b.name, s.now)
+			s.checker.EndpointListed(inst.number, b.name, s.now)
 		}
 	}
 }
--- a/internal/simulation/evolve.go
+++ b/internal/simulation/evolve.go
@@ -24,7 +24,7 @@
 
 // mutate makes one change to a script.
 func (s *Script) mutate(rng *rand.Rand) {
-	d := &scenarioBuilder{s, rng}
+	builder := &scenarioBuilder{s, rng}
 	n := len(s.Events)
 	some := func() *fault.Event { return &s.Events[rng.IntN(n)] }
 	factor := func() float64 { return math.Exp(rng.NormFloat64() * 0.4) }
@@ -41,9 +41,9 @@
 	case k == 4:
 		s.Backends.Work = strictyaml.Duration((time.Duration(float64(s.Backends.Work) * factor())).Truncate(time.Millisecond))
 	case k == 5:
-		s.Net.Latency = strictyaml.Duration(time.Duration(d.oneOf(100, 500, 1000, 5000)) * time.Microsecond)
+		s.Net.Latency = strictyaml.Duration(time.Duration(builder.oneOf(100, 500, 1000, 5000)) * time.Microsecond)
 	case k == 6:
-		s.Clients.Retries, s.Clients.NewConnShare = rng.IntN(4), d.oneOf(0.02, 0.2, 0.8)
+		s.Clients.Retries, s.Clients.NewConnShare = rng.IntN(4), builder.oneOf(0.02, 0.2, 0.8)
 	case k == 7 && n > 0:
 		i := rng.IntN(n)
 		s.Events = slices.Delete(s.Events, i, i+1)
@@ -64,7 +64,7 @@
 		e := some()
 		switch name := fmt.Sprint(e.Target); {
 		case len(name) > 4 && name[:4] == "box-":
-			e.Target = d.backendName(rng.IntN(max(1, s.Backends.Count)))
+			e.Target = builder.backendName(rng.IntN(max(1, s.Backends.Count)))
 		case len(name) > 5 && name[:5] == "door-":
 			e.Target = fmt.Sprintf("door-%d", rng.IntN(max(1, s.Instances)))
 		}
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -38,9 +38,9 @@
 		s.invalidShare = e.Value
 		end(func() { s.invalidShare = 0 })
 	case fault.MoveTraffic:
-		for _, st := range s.config.Customers {
-			if e.Target == "*" || e.Target == st.Name || e.Target == st.Plan {
-				s.trafficMoves[st.Name]++
+		for _, customer := range s.config.Customers {
+			if e.Target == "*" || e.Target == customer.Name || e.Target == customer.Plan {
+				s.trafficMoves[customer.Name]++
 			}
 		}
 	case fault.Kill:
@@ -92,9 +92,9 @@
 
 // targets finds processes by name; * stands for all boxes and doors.
 func (s *Sim) targets(name string) (hs []*host) {
-	for _, d := range s.instances {
-		if name == "*" || name == "doors" || name == d.host.name {
-			hs = append(hs, d.host)
+	for _, inst := range s.instances {
+		if name == "*" || name == "doors" || name == inst.host.name {
+			hs = append(hs, inst.host)
 		}
 	}
 	for _, b := range s.backends {
@@ -145,17 +145,17 @@
 
 // killProcesses ends processes at once; they start anew after the trouble's time.
 func (s *Sim) killProcesses(e fault.Event, end func(func())) {
-	for _, d := range s.instances {
-		if e.Target != d.host.name && e.Target != "doors" || !d.host.alive {
+	for _, inst := range s.instances {
+		if e.Target != inst.host.name && e.Target != "doors" || !inst.host.alive {
 			continue
 		}
-		s.checker.InstanceDown(d.number, s.now)
-		d.kill()
+		s.checker.InstanceDown(inst.number, s.now)
+		inst.kill()
 		end(func() {
-			s.checker.InstanceUp(d.number, s.now)
+			s.checker.InstanceUp(inst.number, s.now)
 			// who asks on a connection of the old process has not heard of its end yet
-			s.checker.InstancePaused(d.number, s.now+s.roundTripAllowance(), false)
-			d.start(s.instanceSeed(d))
+			s.checker.InstancePaused(inst.number, s.now+s.roundTripAllowance(), false)
+			inst.start(s.instanceSeed(inst))
 		})
 	}
 	for _, b := range s.backends {
--- a/internal/simulation/faultkinds.go
+++ b/internal/simulation/faultkinds.go
@@ -85,19 +85,19 @@
 }
 
 func (s *Script) drawTarget(rng *rand.Rand, what string) string {
-	box := func() string { return fmt.Sprintf("box-%d", rng.IntN(s.Backends.Count)) }
-	door := func() string { return fmt.Sprintf("door-%d", rng.IntN(s.Instances)) }
+	backend := func() string { return fmt.Sprintf("box-%d", rng.IntN(s.Backends.Count)) }
+	instance := func() string { return fmt.Sprintf("door-%d", rng.IntN(s.Instances)) }
 	switch what {
 	case "box":
-		return box()
+		return backend()
 	case "door":
-		return door()
+		return instance()
 	case "door/box":
-		return door() + "/" + box()
+		return instance() + "/" + backend()
 	case "box/door":
-		return box() + "/" + door()
+		return backend() + "/" + instance()
 	case "door/keeper":
-		return door() + "/keeper"
+		return instance() + "/keeper"
 	case "studio":
 		return []string{"school-0", "school-1", "studio-0", "hobby-0"}[rng.IntN(4)]
 	case "plan":
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -97,16 +97,16 @@
 		}
 		return o.Nearness(h.Rule)
 	}
-	at := 0
-	for at < len(h.population) && value(h.population[at].outcome) >= value(o) {
-		at++
+	rank := 0
+	for rank < len(h.population) && value(h.population[rank].outcome) >= value(o) {
+		rank++
 	}
-	if at >= populationSize {
+	if rank >= populationSize {
 		return
 	}
-	h.population = slices.Insert(h.population, at, candidate{s, o})
+	h.population = slices.Insert(h.population, rank, candidate{s, o})
 	h.population = h.population[:min(len(h.population), populationSize)]
-	if at == 0 && h.Improved != nil {
+	if rank == 0 && h.Improved != nil {
 		h.Improved(s, o, n)
 	}
 }
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -33,22 +33,22 @@
 	counterConn   *instanceCounterConn
 }
 
-func (d *simInstance) now() time.Duration {
-	return proxy.Start + time.Duration(float64(d.sim.now-d.startedAt)*d.clockRate)
+func (inst *simInstance) now() time.Duration {
+	return proxy.Start + time.Duration(float64(inst.sim.now-inst.startedAt)*inst.clockRate)
 }
 
 // simTime turns a time of the door's clock into one of the simulation.
-func (d *simInstance) simTime(t time.Duration) time.Duration {
-	return d.startedAt + time.Duration(float64(t-proxy.Start)/d.clockRate) + 1
+func (inst *simInstance) simTime(t time.Duration) time.Duration {
+	return inst.startedAt + time.Duration(float64(t-proxy.Start)/inst.clockRate) + 1
 }
 
 // thisIncarnation makes an event of this process only.
-func (d *simInstance) thisIncarnation(do func()) func() {
-	life := d.incarnation
+func (inst *simInstance) thisIncarnation(do func()) func() {
+	life := inst.incarnation
 	return func() {
-		if d.incarnation == life && d.host.alive {
-			d.host.run(func() {
-				if d.incarnation == life && d.host.alive {
+		if inst.incarnation == life && inst.host.alive {
+			inst.host.run(func() {
+				if inst.incarnation == life && inst.host.alive {
 					do()
 				}
 			})
@@ -57,97 +57,97 @@
 }
 
 // start begins a process.
-func (d *simInstance) start(seed uint64) {
-	d.incarnation++
-	d.startedAt = d.sim.now
-	d.shared = &proxy.Shared{Config: d.config, Protocol: proxy.NewConfiguredProtocol(d.config, fmt.Sprintf("sandyard-%d", d.number))}
-	d.mailbox, d.wakeScheduled, d.timerAt, d.clients, d.backendConns, d.counterConn = nil, false, 0, nil, nil, nil
-	core, err := proxy.NewInstance(d.shared, seed, d.now())
+func (inst *simInstance) start(seed uint64) {
+	inst.incarnation++
+	inst.startedAt = inst.sim.now
+	inst.shared = &proxy.Shared{Config: inst.config, Protocol: proxy.NewConfiguredProtocol(inst.config, fmt.Sprintf("sandyard-%d", inst.number))}
+	inst.mailbox, inst.wakeScheduled, inst.timerAt, inst.clients, inst.backendConns, inst.counterConn = nil, false, 0, nil, nil, nil
+	core, err := proxy.NewInstance(inst.shared, seed, inst.now())
 	if err != nil {
 		panic(err) // the configuration was checked
 	}
-	d.core = core
-	if r := d.sim.options.Record; r != nil {
-		core.Record = r(d.number, d.config, seed)
-		core.Record(core.FirstStep(d.now()))
+	inst.core = core
+	if r := inst.sim.options.Record; r != nil {
+		core.Record = r(inst.number, inst.config, seed)
+		core.Record(core.FirstStep(inst.now()))
 	}
-	d.host.alive, d.host.paused, d.host.notAccepting = true, false, false
-	d.host.accept = d.accept
-	d.applyEffects()
-	d.pollEndpoints()
+	inst.host.alive, inst.host.paused, inst.host.notAccepting = true, false, false
+	inst.host.accept = inst.accept
+	inst.applyEffects()
+	inst.pollEndpoints()
 }
 
-func (d *simInstance) kill() {
-	d.incarnation++
-	d.sim.network.kill(d.host)
-	d.clients, d.backendConns, d.counterConn = nil, nil, nil
+func (inst *simInstance) kill() {
+	inst.incarnation++
+	inst.sim.network.kill(inst.host)
+	inst.clients, inst.backendConns, inst.counterConn = nil, nil, nil
 }
 
 // post hands a message to the core, a moment later, as a queue between goroutines does.
-func (d *simInstance) post(do func()) {
-	d.mailbox = append(d.mailbox, do)
-	if !d.wakeScheduled {
-		d.wakeScheduled = true
-		d.sim.scheduleAfter(time.Duration(d.sim.network.rng.Int64N(int64(maxLoopDelay))), d.thisIncarnation(func() {
-			d.wakeScheduled = false
-			q := d.mailbox
-			d.mailbox = nil
+func (inst *simInstance) post(do func()) {
+	inst.mailbox = append(inst.mailbox, do)
+	if !inst.wakeScheduled {
+		inst.wakeScheduled = true
+		inst.sim.scheduleAfter(time.Duration(inst.sim.network.rng.Int64N(int64(maxLoopDelay))), inst.thisIncarnation(func() {
+			inst.wakeScheduled = false
+			q := inst.mailbox
+			inst.mailbox = nil
 			for _, do := range q {
 				do()
-				d.applyEffects()
+				inst.applyEffects()
 			}
-			if d.core.NextTimer() <= d.now() {
-				d.core.Tick(d.now())
-				d.applyEffects()
+			if inst.core.NextTimer() <= inst.now() {
+				inst.core.Tick(inst.now())
+				inst.applyEffects()
 			}
 		}))
 	}
 }
 
-func (d *simInstance) applyEffects() {
+func (inst *simInstance) applyEffects() {
 	for more := true; more; {
 		more = false
-		for _, w := range d.core.Effects() {
+		for _, effect := range inst.core.Effects() {
 			more = true
-			d.sim.cover(effectNames[w.Kind])
-			switch w.Kind {
+			inst.sim.cover(effectNames[effect.Kind])
+			switch effect.Kind {
 			case proxy.DialBackend:
-				d.dialBackend(w.Conn)
+				inst.dialBackend(effect.Conn)
 			case proxy.WriteAttempt:
-				w.Conn.Owner.(*instanceBackendConn).writeAttempt(w.Exchange, w.Bytes)
+				effect.Conn.Owner.(*instanceBackendConn).writeAttempt(effect.Exchange, effect.Bytes)
 			case proxy.CloseBackend:
-				w.Conn.Owner.(*instanceBackendConn).abandon()
+				effect.Conn.Owner.(*instanceBackendConn).abandon()
 			case proxy.Respond:
-				d.sim.cover(fmt.Sprintf("answer %d", w.Exchange.Status))
-				w.Exchange.Owner.(*instanceClientConn).respond(w.Exchange, w.Bytes, false, w.Closes)
+				inst.sim.cover(fmt.Sprintf("answer %d", effect.Exchange.Status))
+				effect.Exchange.Owner.(*instanceClientConn).respond(effect.Exchange, effect.Bytes, false, effect.Closes)
 			case proxy.StreamResponse:
-				w.Exchange.Owner.(*instanceClientConn).respond(w.Exchange, w.Bytes, true, w.Closes)
-				w.Conn.Owner.(*instanceBackendConn).grantStream()
+				effect.Exchange.Owner.(*instanceClientConn).respond(effect.Exchange, effect.Bytes, true, effect.Closes)
+				effect.Conn.Owner.(*instanceBackendConn).grantStream()
 			case proxy.AbortClient:
-				w.Exchange.Owner.(*instanceClientConn).relay(w.Exchange, nil, false, true)
+				effect.Exchange.Owner.(*instanceClientConn).relay(effect.Exchange, nil, false, true)
 			case proxy.DialCounter:
-				d.dialCounter(w.Addr)
+				inst.dialCounter(effect.Addr)
 			case proxy.WriteCounter:
-				d.counterConn.write(w.Bytes)
+				inst.counterConn.write(effect.Bytes)
 			case proxy.CloseCounter:
-				d.counterConn.abandon()
-				d.counterConn = nil
+				inst.counterConn.abandon()
+				inst.counterConn = nil
 			case proxy.PollEndpoints:
-				d.pollEndpoints()
+				inst.pollEndpoints()
 			}
 		}
 	}
-	if next := d.core.NextTimer(); d.timerAt == 0 || next < d.timerAt {
-		d.timerAt = next
-		d.sim.schedule(d.simTime(next), d.thisIncarnation(func() {
-			if d.core.NextTimer() > d.now() {
-				d.timerAt = 0
-				d.applyEffects()
+	if next := inst.core.NextTimer(); inst.timerAt == 0 || next < inst.timerAt {
+		inst.timerAt = next
+		inst.sim.schedule(inst.simTime(next), inst.thisIncarnation(func() {
+			if inst.core.NextTimer() > inst.now() {
+				inst.timerAt = 0
+				inst.applyEffects()
 				return
 			}
-			d.timerAt = 0
-			d.core.Tick(d.now())
-			d.applyEffects()
+			inst.timerAt = 0
+			inst.core.Tick(inst.now())
+			inst.applyEffects()
 		}))
 	}
 }
@@ -160,15 +160,15 @@
 }()
 
 // pollEndpoints reads the list as its file is now. A file that can't be read leaves the list as it was.
-func (d *simInstance) pollEndpoints() {
-	boxes, err := d.sim.parseEndpoints()
-	d.post(func() {
+func (inst *simInstance) pollEndpoints() {
+	endpoints, err := inst.sim.parseEndpoints()
+	inst.post(func() {
 		if err != nil {
-			d.sim.cover("list broken")
-			d.core.EndpointPollFailed(d.now())
+			inst.sim.cover("list broken")
+			inst.core.EndpointPollFailed(inst.now())
 			return
 		}
-		d.sim.recordEndpointView(d, boxes)
-		d.core.ReplaceEndpoints(d.now(), boxes, epoch.Add(d.sim.now-d.now()))
+		inst.sim.recordEndpointView(inst, endpoints)
+		inst.core.ReplaceEndpoints(inst.now(), endpoints, epoch.Add(inst.sim.now-inst.now()))
 	})
 }
--- a/internal/simulation/instancebackend.go
+++ b/internal/simulation/instancebackend.go
@@ -21,166 +21,166 @@
 	lastDataAt  time.Duration
 }
 
-func (d *simInstance) dialBackend(l *proxy.BackendConn) {
-	v := &instanceBackendConn{instance: d, backendConn: l, reader: proxy.NewResponseReader(d.shared)}
-	l.Owner = v
-	d.backendConns = append(d.backendConns, v)
-	v.dialing = d.sim.network.dial(d.host, l.Addr, v, d.backendDialed(v))
+func (inst *simInstance) dialBackend(l *proxy.BackendConn) {
+	b := &instanceBackendConn{instance: inst, backendConn: l, reader: proxy.NewResponseReader(inst.shared)}
+	l.Owner = b
+	inst.backendConns = append(inst.backendConns, b)
+	b.dialing = inst.sim.network.dial(inst.host, l.Addr, b, inst.backendDialed(b))
 }
 
-func (d *simInstance) backendDialed(v *instanceBackendConn) func(*netConn, bool) {
-	life := d.incarnation
-	return func(e *netConn, ok bool) {
+func (inst *simInstance) backendDialed(b *instanceBackendConn) func(*netConn, bool) {
+	life := inst.incarnation
+	return func(conn *netConn, ok bool) {
 		switch {
-		case life != d.incarnation || v.done:
-			if e != nil {
-				e.close(true)
+		case life != inst.incarnation || b.done:
+			if conn != nil {
+				conn.close(true)
 			}
 		case !ok:
-			d.sim.cover("dial refused")
-			v.fail(true)
+			inst.sim.cover("dial refused")
+			b.fail(true)
 		default:
-			v.conn = e
-			d.post(func() { d.core.BackendConnected(d.now(), v.backendConn) })
+			b.conn = conn
+			inst.post(func() { inst.core.BackendConnected(inst.now(), b.backendConn) })
 		}
 	}
 }
 
-func (v *instanceBackendConn) remove() {
-	for i, o := range v.instance.backendConns {
-		if o == v {
-			v.instance.backendConns = append(v.instance.backendConns[:i], v.instance.backendConns[i+1:]...)
+func (b *instanceBackendConn) remove() {
+	for i, o := range b.instance.backendConns {
+		if o == b {
+			b.instance.backendConns = append(b.instance.backendConns[:i], b.instance.backendConns[i+1:]...)
 			break
 		}
 	}
-	if v.conn != nil {
-		v.conn.close(true)
+	if b.conn != nil {
+		b.conn.close(true)
 	}
 }
 
-func (v *instanceBackendConn) fail(unsent bool) {
-	if v.done {
+func (b *instanceBackendConn) fail(unsent bool) {
+	if b.done {
 		return
 	}
-	if v.exchange != nil && !unsent {
-		v.handleResponse(v.reader.Lost())
+	if b.exchange != nil && !unsent {
+		b.handleResponse(b.reader.Lost())
 		return
 	}
-	v.done = true
-	unsent = unsent || v.exchange == nil
-	v.remove()
-	v.instance.post(func() { v.instance.core.BackendDisconnected(v.instance.now(), v.backendConn, unsent) })
+	b.done = true
+	unsent = unsent || b.exchange == nil
+	b.remove()
+	b.instance.post(func() { b.instance.core.BackendDisconnected(b.instance.now(), b.backendConn, unsent) })
 }
 
-func (v *instanceBackendConn) writeAttempt(ex *proxy.Exchange, wire []byte) {
-	if v.done {
+func (b *instanceBackendConn) writeAttempt(ex *proxy.Exchange, wire []byte) {
+	if b.done {
 		return
 	}
-	v.reader.Expect(ex)
-	v.exchange = ex
-	v.conn.messageBegan = v.instance.sim.now
-	v.unsent = append(v.unsent, wire...)
-	v.writable(nil)
+	b.reader.Expect(ex)
+	b.exchange = ex
+	b.conn.messageBegan = b.instance.sim.now
+	b.unsent = append(b.unsent, wire...)
+	b.writable(nil)
 }
 
-func (v *instanceBackendConn) writable(*netConn) {
-	v.unsent = v.conn.writeBuffered(v.unsent, nil)
+func (b *instanceBackendConn) writable(*netConn) {
+	b.unsent = b.conn.writeBuffered(b.unsent, nil)
 }
 
-func (v *instanceBackendConn) abandon() {
-	if v.done {
+func (b *instanceBackendConn) abandon() {
+	if b.done {
 		return
 	}
-	v.done, v.exchange = true, nil
-	if v.dialing != nil {
-		v.dialing.ended = v.dialing.ended || v.conn == nil
+	b.done, b.exchange = true, nil
+	if b.dialing != nil {
+		b.dialing.ended = b.dialing.ended || b.conn == nil
 	}
-	v.remove()
+	b.remove()
 }
 
-func (v *instanceBackendConn) grantStream() {
-	if v.done {
+func (b *instanceBackendConn) grantStream() {
+	if b.done {
 		return
 	}
-	v.awaitsGrant, v.streaming = false, true
-	v.exchange.Owner.(*instanceClientConn).streamSource = v
-	v.watchSilence()
-	v.readable(nil)
+	b.awaitsGrant, b.streaming = false, true
+	b.exchange.Owner.(*instanceClientConn).streamSource = b
+	b.watchSilence()
+	b.readable(nil)
 }
 
 // watchSilence cuts a flowing answer off whose box is silent for limits.stream-silence.
-func (v *instanceBackendConn) watchSilence() {
-	v.lastDataAt = v.instance.sim.now
-	since := v.lastDataAt
-	v.instance.sim.scheduleAfter(time.Duration(v.instance.config.Limits.StreamIdleTimeout), v.instance.thisIncarnation(func() {
-		if !v.done && v.streaming && v.lastDataAt == since && len(v.conn.received) == 0 {
-			v.instance.sim.cover("stream silent")
-			v.fail(false)
+func (b *instanceBackendConn) watchSilence() {
+	b.lastDataAt = b.instance.sim.now
+	since := b.lastDataAt
+	b.instance.sim.scheduleAfter(time.Duration(b.instance.config.Limits.StreamIdleTimeout), b.instance.thisIncarnation(func() {
+		if !b.done && b.streaming && b.lastDataAt == since && len(b.conn.received) == 0 {
+			b.instance.sim.cover("stream silent")
+			b.fail(false)
 		}
 	}))
 }
 
-func (v *instanceBackendConn) readable(*netConn) {
-	for !v.done && !v.awaitsGrant && v.conn != nil && len(v.conn.received) > 0 {
-		if v.streaming {
-			if c := v.exchange.Owner.(*instanceClientConn); len(c.unsent) > maxUnsentBytes && !c.done {
+func (b *instanceBackendConn) readable(*netConn) {
+	for !b.done && !b.awaitsGrant && b.conn != nil && len(b.conn.received) > 0 {
+		if b.streaming {
+			if c := b.exchange.Owner.(*instanceClientConn); len(c.unsent) > maxUnsentBytes && !c.done {
 				return // until the client has taken some
 			}
 		}
-		v.handleResponse(v.reader.Feed(v.conn.read()))
+		b.handleResponse(b.reader.Feed(b.conn.read()))
 	}
-	if !v.done && !v.awaitsGrant && v.conn != nil && len(v.conn.received) == 0 && v.conn.peerClosed {
-		v.endOfStream()
+	if !b.done && !b.awaitsGrant && b.conn != nil && len(b.conn.received) == 0 && b.conn.peerClosed {
+		b.endOfStream()
 	}
 }
 
-func (v *instanceBackendConn) endOfStream() {
-	if v.exchange == nil {
-		v.fail(false)
+func (b *instanceBackendConn) endOfStream() {
+	if b.exchange == nil {
+		b.fail(false)
 		return
 	}
-	v.handleResponse(v.reader.EOF())
-	if !v.done {
-		v.fail(false)
+	b.handleResponse(b.reader.EOF())
+	if !b.done {
+		b.fail(false)
 	}
 }
 
-func (v *instanceBackendConn) closed(_ *netConn, reset bool) {
+func (b *instanceBackendConn) closed(_ *netConn, reset bool) {
 	switch {
 	case reset:
-		v.instance.sim.cover("line reset")
-		v.fail(false)
+		b.instance.sim.cover("line reset")
+		b.fail(false)
 	default:
-		v.readable(nil)
+		b.readable(nil)
 	}
 }
 
-func (v *instanceBackendConn) handleResponse(a proxy.Response) {
-	ex := v.exchange
+func (b *instanceBackendConn) handleResponse(a proxy.Response) {
+	ex := b.exchange
 	tell := func() {
-		v.instance.post(func() { v.instance.core.ResponseReceived(v.instance.now(), v.backendConn, &a) })
+		b.instance.post(func() { b.instance.core.ResponseReceived(b.instance.now(), b.backendConn, &a) })
 	}
 	switch a.Kind {
 	case proxy.Complete:
-		v.exchange = nil
+		b.exchange = nil
 		tell()
 	case proxy.Started:
-		v.instance.sim.cover("answer flows")
-		v.awaitsGrant = true
+		b.instance.sim.cover("answer flows")
+		b.awaitsGrant = true
 		tell()
 	case proxy.Continued:
-		v.watchSilence()
+		b.watchSilence()
 		ex.Owner.(*instanceClientConn).relay(ex, a.Bytes, false, false)
 	case proxy.Ended:
-		v.exchange, v.streaming = nil, false
+		b.exchange, b.streaming = nil, false
 		c := ex.Owner.(*instanceClientConn)
 		c.streamSource = nil
 		c.relay(ex, a.Bytes, true, false)
 		tell()
 	case proxy.Malformed:
-		v.instance.sim.cover("answer broken")
-		v.exchange, v.done = nil, true
-		v.remove()
+		b.instance.sim.cover("answer broken")
+		b.exchange, b.done = nil, true
+		b.remove()
 		tell()
 	}
 }
--- a/internal/simulation/instanceclient.go
+++ b/internal/simulation/instanceclient.go
@@ -20,19 +20,19 @@
 	lingering    bool                 // all is written; what still comes is read and dropped
 }
 
-func (d *simInstance) accept(e *netConn) {
-	if d.shared.Clients.Add(1) > int64(d.config.Limits.Connections) {
-		d.shared.Clients.Add(-1)
-		d.sim.cover("connection turned away")
-		e.peer.tooManyConns = true
-		e.write(d.shared.TooManyConnections())
-		e.close(false)
+func (inst *simInstance) accept(conn *netConn) {
+	if inst.shared.Clients.Add(1) > int64(inst.config.Limits.Connections) {
+		inst.shared.Clients.Add(-1)
+		inst.sim.cover("connection turned away")
+		conn.peer.tooManyConns = true
+		conn.write(inst.shared.TooManyConnections())
+		conn.close(false)
 		return
 	}
-	c := &instanceClientConn{instance: d, conn: e}
-	c.machine = proxy.NewClientConn(d.shared, c, "192.0.2.1", d.now())
-	e.handler = c
-	d.clients = append(d.clients, c)
+	c := &instanceClientConn{instance: inst, conn: conn}
+	c.machine = proxy.NewClientConn(inst.shared, c, "192.0.2.1", inst.now())
+	conn.handler = c
+	inst.clients = append(inst.clients, c)
 	c.armDeadline()
 }
 
--- a/internal/simulation/instancecounter.go
+++ b/internal/simulation/instancecounter.go
@@ -13,84 +13,84 @@
 	done     bool
 }
 
-func (d *simInstance) dialCounter(addr string) {
-	k := &instanceCounterConn{instance: d}
-	d.counterConn = k
-	life := d.incarnation
-	k.dialing = d.sim.network.dial(d.host, addr, k, func(e *netConn, ok bool) {
+func (inst *simInstance) dialCounter(addr string) {
+	c := &instanceCounterConn{instance: inst}
+	inst.counterConn = c
+	life := inst.incarnation
+	c.dialing = inst.sim.network.dial(inst.host, addr, c, func(conn *netConn, ok bool) {
 		switch {
-		case life != d.incarnation || k.done:
-			if e != nil {
-				e.close(true)
+		case life != inst.incarnation || c.done:
+			if conn != nil {
+				conn.close(true)
 			}
 		case !ok:
-			k.fail()
+			c.fail()
 		default:
-			k.conn = e
-			d.post(func() {
-				if d.counterConn == k {
-					d.core.CounterConnected(d.now())
+			c.conn = conn
+			inst.post(func() {
+				if inst.counterConn == c {
+					inst.core.CounterConnected(inst.now())
 				}
 			})
 		}
 	})
-	d.sim.scheduleAfter(time.Second, d.thisIncarnation(func() {
-		if k.conn == nil && !k.done {
-			k.dialing.ended = true
-			k.fail()
+	inst.sim.scheduleAfter(time.Second, inst.thisIncarnation(func() {
+		if c.conn == nil && !c.done {
+			c.dialing.ended = true
+			c.fail()
 		}
 	}))
 }
 
-func (k *instanceCounterConn) fail() {
-	if k.done {
+func (c *instanceCounterConn) fail() {
+	if c.done {
 		return
 	}
-	k.done = true
-	if k.conn != nil {
-		k.conn.close(true)
+	c.done = true
+	if c.conn != nil {
+		c.conn.close(true)
 	}
-	d := k.instance
+	d := c.instance
 	d.post(func() {
-		if d.counterConn == k {
+		if d.counterConn == c {
 			d.counterConn = nil
 			d.core.CounterDisconnected(d.now())
 		}
 	})
 }
 
-func (k *instanceCounterConn) write(b []byte) {
-	if k.done || k.conn == nil {
+func (c *instanceCounterConn) write(b []byte) {
+	if c.done || c.conn == nil {
 		return
 	}
-	k.unsent = append(k.unsent, b...)
-	k.writable(nil)
+	c.unsent = append(c.unsent, b...)
+	c.writable(nil)
 }
 
-func (k *instanceCounterConn) abandon() {
-	k.done = true
-	if k.conn != nil {
-		k.conn.close(true)
+func (c *instanceCounterConn) abandon() {
+	c.done = true
+	if c.conn != nil {
+		c.conn.close(true)
 	} else {
-		k.dialing.ended = true
+		c.dialing.ended = true
 	}
 }
 
-func (k *instanceCounterConn) writable(*netConn) {
-	k.unsent = k.conn.writeBuffered(k.unsent, nil)
+func (c *instanceCounterConn) writable(*netConn) {
+	c.unsent = c.conn.writeBuffered(c.unsent, nil)
 }
 
-func (k *instanceCounterConn) readable(*netConn) {
-	if k.done {
+func (c *instanceCounterConn) readable(*netConn) {
+	if c.done {
 		return
 	}
-	b := k.conn.read()
-	d := k.instance
+	b := c.conn.read()
+	d := c.instance
 	d.post(func() {
-		if d.counterConn == k {
+		if d.counterConn == c {
 			d.core.CounterReceived(d.now(), b)
 		}
 	})
 }
 
-func (k *instanceCounterConn) closed(*netConn, bool) { k.fail() }
+func (c *instanceCounterConn) closed(*netConn, bool) { c.fail() }
--- a/internal/simulation/misbehave.go
+++ b/internal/simulation/misbehave.go
@@ -11,10 +11,10 @@
 
 // misbehave is a client that sends what is no request, or sends one so slowly that nobody waits for it.
 func (s *Sim) misbehave(rng *rand.Rand, slow bool) {
-	a := s.clientPools[rng.IntN(len(s.clientPools))]
-	c := &clientConn{pool: a, reader: http1.NewResponses(http1.Limits{}), misbehaving: true}
+	pool := s.clientPools[rng.IntN(len(s.clientPools))]
+	c := &clientConn{pool: pool, reader: http1.NewResponses(http1.Limits{}), misbehaving: true}
 	if slow && rng.IntN(3) == 0 {
-		s.requestWithoutReading(a, c)
+		s.requestWithoutReading(pool, c)
 		return
 	}
 	text := []string{"GET / HTTP/1.1\n\n", "POST /payments HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -30,14 +30,14 @@
 	} else {
 		s.cover("client makes noise")
 	}
-	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", a.instance), c, func(e *netConn, ok bool) {
+	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", pool.instance), c, func(conn *netConn, ok bool) {
 		if !ok || c.done {
-			if e != nil {
-				e.close(true)
+			if conn != nil {
+				conn.close(true)
 			}
 			return
 		}
-		c.conn = e
+		c.conn = conn
 		var feed func()
 		feed = func() {
 			if c.done || len(text) == 0 {
@@ -58,13 +58,13 @@
 }
 
 // requestWithoutReading is a client that asks for a lot and reads nothing.
-func (s *Sim) requestWithoutReading(a *clientPool, c *clientConn) {
+func (s *Sim) requestWithoutReading(pool *clientPool, c *clientConn) {
 	s.cover("client reads nothing")
 	text := strings.Repeat(fmt.Sprintf("GET /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", s.config.Headers.Key, s.config.Customers[0].Keys[0]), 8)
-	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", a.instance), nonReader{c}, func(e *netConn, ok bool) {
+	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", pool.instance), nonReader{c}, func(conn *netConn, ok bool) {
 		if ok && !c.done {
-			c.conn = e
-			e.write([]byte(text))
+			c.conn = conn
+			conn.write([]byte(text))
 		}
 	})
 	s.scheduleAfter(12*time.Second, func() { c.close(true) })
--- a/internal/simulation/quiescence.go
+++ b/internal/simulation/quiescence.go
@@ -17,22 +17,22 @@
 // checkQuiescent looks at what is left once all is quiet.
 func (s *Sim) checkQuiescent() {
 	s.checker.Overdue(s.now)
-	for _, d := range s.instances {
-		if !d.host.alive {
+	for _, inst := range s.instances {
+		if !inst.host.alive {
 			continue
 		}
-		requests, _, lines := d.core.Sizes()
-		if !d.core.Quiescent() || d.core.Unanswered() != 0 {
-			s.report(RuleLeak, fmt.Sprintf("door %d holds %d exchanges, %d owed", d.number, requests, d.core.Unanswered()))
+		requests, _, conns := inst.core.Sizes()
+		if !inst.core.Quiescent() || inst.core.Unanswered() != 0 {
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d exchanges, %d owed", inst.number, requests, inst.core.Unanswered()))
 		}
-		if n := d.shared.Memory.Load(); n != 0 {
-			s.report(RuleLeak, fmt.Sprintf("door %d holds %d bytes of bodies", d.number, n))
+		if n := inst.shared.Memory.Load(); n != 0 {
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d bytes of bodies", inst.number, n))
 		}
-		if len(d.clients) > 0 || d.shared.Clients.Load() != 0 {
-			s.report(RuleLeak, fmt.Sprintf("door %d holds %d connections of clients, counts %d", d.number, len(d.clients), d.shared.Clients.Load()))
+		if len(inst.clients) > 0 || inst.shared.Clients.Load() != 0 {
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d connections of clients, counts %d", inst.number, len(inst.clients), inst.shared.Clients.Load()))
 		}
-		if lines != len(d.backendConns) || lines > 0 {
-			s.report(RuleLeak, fmt.Sprintf("door %d holds %d lines to boxes, its runtime %d", d.number, lines, len(d.backendConns)))
+		if conns != len(inst.backendConns) || conns > 0 {
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d lines to boxes, its runtime %d", inst.number, conns, len(inst.backendConns)))
 		}
 	}
 	cores := 0.0
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -28,9 +28,9 @@
 
 // drawScenario draws a day of one of the shapes.
 func drawScenario(s *Script, rng *rand.Rand) string {
-	d := &scenarioBuilder{s, rng}
+	builder := &scenarioBuilder{s, rng}
 	k := scenarios[rng.IntN(len(scenarios))]
-	k.draw(d)
+	k.draw(builder)
 	return k.name
 }
 
@@ -47,54 +47,54 @@
 	rng *rand.Rand
 }
 
-func (d *scenarioBuilder) oneOf(xs ...float64) float64 { return xs[d.rng.IntN(len(xs))] }
+func (b *scenarioBuilder) oneOf(xs ...float64) float64 { return xs[b.rng.IntN(len(xs))] }
 
 // between draws evenly, to two places.
-func (d *scenarioBuilder) between(a, b float64) float64 {
-	return math.Round((a+(b-a)*d.rng.Float64())*100) / 100
+func (b *scenarioBuilder) between(a, target float64) float64 {
+	return math.Round((a+(target-a)*b.rng.Float64())*100) / 100
 }
 
-func (d *scenarioBuilder) milliseconds(a, b float64) time.Duration {
-	return time.Duration(d.between(a, b)) * time.Millisecond
+func (b *scenarioBuilder) milliseconds(a, target float64) time.Duration {
+	return time.Duration(b.between(a, target)) * time.Millisecond
 }
 
 // chance tells yes with a chance.
-func (d *scenarioBuilder) chance(p float64) bool { return d.rng.Float64() < p }
+func (b *scenarioBuilder) chance(p float64) bool { return b.rng.Float64() < p }
 
 // fleet draws boxes and doors, with 1 to 75 and 1 to 40 of them.
-func (d *scenarioBuilder) fleet() {
-	d.Backends.Cores = int(d.oneOf(1, 1, 2))
-	d.Backends.Work = strictyaml.Duration(time.Duration(d.oneOf(40, 80, 120, 160)) * time.Millisecond)
-	d.Backends.Queue = int(d.oneOf(8, 24, 64))
-	d.Backends.Count = 1 + d.rng.IntN(int(d.oneOf(3, 8, 8, 20, 75)))
-	d.Instances = 1 + d.rng.IntN(int(d.oneOf(2, 4, 8, 40)))
+func (b *scenarioBuilder) fleet() {
+	b.Backends.Cores = int(b.oneOf(1, 1, 2))
+	b.Backends.Work = strictyaml.Duration(time.Duration(b.oneOf(40, 80, 120, 160)) * time.Millisecond)
+	b.Backends.Queue = int(b.oneOf(8, 24, 64))
+	b.Backends.Count = 1 + b.rng.IntN(int(b.oneOf(3, 8, 8, 20, 75)))
+	b.Instances = 1 + b.rng.IntN(int(b.oneOf(2, 4, 8, 40)))
 }
 
 // setLoad sets the rate to a share of what the boxes can do, and the length of the day by what that asks for.
-func (d *scenarioBuilder) setLoad(share float64) {
-	can := float64(d.Backends.Count*d.Backends.Cores) / time.Duration(d.Backends.Work).Seconds()
-	d.Rate = math.Round(min(maxRate, max(2, share*can)))
-	d.Seconds = math.Round(min(d.Seconds, max(6, maxRequests/d.Rate)))
+func (b *scenarioBuilder) setLoad(share float64) {
+	can := float64(b.Backends.Count*b.Backends.Cores) / time.Duration(b.Backends.Work).Seconds()
+	b.Rate = math.Round(min(maxRate, max(2, share*can)))
+	b.Seconds = math.Round(min(b.Seconds, max(6, maxRequests/b.Rate)))
 }
 
 // drawSlowStart draws how boxes start, such that it takes some requests to push one over.
-func (d *scenarioBuilder) drawSlowStart() {
-	c := &d.SlowStart
-	c.Share, c.OverloadFactor = d.oneOf(0.1, 0.22, 0.25, 0.5), d.oneOf(3, 4, 4, 6)
-	c.Duration, c.OverloadTime = strictyaml.Duration(time.Duration(d.oneOf(4, 8, 16))*time.Second), strictyaml.Duration(time.Duration(d.oneOf(1, 1.5, 2)*1000)*time.Millisecond)
-	d.boundWork()
+func (b *scenarioBuilder) drawSlowStart() {
+	c := &b.SlowStart
+	c.Share, c.OverloadFactor = b.oneOf(0.1, 0.22, 0.25, 0.5), b.oneOf(3, 4, 4, 6)
+	c.Duration, c.OverloadTime = strictyaml.Duration(time.Duration(b.oneOf(4, 8, 16))*time.Second), strictyaml.Duration(time.Duration(b.oneOf(1, 1.5, 2)*1000)*time.Millisecond)
+	b.boundWork()
 }
 
-func (d *scenarioBuilder) addFault(at time.Duration, e fault.Event) {
+func (b *scenarioBuilder) addFault(at time.Duration, e fault.Event) {
 	e.At = at.Truncate(time.Millisecond)
-	d.Events = append(d.Events, e)
+	b.Events = append(b.Events, e)
 }
 
-func (d *scenarioBuilder) backendName(i int) string { return fmt.Sprintf("box-%d", i) }
+func (b *scenarioBuilder) backendName(i int) string { return fmt.Sprintf("box-%d", i) }
 
 // portion is a tenth, a half or all of the boxes, one at least.
-func (d *scenarioBuilder) portion() int {
-	return max(1, int(math.Round(float64(d.Backends.Count)*d.oneOf(0.1, 0.5, 0.5, 1))))
+func (b *scenarioBuilder) portion() int {
+	return max(1, int(math.Round(float64(b.Backends.Count)*b.oneOf(0.1, 0.5, 0.5, 1))))
 }
 
 // boundWork bounds the work of a request, so that it takes some to push a cold box over.
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -160,14 +160,14 @@
 	c.Settings.Classes, c.Settings.Plans = slices.Clone(cfg.Settings.Classes), slices.Clone(cfg.Settings.Plans)
 	set := &c.Settings
 	for i := range set.Classes {
-		if k := &set.Classes[i]; k.Idempotency == decision.IdempotentByKey && s.KeyTTL > 0 {
-			k.KeyTTL = time.Duration(s.KeyTTL)
+		if class := &set.Classes[i]; class.Idempotency == decision.IdempotentByKey && s.KeyTTL > 0 {
+			class.KeyTTL = time.Duration(s.KeyTTL)
 		}
-		if k := &set.Classes[i]; s.LateShare > 0 && !k.Stream {
-			k.LateShare = s.LateShare
+		if class := &set.Classes[i]; s.LateShare > 0 && !class.Stream {
+			class.LateShare = s.LateShare
 		}
-		if k := &set.Classes[i]; k.Idempotency == decision.IdempotentByKey && s.Backends.Cells > 1 {
-			k.KeyScope = decision.KeyScopeCell
+		if class := &set.Classes[i]; class.Idempotency == decision.IdempotentByKey && s.Backends.Cells > 1 {
+			class.KeyScope = decision.KeyScopeCell
 		}
 	}
 	for i := range set.Plans {
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -117,9 +117,9 @@
 		s.checkQuiescent()
 	}
 	o := Outcome{Findings: s.findings, Events: s.events, Virtual: s.now, Reached: s.reached, Requests: len(s.requests)}
-	for _, d := range s.instances { // what the machines know is part of what happened
-		if d.core != nil {
-			s.digest(instanceStats, d.core.Stats.Counts())
+	for _, inst := range s.instances { // what the machines know is part of what happened
+		if inst.core != nil {
+			s.digest(instanceStats, inst.core.Stats.Counts())
 		}
 	}
 	o.Digest = s.digestState.Sum64()
@@ -157,9 +157,9 @@
 }
 
 func (s *Sim) instanceOf(h *host) int {
-	for _, d := range s.instances {
-		if d.host == h {
-			return d.number
+	for _, inst := range s.instances {
+		if inst.host == h {
+			return inst.number
 		}
 	}
 	return -2
@@ -177,11 +177,11 @@
 	s.endpointFile = s.endpointFileText()
 	drift := stream(sc.Seed, "drift")
 	for i := range sc.Instances {
-		d := &simInstance{sim: s, number: i, config: s.config.ForInstance(i, sc.Instances), clockRate: 1 + sc.Drift*(2*drift.Float64()-1)}
-		d.host = s.addHost(fmt.Sprintf("door-%d", i), fmt.Sprintf("door-%d", i))
-		s.instances = append(s.instances, d)
+		inst := &simInstance{sim: s, number: i, config: s.config.ForInstance(i, sc.Instances), clockRate: 1 + sc.Drift*(2*drift.Float64()-1)}
+		inst.host = s.addHost(fmt.Sprintf("door-%d", i), fmt.Sprintf("door-%d", i))
+		s.instances = append(s.instances, inst)
 		s.clientPools = append(s.clientPools, &clientPool{sim: s, instance: i})
-		d.start(s.instanceSeed(d))
+		inst.start(s.instanceSeed(inst))
 	}
 	for _, e := range sc.Events {
 		s.faultsOverAt = max(s.faultsOverAt, e.At+e.Duration)
@@ -193,8 +193,8 @@
 	s.schedule(0, s.generateRequest)
 }
 
-func (s *Sim) instanceSeed(d *simInstance) uint64 {
-	return s.script.Seed*1_000_003 + uint64(d.number)*97 + uint64(d.incarnation)
+func (s *Sim) instanceSeed(inst *simInstance) uint64 {
+	return s.script.Seed*1_000_003 + uint64(inst.number)*97 + uint64(inst.incarnation)
 }
 
 func (s *Sim) addBackend(name string) *simBackend {
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -26,34 +26,34 @@
 	}
 	weights := make([]float64, len(s.config.Customers))
 	sum, usual := 0.0, 0.0
-	for i, st := range s.config.Customers {
-		w := 1.0
-		p := s.config.CustomerByName(st.Name).Plan
+	for index, customer := range s.config.Customers {
+		weight := 1.0
+		p := s.config.CustomerByName(customer.Name).Plan
 		if q := float64(s.config.Plans[p].Rate); q > 0 {
-			w = q
+			weight = q
 		}
-		usual += w
-		for _, name := range [2]string{st.Name, st.Plan} {
+		usual += weight
+		for _, name := range [2]string{customer.Name, customer.Plan} {
 			if f, ok := s.surges[name]; ok {
-				w *= f
+				weight *= f
 			}
 		}
-		weights[i] = w
-		sum += w
+		weights[index] = weight
+		sum += weight
 	}
 	rate *= sum / usual
-	pick, i := rng.Float64()*sum, 0
-	for ; i < len(weights)-1 && pick >= weights[i]; i++ {
-		pick -= weights[i]
+	pick, index := rng.Float64()*sum, 0
+	for ; index < len(weights)-1 && pick >= weights[index]; index++ {
+		pick -= weights[index]
 	}
 	s.operations++
-	own := rand.New(rand.NewPCG(s.script.Seed, uint64(s.operations)))
-	s.startOperation(i, s.operations, own)
+	rng2 := rand.New(rand.NewPCG(s.script.Seed, uint64(s.operations)))
+	s.startOperation(index, s.operations, rng2)
 	s.scheduleAfter(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), s.generateRequest)
 }
 
 // startOperation is one thing that a client wants.
-func (s *Sim) startOperation(studio, n int, rng *rand.Rand) {
+func (s *Sim) startOperation(customer, number int, rng *rand.Rand) {
 	switch x := rng.Float64(); {
 	case x < s.invalidShare:
 		s.misbehave(rng, false)
@@ -66,27 +66,27 @@
 	if rng.Float64() < s.script.Clients.PipelineShare {
 		count = 2 + rng.IntN(3)
 	}
-	door := s.instanceFor(studio, rng)
-	conn := s.clientPools[door].get(rng)
+	instance := s.instanceFor(customer, rng)
+	conn := s.clientPools[instance].get(rng)
 	for k := range count {
 		ops := s.config.Routes.Operations
-		op := rng.IntN(len(ops))
-		class := s.config.Settings.Classes[s.config.ClassByOperation[op]]
+		operation := rng.IntN(len(ops))
+		class := s.config.Settings.Classes[s.config.ClassByOperation[operation]]
 		work := time.Duration((0.3 + 0.7*rng.ExpFloat64()) * float64(s.script.Backends.Work))
-		t := &clientRequest{rng: rng, customer: studio, operation: op, work: min(work, 6*time.Duration(s.script.Backends.Work))}
-		t.Request = invariant.Request{Operation: fmt.Sprintf("%d.%d", n, k), Customer: s.config.Customers[studio].Name, Plan: s.config.Customers[studio].Plan,
-			Idempotency: invariant.Idempotency(class.Idempotency), Units: 1, Work: t.work, Value: class.PriorityWeight, LateShare: class.LateShare, LatencyObjective: class.LatencyObjective,
+		request := &clientRequest{rng: rng, customer: customer, operation: operation, work: min(work, 6*time.Duration(s.script.Backends.Work))}
+		request.Request = invariant.Request{Operation: fmt.Sprintf("%d.%d", number, k), Customer: s.config.Customers[customer].Name, Plan: s.config.Customers[customer].Plan,
+			Idempotency: invariant.Idempotency(class.Idempotency), Units: 1, Work: request.work, Value: class.PriorityWeight, LateShare: class.LateShare, LatencyObjective: class.LatencyObjective,
 			Timeout: time.Duration((0.6 + 0.4*rng.Float64()) * float64(class.Deadline))}
 		if s.script.Clients.MaxBody > 0 {
-			t.body = strings.Repeat("x", rng.IntN(s.script.Clients.MaxBody+1))
+			request.body = strings.Repeat("x", rng.IntN(s.script.Clients.MaxBody+1))
 		}
-		s.send(t, conn, door, k)
+		s.send(request, conn, instance, k)
 	}
 }
 
 // instanceFor is the door that a studio's request comes in through.
-func (s *Sim) instanceFor(studio int, rng *rand.Rand) int {
-	cu := s.config.CustomerByName(s.config.Customers[studio].Name)
+func (s *Sim) instanceFor(customer int, rng *rand.Rand) int {
+	cu := s.config.CustomerByName(s.config.Customers[customer].Name)
 	turn := s.trafficMoves[cu.Name]
 	if rng.Float64() < 0.25 {
 		turn++
