--- a/emulator/config.go
+++ b/emulator/config.go
@@ -4,9 +4,9 @@
 
 // Defaults of a BackendConfig.
 const (
-	defaultCores    = 2                // as the smallest backends that operators run
-	defaultQueue    = 24               // requests: some ten times what works at once
-	defaultKeyTTL   = 10 * time.Second // longer than a client retries
+	defaultCores    = 2                // so that requests run side by side and still queue
+	defaultQueue    = 24               // requests: twelve times what works at once
+	defaultKeyTTL   = 10 * time.Second // as long as clients retry, at the least
 	defaultBodySize = 64               // bytes: small beside a head
 )
 
--- a/emulator/counter.go
+++ b/emulator/counter.go
@@ -10,7 +10,7 @@
 
 // A counter can go back in time as far as it remembers changes.
 const (
-	historyWindow  = 10 * time.Second // more than any fault script goes back
+	historyWindow  = 10 * time.Second // generated scripts go back 5 s at most
 	maxChanges     = 1 << 16          // bounds memory under load; older changes are forgotten
 	minTrimChanges = 1024             // fewer are not worth trimming
 )
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -8,14 +8,21 @@
 	"sandyard/invariant"
 )
 
-// simBackend is a stand-in box in virtual time.
+// The states of a backend in the endpoint list.
+const (
+	listedUp       = "up"
+	listedDraining = "draining"
+	listedGone     = "gone" // not listed
+)
+
+// simBackend is an emulated backend in the simulation.
 type simBackend struct {
 	sim            *Sim
 	host           *host
 	name           string
 	number         int
 	address        string
-	listedState    string // in the list
+	listedState    string // in the endpoint list: up, draining or gone
 	startedAt      time.Duration
 	startedCold    bool
 	model          *emulator.Backend
@@ -25,7 +32,7 @@
 	extraResponses bool
 }
 
-// start begins a process; one that is started while the day runs is cold.
+// start begins a process; one that starts while the run goes on is in slow start.
 func (b *simBackend) start(cold bool) {
 	s := b.sim
 	b.incarnation++
@@ -46,6 +53,14 @@
 	b.host.accept = b.acceptConn
 }
 
+// kill ends the backend's process.
+func (b *simBackend) kill() {
+	b.incarnation++
+	b.conns = nil
+	b.sim.network.kill(b.host)
+	b.host.accept = nil
+}
+
 func (b *simBackend) setFault(v fault.Verb, value float64, on bool) {
 	b.model.Set(b.sim.now, v, value, on)
 	if v == fault.ExtraResponse {
@@ -59,7 +74,7 @@
 	}
 }
 
-// acceptConn takes a connection in.
+// acceptConn accepts a connection.
 func (b *simBackend) acceptConn(conn *netConn) {
 	c := &simBackendConn{backend: b, conn: conn, model: b.model.NewConn(), instance: b.sim.instanceOf(conn.peer.host), lastUsed: b.sim.now}
 	conn.handler = c
@@ -95,7 +110,7 @@
 	b.host.accept = b.acceptConn
 }
 
-// scheduleWork plans the box's next end of work.
+// scheduleWork schedules the backend's next end of work.
 func (b *simBackend) scheduleWork() {
 	t := b.model.Next()
 	if t == 0 || b.nextWake != 0 && b.nextWake <= t && b.nextWake > b.sim.now {
--- a/internal/simulation/backendconn.go
+++ b/internal/simulation/backendconn.go
@@ -16,9 +16,9 @@
 	lastUsed time.Duration // when bytes last came or went
 }
 
-// closeIfIdle closes a connection on which nothing has happened for a while, as servers do; a request may be on its way then.
+// closeIfIdle closes a connection on which nothing has happened for a while, as servers do, though a request may be in flight.
 func (c *simBackendConn) closeIfIdle(after time.Duration) {
-	if c.done || c.conn.closed { // shut: by a kill of the box's process
+	if c.done || c.conn.closed { // closed by a kill of the process
 		return
 	}
 	if left := c.lastUsed + after - c.backend.sim.now; left > 0 || c.model.Busy() {
@@ -52,14 +52,14 @@
 	if c.done {
 		return
 	}
-	// Bytes that nobody asked for are told from an answer only if they come before the next request is sent: that is
-	// beyond what HTTP/1.1 lets a client know, and so they come with the answer that they follow.
+	// HTTP/1.1 lets a client recognize an extra response only if it comes before the next request is sent, and so it is
+	// delivered together with the response that it follows.
 	c.conn.unsplit, c.lastUsed = c.backend.extraResponses, c.backend.sim.now
 	c.unsent = c.conn.writeBuffered(c.unsent, c.model.Out)
 	c.model.Out = c.model.Out[:0]
 	if c.model.Close && len(c.unsent) == 0 {
 		abort := c.model.Abort
-		if abort { // what was written arrives, then the reset
+		if abort { // the reset comes after what was written
 			c.backend.sim.scheduleAfter(2*c.backend.sim.network.latency, func() { c.close(true) })
 			return
 		}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -10,14 +10,14 @@
 	"sandyard/invariant"
 )
 
-// clientPool is the clients of one door: their connections, kept for further requests.
+// clientPool holds the connections of the clients of one instance, kept alive for further requests.
 type clientPool struct {
 	sim      *Sim
 	instance int
 	idle     []*clientConn
 }
 
-// get finds a connection with nothing out, or begins one.
+// get returns an idle connection, or begins one.
 func (p *clientPool) get(rng *rand.Rand) *clientConn {
 	if rng.Float64() >= p.sim.script.Clients.NewConnShare {
 		for len(p.idle) > 0 {
@@ -41,7 +41,7 @@
 		default:
 			c.conn, c.acceptedAt = conn, p.sim.now
 			c.flush()
-			if len(conn.received) > 0 { // a door may turn a connection away before its client knows that it stands
+			if len(conn.received) > 0 { // an instance may reject a connection before its client knows that it is established
 				c.readable(conn)
 			}
 		}
@@ -49,7 +49,7 @@
 	return c
 }
 
-// clientConn is a client's connection. It may have several requests out, which are answered in order.
+// clientConn is a client's connection. Several pipelined requests may be in flight on it; responses come in their order.
 type clientConn struct {
 	pool          *clientPool
 	dialing       *dialing
@@ -58,10 +58,10 @@
 	unsent        []byte
 	awaiting      []*clientRequest
 	head          *http1.Head
-	responseBegan bool // the answer to the first that waits has
+	responseBegan bool // of the first in awaiting
 	done          bool
 	misbehaving   bool
-	acceptedAt    time.Duration // when it was accepted
+	acceptedAt    time.Duration // by the instance
 	lastUsed      time.Duration
 }
 
@@ -75,28 +75,28 @@
 func (c *clientConn) writable(*netConn) { c.flush() }
 
 func (c *clientConn) closed(conn *netConn, reset bool) {
-	if c.conn == nil { // it ended before its client knew that it stood
+	if c.conn == nil { // it ended before its client knew that it was established
 		c.conn = conn
 	}
 	c.fail(invariant.ConnectionBroken)
 }
 
-// fail ends what was out on a connection that is gone.
+// fail ends the connection and what was in flight on it.
 func (c *clientConn) fail(e invariant.Ending) {
 	out := c.awaiting
 	c.awaiting = nil
-	if e == invariant.ConnectionBroken && c.conn != nil && c.conn.tooManyConns { // its door has too many: the reset may overtake the answer that says so
+	if e == invariant.ConnectionBroken && c.conn != nil && c.conn.tooManyConns { // the reset may overtake the response that says so
 		c.pool.sim.cover("excuse: no answer: turned away")
 		e = invariant.NotAccepted
 	}
 	c.close(true)
 	for i, r := range out {
-		if i == 0 && c.responseBegan && e == invariant.ConnectionBroken { // an answer that flowed and broke off: its client knows that it failed
+		if i == 0 && c.responseBegan && e == invariant.ConnectionBroken { // the client sees that its response broke off
 			c.pool.sim.cover("excuse: broken off: an answer that flowed")
 			c.pool.sim.finish(r, invariant.Failed, 1)
 			continue
 		}
-		if i > 0 && e == invariant.ConnectionBroken { // a door takes one request at a time: those behind were not accepted
+		if i > 0 && e == invariant.ConnectionBroken { // an instance takes one request at a time: those behind were not accepted
 			c.pool.sim.cover("excuse: no answer: behind one that was cut")
 			e = invariant.ClientLeft
 		}
@@ -120,7 +120,7 @@
 	} else if c.dialing != nil {
 		c.dialing.ended = true
 	}
-	if out := c.awaiting; len(out) > 0 { // a client that gives up on one gives up on all that it sent behind it
+	if out := c.awaiting; len(out) > 0 { // a client that gives up on one request gives up on those pipelined behind it
 		c.awaiting = nil
 		for _, r := range out {
 			c.pool.sim.finish(r, invariant.ClientLeft, 0)
@@ -169,7 +169,7 @@
 			c.awaiting = c.awaiting[1:]
 			c.responseComplete(r)
 			if c.head.Close {
-				c.fail(invariant.NotAccepted) // what it sent behind was never taken
+				c.fail(invariant.NotAccepted) // pipelined requests behind it were never accepted
 				return
 			}
 		}
@@ -180,7 +180,7 @@
 	}
 }
 
-// responseComplete is the end of an answer.
+// responseComplete handles a complete response.
 func (c *clientConn) responseComplete(r *clientRequest) {
 	s, h := c.pool.sim, c.head
 	s.cover("status " + strconv.Itoa(h.Status))
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// event is something that happens at a time. Events that share one happen in the order of their draws and then of
-// their making: which comes first is a matter of the seed, so that both orders are met.
+// event is something that happens at a time. Events that share one run in the order of a drawn tie-break and then of their
+// scheduling: which comes first depends on the seed, so that a sweep meets both orders.
 type event struct {
 	at  time.Duration
 	tie uint32
@@ -26,7 +26,7 @@
 	return a.seq < b.seq
 }
 
-// clock is the queue of events.
+// clock is the queue of events, a binary heap.
 type clock struct {
 	now         time.Duration
 	heap        []event
@@ -34,29 +34,29 @@
 	events      uint64
 	tieBreaks   *rand.Rand
 	digestState hash.Hash64
-	log         func(at time.Duration, what string) // nil: no log is wanted
+	log         func(at time.Duration, what string) // nil: no log
 }
 
 func newClock(seed uint64) *clock {
 	return &clock{tieBreaks: stream(seed, "ties"), digestState: fnv.New64a()}
 }
 
-// stream is the randomness of one purpose, so that more draws for one don't change the others.
+// stream returns the random source of one purpose, so that more draws for one purpose don't change those of others.
 func stream(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// schedule plans an event.
+// schedule runs something at a time.
 func (c *clock) schedule(t time.Duration, do func()) {
 	c.push(t, uint32(c.tieBreaks.Uint32()>>24), do)
 }
 
-// scheduleAfter plans an event from now.
+// scheduleAfter runs something a while from now.
 func (c *clock) scheduleAfter(d time.Duration, do func()) { c.schedule(c.now+max(0, d), do) }
 
-// scheduleLast plans an event behind all others of its time.
+// scheduleLast runs something after all other events of its time.
 func (c *clock) scheduleLast(t time.Duration, do func()) { c.push(t, 1<<31, do) }
 
 func (c *clock) push(t time.Duration, tie uint32, do func()) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// step makes the next event happen; false tells that there is none until a time.
+// step runs the next event; false: there is none until then.
 func (c *clock) step(until time.Duration) bool {
 	h := c.heap
 	if len(h) == 0 || h[0].at > until {
@@ -102,7 +102,7 @@
 	return true
 }
 
-// logEvent hands what happened to the log, if one is wanted.
+// logEvent hands what happened to the log, if there is one.
 func (c *clock) logEvent(what string) {
 	if c.log != nil {
 		c.log(c.now, what)
--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// connHandler is told of what happens on a connection.
+// connHandler is called with what happens on a connection.
 type connHandler interface {
 	readable(*netConn)
-	closed(*netConn, bool) // no more bytes come; true: by a reset
+	closed(conn *netConn, reset bool) // no more bytes come
 	writable(*netConn)
 }
 
@@ -18,15 +18,15 @@
 	peer              *netConn
 	handler           connHandler
 	received          []byte
-	inFlight          []segment     // on their way to the peer
-	unacknowledged    int           // bytes sent that the peer has not read
-	deliveryScheduled bool          // an event for flight is planned
-	writeBlocked      bool          // a write was cut short
-	closed            bool          // closed from this side
-	peerClosed        bool          // the peer's close has been told
-	unsplit           bool          // writes are not cut
-	tooManyConns      bool          // the peer has too many connections
-	messageBegan      time.Duration // when its owner last began to send a message
+	inFlight          []segment     // in the order of their arrival
+	unacknowledged    int           // bytes, sent and not yet read by the peer
+	deliveryScheduled bool          // an event for inFlight is scheduled
+	writeBlocked      bool          // the window was full at the last write
+	closed            bool          // by this side
+	peerClosed        bool          // the handler knows, or is about to
+	unsplit           bool          // writes are not split into segments
+	tooManyConns      bool          // the peer rejected it for having too many
+	messageBegan      time.Duration // when the last message on it began to be sent
 }
 
 type segment struct {
@@ -36,10 +36,11 @@
 	rst       bool
 }
 
-// write sends as many bytes as the window has room for; the owner hears of writable if that was not all.
+// write sends as many bytes as the window has room for, and returns how many. The handler's writable is called later if that
+// was not all.
 func (c *netConn) write(b []byte) int {
 	if c.closed || c.peerClosed && len(c.inFlight) == 0 && c.peer.closed {
-		return len(b) // into the void; the owner hears of the close
+		return len(b) // dropped: the handler is about to be called with the close
 	}
 	took := min(len(b), windowBytes-c.unacknowledged)
 	c.writeBlocked = took < len(b)
@@ -56,7 +57,7 @@
 	return took
 }
 
-// writeBuffered writes what was held back and then what is new, and returns what must be held back now.
+// writeBuffered writes what was held back and then what is new, and returns what is held back now.
 func (c *netConn) writeBuffered(held, fresh []byte) []byte {
 	if len(held) == 0 { // the usual case: nothing is copied twice
 		n := c.write(fresh)
@@ -79,7 +80,7 @@
 	c.scheduleDelivery()
 }
 
-// scheduleDelivery plans the arrival of what is on its way, in order.
+// scheduleDelivery schedules the arrival of the first segment in flight.
 func (c *netConn) scheduleDelivery() {
 	if c.deliveryScheduled || len(c.inFlight) == 0 {
 		return
@@ -103,10 +104,10 @@
 		if c.inFlight[0] = (segment{}); len(c.inFlight) > 1 {
 			c.inFlight = c.inFlight[1:]
 		} else {
-			c.inFlight = c.inFlight[:0] // its room is used again
+			c.inFlight = c.inFlight[:0] // its memory is used again
 		}
 		switch {
-		case to.closed: // the kernel of a host that has closed answers with a reset
+		case to.closed: // a closed socket's kernel replies with a reset
 			if len(s.data) > 0 && !c.peerClosed {
 				c.notifyClosed(true)
 			}
@@ -116,7 +117,7 @@
 			to.notifyClosed(false)
 		default:
 			if len(to.received) == 0 {
-				to.received = s.data // a copy of its own already
+				to.received = s.data // a copy already
 			} else {
 				to.received = append(to.received, s.data...)
 			}
@@ -130,7 +131,7 @@
 	c.scheduleDelivery()
 }
 
-// notifyClosed tells an end's owner that its peer has closed.
+// notifyClosed calls the handler with the peer's close, once.
 func (c *netConn) notifyClosed(reset bool) {
 	if c.peerClosed {
 		return
@@ -146,7 +147,7 @@
 	})
 }
 
-// read takes what has come.
+// read returns what has arrived, and opens the window for as much.
 func (c *netConn) read() []byte {
 	b := c.received
 	c.received = nil
@@ -165,14 +166,14 @@
 	return b
 }
 
-// closeWrite ends the sending: the peer hears of it after all that was written, and what it still sends is read.
+// closeWrite shuts the sending side, behind all that was written; what the peer still sends can be read.
 func (c *netConn) closeWrite() {
 	if !c.closed && c.host.alive {
 		c.send(segment{fin: true})
 	}
 }
 
-// close ends this side: the peer hears of it after all that was written. With unread bytes, or asked for, it is a reset.
+// close closes the connection, behind all that was written. With unread bytes, or if asked for, it is a reset.
 func (c *netConn) close(reset bool) {
 	if c.closed {
 		return
--- a/internal/simulation/counter.go
+++ b/internal/simulation/counter.go
@@ -7,13 +7,13 @@
 	"sandyard/fault"
 )
 
-// simCounter is the stand-in keeper in virtual time.
+// simCounter is the emulated counter in the simulation.
 type simCounter struct {
 	sim               *Sim
 	host              *host
 	model             *emulator.Counter
 	invalidReplies    bool
-	earlierIncrements uint64 // of its earlier processes
+	earlierIncrements uint64 // by its earlier processes
 	conns             []*simCounterConn
 }
 
@@ -27,6 +27,15 @@
 	}
 }
 
+// kill ends the counter's process. A new one starts empty.
+func (c *simCounter) kill() {
+	c.sim.network.kill(c.host)
+	c.conns = nil
+	c.host.accept = nil
+	c.earlierIncrements += c.model.Increments
+	c.model = emulator.NewCounter()
+}
+
 func (c *simCounter) setFault(v fault.Verb, value float64, on bool) {
 	switch v {
 	case fault.InvalidReplies:
@@ -53,7 +62,7 @@
 	}
 }
 
-// spreadPosition is a place in [0,1) for each number, such that neighbours lie apart (multiples of the golden ratio).
+// spreadPosition is a position in [0,1) for each number, such that neighbours lie apart (multiples of the golden ratio).
 func spreadPosition(number int) float64 {
 	_, x := math.Modf(float64(number+1) * (math.Sqrt(5) - 1) / 2)
 	return x
@@ -70,7 +79,7 @@
 func (c *simCounterConn) readable(*netConn) {
 	counter := c.counter
 	if c.done || counter.model.Stalled() {
-		return // the bytes wait
+		return // the bytes stay in the connection
 	}
 	c.model.Feed(counter.sim.now, c.conn.read())
 	b := append([]byte(nil), c.model.Out...)
--- a/internal/simulation/coverage.go
+++ b/internal/simulation/coverage.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// Verbs are the troubles that a generator draws.
+// Verbs returns the verbs of the faults that a generator draws, sorted.
 func Verbs() (names []string) {
 	for _, k := range faultKinds {
 		if !slices.Contains(names, string(k.verb)) {
@@ -15,7 +15,8 @@
 	return names
 }
 
-// Reachable are the things that a search should reach: troubles, wishes of the core, ends of tries and error paths.
+// Reachable returns what a search should reach, in the words of Outcome.Reached: faults, effects of the core, endings of
+// requests and error paths.
 func Reachable() []string {
 	names := []string{"answer broken", "answer cut off", "answer flows", "client drips", "client left", "client makes noise", "client quits",
 		"client reset", "client too slow", "dial refused", "line reset", "list broken", "stream silent", "status 200", "status 400", "status 408",
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -8,11 +8,11 @@
 	"sandyard/config"
 )
 
-// builtInDeployment parses Deployment once; runs side by side share it.
+// builtInDeployment parses Deployment once; concurrent runs share it.
 var builtInDeployment = sync.OnceValues(Deployment)
 
-// Deployment is the configuration that scripts run on which name none: two front doors a studio, three plans with a
-// ceiling in the highest, three ways of repeating.
+// Deployment returns the configuration for scripts that name none: two instances a customer, three plans with a ceiling in
+// the highest, and a class for each kind of idempotency.
 func Deployment() (*config.Config, error) {
 	var s strings.Builder
 	s.WriteString(`openapi: openapi.yaml
--- a/internal/simulation/dial.go
+++ b/internal/simulation/dial.go
@@ -1,14 +1,14 @@
 package simulation
 
-// dialing is a connection that was asked for.
+// dialing is a connection under way.
 type dialing struct {
 	from, to  *host
 	handler   connHandler
 	connected func(*netConn, bool)
-	ended     bool // given up
+	ended     bool // established, refused or given up
 }
 
-// dial asks for a connection. done is told its end, or nil if it was refused; never, if nobody answers.
+// dial begins a connection. done is called with its client side, or with nil if it was refused; never, if nobody replies.
 func (n *network) dial(from *host, addr string, o connHandler, done func(*netConn, bool)) *dialing {
 	p := &dialing{from: from, to: n.byAddr[addr], handler: o, connected: done}
 	if from.descriptors == 0 {
@@ -26,7 +26,7 @@
 	}
 }
 
-// connect is a connection's first segment at its target.
+// connect handles the first segment of a connection at its target.
 func (n *network) connect(p *dialing) {
 	switch {
 	case p.ended || !p.from.alive:
@@ -40,7 +40,7 @@
 	}
 }
 
-// acceptPending accepts what waits, as far as the host can.
+// acceptPending accepts connections of the backlog, as far as the host can.
 func (n *network) acceptPending(h *host) {
 	for len(h.backlog) > 0 && h.alive && !h.notAccepting && !h.paused && h.descriptors != 0 {
 		p := h.backlog[0]
@@ -48,7 +48,7 @@
 		if p.ended || !p.from.alive {
 			continue
 		}
-		if h.accept == nil { // it listens no more
+		if h.accept == nil { // it no longer listens
 			n.scheduleAfter(n.latency, func() { p.refuse(n) })
 			continue
 		}
--- a/internal/simulation/digest.go
+++ b/internal/simulation/digest.go
@@ -10,7 +10,7 @@
 
 const (
 	requestSent   eventKind = iota + 1 // its id
-	requestEnded                       // its id, and how
+	requestEnded                       // its id and ending
 	backendFact                        // the kind of fact, the request's id and the backend's name
 	faultBegun                         // verb, target and value
 	faultOver                          // verb and target
@@ -18,8 +18,8 @@
 	instanceStats                      // an instance's counts at the end
 )
 
-// digest takes an event into the run's digest: the time, the kind, numbers, and bytes that scripts, clients or peers
-// chose. No text of ours goes in, so that a log line can be worded anew without another digest.
+// digest adds an event to the run's digest: the time, the kind, numbers, and texts that scripts, clients or peers chose. Log
+// texts are left out, so that they can be worded anew without another digest.
 func (c *clock) digest(kind eventKind, numbers []uint64, texts ...string) {
 	b := binary.LittleEndian.AppendUint64(make([]byte, 0, 64), uint64(c.now))
 	b = append(b, byte(kind))
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -10,13 +10,13 @@
 	"sandyard/decision"
 )
 
-// epoch is the calendar time at which virtual time is zero.
+// epoch is the calendar time at which simulated time is zero.
 var epoch = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-// cellOf is a box's cell.
+// cellOf returns a backend's cell.
 func (s *Sim) cellOf(b *simBackend) int { return b.number % max(1, s.script.Backends.Cells) }
 
-// cellOfName tells which boxes discard each other's repeats; nil: all do.
+// cellOfName returns what finds a backend's cell, within which repeats of a key are discarded; nil: there is one cell.
 func (s *Sim) cellOfName() func(box string) string {
 	if s.script.Backends.Cells < 2 {
 		return nil
@@ -31,13 +31,13 @@
 	}
 }
 
-// endpointFileText is the file of boxes.
+// endpointFileText returns the endpoint file as it is to be written.
 func (s *Sim) endpointFileText() string {
 	var t strings.Builder
 	t.WriteString("boxes:\n")
 	n := 0
 	for _, b := range s.backends {
-		if b.listedState == "gone" {
+		if b.listedState == listedGone {
 			continue
 		}
 		n++
@@ -53,13 +53,13 @@
 	return t.String()
 }
 
-// writeEndpoints replaces the file of boxes; each door hears of it a moment later.
+// writeEndpoints replaces the endpoint file, and notifies the instances.
 func (s *Sim) writeEndpoints() {
 	s.endpointFile = s.endpointFileText()
 	s.notifyInstances()
 }
 
-// parseEndpoints reads the list as it is now, once for all doors that read the same.
+// parseEndpoints parses the endpoint file as it is now, once for all instances that read the same text.
 func (s *Sim) parseEndpoints() ([]config.Endpoint, error) {
 	parsed := &s.parsedFile
 	if parsed.endpoints == nil && parsed.err == nil || parsed.text != s.endpointFile {
@@ -76,7 +76,7 @@
 	}
 }
 
-// recordEndpointView notes what a door was told.
+// recordEndpointView notes which backends an instance was notified of.
 func (s *Sim) recordEndpointView(inst *simInstance, endpoints []config.Endpoint) {
 	for _, b := range s.backends {
 		i := slices.IndexFunc(endpoints, func(c config.Endpoint) bool { return c.Name == b.name })
--- a/internal/simulation/evolve.go
+++ b/internal/simulation/evolve.go
@@ -11,9 +11,10 @@
 	"sandyard/internal/strictyaml"
 )
 
-const maxEvolvedFaults = 120 // of a script that is bred
+// maxEvolvedFaults bounds the faults of an evolved script, which would grow with each crossover.
+const maxEvolvedFaults = 120
 
-// crossover takes over a part of another script's troubles.
+// crossover takes over half of another script's faults.
 func (s *Script) crossover(o *Script, rng *rand.Rand) {
 	for _, e := range o.Events {
 		if len(s.Events) < maxEvolvedFaults && rng.IntN(2) == 0 {
@@ -73,7 +74,7 @@
 	}
 }
 
-// clamp keeps a changed script within the bounds of drawn ones.
+// clamp keeps a mutated script within the bounds of generated ones.
 func (s *Script) clamp() {
 	s.Backends.Count, s.Instances = min(75, max(1, s.Backends.Count)), min(40, max(1, s.Instances))
 	s.Rate = min(maxRate, max(2, s.Rate))
@@ -82,7 +83,7 @@
 	for i := range s.Events {
 		e := &s.Events[i]
 		most := 10 * time.Second
-		for _, k := range faultKinds { // as long and as strong as is drawn, at most
+		for _, k := range faultKinds { // as long as is generated, at most
 			if k.verb == e.Verb && k.maxDuration > 0 {
 				most = k.maxDuration
 			}
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -6,91 +6,121 @@
 	"strings"
 	"time"
 
-	"sandyard/emulator"
 	"sandyard/fault"
 )
 
-// beginFault begins a trouble of the script, and plans its end.
+// What the simulator does without being told by the script.
+const (
+	tornFileTime = time.Second      // until a torn endpoint file is repaired, if the fault has no duration
+	removalTime  = 10 * time.Second // that a removed backend still runs, as long as its responses may take
+	minLinkRate  = 100.0            // bytes a second of a throttled link: nothing ends below
+)
+
+// beginFault begins a fault of the script, and schedules its end.
 func (s *Sim) beginFault(e fault.Event) {
 	s.logEvent(fmt.Sprintf("trouble %s %s %g", e.Verb, e.Target, e.Value))
 	s.digest(faultBegun, []uint64{math.Float64bits(e.Value)}, string(e.Verb), e.Target)
 	s.cover("trouble " + string(e.Verb))
-	end := func(do func()) {
-		if e.Duration > 0 {
-			s.scheduleAfter(e.Duration, func() {
-				s.logEvent(fmt.Sprintf("over %s %s", e.Verb, e.Target))
-				s.digest(faultOver, nil, string(e.Verb), e.Target)
-				do()
-			})
+	switch e.Verb {
+	case fault.Surge, fault.ClientsAbort, fault.SlowClients, fault.InvalidRequests, fault.MoveTraffic:
+		s.beginTrafficFault(e)
+	case fault.Kill:
+		s.killProcesses(e)
+	case fault.Drain, fault.Replace, fault.Vanish:
+		s.drainBackend(e)
+	case fault.TornEndpointFile:
+		s.tearEndpointFile(e)
+	case fault.Partition, fault.OneWayPartition, fault.AddedLatency, fault.Throttle:
+		s.beginLinkFault(e)
+	case fault.Pause, fault.NotAccepting, fault.DescriptorLimit:
+		for _, h := range s.targets(e.Target) {
+			s.beginHostFault(e, h)
 		}
+	default:
+		s.beginModelFault(e)
 	}
+}
+
+// atEnd runs something at the end of a fault; never, if the fault has no duration.
+func (s *Sim) atEnd(e fault.Event, do func()) {
+	if e.Duration <= 0 {
+		return
+	}
+	s.scheduleAfter(e.Duration, func() {
+		s.logEvent(fmt.Sprintf("over %s %s", e.Verb, e.Target))
+		s.digest(faultOver, nil, string(e.Verb), e.Target)
+		do()
+	})
+}
+
+func (s *Sim) beginTrafficFault(e fault.Event) {
 	switch e.Verb {
 	case fault.Surge:
 		s.surges[e.Target] = e.Value
-		end(func() { delete(s.surges, e.Target) })
+		s.atEnd(e, func() { delete(s.surges, e.Target) })
 	case fault.ClientsAbort:
 		s.abortShare = e.Value
-		end(func() { s.abortShare = 0 })
+		s.atEnd(e, func() { s.abortShare = 0 })
 	case fault.SlowClients:
 		s.slowShare = e.Value
-		end(func() { s.slowShare = 0 })
+		s.atEnd(e, func() { s.slowShare = 0 })
 	case fault.InvalidRequests:
 		s.invalidShare = e.Value
-		end(func() { s.invalidShare = 0 })
+		s.atEnd(e, func() { s.invalidShare = 0 })
 	case fault.MoveTraffic:
 		for _, customer := range s.config.Customers {
 			if e.Target == "*" || e.Target == customer.Name || e.Target == customer.Plan {
 				s.trafficMoves[customer.Name]++
 			}
 		}
-	case fault.Kill:
-		s.killProcesses(e, end)
-	case fault.Drain, fault.Replace, fault.Vanish:
-		s.drainBackend(e)
-	case fault.TornEndpointFile:
-		s.endpointFile = s.endpointFile[:len(s.endpointFile)/2]
-		s.notifyInstances()
-		end(s.writeEndpoints)
-		if e.Duration == 0 {
-			s.scheduleAfter(time.Second, s.writeEndpoints)
-		}
-	case fault.Partition, fault.OneWayPartition, fault.AddedLatency, fault.Throttle:
-		s.beginLinkFault(e, end)
-	case fault.Pause, fault.NotAccepting, fault.DescriptorLimit:
-		for _, h := range s.targets(e.Target) {
-			switch e.Verb {
-			case fault.Pause:
-				h.pause(true)
-				s.checker.InstancePaused(s.instanceOf(h), s.now, true)
-				end(func() {
-					h.pause(false)
-					s.network.acceptPending(h)
-					s.checker.InstancePaused(s.instanceOf(h), s.now, false)
-				})
-			case fault.NotAccepting:
-				h.notAccepting = true
-				end(func() { h.notAccepting = false; s.network.acceptPending(h) })
-			default:
-				h.descriptors = max(0, int(e.Value)-len(h.conns))
-				end(func() { h.descriptors = -1; s.network.acceptPending(h) })
-			}
-		}
-	default:
-		if s.counter != nil && e.Target == "keeper" {
-			s.counter.setFault(e.Verb, e.Value, true)
-			end(func() { s.counter.setFault(e.Verb, e.Value, false) })
-			return
-		}
-		for _, b := range s.backends {
-			if e.Target == "*" || e.Target == "boxes" || e.Target == b.name {
-				b.setFault(e.Verb, e.Value, true)
-				end(func() { b.setFault(e.Verb, e.Value, false) })
-			}
+	}
+}
+
+// tearEndpointFile leaves half of the endpoint file, until the fault's end.
+func (s *Sim) tearEndpointFile(e fault.Event) {
+	s.endpointFile = s.endpointFile[:len(s.endpointFile)/2]
+	s.notifyInstances()
+	s.atEnd(e, s.writeEndpoints)
+	if e.Duration == 0 {
+		s.scheduleAfter(tornFileTime, s.writeEndpoints)
+	}
+}
+
+func (s *Sim) beginHostFault(e fault.Event, h *host) {
+	switch e.Verb {
+	case fault.Pause:
+		h.pause(true)
+		s.checker.InstancePaused(s.instanceOf(h), s.now, true)
+		s.atEnd(e, func() {
+			h.pause(false)
+			s.network.acceptPending(h)
+			s.checker.InstancePaused(s.instanceOf(h), s.now, false)
+		})
+	case fault.NotAccepting:
+		h.notAccepting = true
+		s.atEnd(e, func() { h.notAccepting = false; s.network.acceptPending(h) })
+	case fault.DescriptorLimit:
+		h.descriptors = max(0, int(e.Value)-len(h.conns))
+		s.atEnd(e, func() { h.descriptors = -1; s.network.acceptPending(h) })
+	}
+}
+
+// beginModelFault begins a fault of the emulated counter or of backends.
+func (s *Sim) beginModelFault(e fault.Event) {
+	if s.counter != nil && e.Target == "keeper" {
+		s.counter.setFault(e.Verb, e.Value, true)
+		s.atEnd(e, func() { s.counter.setFault(e.Verb, e.Value, false) })
+		return
+	}
+	for _, b := range s.backends {
+		if e.Target == "*" || e.Target == "boxes" || e.Target == b.name {
+			b.setFault(e.Verb, e.Value, true)
+			s.atEnd(e, func() { b.setFault(e.Verb, e.Value, false) })
 		}
 	}
 }
 
-// targets finds processes by name; * stands for all boxes and doors.
+// targets finds processes by name; * stands for all backends and instances.
 func (s *Sim) targets(name string) (hs []*host) {
 	for _, inst := range s.instances {
 		if name == "*" || name == "doors" || name == inst.host.name {
@@ -111,7 +141,8 @@
 	return hs
 }
 
-func (s *Sim) beginLinkFault(e fault.Event, end func(func())) {
+// beginLinkFault begins a fault of the links between two processes, or of all links of one.
+func (s *Sim) beginLinkFault(e fault.Event) {
 	a, b, two := strings.Cut(e.Target, "/")
 	from, to := s.targets(a), s.targets(b)
 	if !two {
@@ -122,38 +153,39 @@
 			if x == y {
 				continue
 			}
-			ways := []*link{s.network.link(x, y), s.network.link(y, x)}
-			if e.Verb == fault.OneWayPartition {
-				ways = ways[:1]
-			}
-			for _, l := range ways {
-				switch e.Verb {
-				case fault.AddedLatency:
-					l.addedLatency = time.Duration(e.Value * float64(time.Millisecond))
-					end(func() { l.addedLatency = 0 })
-				case fault.Throttle:
-					l.bytesPerSecond = max(100, e.Value)
-					end(func() { l.bytesPerSecond = 0 })
-				default:
-					l.blocked++
-					end(func() { l.blocked-- })
-				}
+			s.setLinkFault(e, s.network.link(x, y))
+			if back := s.network.link(y, x); e.Verb != fault.OneWayPartition {
+				s.setLinkFault(e, back)
 			}
 		}
 	}
 }
 
-// killProcesses ends processes at once; they start anew after the trouble's time.
-func (s *Sim) killProcesses(e fault.Event, end func(func())) {
+func (s *Sim) setLinkFault(e fault.Event, l *link) {
+	switch e.Verb {
+	case fault.AddedLatency:
+		l.addedLatency = time.Duration(e.Value * float64(time.Millisecond))
+		s.atEnd(e, func() { l.addedLatency = 0 })
+	case fault.Throttle:
+		l.bytesPerSecond = max(minLinkRate, e.Value)
+		s.atEnd(e, func() { l.bytesPerSecond = 0 })
+	default:
+		l.blocked++
+		s.atEnd(e, func() { l.blocked-- })
+	}
+}
+
+// killProcesses ends processes at once; they are restarted after the fault's duration.
+func (s *Sim) killProcesses(e fault.Event) {
 	for _, inst := range s.instances {
 		if e.Target != inst.host.name && e.Target != "doors" || !inst.host.alive {
 			continue
 		}
 		s.checker.InstanceDown(inst.number, s.now)
 		inst.kill()
-		end(func() {
+		s.atEnd(e, func() {
 			s.checker.InstanceUp(inst.number, s.now)
-			// who asks on a connection of the old process has not heard of its end yet
+			// a client of the old process may not have seen the end of its connection yet
 			s.checker.InstancePaused(inst.number, s.now+s.roundTripAllowance(), false)
 			inst.start(s.instanceSeed(inst))
 		})
@@ -162,49 +194,37 @@
 		if e.Target != b.name && e.Target != "boxes" || !b.host.alive {
 			continue
 		}
-		b.incarnation++
-		b.conns = nil
-		s.network.kill(b.host)
-		b.host.accept = nil
-		end(func() {
+		b.kill()
+		s.atEnd(e, func() {
 			b.start(true)
-			s.writeEndpoints() // with its new time of start
+			s.writeEndpoints() // with the new start time
 		})
 	}
 	if s.counter != nil && e.Target == "keeper" && s.counter.host.alive {
-		s.network.kill(s.counter.host)
-		s.counter.conns = nil
-		s.counter.host.accept = nil
-		s.counter.earlierIncrements += s.counter.model.Increments
-		s.counter.model = emulator.NewCounter()
-		end(s.counter.start)
+		s.counter.kill()
+		s.atEnd(e, s.counter.start)
 	}
 }
 
-// drainBackend lists a box as draining and then as gone, with a cold replacement if asked for.
+// drainBackend lists a backend as draining and then removes it, with a replacement in slow start if asked for.
 func (s *Sim) drainBackend(e fault.Event) {
 	for _, b := range s.backends {
-		if b.name != e.Target || b.listedState != "up" || !b.host.alive {
+		if b.name != e.Target || b.listedState != listedUp || !b.host.alive {
 			continue
 		}
-		b.listedState = "draining"
+		b.listedState = listedDraining
 		if e.Verb == fault.Vanish {
-			b.listedState = "gone"
+			b.listedState = listedGone
 		}
 		s.writeEndpoints()
 		s.scheduleAfter(max(e.Duration, s.config.Settings.DrainGrace), func() {
-			b.listedState = "gone"
+			b.listedState = listedGone
 			if e.Verb == fault.Replace {
 				s.replacements++
 				s.addBackend(fmt.Sprintf("%s-r%d", e.Target, s.replacements)).start(true)
 			}
 			s.writeEndpoints()
-			s.scheduleAfter(10*time.Second, func() {
-				b.incarnation++
-				b.conns = nil
-				s.network.kill(b.host)
-				b.host.accept = nil
-			})
+			s.scheduleAfter(removalTime, b.kill)
 		})
 		return
 	}
--- a/internal/simulation/faultkinds.go
+++ b/internal/simulation/faultkinds.go
@@ -9,12 +9,12 @@
 	"sandyard/fault"
 )
 
-// faultKind is a trouble that a generator can draw.
+// faultKind is a fault that a generator can draw.
 type faultKind struct {
 	verb        fault.Verb
-	target      string // box, boxes, keeper, door, link, studio, plan, all
+	target      string // kind of target, as drawTarget knows it
 	value       func(*rand.Rand) float64
-	maxDuration time.Duration // of its duration
+	maxDuration time.Duration // 0: it has none
 }
 
 func uniform(a, b float64) func(*rand.Rand) float64 {
@@ -68,9 +68,10 @@
 	{fault.DescriptorLimit, "door", func(r *rand.Rand) float64 { return float64(2 + r.IntN(20)) }, 3 * time.Second},
 }
 
-const faultPeriodShare = 0.6 // share of a run in which single troubles begin
+// faultPeriodShare is the share of a run in which single faults begin; the rest shows whether service recovers.
+const faultPeriodShare = 0.6
 
-// drawFault draws one of a kind. What follows the first part of a run shows whether service comes back.
+// drawFault draws a fault of a kind.
 func (s *Script) drawFault(rng *rand.Rand, k faultKind) fault.Event {
 	e := fault.Event{At: time.Duration(rng.Float64()*s.Seconds*faultPeriodShare*1000) * time.Millisecond, Verb: k.verb}
 	if k.maxDuration > 0 {
--- a/internal/simulation/generate.go
+++ b/internal/simulation/generate.go
@@ -9,17 +9,17 @@
 	"sandyard/internal/strictyaml"
 )
 
-// Profile says what a generator draws from.
+// Profile bounds what a generator draws.
 type Profile struct {
 	MaxInstances, MaxBackends int
-	Seconds                   float64 // most, of traffic
-	Rate                      float64 // most requests a second
-	MaxFaults                 int     // most
-	ScenarioShare             float64 // share of the days that are drawn in a whole shape
-	Config                    string  // file of the configuration, for the script's record
+	Seconds                   float64 // of traffic, at most
+	Rate                      float64 // requests a second, at most
+	MaxFaults                 int
+	ScenarioShare             float64 // share of the scripts that are drawn as a scenario
+	Config                    string  // file of the configuration, recorded in the script
 }
 
-// Usual is the profile of a search.
+// Usual returns the profile of a search.
 func Usual() Profile {
 	return Profile{MaxInstances: 40, MaxBackends: 12, Seconds: 16, Rate: 60, MaxFaults: 8, ScenarioShare: 0.5}
 }
@@ -53,7 +53,7 @@
 			n = own.IntN(p.MaxFaults/2 + 1)
 		}
 	}
-	if own := stream(seed, "idle"); own.IntN(4) == 0 { // many servers close what idles sooner than a front door does
+	if own := stream(seed, "idle"); own.IntN(4) == 0 { // many servers close idle connections sooner than a gateway does
 		s.Backends.IdleTimeout = strictyaml.Duration(time.Duration([]int{1200, 2000, 4000}[own.IntN(3)]) * time.Millisecond)
 	}
 	var on []faultKind
@@ -73,9 +73,9 @@
 	return &s
 }
 
-// sortEvents puts troubles in the order of their times, within the traffic's.
+// sortEvents puts faults in the order of their times, and within the time of the traffic.
 func (s *Script) sortEvents() {
-	end := time.Duration(s.Seconds * float64(time.Second))
+	end := s.trafficTime()
 	for i := range s.Events {
 		s.Events[i].At = min(max(0, s.Events[i].At), end)
 	}
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -6,23 +6,24 @@
 	"sync"
 )
 
-// The figures of a hunt.
+// The parameters of a hunt.
 const (
-	populationSize = 32   // scripts that are kept
-	newScriptShare = 0.15 // share of the tries that are drawn anew
-	crossoverShare = 0.3  // share of the others that have troubles of two parents
+	populationSize = 32   // best scripts kept
+	newScriptShare = 0.15 // share of the runs with a newly generated script
+	crossoverShare = 0.3  // share of the others that take faults of a second parent
 )
 
-// Hunt searches for scripts that come near to breaking a rule: those that come nearest are kept, changed and mixed. Runs
-// go on side by side, so that the order in which scripts are met differs between hunts; each replays from its own text.
+// Hunt searches for scripts that come near to breaking a rule by an evolutionary algorithm: those that come nearest are kept,
+// mutated and crossed. With several workers the order in which scripts are met differs between hunts; each replays from
+// its own text.
 type Hunt struct {
 	Rule       int // a position in RuleNames
 	Profile    Profile
 	Options    Options
 	Workers    int
 	Seed       uint64
-	Stop       func() bool                       // asked before each run
-	Improved   func(s *Script, o Outcome, n int) // told of each script that comes nearer than all before; n counts runs
+	Stop       func() bool                       // called before each run; true ends the hunt
+	Improved   func(s *Script, o Outcome, n int) // called with each script that comes nearer than all before; n counts runs
 	mu         sync.Mutex
 	population []candidate
 	runs       int
@@ -33,7 +34,7 @@
 	outcome Outcome
 }
 
-// Run hunts until Until says so, or a rule is broken. It returns the nearest script and the number of runs.
+// Run hunts until Stop says so, or a rule is broken. It returns the nearest script and the number of runs.
 func (h *Hunt) Run() (best *Script, o Outcome, runs int, err error) {
 	var wg sync.WaitGroup
 	var broken bool
@@ -68,13 +69,13 @@
 	return h.population[0].script, h.population[0].outcome, h.runs, err
 }
 
-// nextScript is the script to try: drawn anew at first and now and then, else bred from those that are kept.
+// nextScript returns the script to run: a generated one at first and now and then, else one evolved from the population.
 func (h *Hunt) nextScript(n int) *Script {
 	rng := stream(h.Seed+uint64(n), "breed")
 	if len(h.population) < populationSize/2 || rng.Float64() < newScriptShare {
 		return Generate(h.Seed+uint64(n), h.Profile)
 	}
-	parent := func() *Script { // the better of two, so that the nearest have most children
+	parent := func() *Script { // the better of two, so that the nearest have most offspring
 		return h.population[min(rng.IntN(len(h.population)), rng.IntN(len(h.population)))].script
 	}
 	c := *parent()
@@ -89,10 +90,10 @@
 	return &c
 }
 
-// insert puts a script among the nearest, unless it is worse than all of a full herd.
+// insert puts a script into the population, unless it is worse than all of a full one.
 func (h *Hunt) insert(s *Script, o Outcome, n int) {
 	value := func(o Outcome) float64 {
-		if len(o.Findings) > 0 { // of whatever rule
+		if len(o.Findings) > 0 { // whichever rule was broken
 			return math.Inf(1)
 		}
 		return o.Nearness(h.Rule)
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -8,13 +8,14 @@
 	"sandyard/proxy"
 )
 
+// What surrounds the machines, as internal/server has it.
 const (
-	maxUnsentBytes = 64 << 10              // bytes that a client has not taken; a flowing answer pauses there
-	maxLoopDelay   = 30 * time.Microsecond // most that a message waits for the core
+	maxUnsentBytes = 64 << 10              // bytes that a client has not taken, at which a streamed response pauses
+	maxLoopDelay   = 30 * time.Microsecond // at most, that a message waits for the event loop
 )
 
-// simInstance is a front door in virtual time: the machines of package door, with what package sockets does around them done
-// inline.
+// simInstance is a proxy instance in the simulation: the state machines of package proxy, with what package server does
+// around them done inline.
 type simInstance struct {
 	sim           *Sim
 	host          *host
@@ -22,12 +23,12 @@
 	config        *config.Config
 	shared        *proxy.Shared
 	core          *proxy.Instance
-	incarnation   int // counts its processes; what was planned for an earlier one does nothing
+	incarnation   int // counts its processes; what was scheduled for an earlier one does nothing
 	startedAt     time.Duration
-	clockRate     float64 // how fast its clock runs
+	clockRate     float64 // clock seconds a simulated second
 	mailbox       []func()
 	wakeScheduled bool
-	timerAt       time.Duration // the planned one
+	timerAt       time.Duration // of the scheduled timer event
 	clients       []*instanceClientConn
 	backendConns  []*instanceBackendConn
 	counterConn   *instanceCounterConn
@@ -37,12 +38,12 @@
 	return proxy.Start + time.Duration(float64(inst.sim.now-inst.startedAt)*inst.clockRate)
 }
 
-// simTime turns a time of the door's clock into one of the simulation.
+// simTime converts a time of the instance's clock into one of the simulation.
 func (inst *simInstance) simTime(t time.Duration) time.Duration {
 	return inst.startedAt + time.Duration(float64(t-proxy.Start)/inst.clockRate) + 1
 }
 
-// thisIncarnation makes an event of this process only.
+// thisIncarnation returns an event that runs in this process only: not while it is paused, nor in one started later.
 func (inst *simInstance) thisIncarnation(do func()) func() {
 	life := inst.incarnation
 	return func() {
@@ -83,7 +84,7 @@
 	inst.clients, inst.backendConns, inst.counterConn = nil, nil, nil
 }
 
-// post hands a message to the core, a moment later, as a queue between goroutines does.
+// post hands a message to the event loop, a moment later, as a queue between goroutines does.
 func (inst *simInstance) post(do func()) {
 	inst.mailbox = append(inst.mailbox, do)
 	if !inst.wakeScheduled {
@@ -159,7 +160,7 @@
 	return names
 }()
 
-// pollEndpoints reads the list as its file is now. A file that can't be read leaves the list as it was.
+// pollEndpoints reads the endpoint file as it is now. A file that can't be parsed leaves the list as it was.
 func (inst *simInstance) pollEndpoints() {
 	endpoints, err := inst.sim.parseEndpoints()
 	inst.post(func() {
--- a/internal/simulation/instancebackend.go
+++ b/internal/simulation/instancebackend.go
@@ -6,7 +6,7 @@
 	"sandyard/proxy"
 )
 
-// instanceBackendConn is a connection to a box at its door.
+// instanceBackendConn is an instance's connection to a backend.
 type instanceBackendConn struct {
 	instance    *simInstance
 	backendConn *proxy.BackendConn
@@ -16,7 +16,7 @@
 	exchange    *proxy.Exchange
 	unsent      []byte
 	done        bool
-	awaitsGrant bool // for a grant
+	awaitsGrant bool // a response has begun and the core has not let it stream yet
 	streaming   bool
 	lastDataAt  time.Duration
 }
@@ -108,7 +108,7 @@
 	b.readable(nil)
 }
 
-// watchSilence cuts a flowing answer off whose box is silent for limits.stream-silence.
+// watchSilence ends a streamed response whose backend sends nothing for limits.stream-silence.
 func (b *instanceBackendConn) watchSilence() {
 	b.lastDataAt = b.instance.sim.now
 	since := b.lastDataAt
@@ -124,7 +124,7 @@
 	for !b.done && !b.awaitsGrant && b.conn != nil && len(b.conn.received) > 0 {
 		if b.streaming {
 			if c := b.exchange.Owner.(*instanceClientConn); len(c.unsent) > maxUnsentBytes && !c.done {
-				return // until the client has taken some
+				return // backpressure, until the client has taken some
 			}
 		}
 		b.handleResponse(b.reader.Feed(b.conn.read()))
--- a/internal/simulation/instanceclient.go
+++ b/internal/simulation/instanceclient.go
@@ -7,7 +7,7 @@
 	"sandyard/proxy"
 )
 
-// instanceClientConn is a client's connection at its door.
+// instanceClientConn is an instance's connection to a client.
 type instanceClientConn struct {
 	instance     *simInstance
 	conn         *netConn
@@ -15,9 +15,9 @@
 	unsent       []byte
 	done         bool
 	deadlineAt   time.Duration
-	blockedSince time.Duration        // since when nothing of out was taken
-	streamSource *instanceBackendConn // whose answer flows
-	lingering    bool                 // all is written; what still comes is read and dropped
+	blockedSince time.Duration        // since when the client has taken nothing of unsent
+	streamSource *instanceBackendConn // whose response is being streamed
+	lingering    bool                 // all is written; what still arrives is read and dropped
 }
 
 func (inst *simInstance) accept(conn *netConn) {
@@ -55,7 +55,7 @@
 func (c *instanceClientConn) readable(*netConn) {
 	for !c.done && len(c.conn.received) > 0 && len(c.unsent) <= maxUnsentBytes {
 		if closes, _ := c.machine.Closing(); closes {
-			c.conn.read() // what comes after the last answer is dropped
+			c.conn.read() // what arrives after the last response is dropped
 			return
 		}
 		c.proceed(c.machine.Feed(c.instance.now(), c.conn.read()))
@@ -101,7 +101,7 @@
 
 func (c *instanceClientConn) writable(*netConn) { c.proceed(nil); c.readable(nil) }
 
-// proceed carries out what the machine wants.
+// proceed carries out what the state machine asks for.
 func (c *instanceClientConn) proceed(ex *proxy.Exchange) {
 	for !c.done {
 		if ex != nil {
@@ -127,7 +127,7 @@
 			c.streamSource.readable(nil)
 		}
 		if closes, linger := c.machine.Closing(); closes {
-			if linger && !c.machine.Aborts() { // what still comes is read and dropped for a while
+			if linger && !c.machine.Aborts() { // closed at once, unread bytes would reset the connection and take the response along
 				if !c.lingering {
 					c.lingering = true
 					c.conn.closeWrite()
@@ -153,7 +153,7 @@
 	}
 }
 
-// watchWrite cuts off a client that takes nothing for limits.write-timeout.
+// watchWrite disconnects a client that takes nothing for limits.write-timeout.
 func (c *instanceClientConn) watchWrite() {
 	since := c.blockedSince
 	c.instance.sim.scheduleAfter(time.Duration(c.instance.config.Limits.WriteTimeout), c.instance.thisIncarnation(func() {
--- a/internal/simulation/instancecounter.go
+++ b/internal/simulation/instancecounter.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// instanceCounterConn is a door's connection to the keeper.
+// instanceCounterConn is an instance's connection to the counter.
 type instanceCounterConn struct {
 	instance *simInstance
 	conn     *netConn
--- a/internal/simulation/misbehave.go
+++ b/internal/simulation/misbehave.go
@@ -9,7 +9,7 @@
 	"sandyard/internal/http1"
 )
 
-// misbehave is a client that sends what is no request, or sends one so slowly that nobody waits for it.
+// misbehave is a client that sends what is no request, or sends one so slowly that the instance times out.
 func (s *Sim) misbehave(rng *rand.Rand, slow bool) {
 	pool := s.clientPools[rng.IntN(len(s.clientPools))]
 	c := &clientConn{pool: pool, reader: http1.NewResponses(http1.Limits{}), misbehaving: true}
@@ -57,7 +57,7 @@
 	s.scheduleAfter(12*time.Second, func() { c.close(true) })
 }
 
-// requestWithoutReading is a client that asks for a lot and reads nothing.
+// requestWithoutReading is a client that sends many requests and reads nothing.
 func (s *Sim) requestWithoutReading(pool *clientPool, c *clientConn) {
 	s.cover("client reads nothing")
 	text := strings.Repeat(fmt.Sprintf("GET /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", s.config.Headers.Key, s.config.Customers[0].Keys[0]), 8)
@@ -70,7 +70,7 @@
 	s.scheduleAfter(12*time.Second, func() { c.close(true) })
 }
 
-// nonReader owns the connection of a client that does not read.
+// nonReader handles the connection of a client that does not read.
 type nonReader struct{ c *clientConn }
 
 func (nonReader) readable(*netConn) {}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// The network's figures.
+// The network's figures. Retries come sooner than TCP's, so that a run of seconds meets them.
 const (
-	windowBytes    = 64 << 10               // bytes on their way or unread, after which a sender waits
-	partitionRetry = 100 * time.Millisecond // until what a broken link holds back is tried again
-	connectRetry   = 300 * time.Millisecond // until an unanswered connection is tried again
+	windowBytes    = 64 << 10               // bytes in flight or unread, at which a sender waits
+	partitionRetry = 100 * time.Millisecond // until a blocked link is tried again
+	connectRetry   = 300 * time.Millisecond // until a connection without a reply is tried again
 	maxBacklog     = 128                    // connections that wait to be accepted
 )
 
@@ -19,17 +19,16 @@
 	rng              *rand.Rand
 	latency          time.Duration
 	jitter           float64
-	splitProbability float64 // chance that a write is cut in two, again and again
-	hosts            map[string]*host
+	splitProbability float64 // that a write is split in two, again and again
 	byAddr           map[string]*host
 	links            map[[2]*host]*link
 }
 
-// link is what ails the way from one host to another.
+// link holds the faults of one direction between two hosts.
 type link struct {
-	blocked        int
+	blocked        int // partitions in force
 	addedLatency   time.Duration
-	bytesPerSecond float64 // bytes a second; 0: no limit
+	bytesPerSecond float64 // 0: no limit
 }
 
 // host is a process as the network sees it.
@@ -38,10 +37,10 @@
 	alive        bool
 	paused       bool
 	notAccepting bool
-	descriptors  int // descriptors that are left; -1: no limit
+	descriptors  int // left for connections; -1: no limit
 	conns        []*netConn
 	backlog      []*dialing     // connections that wait to be accepted
-	deferred     []func()       // what happens once a pause is over
+	deferred     []func()       // what runs once a pause is over
 	accept       func(*netConn) // nil: nobody listens
 }
 
@@ -55,7 +54,7 @@
 	return l
 }
 
-// transitTime is how long a segment takes.
+// transitTime draws how long a segment takes from one host to another.
 func (n *network) transitTime(a, b *host, size int) time.Duration {
 	d := float64(n.latency) * (1 + n.jitter*n.rng.ExpFloat64())
 	if l := n.links[[2]*host{a, b}]; l != nil {
@@ -72,7 +71,7 @@
 	return l != nil && l.blocked > 0
 }
 
-// run lets a host do something, once it is not paused.
+// run runs something on the host, once it is not paused.
 func (h *host) run(do func()) {
 	if h.paused {
 		h.deferred = append(h.deferred, do)
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -7,7 +7,7 @@
 	"sandyard/invariant"
 )
 
-// The rules that a run is held to beside the five.
+// The rules that a run is held to beside the five of package invariant, by their printed names.
 const (
 	RuleLeak        = "nothing is left over"
 	RuleRecovery    = "service is back"
@@ -15,19 +15,19 @@
 	RuleCrash       = "nothing crashes"
 )
 
-// ruleNumber is a rule's position among the five and then those above.
+// ruleNumber returns a rule's position among the five and then those above; it goes into digests.
 func ruleNumber(rule string) int {
 	return slices.Index(append(RuleNames(), RuleLeak, RuleRecovery, RuleOwnResponse, RuleCrash), rule)
 }
 
-// Finding is a broken rule.
+// Finding is a violation of a rule.
 type Finding struct {
 	At   time.Duration
 	Rule string
 	What string
 }
 
-// Outcome is what a run came to.
+// Outcome is the result of a run.
 type Outcome struct {
 	Findings     []Finding // at most maxFindings
 	Digest       uint64
@@ -36,9 +36,9 @@
 	Verdict      invariant.Verdict
 	Reached      map[string]int
 	Requests     int     `json:"Tries"`
-	ValueServed  float64 `json:"Worth"` // of what was served; late answers by their share
-	ValueOffered float64 `json:"Asked"` // worth of all that was asked for
-	CounterCalls uint64  `json:"Calls"` // that the keeper counted
+	ValueServed  float64 `json:"Worth"` // late responses by their share
+	ValueOffered float64 `json:"Asked"` // of all operations that clients wanted
+	CounterCalls uint64  `json:"Calls"` // increments that the counter carried out
 }
 
 const maxFindings = 20
@@ -52,7 +52,7 @@
 	s.stopped = s.stopped || !s.options.ContinueAfterViolation
 }
 
-// Nearness is how near a run came to breaking one of the five rules, as a share of the rule's limit.
+// Nearness returns how near a run came to breaking one of the five rules, as a share of the rule's limit.
 func (o Outcome) Nearness(rule int) float64 {
 	if rule < 0 || rule >= len(o.Verdict.Rules) {
 		return 0
@@ -64,7 +64,7 @@
 	return r.Nearest
 }
 
-// RuleNames are the five rules, in the order of Verdict.Rules.
+// RuleNames returns the names of the five rules, in the order of Verdict.Rules.
 func RuleNames() (names []string) {
 	for _, r := range invariant.NewChecker(invariant.Limits{}).Rules() {
 		names = append(names, r.Name)
@@ -72,7 +72,7 @@
 	return names
 }
 
-// Breaks tells of an outcome whether the first rule that it broke is this one.
+// Breaks returns what reports whether the first rule that an outcome broke is this one.
 func Breaks(rule string) func(Outcome) bool {
 	return func(o Outcome) bool { return len(o.Findings) > 0 && o.Findings[0].Rule == rule }
 }
--- a/internal/simulation/quiescence.go
+++ b/internal/simulation/quiescence.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// The figures of a run's end.
+// When service must have recovered, and when nothing may be left.
 const (
-	recoveryTime        = 8 * time.Second  // after the last trouble, service must be back
-	minRecoveredShare   = 0.75             // share of the tries that are served then
-	minRecoveryRequests = 12               // tries that tell
-	maxRecoveryLoad     = 0.5              // share of what the boxes can do, above which they may be right to refuse
-	settleTime          = 25 * time.Second // on top of the longest time-out, until all that idles is closed
+	recoveryTime        = 8 * time.Second  // after the last fault: slow start and backoff are over
+	minRecoveredShare   = 0.75             // of the requests sent after that must be served
+	minRecoveryRequests = 12               // fewer requests say nothing about a share
+	maxRecoveryLoad     = 0.5              // share of the backends' capacity, above which load may be shed rightly
+	settleTime          = 25 * time.Second // after the traffic and the longest timeout, until all idle connections are closed
 )
 
-// checkQuiescent looks at what is left once all is quiet.
+// checkQuiescent checks that nothing is left once all is quiet, and that service had recovered.
 func (s *Sim) checkQuiescent() {
 	s.checker.Overdue(s.now)
 	for _, inst := range s.instances {
@@ -37,7 +37,7 @@
 	}
 	cores := 0.0
 	for _, b := range s.backends {
-		if b.listedState == "up" && b.host.alive && !b.model.HasCollapsed() {
+		if b.listedState == listedUp && b.host.alive && !b.model.HasCollapsed() {
 			cores += float64(s.script.Backends.Cores)
 		}
 	}
--- a/internal/simulation/readscript.go
+++ b/internal/simulation/readscript.go
@@ -9,7 +9,7 @@
 	"sandyard/internal/strictyaml"
 )
 
-// Bounds of a script.
+// Bounds of a script, far beyond what is generated.
 const (
 	maxInstances  = 128
 	maxBackends   = 256
@@ -17,7 +17,7 @@
 	maxScriptRate = 20000
 )
 
-// ReadScript reads a script; the error is a diag.Problems.
+// ReadScript parses a script; the error is a diagnostic.Problems.
 func ReadScript(file string, text []byte) (*Script, error) {
 	s := defaults()
 	s.Version = 0
@@ -64,7 +64,7 @@
 		if t.Target == "" {
 			d.Reportf(at+".target", "missing; * stands for all")
 		}
-		if time.Duration(t.At) > time.Duration(s.Seconds*float64(time.Second)) {
+		if time.Duration(t.At) > s.trafficTime() {
 			d.Reportf(at+".at", "after the end of the traffic")
 		}
 		s.Events = append(s.Events, fault.Event{At: time.Duration(t.At), Duration: time.Duration(t.Duration), Verb: v, Target: t.Target, Value: t.Value})
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -9,7 +9,7 @@
 	"sandyard/internal/strictyaml"
 )
 
-// overload: the fleet is asked for 0.6 to 3 times what it can do, at times in surges.
+// overload: the fleet gets 0.6 to 3 times its capacity, at times in surges.
 func (b *scenarioBuilder) overload() {
 	b.fleet()
 	b.setLoad(b.between(0.6, 3))
@@ -21,8 +21,8 @@
 	}
 }
 
-// replacement: a tenth, half or all of the boxes are replaced by cold ones under load, at once or one by one, with or
-// without notice.
+// replacement: a tenth, half or all of the backends are replaced under load by ones in slow start, at once or one by one, with
+// or without notice.
 func (b *scenarioBuilder) replacement() {
 	b.fleet()
 	b.drawSlowStart()
@@ -36,7 +36,7 @@
 	if b.chance(0.5) {
 		verb = fault.Kill
 	}
-	if b.chance(0.3) { // many front doors meet few boxes, all of them cold
+	if b.chance(0.3) { // many instances meet few backends, all of them in slow start
 		b.Instances, b.Backends.Count = 20+b.rng.IntN(21), 1+b.rng.IntN(3)
 		n, gap = b.Backends.Count, 0
 		b.setLoad(b.between(1.5, 3))
@@ -49,10 +49,10 @@
 		}
 		b.addFault(when, fault.Event{Duration: b.milliseconds(100, 1500), Verb: verb, Target: b.backendName(order[i])})
 	}
-	if b.chance(0.4) { // more is asked for while they are cold
+	if b.chance(0.4) { // a surge during slow start
 		b.addFault(at+b.milliseconds(0, 3000), fault.Event{Duration: b.milliseconds(1000, 5000), Verb: fault.Surge, Target: "*", Value: b.between(1.5, 4)})
 	}
-	if b.chance(0.3) { // those that are warm go wrong meanwhile
+	if b.chance(0.3) { // warm backends fail meanwhile
 		for i := n; i < b.Backends.Count; i++ {
 			b.addFault(at+gap*time.Duration(n)+b.milliseconds(200, 800), fault.Event{Duration: b.milliseconds(1000, 4000), Verb: fault.Verb([]fault.Verb{fault.Hang, fault.Refuse,
 				fault.ServerErrors, fault.Slow}[b.rng.IntN(4)]), Target: b.backendName(order[i]), Value: b.oneOf(1, 3)})
@@ -63,16 +63,16 @@
 	}
 }
 
-// ceilings: schools ask for 2 to 20 times their ceiling, through some or all front doors, with a keeper that is there,
-// silent, slow, empty, gone, or out of some doors' reach.
+// ceilings: customers ask for 2 to 20 times their ceiling, through some or all instances, with a counter that is up, silent,
+// slow, empty, down, or out of some instances' reach.
 func (b *scenarioBuilder) ceilings() {
 	b.Backends.Work = strictyaml.Duration(time.Duration(b.oneOf(2, 5, 15)) * time.Millisecond)
 	b.Backends.Cores, b.Backends.Queue, b.Backends.Count = 4, 64, 4+b.rng.IntN(8)
 	b.Instances = 1 + b.rng.IntN(int(b.oneOf(2, 4, 4, 12)))
 	b.PlanFactor, b.Rate = b.oneOf(0.3, 0.5, 1), 40
-	b.OverQuotaValue = b.oneOf(0, 1.5, 1.5, 1.5) // else their quota stops them first
+	b.OverQuotaValue = b.oneOf(0, 1.5, 1.5, 1.5) // else their quota stops them before the ceiling does
 	for _, school := range []string{"school-0", "school-1", "school"}[b.rng.IntN(3):][:1] {
-		usual := b.Rate * 24 / 92 // a school's share of the traffic
+		usual := b.Rate * 24 / 92 // of all schools, by plan rates
 		times := b.between(2, 8)
 		if b.chance(0.2) {
 			times = b.between(8, 20)
@@ -102,7 +102,7 @@
 		}
 		b.addFault(b.milliseconds(500, 7000), e)
 	}
-	if b.chance(0.3) { // a keeper that forgets again and again
+	if b.chance(0.3) { // a counter that loses its totals again and again
 		for at := b.milliseconds(500, 2500); at < 9*time.Second; at += b.milliseconds(200, 1500) {
 			e := fault.Event{Verb: fault.ResetTotals, Target: "keeper"}
 			if b.chance(0.3) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// keyExpiry: what a box has run is asked of another around the end of its key's time.
+// keyExpiry: what a backend has run is retried at another around the end of its key's lifetime.
 func (b *scenarioBuilder) keyExpiry() {
 	b.Backends.Count = 2 + b.rng.IntN(6)
 	b.Backends.Work = strictyaml.Duration(time.Duration(b.oneOf(15, 40, 80)) * time.Millisecond)
@@ -128,7 +128,7 @@
 	b.setLoad(b.between(0.1, 0.5))
 	for range 2 + b.rng.IntN(4) {
 		at, target, long := b.milliseconds(1000, 9000), b.backendName(b.rng.IntN(b.Backends.Count)), b.milliseconds(500, 3000)
-		// slow first, so that the end comes late, and then without an answer
+		// slow first, so that the work ends late, and then without a response
 		how := fault.Event{Duration: long, Verb: fault.Slow, Target: target, Value: b.between(5, 40)}
 		if b.chance(0.5) {
 			how = fault.Event{Duration: long, Verb: fault.Delay, Target: target, Value: b.between(200, 2000)}
@@ -137,7 +137,7 @@
 		end := fault.Event{Duration: b.milliseconds(200, 1500), Target: target, Verb: []fault.Verb{fault.DropResponse, fault.ResetResponse, fault.Kill, fault.Refuse, fault.Hang}[b.rng.IntN(5)]}
 		ends := at + b.milliseconds(100, 2500)
 		b.addFault(ends, end)
-		if b.chance(0.5) { // lines to the others are gone, and new ones take long
+		if b.chance(0.5) { // connections to the others are closed, and new ones take long
 			gone := ends + b.milliseconds(0, 400)
 			for i := range b.Backends.Count {
 				if o := b.backendName(i); o != target {
@@ -149,7 +149,7 @@
 	}
 }
 
-// streaming: answers too large to be held flow through slow links and to slow clients, and break on their way.
+// streaming: responses too large to be buffered are streamed through slow links and to slow clients, and break off.
 func (b *scenarioBuilder) streaming() {
 	b.Backends.Count, b.Instances = 1+b.rng.IntN(4), 1+b.rng.IntN(3)
 	b.Backends.Work, b.Backends.Body = strictyaml.Duration(time.Duration(b.oneOf(5, 15, 40))*time.Millisecond), int(b.oneOf(5000, 20000, 40000))
@@ -167,7 +167,8 @@
 	}
 }
 
-// draining: boxes leave in waves, with and without notice, while their queues are full and lines to them are being made.
+// draining: backends are removed in waves, with and without notice, while their queues are full and connections to them are
+// being made.
 func (b *scenarioBuilder) draining() {
 	b.fleet()
 	b.Backends.Count = max(2, b.Backends.Count)
@@ -180,7 +181,7 @@
 			at += b.milliseconds(200, 1500)
 		}
 		target := b.backendName(order[i])
-		if b.chance(0.5) { // a line that is made slowly meets the notice
+		if b.chance(0.5) { // the notice comes while a connection is being made
 			b.addFault(at-b.milliseconds(0, 500), fault.Event{Duration: b.milliseconds(300, 2500), Verb: []fault.Verb{fault.AddedLatency, fault.NotAccepting, fault.Pause}[b.rng.IntN(3)], Target: target,
 				Value: b.between(50, 400)})
 		}
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -13,10 +13,10 @@
 	"sandyard/internal/strictyaml"
 )
 
-// Version is that of the form of scripts. Scripts of other versions are refused.
+// Version is the version of the script format. Scripts of other versions are refused.
 const Version = 1
 
-// Script is a run of the simulator: it states all that a run needs.
+// Script states all that a run of the simulator needs. Its keys and their order are a stored format.
 //
 //	version: 1
 //	seed: 42
@@ -37,52 +37,52 @@
 	Backends       Backends            `yaml:"boxes"`
 	SlowStart      SlowStart           `yaml:"cold"`
 	PlanFactor     float64             `yaml:"plans"`   // factor on the rates, bursts and ceilings of all plans
-	OverQuotaValue float64             `yaml:"soft"`    // what plans with a ceiling earn beyond their quota, as a share; 0: as configured
-	LateShare      float64             `yaml:"late"`    // share of its worth that a late answer has, in all classes but streams; 0: as configured
-	KeyTTL         strictyaml.Duration `yaml:"key-ttl"` // of all keyed classes; 0: as configured
+	OverQuotaValue float64             `yaml:"soft"`    // value of what plans with a ceiling get beyond their quota, as a share; 0: as configured
+	LateShare      float64             `yaml:"late"`    // share of its value that a late response has, in all classes but streams; 0: as configured
+	KeyTTL         strictyaml.Duration `yaml:"key-ttl"` // of all classes with idempotency keys; 0: as configured
 	Net            Net                 `yaml:"net"`
-	Drift          float64             `yaml:"drift"` // clocks of doors run fast or slow by up to this share
+	Drift          float64             `yaml:"drift"` // instances' clocks run fast or slow by up to this share
 	Clients        Clients             `yaml:"clients"`
-	Scenario       string              `yaml:"-"` // that a generator drew, if any
+	Scenario       string              `yaml:"-"` // name of the one that a generator drew, if any
 	Events         []fault.Event       `yaml:"-"`
 	Faults         []ScriptFault       `yaml:"troubles"`
 }
 
-// Backends are a script's boxes.
+// Backends describes a script's backends.
 type Backends struct {
 	Count       int                 `yaml:"count"`
 	Cores       int                 `yaml:"cores"`
 	Queue       int                 `yaml:"queue"`
-	Cells       int                 `yaml:"cells"` // 2 or more: keyed repeats are discarded within one of so many cells only
-	IdleTimeout strictyaml.Duration `yaml:"idle"`  // they close connections on which nothing has happened for so long; 0: never
+	Cells       int                 `yaml:"cells"` // 2 or more: repeats of a key are discarded within one of so many cells only
+	IdleTimeout strictyaml.Duration `yaml:"idle"`  // after which they close a connection; 0: never
 	Work        strictyaml.Duration `yaml:"work"`  // mean work of a request
-	Body        int                 `yaml:"body"`  // bytes of an answer's
+	Body        int                 `yaml:"body"`  // bytes of a response's
 }
 
-// SlowStart is how a script's boxes start; what is 0 is as configured.
+// SlowStart describes how a script's backends start; what is 0 is as configured.
 type SlowStart struct {
 	Share          float64             `yaml:"share"`
 	Duration       strictyaml.Duration `yaml:"time"`
-	OverloadFactor float64             `yaml:"factor"` // sent this multiple of what it can do
-	OverloadTime   strictyaml.Duration `yaml:"over"`   // for so long, a cold box falls over
+	OverloadFactor float64             `yaml:"factor"` // sent this multiple of its capacity
+	OverloadTime   strictyaml.Duration `yaml:"over"`   // for so long, a backend in slow start collapses
 }
 
-// Net is a script's network.
+// Net describes a script's network.
 type Net struct {
 	Latency          strictyaml.Duration `yaml:"latency"`
 	Jitter           float64             `yaml:"jitter"` // mean of what is added, as a share of the latency
-	SplitProbability float64             `yaml:"split"`  // chance that a write is cut in two, again and again
+	SplitProbability float64             `yaml:"split"`  // that a write is split in two, again and again
 }
 
-// Clients is how a script's clients behave.
+// Clients describes how a script's clients behave.
 type Clients struct {
 	Retries       int     `yaml:"retries"`
-	PipelineShare float64 `yaml:"pipeline"` // share that send several requests at once
-	NewConnShare  float64 `yaml:"fresh"`    // share that use a new connection
-	MaxBody       int     `yaml:"body"`     // most bytes of a request's body
+	PipelineShare float64 `yaml:"pipeline"` // of the operations, that pipeline several requests
+	NewConnShare  float64 `yaml:"fresh"`    // of the requests, that use a new connection
+	MaxBody       int     `yaml:"body"`     // bytes of a request's body, at most
 }
 
-// ScriptFault is a trouble as it is written.
+// ScriptFault is a fault as it is written; Script.Events has the parsed ones.
 type ScriptFault struct {
 	At       strictyaml.Duration `yaml:"at"`
 	Duration strictyaml.Duration `yaml:"for"`
@@ -98,7 +98,10 @@
 		Clients:  Clients{Retries: 2, PipelineShare: 0.03, NewConnShare: 0.2, MaxBody: 40}}
 }
 
-// Text writes a script; ReadScript reads it back.
+// trafficTime returns how long the traffic lasts.
+func (s *Script) trafficTime() time.Duration { return time.Duration(s.Seconds * float64(time.Second)) }
+
+// Text renders a script; ReadScript parses it.
 func (s *Script) Text() string {
 	var b strings.Builder
 	f := func(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
@@ -154,7 +157,7 @@
 	return b.String()
 }
 
-// applyTo is the configuration as the script has it.
+// applyTo returns a copy of a configuration with the script's changes.
 func (s *Script) applyTo(cfg *config.Config) *config.Config {
 	c := *cfg
 	c.Settings.Classes, c.Settings.Plans = slices.Clone(cfg.Settings.Classes), slices.Clone(cfg.Settings.Plans)
--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Sweep runs the scripts of a range of seeds side by side.
+// Sweep runs the scripts of a range of seeds on several workers.
 type Sweep struct {
 	First, Last            uint64
 	Profile                Profile
-	Script                 *Script // that each seed plays; nil: each draws its own
+	Script                 *Script // run with each seed; nil: each seed generates its own
 	Options                Options
 	Workers                int
-	ContinueAfterViolation bool              // after the first broken rule
-	Progress               func(done uint64) // told after each run, one at a time; may be nil
-	OnFind                 func(Find)        // told of each find, one at a time; may be nil
+	ContinueAfterViolation bool              // instead of ending the sweep
+	Progress               func(done uint64) // called after each run, one at a time; may be nil
+	OnFind                 func(Find)        // called with each find, one at a time; may be nil
 }
 
-// Find is a seed that broke a rule.
+// Find is a seed whose run broke a rule.
 type Find struct {
 	Seed uint64        `json:"seed"`
 	Rule string        `json:"rule"`
@@ -29,8 +29,7 @@
 	What string        `json:"what"`
 }
 
-// SweepResult is what a sweep came to. Slices by seed have an entry for each seed of the range; those of seeds that were not
-// run are zero.
+// SweepResult is the result of a sweep. Slices by seed have an entry for each seed of the range, zero where it was not run.
 type SweepResult struct {
 	Seeds        uint64              `json:"seeds"` // that were run
 	Finds        []Find              `json:"finds"` // in the order of seeds, at most maxFinds
@@ -41,11 +40,11 @@
 	Took         time.Duration       `json:"took_ns"`
 	Reached      map[string]int      `json:"reached"`
 	Scenarios    map[string]int      `json:"shapes"`
-	Exemptions   map[string]int      `json:"excuses"`  // cases that a check let pass, by reason
+	Exemptions   map[string]int      `json:"excuses"`  // cases that a check exempted, by reason
 	Nearness     [][nearnessBins]int `json:"nearness"` // runs by rule and twentieth of its limit, the last beyond it
-	ValueServed  []float64           `json:"worth"`    // served, by seed
-	CounterCalls []uint64            `json:"calls"`    // of the keeper, by seed
-	FaultPairs   map[[2]string]int   `json:"-"`        // of troubles that met in a run
+	ValueServed  []float64           `json:"worth"`    // by seed
+	CounterCalls []uint64            `json:"calls"`    // by seed
+	FaultPairs   map[[2]string]int   `json:"-"`        // runs by two verbs that met in them
 }
 
 const (
@@ -53,7 +52,7 @@
 	maxFinds     = 1000
 )
 
-// Run plays the scripts.
+// Run runs the scripts.
 func (w Sweep) Run() (SweepResult, error) {
 	begun := time.Now()
 	n := w.Last - w.First + 1
@@ -102,7 +101,7 @@
 	return r, failure
 }
 
-// script is what a seed plays.
+// script returns the script of a seed.
 func (w Sweep) script(seed uint64) *Script {
 	if w.Script == nil {
 		return Generate(seed, w.Profile)
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -9,10 +9,10 @@
 	"sandyard/invariant"
 )
 
-// generateRequest draws the next request, and plans the one after it.
+// generateRequest draws the next operation, and schedules the one after it.
 func (s *Sim) generateRequest() {
-	if s.now > time.Duration(s.script.Seconds*float64(time.Second)) {
-		for _, a := range s.clientPools { // clients go home
+	if s.now > s.script.trafficTime() {
+		for _, a := range s.clientPools { // the traffic is over
 			for _, c := range append([]*clientConn(nil), a.idle...) {
 				c.close(false)
 			}
@@ -52,7 +52,7 @@
 	s.scheduleAfter(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), s.generateRequest)
 }
 
-// startOperation is one thing that a client wants.
+// startOperation sends the request, or pipelined requests, of one operation of a client.
 func (s *Sim) startOperation(customer, number int, rng *rand.Rand) {
 	switch x := rng.Float64(); {
 	case x < s.invalidShare:
@@ -84,7 +84,7 @@
 	}
 }
 
-// instanceFor is the door that a studio's request comes in through.
+// instanceFor draws the instance that a customer's request is sent to.
 func (s *Sim) instanceFor(customer int, rng *rand.Rand) int {
 	cu := s.config.CustomerByName(s.config.Customers[customer].Name)
 	turn := s.trafficMoves[cu.Name]
