--- a/internal/server/clientconn_test.go
+++ b/internal/server/clientconn_test.go
@@ -140,7 +140,7 @@
 // nothing of one must hold up nobody else, and is disconnected after limits.write-timeout.
 func TestLargeResponsesAndSlowClients(t *testing.T) {
 	const size = 16 << 20
-	b := startBackend(t, emulator.BackendConfig{Body: size}, nil)
+	b := startBackend(t, emulator.BackendConfig{BodySize: size}, nil)
 	small := startBackend(t, emulator.BackendConfig{}, nil)
 	r := startGateway(t, "", "limits: {write-timeout: 300ms, stream-silence: 20s}\n", b.Addr())
 	resp := r.exchange(request("GET", "/look", "ka", ""), 1)[0]
