--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -82,13 +82,12 @@
 	s.clientsMu.Lock()
 	s.clients[cc] = struct{}{}
 	s.clientsMu.Unlock()
-	s.goroutines.Go(func() error {
+	s.goroutines.Go(func() {
 		cc.run()
 		s.clientsMu.Lock()
 		delete(s.clients, cc)
 		s.clientsMu.Unlock()
 		s.shared.ClientConns.Add(-1)
-		return nil
 	})
 }
 
@@ -99,10 +98,9 @@
 		conn.Close()
 		return
 	}
-	s.goroutines.Go(func() error {
+	s.goroutines.Go(func() {
 		defer s.shared.ClientConns.Add(-1)
 		rejectConnection(conn, s.shared.TooManyConnections())
-		return nil
 	})
 }
 
--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -16,7 +16,7 @@
 	"sandyard/proxy"
 )
 
-// TestAdminSocket: Tools inspect an instance that serves, two at once; hostile requests and a socket file that a killed
+// TestAdminSocket: tools inspect an instance that serves, two at once; hostile requests and a socket file that a killed
 // process left behind do no harm, and inspecting costs a customer nothing.
 func TestAdminSocket(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
--- a/internal/server/backendconn.go
+++ b/internal/server/backendconn.go
@@ -32,10 +32,9 @@
 	bc := &backendConn{server: s, conn: conn, cancel: cancel, responses: proxy.NewResponseReader(s.shared),
 		streamPermit: make(chan bool, 1)}
 	conn.Owner = bc
-	s.goroutines.Go(func() error {
+	s.goroutines.Go(func() {
 		defer cancel()
 		bc.run(ctx)
-		return nil
 	})
 }
 
--- a/internal/server/backendconn_test.go
+++ b/internal/server/backendconn_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestNoRequestIsWrittenBehindUnreadBytes: Bytes that lie unread on an idle backend connection, a second response or a
+// TestNoRequestIsWrittenBehindUnreadBytes: bytes that lie unread on an idle backend connection, a second response or a
 // part of one, would be taken for the response to the next request. The request must not be written, and counts as
 // never sent, so that it may go to another backend.
 func TestNoRequestIsWrittenBehindUnreadBytes(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestIdleBackendConnectionEndCountsAsNotSent: A backend closes an idle connection, or sends bytes on it, and before
+// TestIdleBackendConnectionEndCountsAsNotSent: a backend closes an idle connection, or sends bytes on it, and before
 // the event loop handles that it has put a request on the connection. The request counts as never sent, and is reported
 // once.
 func TestIdleBackendConnectionEndCountsAsNotSent(t *testing.T) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestPartlyWrittenRequestCountsAsNotSent: A connection breaks while a request is written. If the kernel took only a
+// TestPartlyWrittenRequestCountsAsNotSent: a connection breaks while a request is written. If the kernel took only a
 // part of it the backend can't have begun: it counts as never sent, and may be retried. If all of it went out it may
 // have run, and is a malformed response.
 func TestPartlyWrittenRequestCountsAsNotSent(t *testing.T) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestNothingIsSentForDisconnectedClient: A client disconnects while the connection for its request is made. Nothing
+// TestNothingIsSentForDisconnectedClient: a client disconnects while the connection for its request is made. Nothing
 // may be sent for it, also where an attempt can't be cancelled once it is sent, as on the platform.
 func TestNothingIsSentForDisconnectedClient(t *testing.T) {
 	asked := make(chan string, 16)
@@ -163,7 +163,7 @@
 	}
 }
 
-// TestBackendClosingIdleConnections: A backend closes each connection after its response without announcing it. No
+// TestBackendClosingIdleConnections: a backend closes each connection after its response without announcing it. No
 // request may run twice, and requests that are not idempotent must not fail in numbers.
 func TestBackendClosingIdleConnections(t *testing.T) {
 	var runs atomic.Int64
--- a/internal/server/clientconn_test.go
+++ b/internal/server/clientconn_test.go
@@ -15,7 +15,7 @@
 	"sandyard/emulator"
 )
 
-// TestExpiredReadDeadlineEndsOneRead: A read deadline passed while a response was awaited, and was left in place: every
+// TestExpiredReadDeadlineEndsOneRead: a read deadline passed while a response was awaited, and was left in place: every
 // further read ended at once, and the reader spun on a processor until the response came. The deadline must end one
 // read.
 func TestExpiredReadDeadlineEndsOneRead(t *testing.T) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestRequestDuringIdleCloseIsAnswered: A server that closes an idle connection can meet a request on its way, and its
+// TestRequestDuringIdleCloseIsAnswered: a server that closes an idle connection can meet a request on its way, and its
 // client sees a reset. A request that comes while a connection is asked to close, read or not yet read, must be
 // answered before it closes.
 func TestRequestDuringIdleCloseIsAnswered(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestLingeringCloseDeliversLastResponse: A connection that is closed over unread bytes is reset, and the client's
+// TestLingeringCloseDeliversLastResponse: a connection that is closed over unread bytes is reset, and the client's
 // kernel then drops what it has not handed over yet. Bytes behind the last request, while a part of its response is on
 // its way, must not take the response along.
 func TestLingeringCloseDeliversLastResponse(t *testing.T) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// TestAdmitsWithinQuotaAndRejectsBeyond: A customer with a burst of 3 sends 6 requests: three are served, the rest
+// TestAdmitsWithinQuotaAndRejectsBeyond: a customer with a burst of 3 sends 6 requests: three are served, the rest
 // rejected with 429, and another customer is not affected.
 func TestAdmitsWithinQuotaAndRejectsBeyond(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
@@ -136,7 +136,7 @@
 	}
 }
 
-// TestLargeResponsesAndSlowClients: A response far larger than what is held must arrive whole. A client that takes
+// TestLargeResponsesAndSlowClients: a response far larger than what is held must arrive whole. A client that takes
 // nothing of one must hold up nobody else, and is disconnected after limits.write-timeout.
 func TestLargeResponsesAndSlowClients(t *testing.T) {
 	const size = 16 << 20
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestClientDisconnectCancelsTheAttempt: A client disconnects while its request is at a backend. The attempt is
+// TestClientDisconnectCancelsTheAttempt: a client disconnects while its request is at a backend. The attempt is
 // cancelled: the connection to the backend closes.
 func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
 	got, closed := make(chan struct{}), make(chan struct{})
@@ -191,7 +191,7 @@
 	<-closed
 }
 
-// TestMalformedRequestsReachNoBackend: Requests that two readers could frame differently, or that are too long, are
+// TestMalformedRequestsReachNoBackend: requests that two readers could frame differently, or that are too long, are
 // rejected with the status that says why. No byte of them may reach a backend.
 func TestMalformedRequestsReachNoBackend(t *testing.T) {
 	var seen atomic.Int64
--- a/internal/server/counterconn.go
+++ b/internal/server/counterconn.go
@@ -33,10 +33,9 @@
 	ctx, cancel := context.WithTimeout(s.connectionsCtx, timeout)
 	c := &counterConn{server: s, cancel: cancel}
 	s.counter = c
-	s.goroutines.Go(func() error {
+	s.goroutines.Go(func() {
 		defer cancel()
 		c.run(ctx, addr)
-		return nil
 	})
 }
 
--- a/internal/server/counterconn_test.go
+++ b/internal/server/counterconn_test.go
@@ -10,7 +10,7 @@
 	"sandyard/proxy"
 )
 
-// TestCounterOverTCP: Instances share a customer's quota over a counter. Calls are answered in order, what is used is
+// TestCounterOverTCP: instances share a customer's quota over a counter. Calls are answered in order, what is used is
 // found under the counter's name, and requests are served on when the counter refuses connections.
 func TestCounterOverTCP(t *testing.T) {
 	k, err := StartCounter("127.0.0.1:0")
--- a/internal/server/descriptors_test.go
+++ b/internal/server/descriptors_test.go
@@ -13,7 +13,7 @@
 	"sandyard/emulator"
 )
 
-// TestSilentClientsAreEvictedAtTheLimit: Connections that send nothing, twice as many as there may be, must not keep a
+// TestSilentClientsAreEvictedAtTheLimit: connections that send nothing, twice as many as there may be, must not keep a
 // client from being served.
 func TestSilentClientsAreEvictedAtTheLimit(t *testing.T) {
 	count, _ := startCounter(t)
@@ -29,7 +29,7 @@
 	r.requireServedBy(1, "a")
 }
 
-// TestNewClientsAreNotEvictedAtOnce: A connection that has just come must not be evicted for having sent nothing yet;
+// TestNewClientsAreNotEvictedAtOnce: a connection that has just come must not be evicted for having sent nothing yet;
 // after firstRequestTime it may be.
 func TestNewClientsAreNotEvictedAtOnce(t *testing.T) {
 	count, _ := startCounter(t)
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestIdleClientsAreEvictedAtTheLimit: Connections that are idle after a response, as many as there may be, and that
+// TestIdleClientsAreEvictedAtTheLimit: connections that are idle after a response, as many as there may be, and that
 // never close by themselves, must keep no client from being served. There are never more than the limit and those that
 // are being rejected.
 func TestIdleClientsAreEvictedAtTheLimit(t *testing.T) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestConnectionLimit: A connection beyond limits.connections is answered with 503; when others have closed, the next
+// TestConnectionLimit: a connection beyond limits.connections is answered with 503; when others have closed, the next
 // is served.
 func TestConnectionLimit(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
@@ -126,7 +126,7 @@
 	}
 }
 
-// TestDescriptorsExhausted: The process has no descriptor left for a new connection. Open connections must be served
+// TestDescriptorsExhausted: the process has no descriptor left for a new connection. Open connections must be served
 // on, and the new one when there are descriptors again.
 func TestDescriptorsExhausted(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -75,7 +75,7 @@
 
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// TestWatchEventsInAnyFraming: A message of discovery is one JSON value, however it is laid out and wherever it is cut
+// TestWatchEventsInAnyFraming: a message of discovery is one JSON value, however it is laid out and wherever it is cut
 // into chunks. A reader that took a line, or a chunk, for a message would begin its watch again and again.
 func TestWatchEventsInAnyFraming(t *testing.T) {
 	host := func(seq int, name, addr string) string {
@@ -123,7 +123,7 @@
 	}
 }
 
-// TestEndpointListVersions: Changes up to an older version are dropped, those of the same one are taken again, and a
+// TestEndpointListVersions: changes up to an older version are dropped, those of the same one are taken again, and a
 // whole list holds whatever its version. A new watch goes on from the version that is held.
 func TestEndpointListVersions(t *testing.T) {
 	a, b := startNamedBackend(t, "a"), startNamedBackend(t, "b")
@@ -162,7 +162,7 @@
 	r.requireServedBy(21, "a")
 }
 
-// TestInvalidEndpointLeavesOthersInForce: One entry of an endpoint list can't be parsed. It must not spoil the others:
+// TestInvalidEndpointLeavesOthersInForce: one entry of an endpoint list can't be parsed. It must not spoil the others:
 // it is logged with its place, and what was known of that endpoint stays.
 func TestInvalidEndpointLeavesOthersInForce(t *testing.T) {
 	a, b := startNamedBackend(t, "a"), startNamedBackend(t, "b")
@@ -195,7 +195,7 @@
 	return r
 }
 
-// TestNotReadyBeforeFirstEndpointList: What discovery holds counts from the first moment of a process, and the list in
+// TestNotReadyBeforeFirstEndpointList: what discovery holds counts from the first moment of a process, and the list in
 // its configuration may be old: requests went to backends that had been removed. Until discovery's first message
 // requests are rejected, and the instance is not ready.
 func TestNotReadyBeforeFirstEndpointList(t *testing.T) {
@@ -223,7 +223,7 @@
 	r.requireServedBy(2, "b")
 }
 
-// TestReadyWithoutDiscovery: Discovery is down when a process starts. After firstEndpointsTimeout it goes by the list
+// TestReadyWithoutDiscovery: discovery is down when a process starts. After firstEndpointsTimeout it goes by the list
 // in its configuration.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	r := startNodeUnready(t, startAgent(t, func(int, net.Conn, string) {}))
--- a/internal/server/emulated.go
+++ b/internal/server/emulated.go
@@ -5,8 +5,6 @@
 	"sync"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"sandyard/emulator"
 	"sandyard/proxy"
 )
@@ -26,7 +24,7 @@
 // connections, each with a goroutine that reads. mu is held through a read's work: it guards the state machines, too.
 type emulatedServer struct {
 	startTime  time.Time
-	goroutines errgroup.Group // of the listener, the connections and delayed writes
+	goroutines sync.WaitGroup // of the listener, the connections and delayed writes
 
 	// Set before listen, and called with mu held.
 	onAccept     func(*emulatorConn)
@@ -63,10 +61,7 @@
 	}
 	s.addr = listener.Addr().String()
 	s.listener = listener
-	s.goroutines.Go(func() error {
-		s.accept(listener)
-		return nil
-	})
+	s.goroutines.Go(func() { s.accept(listener) })
 	return nil
 }
 
@@ -86,10 +81,7 @@
 			conn.Close()
 			return
 		}
-		s.goroutines.Go(func() error {
-			s.read(ec)
-			return nil
-		})
+		s.goroutines.Go(func() { s.read(ec) })
 	}
 }
 
--- a/internal/server/emulated_test.go
+++ b/internal/server/emulated_test.go
@@ -8,7 +8,7 @@
 	"github.com/redis/go-redis/v9"
 )
 
-// TestEmulatedCounterSpeaksRedis: The emulated counter must satisfy a Redis client that knows nothing of this project.
+// TestEmulatedCounterSpeaksRedis: the emulated counter must satisfy a Redis client that knows nothing of this project.
 func TestEmulatedCounterSpeaksRedis(t *testing.T) {
 	k, err := StartCounter("127.0.0.1:0")
 	if err != nil {
--- a/internal/server/emulatedcounter.go
+++ b/internal/server/emulatedcounter.go
@@ -67,7 +67,7 @@
 
 // writeLater writes after a delay; writes of one connection keep their order as long as the delay stays the same.
 func (c *EmulatedCounter) writeLater(ec *emulatorConn, b []byte, delay time.Duration) {
-	c.goroutines.Go(func() error {
+	c.goroutines.Go(func() {
 		timer := time.NewTimer(delay)
 		defer timer.Stop()
 		select {
@@ -75,7 +75,6 @@
 			ec.socket.write(b)
 		case <-c.ctx.Done():
 		}
-		return nil
 	})
 }
 
--- a/internal/server/faultcontrol_test.go
+++ b/internal/server/faultcontrol_test.go
@@ -6,7 +6,7 @@
 	"sandyard/emulator"
 )
 
-// TestFaultControl: A fault that is set over the control address shows at the emulated backend, and ends when it is
+// TestFaultControl: a fault that is set over the control address shows at the emulated backend, and ends when it is
 // cleared; malformed commands are rejected.
 func TestFaultControl(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
--- a/internal/server/filewatch.go
+++ b/internal/server/filewatch.go
@@ -78,7 +78,7 @@
 // readEndpointsFile reads the endpoint file in a goroutine of its own: it does not block. A file that is broken or missing
 // leaves the list as it was.
 func (s *Server) readEndpointsFile() {
-	s.goroutines.Go(func() error {
+	s.goroutines.Go(func() {
 		s.endpointsFileMu.Lock()
 		defer s.endpointsFileMu.Unlock()
 		path := s.cfg.EndpointsPath()
@@ -86,11 +86,10 @@
 		if err != nil {
 			s.log.Error("list of boxes: the last one stays in force", "error", err)
 			s.post(endpointPollFailed{})
-			return nil
+			return
 		}
 		s.post(endpointsReplaced{s.withBackendAddresses(endpoints)})
 		s.log.Info("list of boxes", "file", path, "boxes", len(endpoints))
-		return nil
 	})
 }
 
--- a/internal/server/filewatch_test.go
+++ b/internal/server/filewatch_test.go
@@ -6,7 +6,7 @@
 	"sandyard/emulator"
 )
 
-// TestEndpointsFileReload: An endpoint file that can't be parsed leaves the old list in force; an empty one empties it;
+// TestEndpointsFileReload: an endpoint file that can't be parsed leaves the old list in force; an empty one empties it;
 // a good one is taken at once.
 func TestEndpointsFileReload(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
--- a/internal/server/recorder_test.go
+++ b/internal/server/recorder_test.go
@@ -12,7 +12,7 @@
 	"sandyard/trace"
 )
 
-// TestTraceRecording: All decisions must be in the trace, and no API key; a new file is begun at trace.file-size.
+// TestTraceRecording: all decisions must be in the trace, and no API key; a new file is begun at trace.file-size.
 func TestTraceRecording(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
 	dir := t.TempDir()
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestUnwritableTraceEndsRecordingOnly: A trace that can't be written any more, on a full disk say, must end the
+// TestUnwritableTraceEndsRecordingOnly: a trace that can't be written any more, on a full disk say, must end the
 // recording and not the instance.
 func TestUnwritableTraceEndsRecordingOnly(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestConsecutiveAddressChangesEndAtTheLast: Several reloads come at once, each with other addresses, some of them
+// TestConsecutiveAddressChangesEndAtTheLast: several reloads come at once, each with other addresses, some of them
 // dead. Discovery and counter must end up at the last.
 func TestConsecutiveAddressChangesEndAtTheLast(t *testing.T) {
 	d, last := startDiscovery(t), startDiscovery(t)
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestNodeFollowsDiscoveryAndCounter: An instance on the platform serves, follows the endpoint list at discovery, and
+// TestNodeFollowsDiscoveryAndCounter: an instance on the platform serves, follows the endpoint list at discovery, and
 // goes on at other addresses of discovery and counter from the version that it had.
 func TestNodeFollowsDiscoveryAndCounter(t *testing.T) {
 	d, other := startDiscovery(t), startDiscovery(t)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -62,7 +62,7 @@
 
 	connectionsCtx    context.Context // ends at step 4 of the shutdown
 	cancelConnections context.CancelFunc
-	goroutines        errgroup.Group // of connections and of readings of the endpoint file
+	goroutines        sync.WaitGroup // of connections and of readings of the endpoint file
 
 	expiredReads atomic.Int64 // reads of clients that ended by their deadline
 
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -9,7 +9,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestClockIsMonotonic: A step of the machine's clock must not move the instance's time: its start has a monotonic
+// TestClockIsMonotonic: a step of the machine's clock must not move the instance's time: its start has a monotonic
 // reading.
 func TestClockIsMonotonic(t *testing.T) {
 	r := startGateway(t, "", "")
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// TestBacklogIsAnsweredWhenAcceptingEnds: The deadline of the listener passes while a connection lies in the backlog.
+// TestBacklogIsAnsweredWhenAcceptingEnds: the deadline of the listener passes while a connection lies in the backlog.
 // An accept then ends without taking it, and it would be reset with its request. It must be accepted and answered.
 func TestBacklogIsAnsweredWhenAcceptingEnds(t *testing.T) {
 	count, _ := startCounter(t)
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestFirstRequestDuringDrainIsRejected: A connection was accepted but not read when the instance stopped taking
+// TestFirstRequestDuringDrainIsRejected: a connection was accepted but not read when the instance stopped taking
 // requests. Its request must be answered, with 503, rather than be reset.
 func TestFirstRequestDuringDrainIsRejected(t *testing.T) {
 	count, _ := startCounter(t)
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestConnectionsAreAcceptedDuringStopDelay: After the signal to stop, a load balancer still sends connections for a
+// TestConnectionsAreAcceptedDuringStopDelay: after the signal to stop, a load balancer still sends connections for a
 // moment. Those that come within limits.stop-delay must be served, and the instance then ends without leaving a client
 // unanswered.
 func TestConnectionsAreAcceptedDuringStopDelay(t *testing.T) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestGracefulShutdown: An instance is stopped with a request under way and an idle connection. The idle connection
+// TestGracefulShutdown: an instance is stopped with a request under way and an idle connection. The idle connection
 // closes, the request is answered, no new connection is accepted, and Serve returns nil.
 func TestGracefulShutdown(t *testing.T) {
 	got, answer := make(chan struct{}), make(chan struct{})
