--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -184,7 +184,7 @@
 // serve answers one request; tools need no more.
 func (a *adminServer) serve(c net.Conn) {
 	c.SetDeadline(time.Now().Add(adminTimeout))
-	requests := http1.NewRequests(http1.Limits{Line: maxAdminRequestTarget, Head: maxAdminHead})
+	requests := http1.NewRequests(http1.Limits{RequestLine: maxAdminRequestTarget, Head: maxAdminHead})
 	b := make([]byte, 4096)
 	for {
 		n, err := c.Read(b)
