--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -160,8 +160,9 @@
 	}
 }
 
-// TestNodeWithFewDescriptors: idle clients take all connections that there may be while discovery is silent; requests are
-// still served, the configuration is read at SIGHUP, and the new discovery and counter are reached.
+// TestNodeWithFewDescriptors: idle clients take all connections that there may be, in a process with few descriptors, while
+// discovery is silent. Requests must still be served, the configuration be read at SIGHUP, and the new discovery and
+// counter be reached: each has its share of the descriptors.
 func TestNodeWithFewDescriptors(t *testing.T) {
 	backend, other := startPeer(t, serveHTTP), startPeer(t, serveHTTP)
 	text := func(discovery, counter, backend string) func(string) string {
@@ -184,7 +185,7 @@
 		defer c.Close()
 	}
 	for id := range 10 {
-		for try := 0; ; try++ { // in a crowd a new connection may be turned away
+		for try := 0; ; try++ { // at the limit of connections a new one may be rejected
 			s, _ := p.request(fmt.Sprintf(nodeRequest, 100*id+try))
 			if s == 200 {
 				break
@@ -207,8 +208,9 @@
 	p.waitForLog("list of boxes", "seq=9")
 }
 
-// TestNodeSignals: SIGHUP with a broken file leaves all as it was; SIGHUP twice at once, SIGTERM right behind one, and SIGTERM twice
-// end in order; a broken file at the start is one line with the field, and status 1.
+// TestNodeSignals: signals come in close order. A SIGHUP with a broken file must leave all as it was; after two at once the
+// last file holds; SIGTERM right behind a SIGHUP, twice, must end the process in order, with status 0. A broken file at the
+// start is one line with the field, and status 1.
 func TestNodeSignals(t *testing.T) {
 	discovery := startPeer(t, func(c net.Conn, in *bufio.Reader) {
 		http.ReadRequest(in)
