--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -93,7 +93,7 @@
 	addresses := map[string]string{}
 	for i, endpoint := range cfg.Endpoints {
 		backend, err := startEmulatedBackend(endpoint.Address,
-			emulator.BackendConfig{Name: endpoint.Name, Work: work, Spread: 1, Seed: uint64(i)})
+			emulator.BackendConfig{Name: endpoint.Name, Work: work, WorkVariation: 1, Seed: uint64(i)})
 		if err != nil {
 			stop()
 			return nil, nil, fmt.Errorf("emulated backend %s: %w", endpoint.Name, err)
