--- a/internal/simulation/backendconn.go
+++ b/internal/simulation/backendconn.go
@@ -76,10 +76,5 @@
 	c.done = true
 	c.model.Closed()
 	c.conn.close(reset)
-	for i, o := range c.backend.conns {
-		if o == c {
-			c.backend.conns = append(c.backend.conns[:i], c.backend.conns[i+1:]...)
-			break
-		}
-	}
+	c.backend.conns = without(c.backend.conns, c)
 }
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -109,12 +109,7 @@
 		return
 	}
 	c.done = true
-	for i, o := range c.pool.idle {
-		if o == c {
-			c.pool.idle = append(c.pool.idle[:i], c.pool.idle[i+1:]...)
-			break
-		}
-	}
+	c.pool.idle = without(c.pool.idle, c)
 	if c.conn != nil {
 		c.conn.close(reset)
 	} else if c.dialing != nil {
@@ -132,54 +127,68 @@
 	if c.conn == nil {
 		return
 	}
-	s := c.pool.sim
 	in := c.conn.read()
-	for !c.done {
+	for !c.done && (len(c.awaiting) > 0 || len(in) > 0) {
 		if len(c.awaiting) == 0 {
-			if len(in) == 0 {
-				break
-			}
-			if c.misbehaving && len(in) > 12 {
-				s.cover("status " + string(in[9:12]))
-			}
-			if !c.misbehaving {
-				s.report(RuleOwnResponse, fmt.Sprintf("door %d sends %.40q to a client that awaits nothing", c.pool.instance, in))
-			}
-			c.close(true)
+			c.unexpected(in)
 			return
 		}
-		r := c.awaiting[0]
-		c.reader.Expect(s.config.Routes.Operations[r.operation].Method)
-		n, part, err := c.reader.Feed(in)
-		in = in[n:]
-		if err != nil {
-			s.report(RuleOwnResponse, fmt.Sprintf("door %d answers %s with what is no answer: %v", c.pool.instance, r.ID, err))
+		n, more := c.feed(in)
+		if !more {
 			return
 		}
-		if part.Kind == http1.More {
-			return
-		}
-		switch part.Kind {
-		case http1.HeadEnd:
-			if part.Head.Status >= 200 {
-				c.head, c.responseBegan = part.Head, true
-			}
-		case http1.End:
-			c.responseBegan = false
-			c.awaiting = c.awaiting[1:]
-			c.responseComplete(r)
-			if c.head.Close {
-				c.fail(invariant.NotAccepted) // pipelined requests behind it were never accepted
-				return
-			}
-		}
+		in = in[n:]
 	}
 	if len(c.awaiting) == 0 && !c.done && len(c.unsent) == 0 {
-		c.lastUsed = s.now
+		c.lastUsed = c.pool.sim.now
 		c.pool.idle = append(c.pool.idle, c)
 	}
 }
 
+// statusBegin and statusEnd say where a response has its status.
+const statusBegin, statusEnd = len("HTTP/1.1 "), len("HTTP/1.1 200")
+
+// unexpected handles bytes for a client that awaits nothing: a violation, unless the client sent no request either.
+func (c *clientConn) unexpected(in []byte) {
+	s := c.pool.sim
+	if c.misbehaving && len(in) > statusEnd {
+		s.cover("status " + string(in[statusBegin:statusEnd]))
+	}
+	if !c.misbehaving {
+		s.report(RuleOwnResponse, fmt.Sprintf("door %d sends %.40q to a client that awaits nothing", c.pool.instance, in))
+	}
+	c.close(true)
+}
+
+// feed reads a part of the response to the first request that awaits one. It returns how many bytes were used, and whether
+// there may be more to read.
+func (c *clientConn) feed(in []byte) (n int, more bool) {
+	s, r := c.pool.sim, c.awaiting[0]
+	c.reader.Expect(s.config.Routes.Operations[r.operation].Method)
+	n, part, err := c.reader.Feed(in)
+	if err != nil {
+		s.report(RuleOwnResponse, fmt.Sprintf("door %d answers %s with what is no answer: %v", c.pool.instance, r.ID, err))
+		return n, false
+	}
+	switch part.Kind {
+	case http1.More:
+		return n, false
+	case http1.HeadEnd:
+		if part.Head.Status >= 200 {
+			c.head, c.responseBegan = part.Head, true
+		}
+	case http1.End:
+		c.responseBegan = false
+		c.awaiting = c.awaiting[1:]
+		c.responseComplete(r)
+		if c.head.Close {
+			c.fail(invariant.NotAccepted) // pipelined requests behind it were never accepted
+			return n, false
+		}
+	}
+	return n, true
+}
+
 // responseComplete handles a complete response.
 func (c *clientConn) responseComplete(r *clientRequest) {
 	s, h := c.pool.sim, c.head
--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -192,12 +192,7 @@
 
 func (c *netConn) release() {
 	h := c.host
-	for i, o := range h.conns {
-		if o == c {
-			h.conns = append(h.conns[:i], h.conns[i+1:]...)
-			break
-		}
-	}
+	h.conns = without(h.conns, c)
 	if h.descriptors >= 0 {
 		h.descriptors++
 	}
--- a/internal/simulation/counter.go
+++ b/internal/simulation/counter.go
@@ -117,10 +117,5 @@
 	}
 	c.done = true
 	c.conn.close(reset)
-	for i, o := range c.counter.conns {
-		if o == c {
-			c.counter.conns = append(c.counter.conns[:i], c.counter.conns[i+1:]...)
-			break
-		}
-	}
+	c.counter.conns = without(c.counter.conns, c)
 }
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -11,6 +11,7 @@
 // What surrounds the machines, as internal/server has it.
 const (
 	maxUnsentBytes = 64 << 10              // bytes that a client has not taken, at which a streamed response pauses
+	lingerTime     = time.Second           // that an ended client connection is still read
 	maxLoopDelay   = 30 * time.Microsecond // at most, that a message waits for the event loop
 )
 
@@ -105,54 +106,64 @@
 	}
 }
 
+// applyEffects carries out what the core asks for, and schedules its next timer.
 func (inst *simInstance) applyEffects() {
 	for more := true; more; {
 		more = false
 		for _, effect := range inst.core.Effects() {
 			more = true
 			inst.sim.cover(effectNames[effect.Kind])
-			switch effect.Kind {
-			case proxy.DialBackend:
-				inst.dialBackend(effect.Conn)
-			case proxy.WriteAttempt:
-				effect.Conn.Owner.(*instanceBackendConn).writeAttempt(effect.Exchange, effect.Bytes)
-			case proxy.CloseBackend:
-				effect.Conn.Owner.(*instanceBackendConn).abandon()
-			case proxy.Respond:
-				inst.sim.cover(fmt.Sprintf("answer %d", effect.Exchange.Status))
-				effect.Exchange.Owner.(*instanceClientConn).respond(effect.Exchange, effect.Bytes, false, effect.Closes)
-			case proxy.StreamResponse:
-				effect.Exchange.Owner.(*instanceClientConn).respond(effect.Exchange, effect.Bytes, true, effect.Closes)
-				effect.Conn.Owner.(*instanceBackendConn).grantStream()
-			case proxy.AbortClient:
-				effect.Exchange.Owner.(*instanceClientConn).relay(effect.Exchange, nil, false, true)
-			case proxy.DialCounter:
-				inst.dialCounter(effect.Addr)
-			case proxy.WriteCounter:
-				inst.counterConn.write(effect.Bytes)
-			case proxy.CloseCounter:
-				inst.counterConn.abandon()
-				inst.counterConn = nil
-			case proxy.PollEndpoints:
-				inst.pollEndpoints()
-			}
+			inst.apply(effect)
 		}
 	}
-	if next := inst.core.NextTimer(); inst.timerAt == 0 || next < inst.timerAt {
-		inst.timerAt = next
-		inst.sim.schedule(inst.simTime(next), inst.thisIncarnation(func() {
-			if inst.core.NextTimer() > inst.now() {
-				inst.timerAt = 0
-				inst.applyEffects()
-				return
-			}
-			inst.timerAt = 0
-			inst.core.Tick(inst.now())
-			inst.applyEffects()
-		}))
+	inst.scheduleTimer()
+}
+
+func (inst *simInstance) apply(e proxy.Effect) {
+	switch e.Kind {
+	case proxy.DialBackend:
+		inst.dialBackend(e.Conn)
+	case proxy.WriteAttempt:
+		e.Conn.Owner.(*instanceBackendConn).writeAttempt(e.Exchange, e.Bytes)
+	case proxy.CloseBackend:
+		e.Conn.Owner.(*instanceBackendConn).abandon()
+	case proxy.Respond:
+		inst.sim.cover(fmt.Sprintf("answer %d", e.Exchange.Status))
+		e.Exchange.Owner.(*instanceClientConn).respond(e.Exchange, e.Bytes, false, e.Closes)
+	case proxy.StreamResponse:
+		e.Exchange.Owner.(*instanceClientConn).respond(e.Exchange, e.Bytes, true, e.Closes)
+		e.Conn.Owner.(*instanceBackendConn).grantStream()
+	case proxy.AbortClient:
+		e.Exchange.Owner.(*instanceClientConn).relay(e.Exchange, nil, false, true)
+	case proxy.DialCounter:
+		inst.dialCounter(e.Addr)
+	case proxy.WriteCounter:
+		inst.counterConn.write(e.Bytes)
+	case proxy.CloseCounter:
+		inst.counterConn.abandon()
+		inst.counterConn = nil
+	case proxy.PollEndpoints:
+		inst.pollEndpoints()
+	}
+}
+
+// scheduleTimer schedules the core's next timer, unless an earlier one is scheduled.
+func (inst *simInstance) scheduleTimer() {
+	next := inst.core.NextTimer()
+	if inst.timerAt != 0 && next >= inst.timerAt {
+		return
 	}
+	inst.timerAt = next
+	inst.sim.schedule(inst.simTime(next), inst.thisIncarnation(func() {
+		inst.timerAt = 0
+		if inst.core.NextTimer() <= inst.now() {
+			inst.core.Tick(inst.now())
+		}
+		inst.applyEffects()
+	}))
 }
 
+// effectNames are the words under which Outcome.Reached counts effects, by their kinds.
 var effectNames = func() (names []string) {
 	for k := proxy.DialBackend; k <= proxy.PollEndpoints; k++ {
 		names = append(names, "wish "+k.String())
--- a/internal/simulation/instancebackend.go
+++ b/internal/simulation/instancebackend.go
@@ -47,12 +47,7 @@
 }
 
 func (b *instanceBackendConn) remove() {
-	for i, o := range b.instance.backendConns {
-		if o == b {
-			b.instance.backendConns = append(b.instance.backendConns[:i], b.instance.backendConns[i+1:]...)
-			break
-		}
-	}
+	b.instance.backendConns = without(b.instance.backendConns, b)
 	if b.conn != nil {
 		b.conn.close(true)
 	}
--- a/internal/simulation/instanceclient.go
+++ b/internal/simulation/instanceclient.go
@@ -88,12 +88,7 @@
 	c.done = true
 	c.conn.close(reset)
 	c.instance.shared.Clients.Add(-1)
-	for i, o := range c.instance.clients {
-		if o == c {
-			c.instance.clients = append(c.instance.clients[:i], c.instance.clients[i+1:]...)
-			break
-		}
-	}
+	c.instance.clients = without(c.instance.clients, c)
 	if c.streamSource != nil {
 		c.streamSource.readable(nil)
 	}
@@ -101,24 +96,14 @@
 
 func (c *instanceClientConn) writable(*netConn) { c.proceed(nil); c.readable(nil) }
 
-// proceed carries out what the state machine asks for.
+// proceed carries out what the state machine asks for: it hands a request to the event loop, if there is one, writes, and
+// closes or takes the next request.
 func (c *instanceClientConn) proceed(ex *proxy.Exchange) {
 	for !c.done {
 		if ex != nil {
-			ex := ex
-			c.instance.post(func() { c.instance.core.RequestArrived(c.instance.now(), ex) })
-		}
-		for _, status := range c.machine.OwnStatuses {
-			c.instance.sim.cover("own answer " + strconv.Itoa(status))
-		}
-		c.machine.OwnStatuses = c.machine.OwnStatuses[:0]
-		if all := len(c.unsent) + len(c.machine.Out); all > 0 {
-			c.unsent = c.conn.writeBuffered(c.unsent, c.machine.Out)
-			c.machine.Out = c.machine.Out[:0]
-			if len(c.unsent) < all {
-				c.blockedSince = c.instance.sim.now
-			}
+			c.hand(ex)
 		}
+		c.flush()
 		if len(c.unsent) > 0 {
 			c.watchWrite()
 			break
@@ -127,16 +112,7 @@
 			c.streamSource.readable(nil)
 		}
 		if closes, linger := c.machine.Closing(); closes {
-			if linger && !c.machine.Aborts() { // closed at once, unread bytes would reset the connection and take the response along
-				if !c.lingering {
-					c.lingering = true
-					c.conn.closeWrite()
-					c.instance.sim.scheduleAfter(time.Second, c.instance.thisIncarnation(func() { c.close(false) }))
-				}
-				c.conn.read()
-			} else {
-				c.close(c.machine.Aborts())
-			}
+			c.endConnection(linger && !c.machine.Aborts())
 			return
 		}
 		if ex != nil {
@@ -153,6 +129,42 @@
 	}
 }
 
+func (c *instanceClientConn) hand(ex *proxy.Exchange) {
+	c.instance.post(func() { c.instance.core.RequestArrived(c.instance.now(), ex) })
+}
+
+// flush writes what the state machine has for the client.
+func (c *instanceClientConn) flush() {
+	for _, status := range c.machine.OwnStatuses {
+		c.instance.sim.cover("own answer " + strconv.Itoa(status))
+	}
+	c.machine.OwnStatuses = c.machine.OwnStatuses[:0]
+	all := len(c.unsent) + len(c.machine.Out)
+	if all == 0 {
+		return
+	}
+	c.unsent = c.conn.writeBuffered(c.unsent, c.machine.Out)
+	c.machine.Out = c.machine.Out[:0]
+	if len(c.unsent) < all {
+		c.blockedSince = c.instance.sim.now
+	}
+}
+
+// endConnection ends the connection after the last response. With linger it shuts the sending side, and reads and drops
+// what still arrives for lingerTime: closed at once, unread bytes would reset the connection and take the response along.
+func (c *instanceClientConn) endConnection(linger bool) {
+	if !linger {
+		c.close(c.machine.Aborts())
+		return
+	}
+	if !c.lingering {
+		c.lingering = true
+		c.conn.closeWrite()
+		c.instance.sim.scheduleAfter(lingerTime, c.instance.thisIncarnation(func() { c.close(false) }))
+	}
+	c.conn.read()
+}
+
 // watchWrite disconnects a client that takes nothing for limits.write-timeout.
 func (c *instanceClientConn) watchWrite() {
 	since := c.blockedSince
--- a/internal/simulation/misbehave.go
+++ b/internal/simulation/misbehave.go
@@ -9,6 +9,9 @@
 	"sandyard/internal/http1"
 )
 
+// misbehaveTime is how long a misbehaving client stays: longer than the instance's timeouts for heads and bodies.
+const misbehaveTime = 12 * time.Second
+
 // misbehave is a client that sends what is no request, or sends one so slowly that the instance times out.
 func (s *Sim) misbehave(rng *rand.Rand, slow bool) {
 	pool := s.clientPools[rng.IntN(len(s.clientPools))]
@@ -17,57 +20,68 @@
 		s.requestWithoutReading(pool, c)
 		return
 	}
-	text := []string{"GET / HTTP/1.1\n\n", "POST /payments HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"\x16\x03\x01\x00\xa5\x01\x00\x00", "GET /bookings HTTP/1.1\r\nHost: h\r\nX-Api-Key: nobody\r\n\r\nGET", fmt.Sprintf("POST /payments HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 999999999\r\n\r\nx", s.config.Headers.Key, s.config.Customers[0].Keys[0]),
-		strings.Repeat("a", 9000)}[rng.IntN(6)]
-	gap := time.Duration(0)
+	text, gap := s.invalidRequest(rng.IntN(6)), time.Duration(0)
 	if slow {
-		text = fmt.Sprintf("POST /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 50\r\n\r\n%s", s.config.Headers.Key, s.config.Customers[0].Keys[0], strings.Repeat("y", 30))
+		text = s.withKey("POST /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 50\r\n\r\n" + strings.Repeat("y", 30))
 		gap = time.Duration(50+rng.IntN(500)) * time.Millisecond
-	}
-	if slow {
 		s.cover("client drips")
 	} else {
 		s.cover("client makes noise")
 	}
 	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", pool.instance), c, func(conn *netConn, ok bool) {
-		if !ok || c.done {
-			if conn != nil {
-				conn.close(true)
-			}
-			return
-		}
-		c.conn = conn
-		var feed func()
-		feed = func() {
-			if c.done || len(text) == 0 {
-				return
-			}
-			n := len(text)
-			if gap > 0 {
-				n = 1
-			}
-			c.unsent = append(c.unsent, text[:n]...)
-			text = text[n:]
-			c.flush()
-			s.scheduleAfter(gap, feed)
+		switch {
+		case ok && !c.done:
+			c.conn = conn
+			s.feed(c, text, gap)
+		case conn != nil:
+			conn.close(true)
 		}
-		feed()
 	})
-	s.scheduleAfter(12*time.Second, func() { c.close(true) })
+	s.scheduleAfter(misbehaveTime, func() { c.close(true) })
+}
+
+// withKey puts the first customer's key field into a text.
+func (s *Sim) withKey(format string) string {
+	return fmt.Sprintf(format, s.config.Headers.Key, s.config.Customers[0].Keys[0])
+}
+
+// invalidRequest returns one of six texts that an instance must reject.
+func (s *Sim) invalidRequest(number int) string {
+	return [...]string{
+		"GET / HTTP/1.1\n\n",
+		"POST /payments HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"\x16\x03\x01\x00\xa5\x01\x00\x00", // the beginning of a TLS handshake
+		"GET /bookings HTTP/1.1\r\nHost: h\r\nX-Api-Key: nobody\r\n\r\nGET",
+		s.withKey("POST /payments HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 999999999\r\n\r\nx"),
+		strings.Repeat("a", 9000),
+	}[number]
+}
+
+// feed writes a text at once, or with a gap byte by byte.
+func (s *Sim) feed(c *clientConn, text string, gap time.Duration) {
+	if c.done || len(text) == 0 {
+		return
+	}
+	n := len(text)
+	if gap > 0 {
+		n = 1
+	}
+	c.unsent = append(c.unsent, text[:n]...)
+	c.flush()
+	s.scheduleAfter(gap, func() { s.feed(c, text[n:], gap) })
 }
 
 // requestWithoutReading is a client that sends many requests and reads nothing.
 func (s *Sim) requestWithoutReading(pool *clientPool, c *clientConn) {
 	s.cover("client reads nothing")
-	text := strings.Repeat(fmt.Sprintf("GET /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", s.config.Headers.Key, s.config.Customers[0].Keys[0]), 8)
+	text := strings.Repeat(s.withKey("GET /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n"), 8)
 	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", pool.instance), nonReader{c}, func(conn *netConn, ok bool) {
 		if ok && !c.done {
 			c.conn = conn
 			conn.write([]byte(text))
 		}
 	})
-	s.scheduleAfter(12*time.Second, func() { c.close(true) })
+	s.scheduleAfter(misbehaveTime, func() { c.close(true) })
 }
 
 // nonReader handles the connection of a client that does not read.
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"time"
 )
 
@@ -54,6 +55,14 @@
 	return l
 }
 
+// without removes an element from a list in place, if it is there.
+func without[T comparable](list []T, element T) []T {
+	if i := slices.Index(list, element); i >= 0 {
+		return append(list[:i], list[i+1:]...)
+	}
+	return list
+}
+
 // transitTime draws how long a segment takes from one host to another.
 func (n *network) transitTime(a, b *host, size int) time.Duration {
 	d := float64(n.latency) * (1 + n.jitter*n.rng.ExpFloat64())
--- a/internal/simulation/readscript.go
+++ b/internal/simulation/readscript.go
@@ -26,6 +26,16 @@
 		d.Reportf("version", "%d: this program reads scripts of version %d; write the script anew from its seed, or with the program that wrote it", s.Version, Version)
 	}
 	s.Seed = uint64(s.WrittenSeed)
+	s.checkBounds(d)
+	s.parseFaults(d)
+	if err := d.Problems.Err(); err != nil {
+		return nil, err
+	}
+	return &s, nil
+}
+
+// checkBounds reports figures that are out of bounds.
+func (s *Script) checkBounds(d *strictyaml.Document) {
 	check := func(field string, x, least, most float64) {
 		if !(x >= least) || x > most {
 			d.Reportf(field, "%g: expected %g to %g", x, least, most)
@@ -55,6 +65,10 @@
 	if s.Net.Latency == 0 {
 		d.Reportf("net.latency", "expected more than 0")
 	}
+}
+
+// parseFaults turns the faults as written into events.
+func (s *Script) parseFaults(d *strictyaml.Document) {
 	for i, t := range s.Faults {
 		at := fmt.Sprintf("troubles[%d]", i)
 		v, _, err := fault.Parse(t.Verb + " " + strconv.FormatFloat(t.Value, 'g', -1, 64))
@@ -69,8 +83,4 @@
 		}
 		s.Events = append(s.Events, fault.Event{At: time.Duration(t.At), Duration: time.Duration(t.Duration), Verb: v, Target: t.Target, Value: t.Value})
 	}
-	if err := d.Problems.Err(); err != nil {
-		return nil, err
-	}
-	return &s, nil
 }
--- a/internal/simulation/replay_test.go
+++ b/internal/simulation/replay_test.go
@@ -10,19 +10,19 @@
 	"sandyard/trace"
 )
 
-// TestRecordedDaysReplay: what front doors decided in simulated days, written to the trace's format and read back, is
-// decided again by the module, step by step.
-func TestRecordedDaysReplay(t *testing.T) {
+// A trace from production is of use only if its replay decides the same. What instances decided in simulated runs, written to
+// the trace's format and read back, must be decided again by the decision package, step by step.
+func TestTracesOfRunsReplayWithoutDifference(t *testing.T) {
 	steps, differ, bytes := uint64(0), uint64(0), 0
 	for seed := uint64(1); seed <= 40; seed++ {
-		type life struct {
+		type process struct {
 			head  trace.Head
 			items []trace.Item
 		}
-		var lives []*life
+		var processes []*process
 		_, err := Run(Generate(seed, Usual()), Options{ContinueAfterViolation: true, Record: func(n int, cfg *config.Config, seed uint64) func(proxy.Step) {
-			l := &life{head: trace.Head{Instance: n, Seed: seed, Began: proxy.Start, Settings: cfg.Settings, Share: 1}}
-			lives = append(lives, l)
+			l := &process{head: trace.Head{Instance: n, Seed: seed, Began: proxy.Start, Settings: cfg.Settings, Share: 1}}
+			processes = append(processes, l)
 			return func(s proxy.Step) {
 				if s.State != nil {
 					l.items = append(l.items, trace.Item{At: s.At, State: s.State})
@@ -38,7 +38,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, l := range lives {
+		for _, l := range processes {
 			file, err := w.Begin(l.head)
 			if err != nil {
 				t.Fatal(err)
@@ -78,7 +78,7 @@
 				t.Errorf("seed %d: %d of %d steps came back", seed, replay.Steps, len(l.items))
 			}
 			if replay.Differ > 0 {
-				t.Errorf("seed %d, door %d: %s", seed, l.head.Instance, replay.First)
+				t.Errorf("seed %d, instance %d: %s", seed, l.head.Instance, replay.First)
 			}
 			steps, differ = steps+replay.Steps, differ+replay.Differ
 		}
@@ -86,9 +86,9 @@
 	t.Logf("%d steps, %d differ, %.1f bytes a step", steps, differ, float64(bytes)/float64(steps))
 }
 
-// TestRestoredModulesGoOnAlike: a module restored from a snapshot in the middle of a day, by way of the trace's form,
-// takes the same actions from there on.
-func TestRestoredModulesGoOnAlike(t *testing.T) {
+// A replay that begins at a snapshot must not drift. A gateway restored from a snapshot in the middle of a run, by way of the
+// trace's format, must take the same actions from there on.
+func TestRestoredGatewayTakesSameActions(t *testing.T) {
 	compared := 0
 	for seed := uint64(100); seed < 130; seed++ {
 		type pair struct {
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -82,24 +82,7 @@
 		b.addFault(b.milliseconds(500, 3000), fault.Event{Duration: b.milliseconds(long/2, long), Verb: fault.Surge, Target: school, Value: math.Round(10*times*40*b.PlanFactor/usual) / 10})
 	}
 	for range b.rng.IntN(4) {
-		e := fault.Event{Duration: b.milliseconds(200, 4000), Target: "keeper", Verb: []fault.Verb{fault.NoReply, fault.ResetTotals, fault.Refuse, fault.Delay, fault.Stall,
-			fault.Kill, fault.Rollback, fault.PartialOutage, fault.Split}[b.rng.IntN(9)]}
-		switch e.Verb {
-		case fault.ResetTotals:
-			e.Duration = 0
-		case fault.Rollback:
-			e.Duration, e.Value = 0, b.between(200, 3000)
-		case fault.PartialOutage:
-			e.Value = b.between(0.2, 1)
-		case fault.Split:
-			e.Value = b.between(0.2, 0.8)
-		case fault.Delay:
-			e.Value = b.between(20, 300)
-		}
-		if b.chance(0.25) {
-			e.Verb, e.Target, e.Value = fault.Partition, fmt.Sprintf("door-%d/keeper", b.rng.IntN(b.Instances)), 0
-			e.Duration = max(e.Duration, time.Second)
-		}
+		e := b.counterFault()
 		b.addFault(b.milliseconds(500, 7000), e)
 	}
 	if b.chance(0.3) { // a counter that loses its totals again and again
@@ -119,6 +102,29 @@
 	}
 }
 
+// counterFault draws a fault of the counter, or of its link to one instance.
+func (b *scenarioBuilder) counterFault() fault.Event {
+	e := fault.Event{Duration: b.milliseconds(200, 4000), Target: "keeper", Verb: []fault.Verb{fault.NoReply, fault.ResetTotals, fault.Refuse, fault.Delay, fault.Stall,
+		fault.Kill, fault.Rollback, fault.PartialOutage, fault.Split}[b.rng.IntN(9)]}
+	switch e.Verb {
+	case fault.ResetTotals:
+		e.Duration = 0
+	case fault.Rollback:
+		e.Duration, e.Value = 0, b.between(200, 3000)
+	case fault.PartialOutage:
+		e.Value = b.between(0.2, 1)
+	case fault.Split:
+		e.Value = b.between(0.2, 0.8)
+	case fault.Delay:
+		e.Value = b.between(20, 300)
+	}
+	if b.chance(0.25) {
+		e.Verb, e.Target, e.Value = fault.Partition, fmt.Sprintf("door-%d/keeper", b.rng.IntN(b.Instances)), 0
+		e.Duration = max(e.Duration, time.Second)
+	}
+	return e
+}
+
 // keyExpiry: what a backend has run is retried at another around the end of its key's lifetime.
 func (b *scenarioBuilder) keyExpiry() {
 	b.Backends.Count = 2 + b.rng.IntN(6)
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -7,17 +7,19 @@
 	"sandyard/invariant"
 )
 
-// TestShapesReach: days of each shape come near the limits that they are for.
-func TestShapesReach(t *testing.T) {
+// Single faults at sixty requests a second never came near the load that makes a backend in slow start collapse, so that
+// thousands of clean runs said nothing about its guards. Scenarios are drawn to reach a rule's limit; of each one that is for
+// a rule, some run must come near that rule's limit, and none may break a rule.
+func TestScenariosComeNearTheirRuleLimits(t *testing.T) {
 	for _, c := range []struct {
-		shape string
-		rule  int
-		near  float64
+		scenario string
+		rule     int
+		near     float64
 	}{{"replacement", invariant.SlowStart, 0.3}, {"ceilings", invariant.Ceilings, 0.5}, {"keys", invariant.NoDuplicate, 0.5}} {
 		best, n := 0.0, 0
 		for seed := uint64(5000); n < 14 && seed < 6000; seed++ {
 			s := Generate(seed, Usual())
-			if s.Scenario != c.shape {
+			if s.Scenario != c.scenario {
 				continue
 			}
 			n++
@@ -31,14 +33,14 @@
 			best = max(best, o.Nearness(c.rule))
 		}
 		if n == 0 || best < c.near {
-			t.Errorf("%s: %d days came to %.2f of the limit, %.2f expected", c.shape, n, best, c.near)
+			t.Errorf("%s: %d runs came to %.2f of the limit, %.2f expected", c.scenario, n, best, c.near)
 		}
 	}
 }
 
-// TestHuntBreeds: with one worker a hunt is the same each time, comes no less near than its first scripts, and what it
-// ends with reads back and replays.
-func TestHuntBreeds(t *testing.T) {
+// A find that can't be had again can't be understood. With one worker a hunt must be the same each time, must come no less near
+// than its first scripts, and the script that it ends with must read back and replay.
+func TestHuntIsReproducibleAndImproves(t *testing.T) {
 	p := Usual()
 	p.Seconds, p.Rate, p.ScenarioShare = 6, 30, 0
 	hunt := func() (*Script, Outcome, float64) {
@@ -72,8 +74,9 @@
 	}
 }
 
-// TestBredScriptsStayWithinBounds: whatever is changed, a script can be written and read back.
-func TestBredScriptsStayWithinBounds(t *testing.T) {
+// A mutated script that ReadScript refuses would be a find that nobody can replay. Whatever is mutated or crossed, a script must
+// be written and read back, and must take enough requests to make a backend collapse.
+func TestEvolvedScriptsStayWithinBounds(t *testing.T) {
 	rng := stream(1, "test")
 	for seed := uint64(1); seed < 60; seed++ {
 		s := Generate(seed, Usual())
@@ -88,15 +91,15 @@
 		}
 		if c := s.SlowStart; c.OverloadFactor > 0 {
 			if n := c.OverloadFactor * c.Share * float64(s.Backends.Cores) * time.Duration(c.OverloadTime).Seconds() / time.Duration(s.Backends.Work).Seconds(); n < minRequestsToCollapse-0.5 {
-				t.Fatalf("%.1f requests push a cold box over", n)
+				t.Fatalf("%.1f requests make a backend in slow start collapse", n)
 			}
 		}
 	}
 }
 
-// Boxes that close what idles, and a keeper whose parts do not see each other, break no rule; a script that has them says
-// so in its text.
-func TestIdleLinesAndSplitKeeper(t *testing.T) {
+// Backends that close idle connections while a request is in flight, and a counter whose sides do not see each other, must break
+// no rule; a script that has them must say so in its text.
+func TestIdleConnectionsAndSplitCounterBreakNoRule(t *testing.T) {
 	text := `version: 1
 seed: 1
 seconds: 8
@@ -132,8 +135,9 @@
 	}
 }
 
-// A connection that ended with its box's process is not closed again by the process after it.
-func TestKilledBoxHasNoIdleLines(t *testing.T) {
+// The idle timer of a connection outlived the backend's process, and closed the connection again in the process after it. It
+// must do nothing once the process is gone.
+func TestIdleTimerEndsWithItsBackendProcess(t *testing.T) {
 	s, err := ReadScript("killed.yaml", []byte(`version: 1
 seed: 1
 seconds: 1
@@ -152,6 +156,6 @@
 		t.Fatal(err)
 	}
 	if o.Reached["try served"] == 0 || o.Reached["trouble kill"] != 1 || o.Reached["box closed idle line"] != 0 {
-		t.Errorf("%d served, %d killed, %d idle lines closed", o.Reached["try served"], o.Reached["trouble kill"], o.Reached["box closed idle line"])
+		t.Errorf("%d served, %d killed, %d idle connections closed", o.Reached["try served"], o.Reached["trouble kill"], o.Reached["box closed idle line"])
 	}
 }
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -2,7 +2,7 @@
 // machines that package server runs, emulated backends and counters, clients, and a network that carries bytes. One queue of events and
 // one seed decide everything that happens: the same script gives the same events, byte for byte, on any machine.
 //
-// Nothing here starts a goroutine or reads a clock. A Sim has one owner; any number may run side by side.
+// A run starts no goroutine and reads no clock. A Sim has one owner; Sweep and Hunt run many side by side.
 package simulation
 
 import (
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -12,8 +12,8 @@
 	"sandyard/config"
 )
 
-// TestRegressions: scripts that once broke a rule break none.
-func TestRegressions(t *testing.T) {
+// Each script in testdata once broke a rule; none may break one again.
+func TestScriptsThatBrokeARuleBreakNone(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.yaml")
 	if len(files) == 0 {
 		t.Fatal("no scripts")
@@ -37,8 +37,9 @@
 	}
 }
 
-// TestShortSweep: a few hundred seeds, none of which breaks a rule, and which reach what matters.
-func TestShortSweep(t *testing.T) {
+// A sweep that is clean because it reaches nothing proves nothing. No seed may break a rule, and together they must reach the
+// error paths that matter.
+func TestSweepBreaksNoRuleAndReachesErrorPaths(t *testing.T) {
 	reached := map[string]int{}
 	for seed := uint64(1); seed <= 120; seed++ {
 		o, err := Run(Generate(seed, Usual()), Options{})
@@ -59,9 +60,9 @@
 	}
 }
 
-// TestSameEvents: a script's events are the same on every run, whatever else runs and however many processors there
-// are.
-func TestSameEvents(t *testing.T) {
+// A run that depends on the machine can't be replayed. A script's events must be the same on every run, whatever else runs and
+// however many processors there are.
+func TestRunIsSameOnAnyNumberOfProcessors(t *testing.T) {
 	for seed := uint64(200); seed < 206; seed++ {
 		var logs [3]strings.Builder
 		var sums [3]uint64
@@ -80,8 +81,8 @@
 	}
 }
 
-// TestScriptsReadBack: a script states all that a run needs.
-func TestScriptsReadBack(t *testing.T) {
+// A script that leaves something out replays as another run. Written and read back it must give the same digest and text.
+func TestScriptReadBackGivesSameRun(t *testing.T) {
 	for seed := uint64(300); seed < 320; seed++ {
 		s := Generate(seed, Usual())
 		back, err := ReadScript("x", []byte(s.Text()))
@@ -96,10 +97,11 @@
 	}
 }
 
-// TestStreamsAreApart: another trouble does not shift the traffic.
-func TestStreamsAreApart(t *testing.T) {
-	asks := func(troubles string) string {
-		s, err := ReadScript("x", []byte("version: 1\nseed: 9\nseconds: 5\nclients: {retries: 0}\ntroubles: "+troubles))
+// If faults drew from the stream of the traffic, a script without one of its faults would have other requests, and the shrinker
+// would compare unlike runs. Another fault must not shift the traffic.
+func TestFaultsDoNotShiftTraffic(t *testing.T) {
+	requests := func(faults string) string {
+		s, err := ReadScript("x", []byte("version: 1\nseed: 9\nseconds: 5\nclients: {retries: 0}\ntroubles: "+faults))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,12 +113,13 @@
 		}})
 		return out.String()
 	}
-	if a, b := asks("[]"), asks("[{at: 1s, for: 2s, verb: hang, target: box-0}, {at: 2s, verb: empty, target: keeper}]"); a != b || a == "" {
+	if a, b := requests("[]"), requests("[{at: 1s, for: 2s, verb: hang, target: box-0}, {at: 2s, verb: empty, target: keeper}]"); a != b || a == "" {
 		t.Error("the traffic is another")
 	}
 }
 
-func TestScriptMistakes(t *testing.T) {
+// Each mistake in a script must be reported with the file and the field.
+func TestScriptMistakesNameFileAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"version: 0\n":                  "reads scripts of version 1",
 		"version: 2\n":                  "reads scripts of version 1",
@@ -133,8 +136,8 @@
 	}
 }
 
-// TestLongTimes: hours of virtual time are no different.
-func TestLongTimes(t *testing.T) {
+// Hours of virtual time must be no different: timers far apart, and faults at the end.
+func TestRunOfHoursBreaksNoRule(t *testing.T) {
 	s, err := ReadScript("x", []byte("version: 1\nseed: 3\nseconds: 14400\nrate: 0.2\ndoors: 2\ntroubles: [{at: 3h, for: 10s, verb: silent, target: keeper}, {at: 3h1m, for: 2s, verb: kill, target: door-1}]\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -145,8 +148,8 @@
 	}
 }
 
-// TestOnesOwnConfiguration: users run their own files.
-func TestOnesOwnConfiguration(t *testing.T) {
+// Users run the simulator on their own configuration; it must serve, and break no rule.
+func TestUserConfigurationRuns(t *testing.T) {
 	cfg, err := config.Load("../../examples/kilns/gateway.yaml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -48,57 +48,76 @@
 }
 
 const (
-	nearnessBins = 22 // one for runs without a case, twenty of a twentieth each, one beyond the limit
-	maxFinds     = 1000
+	nearnessBins = 22   // one for runs without a case, twenty of a twentieth each, one beyond the limit
+	maxFinds     = 1000 // kept, so that a sweep in which every seed fails stays within memory
 )
 
-// Run runs the scripts.
+// Run runs the scripts. The error is that of a run that could not begin.
 func (w Sweep) Run() (SweepResult, error) {
 	begun := time.Now()
-	n := w.Last - w.First + 1
-	r := SweepResult{Reached: map[string]int{}, Scenarios: map[string]int{}, Exemptions: map[string]int{}, FaultPairs: map[[2]string]int{},
-		Nearness: make([][nearnessBins]int, len(RuleNames())), ValueServed: make([]float64, n), CounterCalls: make([]uint64, n)}
-	var next atomic.Uint64
-	next.Store(w.First)
-	var stop atomic.Bool
-	var mu sync.Mutex
-	var failure error
-	var wg sync.WaitGroup
+	p := &sweepProgress{Sweep: w, result: newSweepResult(w.Last - w.First + 1)}
+	p.next.Store(w.First)
+	var workers sync.WaitGroup
 	for range max(1, w.Workers) {
-		wg.Go(func() {
-			for !stop.Load() {
-				seed := next.Add(1) - 1
-				if seed > w.Last {
-					return
-				}
-				s := w.script(seed)
-				o, err := Run(s, w.Options)
-				mu.Lock()
-				if err != nil {
-					failure = err
-					stop.Store(true)
-				}
-				r.add(seed, seed-w.First, s, o)
-				if len(o.Findings) > 0 {
-					if w.OnFind != nil {
-						f := o.Findings[0]
-						w.OnFind(Find{seed, f.Rule, f.At, f.What})
-					}
-					if !w.ContinueAfterViolation {
-						stop.Store(true)
-					}
-				}
-				if w.Progress != nil {
-					w.Progress(r.Seeds)
-				}
-				mu.Unlock()
-			}
-		})
+		workers.Go(p.work)
 	}
-	wg.Wait()
+	workers.Wait()
+	r := p.result
 	slices.SortFunc(r.Finds, func(a, b Find) int { return int(int64(a.Seed - b.Seed)) })
 	r.Took = time.Since(begun)
-	return r, failure
+	return r, p.err
+}
+
+// sweepProgress is a sweep that is running. Workers take seeds from next and share the rest under mu.
+type sweepProgress struct {
+	Sweep
+	next atomic.Uint64
+	stop atomic.Bool
+
+	mu     sync.Mutex
+	result SweepResult
+	err    error
+}
+
+// work runs seeds until there is none, or the sweep stops.
+func (p *sweepProgress) work() {
+	for !p.stop.Load() {
+		seed := p.next.Add(1) - 1
+		if seed > p.Last {
+			return
+		}
+		s := p.script(seed)
+		o, err := Run(s, p.Options)
+		p.done(seed, s, o, err)
+	}
+}
+
+// done adds a run to the result.
+func (p *sweepProgress) done(seed uint64, s *Script, o Outcome, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err != nil {
+		p.err = err
+		p.stop.Store(true)
+	}
+	p.result.add(seed, seed-p.First, s, o)
+	if len(o.Findings) > 0 {
+		if p.OnFind != nil {
+			f := o.Findings[0]
+			p.OnFind(Find{seed, f.Rule, f.At, f.What})
+		}
+		if !p.ContinueAfterViolation {
+			p.stop.Store(true)
+		}
+	}
+	if p.Progress != nil {
+		p.Progress(p.result.Seeds)
+	}
+}
+
+func newSweepResult(seeds uint64) SweepResult {
+	return SweepResult{Reached: map[string]int{}, Scenarios: map[string]int{}, Exemptions: map[string]int{}, FaultPairs: map[[2]string]int{},
+		Nearness: make([][nearnessBins]int, len(RuleNames())), ValueServed: make([]float64, seeds), CounterCalls: make([]uint64, seeds)}
 }
 
 // script returns the script of a seed.
@@ -111,6 +130,7 @@
 	return &s
 }
 
+// add adds the run of a seed, whose place in the slices by seed is i.
 func (r *SweepResult) add(seed, i uint64, s *Script, o Outcome) {
 	r.Seeds++
 	r.Events, r.Requests, r.Virtual = r.Events+o.Events, r.Requests+uint64(o.Requests), r.Virtual+o.Virtual
@@ -120,6 +140,24 @@
 	} else {
 		r.Scenarios[s.Scenario]++
 	}
+	r.addCoverage(o)
+	for k, rule := range o.Verdict.Rules {
+		bin := 0
+		if near := o.Nearness(k); rule.Cases > 0 || near > 0 {
+			bin = 1 + min(nearnessBins-2, int(math.Max(0, near)*(nearnessBins-2)))
+		}
+		r.Nearness[k][bin]++
+	}
+	if len(o.Findings) > 0 {
+		r.Violating++
+		if f := o.Findings[0]; len(r.Finds) < maxFinds {
+			r.Finds = append(r.Finds, Find{seed, f.Rule, f.At, f.What})
+		}
+	}
+}
+
+// addCoverage adds what a run reached, the cases that it exempted, and the pairs of faults that met in it.
+func (r *SweepResult) addCoverage(o Outcome) {
 	var verbs []string
 	for k, n := range o.Reached {
 		r.Reached[k] += n
@@ -139,17 +177,4 @@
 			r.FaultPairs[[2]string{verbs[i], v}]++
 		}
 	}
-	for k, rule := range o.Verdict.Rules {
-		bin := 0
-		if near := o.Nearness(k); rule.Cases > 0 || near > 0 {
-			bin = 1 + min(nearnessBins-2, int(math.Max(0, near)*(nearnessBins-2)))
-		}
-		r.Nearness[k][bin]++
-	}
-	if len(o.Findings) > 0 {
-		r.Violating++
-		if f := o.Findings[0]; len(r.Finds) < maxFinds {
-			r.Finds = append(r.Finds, Find{seed, f.Rule, f.At, f.What})
-		}
-	}
 }
