--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -9,118 +9,148 @@
 )
 
 const (
-	lingerTime  = time.Second // how long a client that still sends is read after its last answer
-	lingerBytes = 256 << 10   // and how much
-	mostPending = 64 << 10    // bytes that a client has not taken; a flowing answer pauses there
+	// lingeringCloseTimeout is how long a client that still sends is read after its last response: some round trips.
+	lingeringCloseTimeout = time.Second
+	// maxLingeringCloseBytes (256 KiB) bounds what is read then: what a client may have under way on a usual network.
+	maxLingeringCloseBytes = 256 << 10
+	// maxUnwrittenClientBytes (64 KiB) is what is kept for a client that has not taken it. A streamed response pauses
+	// there, and so does the reading of further requests.
+	maxUnwrittenClientBytes = 64 << 10
+	// maxIdleOutputBytes (16 KiB) is the largest output buffer that a connection keeps between responses; thousands of idle
+	// connections would hold the memory of their largest response otherwise.
+	maxIdleOutputBytes = 16 << 10
 )
 
-// clientConn is a client's connection. Whoever holds mu owns the machine.
+// inThePast is a read deadline that ends a read at once, and all that follow.
+var inThePast = time.Unix(1, 0)
+
+// clientConn is the TCP side of a client's connection. Its goroutine reads; whoever has something for the client (the
+// event loop, the reader of a backend that streams) writes.
+//
+// Only the reader ends it: closing over bytes that were not read is a reset, which can take the last response along.
+// Others ask for the end by requestClose.
 type clientConn struct {
-	s    *Server
-	link *link
+	server *Server
+	socket *socket
 
-	mu     sync.Mutex
-	resume sync.Cond // signalled when reading may go on
-	m      *proxy.ClientConn
-	armed  time.Duration // the read deadline that is set, 0: none
-	closed bool          // the last bytes are out
-	linger bool
-	ending bool // it is to end if nothing of a request has been read; its reader sees to that
-	brief  bool // and at once: another needs the room, and its last answer arrived long ago
+	// mu guards all below, and what client holds.
+	mu             sync.Mutex
+	readable       sync.Cond // on mu: signalled when reading may go on
+	client         *proxy.ClientConn
+	readDeadline   time.Duration // that is set at the socket; 0: none
+	closed         bool          // the last bytes are written: the reader is to close
+	lingers        bool          // and to read on a while before
+	closeRequested bool          // the reader is to close it if no part of a request has been read
+	evicted        bool          // and without lingering: its last response arrived long ago, and another needs the place
 }
 
-func (s *Server) newClient(conn *net.TCPConn) (*clientConn, error) {
-	l, err := newLink(conn, time.Duration(s.cfg.Limits.WriteTimeout))
+// newClientConn sets up an accepted connection; its run has not begun.
+func (s *Server) newClientConn(conn *net.TCPConn) (*clientConn, error) {
+	socket, err := newSocket(conn, time.Duration(s.cfg.Limits.WriteTimeout))
 	if err != nil {
 		return nil, err
 	}
-	cc := &clientConn{s: s, link: l}
-	cc.resume.L = &cc.mu
+	cc := &clientConn{server: s, socket: socket}
+	cc.readable.L = &cc.mu
 	host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
-	cc.m = proxy.NewClientConn(s.shared, cc, host, s.now())
-	l.flushed = cc.flushed
+	cc.client = proxy.NewClientConn(s.shared, cc, host, s.now())
+	socket.onFlushed = cc.flushed
 	return cc, nil
 }
 
-// run reads until the connection is over.
+// run reads until the connection is over. It owns the connection's end.
 func (cc *clientConn) run() {
-	defer cc.link.done()
-	defer cc.link.close()
+	defer cc.socket.releaseBuffer()
+	defer cc.socket.close()
 	for {
-		cc.mu.Lock()
-		for cc.link.pending() > mostPending && !cc.closed && !cc.link.broken() {
-			cc.resume.Wait()
-		}
-		cc.arm()
-		closed := cc.closed
-		cc.mu.Unlock()
-		if closed {
-			cc.drain()
+		if cc.waitReadable() {
+			cc.closeGracefully()
 			return
 		}
-		b, err := cc.link.read()
-		now := cc.s.now()
-		cc.mu.Lock()
-		switch {
-		case isTimeout(err) && !cc.link.broken() && cc.ending && !cc.closed:
-			cc.rest(now)
-		case isTimeout(err) && !cc.link.broken():
-			cc.armed = 0
-			cc.s.expiries.Add(1)
-			cc.link.unarm() // a deadline that has passed would end every read from now on at once
-			cc.m.Expired(now)
-			cc.after(now, nil)
-		case err != nil:
-			ex := cc.m.Gone()
-			cc.closed = true
-			cc.mu.Unlock()
-			if ex != nil {
-				cc.s.post(post{kind: leave, ex: ex})
-			}
+		b, err := cc.socket.read()
+		if !cc.handleRead(b, err) {
 			return
-		default:
-			cc.after(now, cc.m.Feed(now, b))
 		}
-		cc.mu.Unlock()
 	}
 }
 
-// rest ends a connection that was asked to end, if nothing of a request has been read by now. What lies there unread is
-// read first: a request that came before the end is answered. mu is held, by the reader, so that nothing is read and then
-// dropped unseen.
-func (cc *clientConn) rest(now time.Duration) {
-	cc.ending, cc.armed = false, 0
-	cc.link.unarm()
-	if cc.m.Idle() {
-		if b := cc.link.poll(); len(b) > 0 {
-			cc.brief = false
-			cc.after(now, cc.m.Feed(now, b))
-			return
-		}
-		cc.m.Drain()
-	} else {
-		cc.brief = false // it is in use
+// waitReadable waits while the client has too much to take, sets the read deadline, and reports whether the last bytes are
+// written.
+func (cc *clientConn) waitReadable() (closed bool) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	for cc.socket.unwrittenBytes() > maxUnwrittenClientBytes && !cc.closed && !cc.socket.writeFailed() {
+		cc.readable.Wait()
 	}
-	cc.after(now, nil)
+	cc.setReadDeadline()
+	return cc.closed
 }
 
-// drain reads what a client still sends after its last answer, since closing on it could take the answer along.
-func (cc *clientConn) drain() {
+// handleRead feeds what a read returned to the state machine; false: the client has disconnected.
+func (cc *clientConn) handleRead(b []byte, err error) bool {
+	now := cc.server.now()
 	cc.mu.Lock()
-	linger := cc.linger && !cc.brief
-	if cc.m.Aborts() {
-		cc.link.conn.SetLinger(0)
-		cc.mu.Unlock()
+	defer cc.mu.Unlock()
+	switch {
+	case err == nil:
+		cc.advance(now, cc.client.Feed(now, b))
+	case isTimeout(err) && !cc.socket.writeFailed() && cc.closeRequested && !cc.closed:
+		cc.closeIfIdle(now)
+	case isTimeout(err) && !cc.socket.writeFailed():
+		cc.readDeadline = 0
+		cc.server.expiredReads.Add(1)
+		cc.socket.clearReadDeadline() // a deadline that has passed would end every read from now on at once
+		cc.client.DeadlinePassed(now)
+		cc.advance(now, nil)
+	default:
+		cc.closed = true
+		if exchange := cc.client.Disconnected(); exchange != nil {
+			cc.server.post(clientLeft{exchange})
+		}
+		return false
+	}
+	return true
+}
+
+// closeIfIdle ends a connection that was asked to end, if no part of a request has been read by now. What has come and is
+// unread is read first: a request that came before the end is answered. mu is held, and the reader calls it, so that
+// nothing is read and then dropped.
+func (cc *clientConn) closeIfIdle(now time.Duration) {
+	cc.closeRequested, cc.readDeadline = false, 0
+	cc.socket.clearReadDeadline()
+	if !cc.client.Idle() {
+		cc.evicted = false
+		cc.advance(now, nil)
+		return
+	}
+	if b := cc.socket.readAvailable(); len(b) > 0 {
+		cc.evicted = false
+		cc.advance(now, cc.client.Feed(now, b))
 		return
 	}
+	cc.client.Drain()
+	cc.advance(now, nil)
+}
+
+// closeGracefully shuts the sending side and reads what the client still sends, within lingeringCloseTimeout and
+// maxLingeringCloseBytes. run closes the connection then. One whose response broke off is reset: the client must not take
+// the end for that of a response without a length.
+func (cc *clientConn) closeGracefully() {
+	cc.mu.Lock()
+	lingers := cc.lingers && !cc.evicted
+	resets := cc.client.MustReset()
 	cc.mu.Unlock()
-	cc.link.conn.CloseWrite()
-	if !linger || cc.link.broken() {
+	if resets {
+		cc.socket.conn.SetLinger(0)
 		return
 	}
-	cc.link.conn.SetReadDeadline(time.Now().Add(lingerTime))
-	for left := lingerBytes; left > 0; {
-		b, err := cc.link.read()
+	cc.socket.conn.CloseWrite()
+	if !lingers || cc.socket.writeFailed() {
+		return
+	}
+	cc.socket.conn.SetReadDeadline(time.Now().Add(lingeringCloseTimeout))
+	for left := maxLingeringCloseBytes; left > 0; {
+		b, err := cc.socket.read()
 		if err != nil {
 			return
 		}
@@ -128,110 +158,149 @@
 	}
 }
 
-// arm sets the read deadline when the one that is set would come too late. One that comes too early is looked at
-// when it comes; so a busy connection sets none from request to request.
-func (cc *clientConn) arm() {
-	d := cc.m.Deadline()
-	if d != 0 && !cc.ending && (cc.armed == 0 || cc.armed > d) {
-		cc.armed = d
-		cc.link.conn.SetReadDeadline(cc.s.origin().Add(d))
+// setReadDeadline sets the read deadline when the one that is set would come too late. One that comes too early ends a
+// read, and handleRead sets the next: so a busy connection sets none from request to request. mu is held.
+func (cc *clientConn) setReadDeadline() {
+	deadline := cc.client.Deadline()
+	if deadline != 0 && !cc.closeRequested && (cc.readDeadline == 0 || cc.readDeadline > deadline) {
+		cc.readDeadline = deadline
+		cc.socket.conn.SetReadDeadline(cc.server.clockOrigin().Add(deadline))
 	}
 }
 
-// after carries out what the machine wants; mu is held.
-func (cc *clientConn) after(now time.Duration, ex *proxy.Exchange) {
+// advance posts a request that the state machine has completed, writes what it has for the client, and goes on with
+// requests that came ahead, until nothing is left to do or the client takes no more. mu is held.
+func (cc *clientConn) advance(now time.Duration, request *proxy.Exchange) {
 	for {
-		if ex != nil && !cc.s.post(post{kind: arrive, ex: ex}) {
-			cc.m.RejectOverload(now, ex)
-		} else if ex != nil {
-			break
-		}
-		if len(cc.m.OwnStatuses) > 0 {
-			if cc.s.debug {
-				for _, status := range cc.m.OwnStatuses {
-					cc.s.log.Debug("answer", "status", status, "client", cc.link.conn.RemoteAddr().String())
-				}
+		if request != nil {
+			if cc.server.postRequest(request) {
+				break
 			}
-			cc.m.OwnStatuses = cc.m.OwnStatuses[:0]
+			cc.client.RejectOverload(now, request)
 		}
-		if len(cc.m.Out) > 0 {
-			cc.link.write(cc.m.Out)
-			if cc.m.Out = cc.m.Out[:0]; cap(cc.m.Out) > 16<<10 {
-				cc.m.Out = nil
-			}
-		}
-		if cc.link.pending() > 0 { // the flusher goes on
+		cc.logOwnResponses()
+		cc.writeOutput()
+		if cc.socket.unwrittenBytes() > 0 { // flushed goes on
 			break
 		}
-		if cc.finished() {
+		if cc.markClosedIfFinished() {
 			return
 		}
-		if ex = cc.m.Resume(now); ex == nil && len(cc.m.Out) == 0 {
-			if cc.finished() {
+		request = cc.client.Resume(now)
+		if request == nil && len(cc.client.Outgoing) == 0 {
+			if cc.markClosedIfFinished() {
 				return
 			}
 			break
 		}
 	}
-	cc.arm()
-	cc.resume.Signal()
+	cc.setReadDeadline()
+	cc.readable.Signal()
 }
 
-// finished tells whether the connection is over, and lets its reader know; mu is held and nothing is unwritten.
-func (cc *clientConn) finished() bool {
-	closes, linger := cc.m.Closing()
-	if !closes || len(cc.m.Out) > 0 {
+// logOwnResponses logs the responses that the connection has given without the instance. mu is held.
+func (cc *clientConn) logOwnResponses() {
+	if cc.server.debug {
+		for _, status := range cc.client.LocalStatuses {
+			cc.server.log.Debug("answer", "status", status, "client", cc.socket.conn.RemoteAddr().String())
+		}
+	}
+	cc.client.LocalStatuses = cc.client.LocalStatuses[:0]
+}
+
+// writeOutput writes what the state machine has for the client. mu is held.
+func (cc *clientConn) writeOutput() {
+	if len(cc.client.Outgoing) == 0 {
+		return
+	}
+	cc.socket.write(cc.client.Outgoing)
+	cc.client.Outgoing = cc.client.Outgoing[:0]
+	if cap(cc.client.Outgoing) > maxIdleOutputBytes {
+		cc.client.Outgoing = nil
+	}
+}
+
+// markClosedIfFinished reports whether the connection is over, and wakes its reader to close it. mu is held, and nothing is
+// unwritten.
+func (cc *clientConn) markClosedIfFinished() bool {
+	closes, lingers := cc.client.Closing()
+	if !closes || len(cc.client.Outgoing) > 0 {
 		return false
 	}
 	if !cc.closed {
-		cc.closed, cc.linger = true, linger
-		cc.link.conn.SetReadDeadline(time.Unix(1, 0))
-		cc.resume.Signal()
+		cc.closed, cc.lingers = true, lingers
+		cc.socket.conn.SetReadDeadline(inThePast)
+		cc.readable.Signal()
 	}
 	return true
 }
 
-// flushed goes on once a slow client has taken what was kept for it.
+// flushed goes on once a slow client has taken what was kept for it. The socket's flusher calls it.
 func (cc *clientConn) flushed() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	if cc.link.broken() {
-		cc.s.log.Debug("client took too long, or went", "client", cc.link.conn.RemoteAddr().String())
-		cc.resume.Signal()
+	if cc.socket.writeFailed() {
+		cc.server.log.Debug("client took too long, or went", "client", cc.socket.conn.RemoteAddr().String())
+		cc.readable.Signal()
 		return
 	}
-	cc.after(cc.s.now(), nil)
+	cc.advance(cc.server.now(), nil)
 }
 
-// answered hands an answer, or its beginning, to the client.
-func (cc *clientConn) answered(now time.Duration, ex *proxy.Exchange, b []byte, more, closes bool) {
+// respond writes a whole response. closes says that its head announces the connection's end. It does not block.
+func (cc *clientConn) respond(now time.Duration, exchange *proxy.Exchange, response []byte, closes bool) {
 	cc.mu.Lock()
-	cc.m.Answered(now, ex, b, more, closes)
-	cc.after(now, nil)
-	cc.mu.Unlock()
+	defer cc.mu.Unlock()
+	const more = false
+	cc.client.Respond(now, exchange, response, more, closes)
+	cc.advance(now, nil)
 }
 
-// relay hands on more of an answer and waits until the client has taken enough of it.
-func (cc *clientConn) relay(now time.Duration, ex *proxy.Exchange, b []byte, end, broken bool) {
+// startStream writes the beginning of a streamed response. closes says that only the connection's end can end it. It does
+// not block.
+func (cc *clientConn) startStream(now time.Duration, exchange *proxy.Exchange, beginning []byte, closes bool) {
 	cc.mu.Lock()
-	cc.m.Relay(now, ex, b, end, broken)
-	cc.after(now, nil)
-	cc.mu.Unlock()
-	if !end && !broken {
-		cc.link.waitRoom(mostPending)
-	}
+	defer cc.mu.Unlock()
+	const more = true
+	cc.client.Respond(now, exchange, beginning, more, closes)
+	cc.advance(now, nil)
 }
 
-// shut asks for the connection's end if it is idle. Its reader ends it: what has been read by then is no idle connection.
-func (cc *clientConn) shut() {
+// continueStream writes more of a streamed response, and blocks while the client has maxUnwrittenClientBytes or more to
+// take: the backend's connection is not read meanwhile. The reader of that connection calls it.
+func (cc *clientConn) continueStream(now time.Duration, exchange *proxy.Exchange, part []byte) {
+	cc.relay(now, exchange, part, false, false)
+	cc.socket.waitUnwrittenBelow(maxUnwrittenClientBytes)
+}
+
+// endStream writes the end of a streamed response. It does not block.
+func (cc *clientConn) endStream(now time.Duration, exchange *proxy.Exchange, end []byte) {
+	cc.relay(now, exchange, end, true, false)
+}
+
+// abortStream ends the connection of a streamed response that broke off. It does not block.
+func (cc *clientConn) abortStream(now time.Duration, exchange *proxy.Exchange) {
+	cc.relay(now, exchange, nil, false, true)
+}
+
+func (cc *clientConn) relay(now time.Duration, exchange *proxy.Exchange, part []byte, end, broken bool) {
 	cc.mu.Lock()
-	cc.shutLocked()
-	cc.mu.Unlock()
+	defer cc.mu.Unlock()
+	cc.client.ContinueResponse(now, exchange, part, end, broken)
+	cc.advance(now, nil)
+}
+
+// requestClose asks the reader to close the connection if it is idle. A request that comes before that is answered. Any
+// goroutine may call it; it does not block.
+func (cc *clientConn) requestClose() {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	cc.requestCloseLocked()
 }
 
-func (cc *clientConn) shutLocked() {
-	if cc.m.Idle() && !cc.closed && !cc.ending {
-		cc.ending = true
-		cc.link.conn.SetReadDeadline(time.Unix(1, 0))
+func (cc *clientConn) requestCloseLocked() {
+	if cc.client.Idle() && !cc.closed && !cc.closeRequested {
+		cc.closeRequested = true
+		cc.socket.conn.SetReadDeadline(inThePast)
 	}
 }
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -70,8 +70,8 @@
 	}
 	inst.core = core
 	if r := inst.sim.options.Record; r != nil {
-		core.Record = r(inst.number, inst.config, seed)
-		core.Record(core.FirstStep(inst.now()))
+		core.RecordDecision = r(inst.number, inst.config, seed)
+		core.RecordDecision(core.InitialDecision(inst.now()))
 	}
 	inst.host.alive, inst.host.paused, inst.host.notAccepting = true, false, false
 	inst.host.accept = inst.accept
@@ -129,9 +129,9 @@
 		e.Conn.Owner.(*instanceBackendConn).abandon()
 	case proxy.Respond:
 		inst.sim.cover(fmt.Sprintf("answer %d", e.Exchange.Status))
-		e.Exchange.Owner.(*instanceClientConn).respond(e.Exchange, e.Bytes, false, e.Closes)
+		e.Exchange.Owner.(*instanceClientConn).respond(e.Exchange, e.Bytes, false, e.CloseAfterResponse)
 	case proxy.StreamResponse:
-		e.Exchange.Owner.(*instanceClientConn).respond(e.Exchange, e.Bytes, true, e.Closes)
+		e.Exchange.Owner.(*instanceClientConn).respond(e.Exchange, e.Bytes, true, e.CloseAfterResponse)
 		e.Conn.Owner.(*instanceBackendConn).grantStream()
 	case proxy.AbortClient:
 		e.Exchange.Owner.(*instanceClientConn).relay(e.Exchange, nil, false, true)
--- a/internal/simulation/instancebackend.go
+++ b/internal/simulation/instancebackend.go
@@ -58,7 +58,7 @@
 		return
 	}
 	if b.exchange != nil && !unsent {
-		b.handleResponse(b.reader.Lost())
+		b.handleResponse(b.reader.ConnectionLost())
 		return
 	}
 	b.done = true
--- a/internal/simulation/instanceclient.go
+++ b/internal/simulation/instanceclient.go
@@ -21,8 +21,8 @@
 }
 
 func (inst *simInstance) accept(conn *netConn) {
-	if inst.shared.Clients.Add(1) > int64(inst.config.Limits.Connections) {
-		inst.shared.Clients.Add(-1)
+	if inst.shared.ClientConns.Add(1) > int64(inst.config.Limits.Connections) {
+		inst.shared.ClientConns.Add(-1)
 		inst.sim.cover("connection turned away")
 		conn.peer.tooManyConns = true
 		conn.write(inst.shared.TooManyConnections())
@@ -47,7 +47,7 @@
 			return
 		}
 		c.deadlineAt = 0
-		c.machine.Expired(c.instance.now())
+		c.machine.DeadlinePassed(c.instance.now())
 		c.proceed(nil)
 	}))
 }
@@ -73,7 +73,7 @@
 	if c.done {
 		return
 	}
-	ex := c.machine.Gone()
+	ex := c.machine.Disconnected()
 	c.close(true)
 	if ex != nil {
 		c.instance.sim.cover("client left")
@@ -87,7 +87,7 @@
 	}
 	c.done = true
 	c.conn.close(reset)
-	c.instance.shared.Clients.Add(-1)
+	c.instance.shared.ClientConns.Add(-1)
 	c.instance.clients = without(c.instance.clients, c)
 	if c.streamSource != nil {
 		c.streamSource.readable(nil)
@@ -112,13 +112,13 @@
 			c.streamSource.readable(nil)
 		}
 		if closes, linger := c.machine.Closing(); closes {
-			c.endConnection(linger && !c.machine.Aborts())
+			c.endConnection(linger && !c.machine.MustReset())
 			return
 		}
 		if ex != nil {
 			break
 		}
-		if ex = c.machine.Resume(c.instance.now()); ex == nil && len(c.machine.Out) == 0 {
+		if ex = c.machine.Resume(c.instance.now()); ex == nil && len(c.machine.Outgoing) == 0 {
 			if closes, _ := c.machine.Closing(); !closes {
 				break
 			}
@@ -135,16 +135,16 @@
 
 // flush writes what the state machine has for the client.
 func (c *instanceClientConn) flush() {
-	for _, status := range c.machine.OwnStatuses {
+	for _, status := range c.machine.LocalStatuses {
 		c.instance.sim.cover("own answer " + strconv.Itoa(status))
 	}
-	c.machine.OwnStatuses = c.machine.OwnStatuses[:0]
-	all := len(c.unsent) + len(c.machine.Out)
+	c.machine.LocalStatuses = c.machine.LocalStatuses[:0]
+	all := len(c.unsent) + len(c.machine.Outgoing)
 	if all == 0 {
 		return
 	}
-	c.unsent = c.conn.writeBuffered(c.unsent, c.machine.Out)
-	c.machine.Out = c.machine.Out[:0]
+	c.unsent = c.conn.writeBuffered(c.unsent, c.machine.Outgoing)
+	c.machine.Outgoing = c.machine.Outgoing[:0]
 	if len(c.unsent) < all {
 		c.blockedSince = c.instance.sim.now
 	}
@@ -154,7 +154,7 @@
 // what still arrives for lingerTime: closed at once, unread bytes would reset the connection and take the response along.
 func (c *instanceClientConn) endConnection(linger bool) {
 	if !linger {
-		c.close(c.machine.Aborts())
+		c.close(c.machine.MustReset())
 		return
 	}
 	if !c.lingering {
@@ -180,7 +180,7 @@
 	if c.done {
 		return
 	}
-	c.machine.Answered(c.instance.now(), ex, b, more, closes)
+	c.machine.Respond(c.instance.now(), ex, b, more, closes)
 	c.proceed(nil)
 	c.readable(nil)
 }
@@ -189,7 +189,7 @@
 	if c.done {
 		return
 	}
-	c.machine.Relay(c.instance.now(), ex, b, end, broken)
+	c.machine.ContinueResponse(c.instance.now(), ex, b, end, broken)
 	if broken {
 		c.instance.sim.cover("answer cut off")
 	}
--- a/internal/simulation/quiescence.go
+++ b/internal/simulation/quiescence.go
@@ -25,11 +25,11 @@
 		if !inst.core.Quiescent() || inst.core.Unanswered() != 0 {
 			s.report(RuleLeak, fmt.Sprintf("door %d holds %d exchanges, %d owed", inst.number, requests, inst.core.Unanswered()))
 		}
-		if n := inst.shared.Memory.Load(); n != 0 {
+		if n := inst.shared.ReservedBytes.Load(); n != 0 {
 			s.report(RuleLeak, fmt.Sprintf("door %d holds %d bytes of bodies", inst.number, n))
 		}
-		if len(inst.clients) > 0 || inst.shared.Clients.Load() != 0 {
-			s.report(RuleLeak, fmt.Sprintf("door %d holds %d connections of clients, counts %d", inst.number, len(inst.clients), inst.shared.Clients.Load()))
+		if len(inst.clients) > 0 || inst.shared.ClientConns.Load() != 0 {
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d connections of clients, counts %d", inst.number, len(inst.clients), inst.shared.ClientConns.Load()))
 		}
 		if conns != len(inst.backendConns) || conns > 0 {
 			s.report(RuleLeak, fmt.Sprintf("door %d holds %d lines to boxes, its runtime %d", inst.number, conns, len(inst.backendConns)))
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -29,7 +29,7 @@
 	ContinueAfterViolation bool                                // instead of ending the run
 	Config                 *config.Config                      // nil: that of Deployment
 	// Record, if set, is called with each instance's start and returns what is called with its steps.
-	Record func(number int, cfg *config.Config, seed uint64) func(proxy.Step)
+	Record func(number int, cfg *config.Config, seed uint64) func(proxy.DecisionStep)
 }
 
 // Sim is a run in progress.
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -7,7 +7,7 @@
 	"sandyard/config"
 )
 
-// BenchmarkExchange is one request through all machines, without sockets: parsed, decided, sent, answered.
+// BenchmarkExchange is one request through all parts, without sockets: parsed, decided, sent and answered.
 func BenchmarkExchange(b *testing.B) {
 	cfg, err := config.Load("../examples/kilns/gateway.yaml")
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	core.ReplaceEndpoints(now, cfg.Endpoints, time.Time{})
 	c := NewClientConn(set, nil, "192.0.2.1", now)
-	in := text("GET", "/v1/slots", "key-hill-school", "User-Agent: bench\r\nAccept: */*\r\n")
+	in := requestText("GET", "/v1/slots", "key-hill-school", "User-Agent: bench\r\nAccept: */*\r\n")
 	answer := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nendpoint-load-metrics: TEXT cpu_utilization=0.1, named_metrics.in_flight=1\r\nContent-Length: 2\r\n\r\nhi")
 	conns := map[*BackendConn]*ResponseReader{}
 	b.ReportAllocs()
@@ -36,20 +36,20 @@
 		core.RequestArrived(now, ex)
 		for more := true; more; {
 			more = false
-			for _, w := range core.Effects() {
+			for _, effect := range core.Effects() {
 				more = true
-				switch w.Kind {
+				switch effect.Kind {
 				case DialBackend:
-					conns[w.Conn] = NewResponseReader(set)
-					core.BackendConnected(now, w.Conn)
+					conns[effect.Conn] = NewResponseReader(set)
+					core.BackendConnected(now, effect.Conn)
 				case WriteAttempt:
-					bc := conns[w.Conn]
-					bc.Expect(w.Exchange)
+					bc := conns[effect.Conn]
+					bc.Expect(effect.Exchange)
 					a := bc.Feed(answer)
-					core.ResponseReceived(now, w.Conn, &a)
+					core.ResponseReceived(now, effect.Conn, &a)
 				case Respond:
-					c.Answered(now, w.Exchange, w.Bytes, false, false)
-					c.Out = c.Out[:0]
+					c.Respond(now, effect.Exchange, effect.Bytes, false, false)
+					c.Outgoing = c.Outgoing[:0]
 				}
 			}
 		}
