--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -1,10 +1,11 @@
-// Package mutation has the mistakes that the simulator is tried against: each takes one defence of the front door or of
-// the decision module away, as a change of the source that a build is told of. Nothing of it is in a normal build.
+// Package mutation has the mutations that the simulator is tried against: each takes one guard of the proxy or of the decision
+// package away, as a change of the source that a build overlays. Nothing of it is in a normal build.
 package mutation
 
 import (
 	_ "embed"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -17,18 +18,27 @@
 //go:embed list.yaml
 var list []byte
 
-// CostOnly as the rule of a Mutation says that no rule can see it: it costs worth served, or calls to the keeper.
+// CostOnly as the rule of a Mutation says that no rule can see it: it costs value served, or calls to the counter.
 const CostOnly = "worth"
 
+// What can be wrong with the list.
+var (
+	// ErrList is a list whose entries don't fit together.
+	ErrList = errors.New("mutants")
+	// ErrStaleEdit is an edit whose old text does not stand in its file exactly once: the source has moved on and the
+	// list has not.
+	ErrStaleEdit = errors.New("stale edit")
+)
+
 // Mutation is a planted mistake.
 type Mutation struct {
 	Name       string   `yaml:"name"`
-	Guards     string   `yaml:"guards"`  // what the defence that is taken away guards against
-	Rule       string   `yaml:"rule"`    // that sees it, or Worth
-	Because    string   `yaml:"because"` // of those that no rule sees alone: why
-	With       []string `yaml:"with"`    // other mistakes that are made together with it
-	Script     string   `yaml:"script"`  // a file beside the simulator's tests that finds it
-	CostScript string   `yaml:"day"`     // for those of Worth: a file there on whose day the defence matters
+	Guards     string   `yaml:"guards"`  // what the guard that is taken away protects
+	Rule       string   `yaml:"rule"`    // that sees its absence, or CostOnly
+	Because    string   `yaml:"because"` // why no rule sees it alone, where none does
+	With       []string `yaml:"with"`    // names of mutations that are made together with it
+	Script     string   `yaml:"script"`  // a file in the simulator's testdata that finds it
+	CostScript string   `yaml:"day"`     // of CostOnly: a file there in whose runs the guard matters
 	Edits      []Edit   `yaml:"edits"`
 }
 
@@ -39,40 +49,61 @@
 	New  string `yaml:"new"`
 }
 
-// List is all mistakes. The error, if any, is a diag.Problems.
+// listError is a mistake in the list; errors.Is finds ErrList.
+type listError struct{ text string }
+
+func (e listError) Error() string        { return ErrList.Error() + ": " + e.text }
+func (e listError) Is(target error) bool { return target == ErrList }
+
+// StaleEditError is an edit that does not fit the source; errors.Is finds ErrStaleEdit.
+type StaleEditError struct {
+	Mutation string
+	Edit     Edit
+	Count    int // how many times the old text stands in the file
+}
+
+func (e *StaleEditError) Error() string {
+	return fmt.Sprintf("mutant %s: %s has %d times, not once: %q", e.Mutation, e.Edit.File, e.Count, e.Edit.Old)
+}
+
+// Is reports whether the target is ErrStaleEdit.
+func (e *StaleEditError) Is(target error) bool { return target == ErrStaleEdit }
+
+// List returns all mutations, each with the edits of those that are made together with it. The error, if any, is a
+// diagnostic.Problems or ErrList.
 func List() ([]Mutation, error) {
-	var f struct {
+	var file struct {
 		Mutants []Mutation `yaml:"mutants"`
 	}
-	d := strictyaml.Read("list.yaml", list, &f)
+	d := strictyaml.Read("list.yaml", list, &file)
 	if err := d.Problems.Err(); err != nil {
 		return nil, err
 	}
-	at := map[string]int{}
-	for i, m := range f.Mutants {
-		if _, twice := at[m.Name]; twice {
-			return nil, fmt.Errorf("mutants: %s is there twice", m.Name)
+	byName := map[string]int{}
+	for i, m := range file.Mutants {
+		if _, twice := byName[m.Name]; twice {
+			return nil, listError{m.Name + " is there twice"}
 		}
-		at[m.Name] = i
+		byName[m.Name] = i
 	}
-	for i := range f.Mutants {
-		m := &f.Mutants[i]
+	for i := range file.Mutants {
+		m := &file.Mutants[i]
 		for _, other := range m.With {
-			j, ok := at[other]
+			j, ok := byName[other]
 			if !ok {
-				return nil, fmt.Errorf("mutants: %s goes with %q, which is not there", m.Name, other)
+				return nil, listError{fmt.Sprintf("%s goes with %q, which is not there", m.Name, other)}
 			}
-			m.Edits = append(slices.Clone(f.Mutants[j].Edits), m.Edits...)
+			m.Edits = append(slices.Clone(file.Mutants[j].Edits), m.Edits...)
 		}
 		if len(m.Edits) == 0 {
-			return nil, fmt.Errorf("mutants: %s changes nothing", m.Name)
+			return nil, listError{m.Name + " changes nothing"}
 		}
 	}
-	return f.Mutants, nil
+	return file.Mutants, nil
 }
 
-// Apply is what becomes of the files that a mistake changes, below the module's root. A piece that does not stand in its
-// file exactly once is an error: the source has moved on and the list has not.
+// Apply returns the changed texts of the files that a mutation changes, by their names below the module's root. The error
+// is a *StaleEditError, or that of a file that can't be read.
 func (m Mutation) Apply(root string) (map[string]string, error) {
 	texts := map[string]string{}
 	for _, e := range m.Edits {
@@ -85,7 +116,7 @@
 			text = string(b)
 		}
 		if n := strings.Count(text, e.Old); n != 1 {
-			return nil, fmt.Errorf("mutant %s: %s has %d times, not once: %q", m.Name, e.File, n, e.Old)
+			return nil, &StaleEditError{Mutation: m.Name, Edit: e, Count: n}
 		}
 		texts[e.File] = strings.Replace(text, e.Old, e.New, 1)
 	}
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -1,6 +1,7 @@
 package mutation
 
 import (
+	"errors"
 	"go/parser"
 	"go/token"
 	"os"
@@ -11,9 +12,9 @@
 	"sandyard/internal/simulation"
 )
 
-// TestListFitsTheSource: every mistake can be planted in the source as it is, and changes it to what parses; its rule is
-// one that runs are held to, and its script is there.
-func TestListFitsTheSource(t *testing.T) {
+// A mutation that no longer fits the source would be skipped, and its guard would be without a check. Each must apply to the
+// source as it is and leave what parses; its rule must be one that runs are held to, and its scripts must be there.
+func TestMutationsApplyToTheSource(t *testing.T) {
 	all, err := List()
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +35,7 @@
 			t.Errorf("%s: no rule is called %q", m.Name, m.Rule)
 		}
 		if m.Guards == "" {
-			t.Errorf("%s: what does it guard against?", m.Name)
+			t.Errorf("%s: does not say what it guards", m.Name)
 		}
 		for _, file := range []string{m.Script, m.CostScript} {
 			if file == "" {
@@ -45,18 +46,18 @@
 			}
 		}
 		if m.CostScript != "" && m.Rule != CostOnly {
-			t.Errorf("%s: a day of worth, though a rule sees it", m.Name)
+			t.Errorf("%s: a script for its cost, though a rule sees it", m.Name)
 		}
 	}
 	if len(all) < 30 {
-		t.Errorf("%d mistakes only", len(all))
+		t.Errorf("%d mutations only", len(all))
 	}
 }
 
-// A list that the source has left behind is told, not passed over.
-func TestMovedSource(t *testing.T) {
+// When the source moves on and the list does not, that must be an error that names the file, not a mutation without effect.
+func TestStaleEditIsAnError(t *testing.T) {
 	m := Mutation{Name: "x", Edits: []Edit{{File: "mutation.go", Old: "no such text, except here", New: ""}}}
-	if _, err := m.Apply("."); err == nil || !strings.Contains(err.Error(), "mutation.go has 0 times") {
+	if _, err := m.Apply("."); !errors.Is(err, ErrStaleEdit) || !strings.Contains(err.Error(), "mutation.go has 0 times") {
 		t.Errorf("%v", err)
 	}
 }
