--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -61,6 +61,6 @@
 	return bench.Tools(bench.ToolOptions{Options: bench.Options{Conns: b.Conns, Seconds: b.Seconds, Rounds: b.Rounds, Out: c.Out, Command: self},
 		Rate: b.Rate, Looks: b.Lookups, Ask: func(socket, path string) error {
 			var v any
-			return ask(socket, path, &v)
+			return queryAdmin(socket, path, &v)
 		}})
 }
--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -19,16 +19,16 @@
 // Emulator runs the sandyard-emulator program.
 func Emulator(args []string, out, errs io.Writer) int {
 	var g struct {
-		Box    emulateBackend `cmd:"" help:"Run a stand-in box."`
-		Keeper emulateCounter `cmd:"" help:"Run a stand-in tally keeper."`
-		Set    setFault       `cmd:"" help:"Set a fault of a running stand-in: slow 3, hang, reset 20, lose, fault 0.5, refuse, lie 0, stall, delay 200; of the keeper: silent, empty, refuse, stall, delay."`
-		Clear  clearFault     `cmd:"" help:"End a fault of a running stand-in."`
+		Box    emulateBackendCommand `cmd:"" help:"Run a stand-in box."`
+		Keeper emulateCounterCommand `cmd:"" help:"Run a stand-in tally keeper."`
+		Set    setFaultCommand       `cmd:"" help:"Set a fault of a running stand-in: slow 3, hang, reset 20, lose, fault 0.5, refuse, lie 0, stall, delay 200; of the keeper: silent, empty, refuse, stall, delay."`
+		Clear  clearFaultCommand     `cmd:"" help:"End a fault of a running stand-in."`
 	}
 	return program("sandyard-emulator", "Peers to try a front door against: boxes and a tally keeper.", &g, args, out, errs,
 		&Console{out, errs})
 }
 
-type emulateBackend struct {
+type emulateBackendCommand struct {
 	Name           string        `default:"box" help:"Its name in records and answers."`
 	Listen         string        `default:"127.0.0.1:0" help:"Address to listen on."`
 	Control        string        `default:"127.0.0.1:0" help:"Address on which faults are set."`
@@ -62,16 +62,16 @@
 	Control string `json:"control"`
 }
 
-// record writes lines from a goroutine of its own, so that a slow reader does not hold up the box.
-type record struct {
+// lineWriter writes lines from a goroutine of its own, so that a slow reader does not hold up the box.
+type lineWriter struct {
 	mu    sync.Mutex
 	lines []byte
 	wake  chan struct{}
 	done  chan struct{}
 }
 
-func newRecord(out io.Writer) *record {
-	r := &record{wake: make(chan struct{}, 1), done: make(chan struct{})}
+func newLineWriter(out io.Writer) *lineWriter {
+	r := &lineWriter{wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		w := bufio.NewWriter(out)
@@ -87,7 +87,7 @@
 	return r
 }
 
-func (r *record) write(v any) {
+func (r *lineWriter) write(v any) {
 	b, _ := json.Marshal(v)
 	r.mu.Lock()
 	r.lines = append(append(r.lines, b...), '\n')
@@ -99,7 +99,7 @@
 }
 
 // close writes what is left.
-func (r *record) close() {
+func (r *lineWriter) close() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -108,8 +108,8 @@
 	<-r.done
 }
 
-func (b emulateBackend) Run(c *Console) error {
-	rec := newRecord(c.Out)
+func (b emulateBackendCommand) Run(c *Console) error {
+	rec := newLineWriter(c.Out)
 	defer rec.close()
 	var facts func(emulator.Fact)
 	if b.Record {
@@ -128,7 +128,7 @@
 }
 
 // serveUntilSignal says where a stand-in listens and waits for a signal.
-func serveUntilSignal(rec *record, addr, control string, f server.FaultTarget) error {
+func serveUntilSignal(rec *lineWriter, addr, control string, f server.FaultTarget) error {
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(told)
@@ -142,13 +142,13 @@
 	return nil
 }
 
-type emulateCounter struct {
+type emulateCounterCommand struct {
 	Listen  string `default:"127.0.0.1:0" help:"Address to listen on."`
 	Control string `default:"127.0.0.1:0" help:"Address on which faults are set."`
 }
 
-func (s emulateCounter) Run(c *Console) error {
-	rec := newRecord(c.Out)
+func (s emulateCounterCommand) Run(c *Console) error {
+	rec := newLineWriter(c.Out)
 	defer rec.close()
 	k, err := server.StartCounter(s.Listen)
 	if err != nil {
@@ -158,12 +158,12 @@
 	return serveUntilSignal(rec, k.Addr(), s.Control, k)
 }
 
-type setFault struct {
+type setFaultCommand struct {
 	Control string   `required:"" help:"The stand-in's control address." placeholder:"ADDR"`
 	Fault   []string `arg:"" help:"The fault, with its value."`
 }
 
-func (s setFault) Run(c *Console) error {
+func (s setFaultCommand) Run(c *Console) error {
 	if err := server.SendFaultCommand(s.Control, "set "+strings.Join(s.Fault, " ")); err != nil {
 		return err
 	}
@@ -171,12 +171,12 @@
 	return err
 }
 
-type clearFault struct {
+type clearFaultCommand struct {
 	Control string `required:"" help:"The stand-in's control address." placeholder:"ADDR"`
 	Fault   string `arg:"" help:"The fault."`
 }
 
-func (s clearFault) Run(c *Console) error {
+func (s clearFaultCommand) Run(c *Console) error {
 	if err := server.SendFaultCommand(s.Control, "clear "+s.Fault); err != nil {
 		return err
 	}
--- a/internal/cli/quota.go
+++ b/internal/cli/quota.go
@@ -31,8 +31,8 @@
 	return program("sandyard-quota", "How a studio stands with its quota.", &g, args, out, errs, &Console{out, errs})
 }
 
-// ask gets an answer from a front door's admin socket. One of another core is refused.
-func ask(socket, path string, into any) error {
+// queryAdmin gets an answer from a front door's admin socket. One of another core is refused.
+func queryAdmin(socket, path string, into any) error {
 	c, err := net.DialTimeout("unix", socket, 2*time.Second)
 	if err != nil {
 		return err
@@ -79,10 +79,10 @@
 }
 
 type quotaShow struct {
-	Studio string        `required:"" help:"The studio's name."`
-	Socket string        `help:"The front door's admin socket." placeholder:"PATH"`
-	Trace  []string      `type:"existingfile" help:"Or trace files." placeholder:"FILE"`
-	At     time.Duration `help:"With traces: time after the first step; the end if absent."`
+	Customer string        `name:"studio" required:"" help:"The studio's name."`
+	Socket   string        `help:"The front door's admin socket." placeholder:"PATH"`
+	Trace    []string      `type:"existingfile" help:"Or trace files." placeholder:"FILE"`
+	At       time.Duration `help:"With traces: time after the first step; the end if absent."`
 	output
 }
 
@@ -90,12 +90,12 @@
 	var v quota.View
 	switch {
 	case q.Socket != "" && len(q.Trace) == 0:
-		if err := ask(q.Socket, "/v1/studio?name="+url.QueryEscape(q.Studio), &v); err != nil {
+		if err := queryAdmin(q.Socket, "/v1/studio?name="+url.QueryEscape(q.Customer), &v); err != nil {
 			return err
 		}
 	case q.Socket == "" && len(q.Trace) > 0:
 		var err error
-		if v, err = q.fromTrace(c); err != nil {
+		if v, err = q.viewFromTrace(c); err != nil {
 			return err
 		}
 	default:
@@ -132,14 +132,14 @@
 	return w.Flush()
 }
 
-// fromTrace replays up to a time and looks there.
-func (q quotaShow) fromTrace(c *Console) (quota.View, error) {
+// viewFromTrace replays up to a time and looks there.
+func (q quotaShow) viewFromTrace(c *Console) (quota.View, error) {
 	var r *trace.Replay
 	var head trace.Header
 	var first, last time.Duration
 	begun, plan := false, decision.PlanID(-1)
 	stop := errors.New("far enough")
-	err := traceFiles{q.Trace}.each(c, func(h trace.Header) error {
+	err := traceFiles{q.Trace}.eachRecord(c, func(h trace.Header) error {
 		if err := coreid.Check(h.Core, "the trace"); err != nil {
 			return err
 		}
@@ -156,7 +156,7 @@
 		if q.At > 0 && it.At > first+q.At {
 			return stop
 		}
-		if a := it.Event.Arrived; a != nil && a.Customer == q.Studio {
+		if a := it.Event.Arrived; a != nil && a.Customer == q.Customer {
 			plan = a.Plan
 		}
 		last = max(last, it.At)
@@ -171,21 +171,21 @@
 	if r.Dropped > 0 {
 		fmt.Fprintf(c.Errs, "%d steps are missing from the trace: the figures may be off\n", r.Dropped)
 	}
-	st, known := r.Gateway().Customer(q.Studio)
-	return quota.Inspect(head.Settings, plan, q.Studio, st, known, last), nil
+	st, known := r.Gateway().Customer(q.Customer)
+	return quota.Inspect(head.Settings, plan, q.Customer, st, known, last), nil
 }
 
 type quotaWould struct {
-	Studio string  `required:"" help:"The studio's name."`
-	Units  float64 `default:"1" help:"Units of the try."`
-	Socket string  `required:"" help:"The front door's admin socket." placeholder:"PATH"`
+	Customer string  `name:"studio" required:"" help:"The studio's name."`
+	Units    float64 `default:"1" help:"Units of the try."`
+	Socket   string  `required:"" help:"The front door's admin socket." placeholder:"PATH"`
 	output
 }
 
 func (q quotaWould) Run(c *Console) error {
 	var v quota.Verdict
-	path := "/v1/would?name=" + url.QueryEscape(q.Studio) + "&units=" + strconv.FormatFloat(q.Units, 'g', -1, 64)
-	if err := ask(q.Socket, path, &v); err != nil {
+	path := "/v1/would?name=" + url.QueryEscape(q.Customer) + "&units=" + strconv.FormatFloat(q.Units, 'g', -1, 64)
+	if err := queryAdmin(q.Socket, path, &v); err != nil {
 		return err
 	}
 	if q.json() {
@@ -196,35 +196,35 @@
 }
 
 type quotaTotal struct {
-	Studio string `required:"" help:"The studio's name."`
-	Socket string `required:"" help:"The admin socket of a front door that serves it: it knows the name." placeholder:"PATH"`
-	Keeper string `help:"Ask this keeper, instead of the front door's." placeholder:"HOST:PORT"`
+	Customer string `name:"studio" required:"" help:"The studio's name."`
+	Socket   string `required:"" help:"The admin socket of a front door that serves it: it knows the name." placeholder:"PATH"`
+	Counter  string `name:"keeper" help:"Ask this keeper, instead of the front door's." placeholder:"HOST:PORT"`
 	output
 }
 
 // totalView is what total prints.
 type totalView struct {
-	Studio string  `json:"studio"`
-	Name   string  `json:"name"`
-	Keeper string  `json:"keeper"`
-	Held   bool    `json:"held"`    // the keeper has the name
-	Units  float64 `json:"units"`   // recent use over all front doors, as it fades
-	Lives  float64 `json:"lives_s"` // seconds until the keeper forgets the name; -1: never
+	Customer    string  `json:"studio"`
+	Name        string  `json:"name"`
+	CounterAddr string  `json:"keeper"`
+	Held        bool    `json:"held"`    // the keeper has the name
+	Units       float64 `json:"units"`   // recent use over all front doors, as it fades
+	ExpiresIn   float64 `json:"lives_s"` // seconds until the keeper forgets the name; -1: never
 }
 
 func (q quotaTotal) Run(c *Console) error {
 	var n server.CounterEntry
-	if err := ask(q.Socket, "/v1/counted?name="+url.QueryEscape(q.Studio), &n); err != nil {
+	if err := queryAdmin(q.Socket, "/v1/counted?name="+url.QueryEscape(q.Customer), &n); err != nil {
 		return err
 	}
 	if !n.Known {
-		return fmt.Errorf("the front door has not seen %q lately, or shares it with no other: the keeper holds nothing of it", q.Studio)
+		return fmt.Errorf("the front door has not seen %q lately, or shares it with no other: the keeper holds nothing of it", q.Customer)
 	}
-	if q.Keeper != "" {
-		n.CounterAddr = q.Keeper
+	if q.Counter != "" {
+		n.CounterAddr = q.Counter
 	}
-	v := totalView{Studio: q.Studio, Name: n.Name, Keeper: n.CounterAddr, Lives: -1}
-	got, err := askKeeper(n.CounterAddr, []string{"GET", n.Name}, []string{"PTTL", n.Name})
+	v := totalView{Customer: q.Customer, Name: n.Name, CounterAddr: n.CounterAddr, ExpiresIn: -1}
+	got, err := callCounter(n.CounterAddr, []string{"GET", n.Name}, []string{"PTTL", n.Name})
 	if err != nil {
 		return fmt.Errorf("keeper %s: %w", n.CounterAddr, err)
 	}
@@ -236,26 +236,26 @@
 		v.Held, v.Units = true, x/n.Weight
 	}
 	if got[1].Type == resp.Int && got[1].Int >= 0 {
-		v.Lives = float64(got[1].Int) / 1000
+		v.ExpiresIn = float64(got[1].Int) / 1000
 	}
 	if q.json() {
 		return json.NewEncoder(c.Out).Encode(v)
 	}
 	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "studio\t%q\nkeeper\t%s\nname\t%q\n", v.Studio, v.Keeper, v.Name)
+	fmt.Fprintf(w, "studio\t%q\nkeeper\t%s\nname\t%q\n", v.Customer, v.CounterAddr, v.Name)
 	if !v.Held {
 		fmt.Fprintf(w, "held\tnothing: not counted yet, forgotten, or another keeper\n")
 		return w.Flush()
 	}
 	fmt.Fprintf(w, "recent use\t%.2f units over all front doors\n", v.Units)
-	if v.Lives >= 0 {
-		fmt.Fprintf(w, "forgotten in\t%.1f s\n", v.Lives)
+	if v.ExpiresIn >= 0 {
+		fmt.Fprintf(w, "forgotten in\t%.1f s\n", v.ExpiresIn)
 	}
 	return w.Flush()
 }
 
-// askKeeper sends commands that change nothing and returns their answers.
-func askKeeper(addr string, commands ...[]string) ([]resp.Value, error) {
+// callCounter sends commands that change nothing and returns their answers.
+func callCounter(addr string, commands ...[]string) ([]resp.Value, error) {
 	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
 		return nil, err
--- a/internal/cli/quota_test.go
+++ b/internal/cli/quota_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	defer k.Close()
-	if _, err := askKeeper(k.Addr(), []string{"INCRBYFLOAT", "b.1", "12"}, []string{"PEXPIRE", "b.1", "60000", "NX"}, []string{"PING"}); err != nil {
+	if _, err := callCounter(k.Addr(), []string{"INCRBYFLOAT", "b.1", "12"}, []string{"PEXPIRE", "b.1", "60000", "NX"}, []string{"PING"}); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "a.sock")
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -28,13 +28,13 @@
 }
 
 type routesMatch struct {
-	Config string   `type:"path" xor:"from" required:"" help:"The gateway.yaml." placeholder:"FILE"`
-	Socket string   `xor:"from" required:"" help:"Or a running front door's admin socket: it answers by what it has." placeholder:"PATH"`
-	Key    string   `help:"A studio's key."`
-	Studio string   `help:"A studio by name, instead of a key."`
-	Header []string `short:"H" sep:"none" help:"A field of the request, as Name: value."`
+	Config   string   `type:"path" xor:"from" required:"" help:"The gateway.yaml." placeholder:"FILE"`
+	Socket   string   `xor:"from" required:"" help:"Or a running front door's admin socket: it answers by what it has." placeholder:"PATH"`
+	Key      string   `help:"A studio's key."`
+	Customer string   `name:"studio" help:"A studio by name, instead of a key."`
+	Header   []string `short:"H" sep:"none" help:"A field of the request, as Name: value."`
 	output
-	What []string `arg:"" help:"METHOD and target, or - for lines of METHOD TARGET [STUDIO] on standard input."`
+	Request []string `name:"what" arg:"" help:"METHOD and target, or - for lines of METHOD TARGET [STUDIO] on standard input."`
 }
 
 // match asks the running front door, or the front door's own code with the configuration's files.
@@ -44,7 +44,7 @@
 		return l.Run(cfg), nil
 	}
 	var out proxy.InspectionResult
-	return out, ask(m.Socket, "/v1/match?"+l.Query(), &out)
+	return out, queryAdmin(m.Socket, "/v1/match?"+l.Query(), &out)
 }
 
 func (m routesMatch) Run(c *Console) error {
@@ -76,7 +76,7 @@
 	}
 	defer w.Flush()
 	switch {
-	case len(m.What) == 1 && m.What[0] == "-":
+	case len(m.Request) == 1 && m.Request[0] == "-":
 		in := bufio.NewScanner(os.Stdin)
 		in.Buffer(nil, 1<<20)
 		for n := 1; in.Scan(); n++ {
@@ -87,7 +87,7 @@
 			if len(f) < 2 || len(f) > 3 {
 				return fmt.Errorf("standard input, line %d: expected METHOD TARGET [STUDIO]", n)
 			}
-			studio := m.Studio
+			studio := m.Customer
 			if len(f) == 3 {
 				studio = f[2]
 			}
@@ -96,8 +96,8 @@
 			}
 		}
 		return in.Err()
-	case len(m.What) == 2:
-		return print(m.match(cfg, m.What[0], m.What[1], m.Studio))
+	case len(m.Request) == 2:
+		return print(m.match(cfg, m.Request[0], m.Request[1], m.Customer))
 	}
 	return fmt.Errorf("expected METHOD TARGET, or -")
 }
@@ -116,19 +116,19 @@
 	What      string `json:"what"`
 }
 
-// dues is what a studio pays for the traffic of traces, in units.
-type dues struct {
-	Studio string  `json:"studio"`
-	Was    float64 `json:"was"`
-	Now    float64 `json:"now"`
+// customerUnits is what a studio pays for the traffic of traces, in units.
+type customerUnits struct {
+	Customer string  `json:"studio"`
+	Before   float64 `json:"was"`
+	After    float64 `json:"now"`
 }
 
-// compared is what diff prints.
-type compared struct {
-	Operations  [2]int       `json:"operations"` // of each description
-	Differences []difference `json:"differences"`
-	Studios     int          `json:"studios,omitempty"`   // in the traces
-	Otherwise   []dues       `json:"otherwise,omitempty"` // those that would pay otherwise, who pays more first
+// comparison is what diff prints.
+type comparison struct {
+	Operations  [2]int          `json:"operations"` // of each description
+	Differences []difference    `json:"differences"`
+	Customers   int             `json:"studios,omitempty"`   // in the traces
+	Changed     []customerUnits `json:"otherwise,omitempty"` // those that would pay otherwise, who pays more first
 }
 
 func (d routesDiff) Run(c *Console) error {
@@ -186,10 +186,10 @@
 	slices.SortFunc(lines, func(a, b difference) int {
 		return cmp.Or(strings.Compare(a.Kind, b.Kind), strings.Compare(a.Operation, b.Operation))
 	})
-	out := compared{Operations: [2]int{len(tables[0].Operations), len(tables[1].Operations)}, Differences: lines}
+	out := comparison{Operations: [2]int{len(tables[0].Operations), len(tables[1].Operations)}, Differences: lines}
 	if len(d.Trace) > 0 {
 		var err error
-		if out.Studios, out.Otherwise, err = d.weigh(c, cost); err != nil {
+		if out.Customers, out.Changed, err = d.compareUnits(c, cost); err != nil {
 			return err
 		}
 	}
@@ -206,42 +206,42 @@
 		return nil
 	}
 	fmt.Fprintln(w, "\nstudio\tunits in the traces\tunder the new description\tchange")
-	for _, x := range out.Otherwise {
-		fmt.Fprintf(w, "%q\t%g\t%g\t%+.1f%%\n", x.Studio, x.Was, x.Now, 100*(x.Now/max(x.Was, 1e-9)-1))
+	for _, x := range out.Changed {
+		fmt.Fprintf(w, "%q\t%g\t%g\t%+.1f%%\n", x.Customer, x.Before, x.After, 100*(x.After/max(x.Before, 1e-9)-1))
 	}
 	w.Flush()
-	_, err := fmt.Fprintf(c.Out, "%d of %d studios would pay otherwise\n", len(out.Otherwise), out.Studios)
+	_, err := fmt.Fprintf(c.Out, "%d of %d studios would pay otherwise\n", len(out.Changed), out.Customers)
 	return err
 }
 
-// weigh tells how many studios there are in the traces, and who would have paid otherwise for their traffic.
-func (d routesDiff) weigh(c *Console, cost map[string][2]float64) (studios int, otherwise []dues, err error) {
-	by := map[string]*dues{}
-	err = traceFiles{d.Trace}.each(c, nil, func(h trace.Header, it trace.Record) error {
+// compareUnits tells how many studios there are in the traces, and who would have paid otherwise for their traffic.
+func (d routesDiff) compareUnits(c *Console, cost map[string][2]float64) (studios int, otherwise []customerUnits, err error) {
+	by := map[string]*customerUnits{}
+	err = traceFiles{d.Trace}.eachRecord(c, nil, func(h trace.Header, it trace.Record) error {
 		a := it.Event.Arrived
 		if a == nil {
 			return nil
 		}
 		s := by[a.Customer]
 		if s == nil {
-			s = &dues{Studio: a.Customer}
+			s = &customerUnits{Customer: a.Customer}
 			by[a.Customer] = s
 		}
-		s.Was += a.Units
-		if ch, ok := cost[name(h.Operations, it.Operation-1)]; ok {
-			s.Now += ch[1]
+		s.Before += a.Units
+		if ch, ok := cost[nameAt(h.Operations, it.Operation-1)]; ok {
+			s.After += ch[1]
 		} else {
-			s.Now += a.Units
+			s.After += a.Units
 		}
 		return nil
 	})
 	for _, s := range by {
-		if s.Was != s.Now {
+		if s.Before != s.After {
 			otherwise = append(otherwise, *s)
 		}
 	}
-	slices.SortFunc(otherwise, func(a, b dues) int {
-		return cmp.Or(cmp.Compare(b.Now-b.Was, a.Now-a.Was), strings.Compare(a.Studio, b.Studio))
+	slices.SortFunc(otherwise, func(a, b customerUnits) int {
+		return cmp.Or(cmp.Compare(b.After-b.Before, a.After-a.Before), strings.Compare(a.Customer, b.Customer))
 	})
 	return len(by), otherwise, err
 }
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -80,8 +80,8 @@
 	return s, opt, err
 }
 
-// play runs a seed's script, or a file's.
-func (c simCommon) play(what string) (*simulation.Script, simulation.Options, simulation.Outcome, error) {
+// run runs a seed's script, or a file's.
+func (c simCommon) run(what string) (*simulation.Script, simulation.Options, simulation.Outcome, error) {
 	s, opt, err := c.script(what)
 	if err != nil {
 		return nil, opt, simulation.Outcome{}, err
@@ -131,7 +131,7 @@
 	if !r.json() {
 		w.OnFind = func(f simulation.Find) {
 			broken++
-			fmt.Fprintf(c.Out, "seed %d: %s, at %v: %s\n  again: %s\n", f.Seed, f.Rule, f.At, f.What, r.again(f.Seed))
+			fmt.Fprintf(c.Out, "seed %d: %s, at %v: %s\n  again: %s\n", f.Seed, f.Rule, f.At, f.What, r.replayCommand(f.Seed))
 		}
 	}
 	if !r.Quiet {
@@ -168,8 +168,8 @@
 	return nil
 }
 
-// again is the command that plays a seed of the sweep once more, with its log.
-func (r simRun) again(seed uint64) string {
+// replayCommand is the command that plays a seed of the sweep once more, with its log.
+func (r simRun) replayCommand(seed uint64) string {
 	if r.Script != "" {
 		return fmt.Sprintf("sandyard-sim run --script %s --seeds %d", r.Script, seed)
 	}
@@ -294,7 +294,7 @@
 }
 
 func (r simShrink) Run(c *Console) error {
-	s, opt, o, err := r.play(r.Script)
+	s, opt, o, err := r.run(r.Script)
 	if err != nil {
 		return err
 	}
@@ -326,7 +326,7 @@
 }
 
 func (r simDigest) Run(c *Console) error {
-	_, _, o, err := r.play(r.Script)
+	_, _, o, err := r.run(r.Script)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -34,10 +34,10 @@
 	Files []string `arg:"" type:"existingfile" help:"Trace files of one front door, in the order of their parts."`
 }
 
-// each calls f with every item of the files; a file that was cut off by a kill is read to its last whole frame.
-func (t traceFiles) each(c *Console, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) error {
+// eachRecord calls f with every item of the files; a file that was cut off by a kill is read to its last whole frame.
+func (t traceFiles) eachRecord(c *Console, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) error {
 	for _, name := range t.Files {
-		cut, err := eachOf(name, begin, f)
+		cut, err := eachRecordOf(name, begin, f)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// eachOf does so for one file and returns where it is cut off, or 0.
-func eachOf(name string, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) (cut int, err error) {
+// eachRecordOf does so for one file and returns where it is cut off, or 0.
+func eachRecordOf(name string, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) (cut int, err error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return 0, err
@@ -57,10 +57,10 @@
 	return trace.Each(text, begin, f)
 }
 
-func (t traceFiles) stories(c *Console) (trace.Header, *trace.Histories, error) {
+func (t traceFiles) histories(c *Console) (trace.Header, *trace.Histories, error) {
 	s := trace.NewHistories()
 	var head trace.Header
-	err := t.each(c, func(h trace.Header) error { head = h; return nil }, func(_ trace.Header, it trace.Record) error { s.Add(it); return nil })
+	err := t.eachRecord(c, func(h trace.Header) error { head = h; return nil }, func(_ trace.Header, it trace.Record) error { s.Add(it); return nil })
 	if s.Dropped > 0 {
 		fmt.Fprintf(c.Errs, "%d steps were dropped while recording and are missing here\n", s.Dropped)
 	}
@@ -69,17 +69,17 @@
 
 type traceShow struct {
 	traceFiles
-	Studio  string        `help:"Only this studio's."`
-	Class   string        `help:"Only this class's."`
-	Box     string        `help:"Only those with an attempt at this box."`
-	Outcome string        `help:"Only those that ended so: served, refused, failed, left, open."`
-	From    time.Duration `help:"Only from this time after the first."`
-	To      time.Duration `help:"Only up to this time after the first; 0 for all."`
-	Limit   int           `default:"1000" help:"At most so many."`
+	Customer string        `name:"studio" help:"Only this studio's."`
+	Class    string        `help:"Only this class's."`
+	Backend  string        `name:"box" help:"Only those with an attempt at this box."`
+	Outcome  string        `help:"Only those that ended so: served, refused, failed, left, open."`
+	From     time.Duration `help:"Only from this time after the first."`
+	To       time.Duration `help:"Only up to this time after the first; 0 for all."`
+	Limit    int           `default:"1000" help:"At most so many."`
 	output
 }
 
-func name(list []string, i int) string {
+func nameAt(list []string, i int) string {
 	if i >= 0 && i < len(list) {
 		return list[i]
 	}
@@ -87,7 +87,7 @@
 }
 
 func (t traceShow) Run(c *Console) error {
-	head, s, err := t.stories(c)
+	head, s, err := t.histories(c)
 	if err != nil {
 		return err
 	}
@@ -103,9 +103,9 @@
 			first = st.At
 		}
 		at := st.At - first
-		class := name(head.Classes, int(st.Class))
-		if t.Studio != "" && st.Customer != t.Studio || t.Class != "" && class != t.Class || t.Outcome != "" && string(st.Outcome) != t.Outcome ||
-			at < t.From || t.To > 0 && at > t.To || t.Box != "" && !visited(s, st, t.Box) {
+		class := nameAt(head.Classes, int(st.Class))
+		if t.Customer != "" && st.Customer != t.Customer || t.Class != "" && class != t.Class || t.Outcome != "" && string(st.Outcome) != t.Outcome ||
+			at < t.From || t.To > 0 && at > t.To || t.Backend != "" && !hasAttemptAt(s, st, t.Backend) {
 			continue
 		}
 		if matched++; shown >= t.Limit {
@@ -113,7 +113,7 @@
 		}
 		shown++
 		if t.json() {
-			if err := enc.Encode(tell(head, s, st)); err != nil {
+			if err := enc.Encode(newRequestReport(head, s, st)); err != nil {
 				return err
 			}
 			continue
@@ -122,8 +122,8 @@
 		if st.Outcome == trace.Rejected && len(st.Attempts) == 0 {
 			outcome += map[decision.RejectReason]string{decision.OverQuota: " (quota)", decision.NoCapacity: " (no room)"}[st.Reason]
 		}
-		fmt.Fprintf(w, "%d\t%.3fs\t%q\t%s\t%s\t%s\t%g\t%d\t%s\t%.1f\n", st.Request, at.Seconds(), st.Customer, name(head.Plans, int(st.Plan)), class,
-			name(head.Operations, st.Operation-1), st.Units, len(st.Attempts), outcome, float64((st.Ended-st.At).Microseconds())/1000)
+		fmt.Fprintf(w, "%d\t%.3fs\t%q\t%s\t%s\t%s\t%g\t%d\t%s\t%.1f\n", st.Request, at.Seconds(), st.Customer, nameAt(head.Plans, int(st.Plan)), class,
+			nameAt(head.Operations, st.Operation-1), st.Units, len(st.Attempts), outcome, float64((st.Ended-st.At).Microseconds())/1000)
 	}
 	w.Flush()
 	if !t.json() {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-func visited(s *trace.Histories, st *trace.RequestHistory, box string) bool {
+func hasAttemptAt(s *trace.Histories, st *trace.RequestHistory, box string) bool {
 	for _, a := range st.Attempts {
 		if s.BackendNames[a.Backend] == box {
 			return true
@@ -145,19 +145,19 @@
 	return false
 }
 
-// told is a request with the names that its story has as numbers.
-type told struct {
+// requestReport is a request with the names that its story has as numbers.
+type requestReport struct {
 	*trace.RequestHistory
 	ClassName string   `json:"class_name"`
 	PlanName  string   `json:"plan_name"`
 	Operation string   `json:"operation"`
-	Boxes     []string `json:"boxes"` // of its attempts
+	Backends  []string `json:"boxes"` // of its attempts
 }
 
-func tell(head trace.Header, s *trace.Histories, st *trace.RequestHistory) told {
-	v := told{RequestHistory: st, ClassName: name(head.Classes, int(st.Class)), PlanName: name(head.Plans, int(st.Plan)), Operation: name(head.Operations, st.Operation-1), Boxes: []string{}}
+func newRequestReport(head trace.Header, s *trace.Histories, st *trace.RequestHistory) requestReport {
+	v := requestReport{RequestHistory: st, ClassName: nameAt(head.Classes, int(st.Class)), PlanName: nameAt(head.Plans, int(st.Plan)), Operation: nameAt(head.Operations, st.Operation-1), Backends: []string{}}
 	for _, a := range st.Attempts {
-		v.Boxes = append(v.Boxes, s.BackendNames[a.Backend])
+		v.Backends = append(v.Backends, s.BackendNames[a.Backend])
 	}
 	return v
 }
@@ -168,7 +168,7 @@
 }
 
 func (t traceOne) find(c *Console) (trace.Header, *trace.Histories, *trace.RequestHistory, error) {
-	head, s, err := t.stories(c)
+	head, s, err := t.histories(c)
 	if err != nil {
 		return head, nil, nil, err
 	}
@@ -190,11 +190,11 @@
 		return err
 	}
 	if t.json() {
-		return printJSON(c.Out, tell(head, s, st))
+		return printJSON(c.Out, newRequestReport(head, s, st))
 	}
 	at := func(d time.Duration) string { return fmt.Sprintf("%+10.3f ms", float64((d-st.At).Microseconds())/1000) }
-	fmt.Fprintf(c.Out, "%s  arrived: %q, plan %s, class %s, %g units, %v left\n", at(st.At), st.Customer, name(head.Plans, int(st.Plan)),
-		name(head.Classes, int(st.Class)), st.Units, st.TimeLeft)
+	fmt.Fprintf(c.Out, "%s  arrived: %q, plan %s, class %s, %g units, %v left\n", at(st.At), st.Customer, nameAt(head.Plans, int(st.Plan)),
+		nameAt(head.Classes, int(st.Class)), st.Units, st.TimeLeft)
 	if k := st.CounterCall; k != nil {
 		fmt.Fprintf(c.Out, "%s  keeper asked: %q + %g\n", at(k.SentAt), k.Name, k.Amount)
 		if k.RepliedAt > 0 {
@@ -243,7 +243,7 @@
 	var r *trace.Replay
 	next := 0
 	begun := time.Now()
-	err := t.each(c, func(h trace.Header) error {
+	err := t.eachRecord(c, func(h trace.Header) error {
 		if err := coreid.Check(h.Core, "the trace"); err != nil {
 			return err
 		}
@@ -267,7 +267,7 @@
 			return err
 		}
 		if r.Differences > r.Uncertain {
-			return errDiffers
+			return errReplayDiffers
 		}
 		return nil
 	}
@@ -281,37 +281,37 @@
 			fmt.Fprintln(c.Out, "all of them stand behind steps that the trace lacks, which may be why; what followed can't be told")
 			return nil
 		}
-		return errDiffers
+		return errReplayDiffers
 	}
 	return nil
 }
 
-var errDiffers = errors.New("the core decides otherwise than the trace says")
+var errReplayDiffers = errors.New("the core decides otherwise than the trace says")
 
 type traceInfo struct {
 	traceFiles
 	output
 }
 
-// recorded is what info tells of a file.
-type recorded struct {
-	File       string    `json:"file"`
-	Door       int       `json:"door"`
-	Part       int       `json:"part"`
-	Core       string    `json:"core"`
-	SameCore   bool      `json:"same_core"` // as this program's
-	Config     string    `json:"config"`    // digest
-	Share      float64   `json:"share"`
-	Plans      []string  `json:"plans"`
-	Operations []string  `json:"operations"`
-	From       time.Time `json:"from"`
-	Seconds    float64   `json:"seconds"` // from the first step to the last
-	Steps      uint64    `json:"steps"`
-	Arrivals   uint64    `json:"arrivals"`
-	Dropped    uint64    `json:"dropped"`
-	States     uint64    `json:"states"`
-	Bytes      int64     `json:"bytes"`
-	CutAt      int       `json:"cut_at"` // byte up to which the file could be read; 0: it is whole
+// fileInfo is what info tells of a file.
+type fileInfo struct {
+	File        string    `json:"file"`
+	Instance    int       `json:"door"`
+	Part        int       `json:"part"`
+	Core        string    `json:"core"`
+	SameCore    bool      `json:"same_core"` // as this program's
+	Config      string    `json:"config"`    // digest
+	Share       float64   `json:"share"`
+	Plans       []string  `json:"plans"`
+	Operations  []string  `json:"operations"`
+	From        time.Time `json:"from"`
+	Seconds     float64   `json:"seconds"` // from the first step to the last
+	Steps       uint64    `json:"steps"`
+	Arrivals    uint64    `json:"arrivals"`
+	Dropped     uint64    `json:"dropped"`
+	States      uint64    `json:"states"`
+	Bytes       int64     `json:"bytes"`
+	TruncatedAt int       `json:"cut_at"` // byte up to which the file could be read; 0: it is whole
 }
 
 func (t traceInfo) Run(c *Console) error {
@@ -321,10 +321,10 @@
 		fmt.Fprintln(w, "file\tdoor\tpart\tcore\tconfiguration\tshare\tfrom\tseconds\tsteps\tarrivals\tdropped\tstates\tbytes\twhole")
 	}
 	for _, name := range t.Files {
-		v := recorded{File: name}
+		v := fileInfo{File: name}
 		var first, last time.Duration
-		cut, err := eachOf(name, func(h trace.Header) error {
-			v.Door, v.Part, v.Core, v.SameCore, v.Config, v.Share = h.Instance, h.Part, h.Core, h.Core == coreid.Core(), h.Config, h.Share
+		cut, err := eachRecordOf(name, func(h trace.Header) error {
+			v.Instance, v.Part, v.Core, v.SameCore, v.Config, v.Share = h.Instance, h.Part, h.Core, h.Core == coreid.Core(), h.Config, h.Share
 			v.Plans, v.Operations, v.From = h.Plans, h.Operations, time.Unix(0, h.Origin).Add(h.StartedAt).UTC()
 			return nil
 		}, func(_ trace.Header, it trace.Record) error {
@@ -351,7 +351,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		v.CutAt, v.Seconds = cut, (last - first).Seconds()
+		v.TruncatedAt, v.Seconds = cut, (last - first).Seconds()
 		if st, err := os.Stat(name); err == nil {
 			v.Bytes = st.Size()
 		}
@@ -368,7 +368,7 @@
 		if cut > 0 {
 			whole = fmt.Sprintf("cut at %d", cut)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%g\t%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%s\n", name, v.Door, v.Part, core, v.Config, v.Share, v.From.Format(time.RFC3339),
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%g\t%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%s\n", name, v.Instance, v.Part, core, v.Config, v.Share, v.From.Format(time.RFC3339),
 			v.Seconds, v.Steps, v.Arrivals, v.Dropped, v.States, v.Bytes, whole)
 	}
 	return w.Flush()
