--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -97,7 +97,7 @@
 		t.Fatal(response)
 	}
 	if info.Class != 0 || info.Customer.Plan != 1 || info.Customer.Name != "00000000b4d65521" || info.Customer.Spread != 3 || info.Customer.First != 1 ||
-		info.Units != 2 || info.Timeout != 480*time.Millisecond || !info.Retry || info.Name != "9b1f03aa5c7e2d41" {
+		info.Units != 2 || info.Timeout != 480*time.Millisecond || !info.IsRetry || info.UniqueName != "9b1f03aa5c7e2d41" {
 		t.Errorf("%+v %+v", info, info.Customer)
 	}
 	h := parseHead(t, postRequest)
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -135,7 +135,7 @@
 		return &badDeadline
 	}
 	info.Operation, info.Class = operation, decision.ClassID(operation.Index)
-	info.Name, info.Retry, info.Timeout = id, fields[fieldRetry] == "1", timeout
+	info.UniqueName, info.IsRetry, info.Timeout = id, fields[fieldRetry] == "1", timeout
 	info.Customer = &config.Customer{Name: customer, Plan: plan, PlanName: fields[fieldPlan]}
 	return nil
 }
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -1,25 +1,19 @@
-// Package simulation runs whole deployments in one process and in virtual time: front doors made of the same machines that
-// package sockets runs, stand-in boxes and keepers, clients, and a network that carries bytes. One queue of events and
-// one seed decide everything that happens: the same script gives the same events, byte for byte, on any machine.
-//
-// Nothing here starts a goroutine or reads a clock. A Sim has one owner; any number may run side by side.
 package simulation
 
 import (
-	"encoding/binary"
 	"hash"
 	"hash/fnv"
 	"math/rand/v2"
 	"time"
 )
 
-// event is something that happens at a time. Events that share one happen in the order of their draws and then of
-// their making: which comes first is a matter of the seed, so that both orders are met.
+// event is something that happens at a time. Events that share one run in the order of a drawn tie-break and then of their
+// scheduling: which comes first depends on the seed, so that a sweep meets both orders.
 type event struct {
 	at  time.Duration
 	tie uint32
 	seq uint64
-	do  func()
+	run func()
 }
 
 func (a *event) before(b *event) bool {
@@ -32,40 +26,40 @@
 	return a.seq < b.seq
 }
 
-// clock is the queue of events.
+// clock is the queue of events, a binary heap.
 type clock struct {
-	now    time.Duration
-	heap   []event
-	seq    uint64
-	events uint64
-	ties   *rand.Rand
-	sum    hash.Hash64
-	log    func(at time.Duration, what string) // nil: no log is wanted
+	now         time.Duration
+	heap        []event
+	seq         uint64
+	events      uint64
+	tieBreaks   *rand.Rand
+	digestState hash.Hash64
+	log         func(at time.Duration, what string) // nil: no log
 }
 
 func newClock(seed uint64) *clock {
-	return &clock{ties: stream(seed, "ties"), sum: fnv.New64a()}
+	return &clock{tieBreaks: stream(seed, "ties"), digestState: fnv.New64a()}
 }
 
-// stream is the randomness of one purpose, so that more draws for one don't change the others.
+// stream returns the random source of one purpose, so that more draws for one purpose don't change those of others.
 func stream(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// at plans an event.
-func (c *clock) at(t time.Duration, do func()) {
-	c.plan(t, uint32(c.ties.Uint32()>>24), do)
+// schedule runs something at a time.
+func (c *clock) schedule(t time.Duration, do func()) {
+	c.push(t, uint32(c.tieBreaks.Uint32()>>24), do)
 }
 
-// after plans an event from now.
-func (c *clock) after(d time.Duration, do func()) { c.at(c.now+max(0, d), do) }
+// scheduleAfter runs something a while from now.
+func (c *clock) scheduleAfter(d time.Duration, do func()) { c.schedule(c.now+max(0, d), do) }
 
-// last plans an event behind all others of its time.
-func (c *clock) last(t time.Duration, do func()) { c.plan(t, 1<<31, do) }
+// scheduleLast runs something after all other events of its time.
+func (c *clock) scheduleLast(t time.Duration, do func()) { c.push(t, 1<<31, do) }
 
-func (c *clock) plan(t time.Duration, tie uint32, do func()) {
+func (c *clock) push(t time.Duration, tie uint32, do func()) {
 	c.seq++
 	c.heap = append(c.heap, event{max(t, c.now), tie, c.seq, do})
 	h := c.heap
@@ -79,7 +73,7 @@
 	}
 }
 
-// step makes the next event happen; false tells that there is none until a time.
+// step runs the next event; false: there is none until then.
 func (c *clock) step(until time.Duration) bool {
 	h := c.heap
 	if len(h) == 0 || h[0].at > until {
@@ -104,42 +98,13 @@
 	}
 	c.now = e.at
 	c.events++
-	e.do()
+	e.run()
 	return true
 }
 
-// note hands what happened to the log, if one is wanted.
-func (c *clock) note(what string) {
+// logEvent hands what happened to the log, if there is one.
+func (c *clock) logEvent(what string) {
 	if c.log != nil {
 		c.log(c.now, what)
 	}
 }
-
-// eventKind numbers what goes into the digest. The numbers are part of every digest that is written down: new kinds
-// follow the last one.
-type eventKind byte
-
-const (
-	requestSent   eventKind = iota + 1 // its id
-	requestEnded                       // its id, and how
-	backendFact                        // the kind of fact, the request's id and the backend's name
-	faultBegun                         // verb, target and value
-	faultOver                          // verb and target
-	ruleBroken                         // the rule's number
-	instanceStats                      // an instance's counts at the end
-)
-
-// digest takes an event into the run's digest: the time, the kind, numbers, and bytes that scripts, clients or peers
-// chose. No text of ours goes in, so that a log line can be worded anew without another digest.
-func (c *clock) digest(kind eventKind, numbers []uint64, texts ...string) {
-	b := binary.LittleEndian.AppendUint64(make([]byte, 0, 64), uint64(c.now))
-	b = append(b, byte(kind))
-	for _, n := range numbers {
-		b = binary.LittleEndian.AppendUint64(b, n)
-	}
-	for _, t := range texts {
-		b = append(b, t...)
-		b = append(b, 0)
-	}
-	c.sum.Write(b)
-}
--- /dev/null
+++ b/internal/simulation/endpoints.go
@@ -0,0 +1,89 @@
+package simulation
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"sandyard/config"
+	"sandyard/decision"
+)
+
+// epoch is the calendar time at which simulated time is zero.
+var epoch = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
+
+// cellOf returns a backend's cell.
+func (s *Sim) cellOf(b *simBackend) int { return b.number % max(1, s.script.Backends.Cells) }
+
+// cellOfName returns what finds a backend's cell, within which repeats of a key are discarded; nil: there is one cell.
+func (s *Sim) cellOfName() func(box string) string {
+	if s.script.Backends.Cells < 2 {
+		return nil
+	}
+	return func(box string) string {
+		for _, b := range s.backends {
+			if b.name == box {
+				return strconv.Itoa(s.cellOf(b))
+			}
+		}
+		return ""
+	}
+}
+
+// endpointFileText returns the endpoint file as it is to be written.
+func (s *Sim) endpointFileText() string {
+	var t strings.Builder
+	t.WriteString("boxes:\n")
+	n := 0
+	for _, b := range s.backends {
+		if b.listedState == listedGone {
+			continue
+		}
+		n++
+		t.WriteString("  - {name: " + b.name + ", address: \"" + b.address + "\", cell: " + strconv.Itoa(s.cellOf(b)) + ", state: " + b.listedState)
+		if b.startedCold {
+			t.WriteString(", started: \"" + epoch.Add(b.startedAt).Format(time.RFC3339Nano) + "\"")
+		}
+		t.WriteString("}\n")
+	}
+	if n == 0 {
+		return "boxes: []\n"
+	}
+	return t.String()
+}
+
+// writeEndpoints replaces the endpoint file, and notifies the instances.
+func (s *Sim) writeEndpoints() {
+	s.endpointFile = s.endpointFileText()
+	s.notifyInstances()
+}
+
+// parseEndpoints parses the endpoint file as it is now, once for all instances that read the same text.
+func (s *Sim) parseEndpoints() ([]config.Endpoint, error) {
+	parsed := &s.parsedFile
+	if parsed.endpoints == nil && parsed.err == nil || parsed.text != s.endpointFile {
+		parsed.text = s.endpointFile
+		parsed.endpoints, parsed.err = config.ParseEndpoints("boxes.yaml", []byte(parsed.text))
+	}
+	return slices.Clone(parsed.endpoints), parsed.err
+}
+
+func (s *Sim) notifyInstances() {
+	rng := s.network.rng
+	for _, inst := range s.instances {
+		s.scheduleAfter(time.Duration(rng.Int64N(int64(20*time.Millisecond))), inst.thisIncarnation(inst.pollEndpoints))
+	}
+}
+
+// recordEndpointView notes which backends an instance was notified of.
+func (s *Sim) recordEndpointView(inst *simInstance, endpoints []config.Endpoint) {
+	for _, b := range s.backends {
+		i := slices.IndexFunc(endpoints, func(c config.Endpoint) bool { return c.Name == b.name })
+		if i < 0 || decision.EndpointState(endpoints[i].State) != decision.Up {
+			s.checker.EndpointRemoved(inst.number, b.name, s.now)
+		} else {
+			s.checker.EndpointListed(inst.number, b.name, s.now)
+		}
+	}
+}
--- a/internal/simulation/generate.go
+++ b/internal/simulation/generate.go
@@ -1,9 +1,7 @@
 package simulation
 
 import (
-	"fmt"
 	"math"
-	"math/rand/v2"
 	"slices"
 	"time"
 
@@ -11,86 +9,27 @@
 	"sandyard/internal/strictyaml"
 )
 
-// Profile says what a generator draws from.
+// Profile bounds what a generator draws.
 type Profile struct {
 	MaxInstances, MaxBackends int
-	Seconds                   float64 // most, of traffic
-	Rate                      float64 // most requests a second
-	MaxFaults                 int     // most
-	ScenarioShare             float64 // share of the days that are drawn in a whole shape
-	Config                    string  // file of the configuration, for the script's record
+	Seconds                   float64 // of traffic, at most
+	Rate                      float64 // requests a second, at most
+	MaxFaults                 int
+	ScenarioShare             float64 // share of the scripts that are drawn as a scenario
+	Config                    string  // file of the configuration, recorded in the script
 }
 
-// Usual is the profile of a search.
+// Usual returns the profile of a search.
 func Usual() Profile {
 	return Profile{MaxInstances: 40, MaxBackends: 12, Seconds: 16, Rate: 60, MaxFaults: 8, ScenarioShare: 0.5}
 }
 
-// kind is a trouble that a generator can draw.
-type kind struct {
-	verb   fault.Verb
-	target string // box, boxes, keeper, door, link, studio, plan, all
-	value  func(*rand.Rand) float64
-	most   time.Duration // of its duration
-}
-
-func between(a, b float64) func(*rand.Rand) float64 {
-	return func(r *rand.Rand) float64 { return math.Round((a+(b-a)*r.Float64())*100) / 100 }
-}
-
-var kinds = []kind{
-	{fault.Slow, "boxes", between(1.2, 4), 4 * time.Second},
-	{fault.Slow, "box", between(2, 12), 6 * time.Second},
-	{fault.Hang, "box", nil, 5 * time.Second},
-	{fault.Reset, "box", func(r *rand.Rand) float64 { return float64(r.IntN(300)) }, 4 * time.Second},
-	{fault.Lose, "box", nil, 3 * time.Second},
-	{fault.Trail, "box", nil, 3 * time.Second},
-	{fault.ServerErrors, "box", between(0.2, 1), 4 * time.Second},
-	{fault.Refuse, "box", nil, 4 * time.Second},
-	{fault.FalseReports, "box", between(-2, 8), 5 * time.Second},
-	{fault.Stall, "box", nil, 3 * time.Second},
-	{fault.Delay, "box", between(20, 900), 4 * time.Second},
-	{fault.Silent, "keeper", nil, 5 * time.Second},
-	{fault.Refuse, "keeper", nil, 5 * time.Second},
-	{fault.Stall, "keeper", nil, 3 * time.Second},
-	{fault.Delay, "keeper", between(10, 300), 5 * time.Second},
-	{fault.Empty, "keeper", nil, 0},
-	{fault.Old, "keeper", between(100, 5000), 0},
-	{fault.Part, "keeper", between(0.1, 1), 5 * time.Second},
-	{fault.Split, "keeper", between(0.2, 0.8), 5 * time.Second},
-	{fault.Garble, "keeper", nil, 2 * time.Second},
-	{fault.Kill, "keeper", nil, 3 * time.Second},
-	{fault.Kill, "box", nil, 3 * time.Second},
-	{fault.Kill, "door", nil, 3 * time.Second},
-	{fault.Pause, "door", nil, 900 * time.Millisecond},
-	{fault.Pause, "box", nil, 3 * time.Second},
-	{fault.Drain, "box", nil, 3 * time.Second},
-	{fault.Replace, "box", nil, 3 * time.Second},
-	{fault.Leave, "box", nil, time.Second},
-	{fault.Torn, "list", nil, 2 * time.Second},
-	{fault.Surge, "all", between(1.2, 3), 4 * time.Second},
-	{fault.Surge, "studio", between(3, 15), 6 * time.Second},
-	{fault.Surge, "plan", between(2, 6), 5 * time.Second},
-	{fault.Move, "all", nil, 0},
-	{fault.Quit, "all", between(0.05, 0.5), 5 * time.Second},
-	{fault.Drip, "all", between(0.02, 0.2), 5 * time.Second},
-	{fault.Noise, "all", between(0.02, 0.3), 5 * time.Second},
-	{fault.Partition, "door/box", nil, 7 * time.Second},
-	{fault.Partition, "door/keeper", nil, 4 * time.Second},
-	{fault.Oneway, "door/box", nil, 4 * time.Second},
-	{fault.Oneway, "box/door", nil, 4 * time.Second},
-	{fault.Lag, "door/box", between(1, 120), 5 * time.Second},
-	{fault.Throttle, "door/box", between(2000, 50000), 4 * time.Second},
-	{fault.Deaf, "box", nil, 3 * time.Second},
-	{fault.Descriptors, "door", func(r *rand.Rand) float64 { return float64(2 + r.IntN(20)) }, 3 * time.Second},
-}
-
 // Generate draws a script from a seed. Each seed enables a part of the kinds only (swarm testing: Groce et al., ISSTA
 // 2012), since kinds that are always about hide what others would show.
 func Generate(seed uint64, p Profile) *Script {
 	rng := stream(seed, "generate")
 	s := defaults()
-	s.Seed, s.Number, s.Config = seed, int(seed), p.Config
+	s.Seed, s.WrittenSeed, s.Config = seed, int(seed), p.Config
 	pick := func(xs ...float64) float64 { return xs[rng.IntN(len(xs))] }
 	s.Seconds = math.Round(p.Seconds * (0.5 + rng.Float64()/2))
 	s.Instances = 1 + rng.IntN(4)
@@ -104,23 +43,23 @@
 	s.Rate = math.Round(p.Rate * (0.3 + 0.7*rng.Float64()))
 	s.Net.Latency = strictyaml.Duration(time.Duration(pick(100, 300, 1000, 5000)) * time.Microsecond)
 	s.Net.Jitter = pick(0, 0.3, 1, 3)
-	s.Net.Split = pick(0, 0, 0.1, 0.6, 0.9)
+	s.Net.SplitProbability = pick(0, 0, 0.1, 0.6, 0.9)
 	s.Drift = pick(0, 0, 0.0002, 0.002)
-	s.Clients = Clients{Retries: rng.IntN(4), Pipeline: pick(0, 0.03, 0.2), Fresh: pick(0.02, 0.2, 0.8), Body: int(pick(0, 40, 40, 2000))}
+	s.Clients = Clients{Retries: rng.IntN(4), PipelineShare: pick(0, 0.03, 0.2), NewConnShare: pick(0.02, 0.2, 0.8), MaxBody: int(pick(0, 40, 40, 2000))}
 	n := rng.IntN(p.MaxFaults + 1)
 	if own := stream(seed, "shape"); p.Config == "" && own.Float64() < p.ScenarioShare {
-		s.Scenario = shaped(&s, own)
+		s.Scenario = drawScenario(&s, own)
 		if n = 0; own.IntN(2) == 0 {
 			n = own.IntN(p.MaxFaults/2 + 1)
 		}
 	}
-	if own := stream(seed, "idle"); own.IntN(4) == 0 { // many servers close what idles sooner than a front door does
-		s.Backends.Idle = strictyaml.Duration(time.Duration([]int{1200, 2000, 4000}[own.IntN(3)]) * time.Millisecond)
+	if own := stream(seed, "idle"); own.IntN(4) == 0 { // many servers close idle connections sooner than a gateway does
+		s.Backends.IdleTimeout = strictyaml.Duration(time.Duration([]int{1200, 2000, 4000}[own.IntN(3)]) * time.Millisecond)
 	}
-	var on []kind
+	var on []faultKind
 	for len(on) == 0 {
 		share := rng.Float64()
-		for _, k := range kinds {
+		for _, k := range faultKinds {
 			if rng.Float64() < share {
 				on = append(on, k)
 			}
@@ -128,152 +67,17 @@
 	}
 	for range n {
 		k := on[rng.IntN(len(on))]
-		s.Events = append(s.Events, s.drawTrouble(rng, k))
+		s.Events = append(s.Events, s.drawFault(rng, k))
 	}
 	s.sortEvents()
 	return &s
 }
 
-// drawTrouble draws one of a kind. What follows the first part of a run shows whether service comes back.
-func (s *Script) drawTrouble(rng *rand.Rand, k kind) fault.Event {
-	e := fault.Event{At: time.Duration(rng.Float64()*s.Seconds*calm*1000) * time.Millisecond, Verb: k.verb}
-	if k.most > 0 {
-		e.For = time.Duration(rng.Float64()*float64(k.most)/1e6) * time.Millisecond
-		e.For = max(e.For, 50*time.Millisecond)
-	}
-	if k.value != nil {
-		e.Value = k.value(rng)
-	}
-	e.Target = s.draw(rng, k.target)
-	return e
-}
-
-const calm = 0.6 // share of a run in which single troubles begin
-
-func (s *Script) draw(rng *rand.Rand, what string) string {
-	box := func() string { return fmt.Sprintf("box-%d", rng.IntN(s.Backends.Count)) }
-	door := func() string { return fmt.Sprintf("door-%d", rng.IntN(s.Instances)) }
-	switch what {
-	case "box":
-		return box()
-	case "door":
-		return door()
-	case "door/box":
-		return door() + "/" + box()
-	case "box/door":
-		return box() + "/" + door()
-	case "door/keeper":
-		return door() + "/keeper"
-	case "studio":
-		return []string{"school-0", "school-1", "studio-0", "hobby-0"}[rng.IntN(4)]
-	case "plan":
-		return []string{"school", "studio", "hobby"}[rng.IntN(3)]
-	case "boxes":
-		return "boxes"
-	case "keeper", "list":
-		return what
-	}
-	return "*"
-}
-
-// Breaks tells of an outcome whether the first rule that it broke is this one.
-func Breaks(rule string) func(Outcome) bool {
-	return func(o Outcome) bool { return len(o.Findings) > 0 && o.Findings[0].Rule == rule }
-}
-
-// Shrink makes a script smaller while something still holds of its outcome: fewer troubles, shorter ones, fewer
-// processes, less traffic, a plainer network. tried is told of each attempt.
-func Shrink(s *Script, opt Options, holds func(Outcome) bool, budget int, tried func(kept bool, s *Script)) *Script {
-	best := *s
-	breaks := func(c *Script) bool {
-		if budget <= 0 {
-			return false
-		}
-		budget--
-		o, err := Run(c, opt)
-		kept := err == nil && holds(o)
-		if kept {
-			best = *c
-		}
-		if tried != nil {
-			tried(kept, c)
-		}
-		return kept
-	}
-	try := func(change func(c *Script)) bool {
-		c := best
-		c.Events = slices.Clone(best.Events)
-		change(&c)
-		c.sortEvents()
-		if c.Text() == best.Text() {
-			return false
-		}
-		return breaks(&c)
-	}
-	for again := true; again && budget > 0; {
-		again = false
-		for size := len(best.Events); size > 0; size /= 2 { // troubles, in halves first
-			for at := 0; at < len(best.Events); {
-				end := min(at+size, len(best.Events))
-				if try(func(c *Script) { c.Events = append(c.Events[:at:at], c.Events[end:]...) }) {
-					again = true
-				} else {
-					at = end
-				}
-			}
-		}
-		for _, change := range []func(c *Script){
-			func(c *Script) { c.Seconds = math.Ceil(c.Seconds / 2) },
-			func(c *Script) { c.Seconds = math.Max(1, c.Seconds-1) },
-			func(c *Script) { c.Rate = math.Ceil(c.Rate / 2) },
-			func(c *Script) { c.Instances = 1 },
-			func(c *Script) { c.Instances = max(1, c.Instances/2) },
-			func(c *Script) { c.Instances = max(1, c.Instances-1) },
-			func(c *Script) { c.Backends.Count = 1 },
-			func(c *Script) { c.Backends.Count = max(1, c.Backends.Count/2) },
-			func(c *Script) { c.Backends.Count = max(1, c.Backends.Count-1) },
-			func(c *Script) { c.Backends.Body = 64 },
-			func(c *Script) { c.Backends.Queue = 24 },
-			func(c *Script) { c.Backends.Work = strictyaml.Duration(30 * time.Millisecond) },
-			func(c *Script) { c.Net.Split = 0 },
-			func(c *Script) { c.Net.Jitter = 0 },
-			func(c *Script) { c.Net.Latency = strictyaml.Duration(500 * time.Microsecond) },
-			func(c *Script) { c.Drift = 0 },
-			func(c *Script) { c.Clients.Retries = 0 },
-			func(c *Script) { c.Clients.Pipeline = 0 },
-			func(c *Script) { c.Clients.Fresh = 0 },
-			func(c *Script) { c.Clients.Body = 0 },
-		} {
-			again = try(change) || again
-		}
-		for i := range best.Events {
-			again = try(func(c *Script) { c.Events[i].For = (c.Events[i].For / 2).Truncate(time.Millisecond) }) || again
-			again = try(func(c *Script) { c.Events[i].At = c.Events[i].At.Truncate(time.Second) }) || again
-			again = try(func(c *Script) { c.Events[i].Value = math.Round(c.Events[i].Value) }) || again
-		}
-	}
-	return &best
-}
-
-// Verbs are the troubles that a generator draws.
-func Verbs() (names []string) {
-	for _, k := range kinds {
-		if !slices.Contains(names, string(k.verb)) {
-			names = append(names, string(k.verb))
-		}
-	}
-	slices.Sort(names)
-	return names
-}
-
-// Reachable are the things that a search should reach: troubles, wishes of the core, ends of tries and error paths.
-func Reachable() []string {
-	names := []string{"answer broken", "answer cut off", "answer flows", "client drips", "client left", "client makes noise", "client quits",
-		"client reset", "client too slow", "dial refused", "line reset", "list broken", "stream silent", "status 200", "status 400", "status 408",
-		"status 413", "status 429", "status 502", "status 503", "status 504", "try served", "try refused", "try failed", "try cut", "try no door", "try left"}
-	names = append(names, wishNames...)
-	for _, v := range Verbs() {
-		names = append(names, "trouble "+v)
+// sortEvents puts faults in the order of their times, and within the time of the traffic.
+func (s *Script) sortEvents() {
+	end := s.trafficTime()
+	for i := range s.Events {
+		s.Events[i].At = min(max(0, s.Events[i].At), end)
 	}
-	return names
+	slices.SortStableFunc(s.Events, func(a, b fault.Event) int { return int(a.At - b.At) })
 }
--- /dev/null
+++ b/internal/simulation/instancecounter.go
@@ -0,0 +1,96 @@
+package simulation
+
+import (
+	"time"
+)
+
+// instanceCounterConn is an instance's connection to the counter.
+type instanceCounterConn struct {
+	instance *simInstance
+	conn     *netConn
+	dialing  *dialing
+	unsent   []byte
+	done     bool
+}
+
+func (inst *simInstance) dialCounter(addr string) {
+	c := &instanceCounterConn{instance: inst}
+	inst.counterConn = c
+	life := inst.incarnation
+	c.dialing = inst.sim.network.dial(inst.host, addr, c, func(conn *netConn, ok bool) {
+		switch {
+		case life != inst.incarnation || c.done:
+			if conn != nil {
+				conn.close(true)
+			}
+		case !ok:
+			c.fail()
+		default:
+			c.conn = conn
+			inst.post(func() {
+				if inst.counterConn == c {
+					inst.core.CounterConnected(inst.now())
+				}
+			})
+		}
+	})
+	inst.sim.scheduleAfter(time.Second, inst.thisIncarnation(func() {
+		if c.conn == nil && !c.done {
+			c.dialing.ended = true
+			c.fail()
+		}
+	}))
+}
+
+func (c *instanceCounterConn) fail() {
+	if c.done {
+		return
+	}
+	c.done = true
+	if c.conn != nil {
+		c.conn.close(true)
+	}
+	d := c.instance
+	d.post(func() {
+		if d.counterConn == c {
+			d.counterConn = nil
+			d.core.CounterDisconnected(d.now())
+		}
+	})
+}
+
+func (c *instanceCounterConn) write(b []byte) {
+	if c.done || c.conn == nil {
+		return
+	}
+	c.unsent = append(c.unsent, b...)
+	c.writable(nil)
+}
+
+func (c *instanceCounterConn) abandon() {
+	c.done = true
+	if c.conn != nil {
+		c.conn.close(true)
+	} else {
+		c.dialing.ended = true
+	}
+}
+
+func (c *instanceCounterConn) writable(*netConn) {
+	c.unsent = c.conn.writeBuffered(c.unsent, nil)
+}
+
+func (c *instanceCounterConn) readable(*netConn) {
+	if c.done {
+		return
+	}
+	b := c.conn.read()
+	d := c.instance
+	d.post(func() {
+		if d.counterConn == c {
+			d.core.CounterReceived(d.now(), b)
+		}
+	})
+}
+
+func (c *instanceCounterConn) closed(*netConn, bool) { c.fail() }
--- a/proxy/doc.go
+++ b/proxy/doc.go
@@ -1,73 +1,36 @@
-// Package proxy is one front door as a deterministic machine: time and bytes come in, bytes and wishes go out. It
-// opens no connection, reads no clock, starts no goroutine and draws from no randomness but its seed, so that the
-// same code serves sockets and virtual time.
+// Package proxy is one instance of the gateway as a deterministic state machine: time and bytes come in, bytes and
+// effects go out. It opens no connection, reads no clock, starts no goroutine and draws from no randomness but its seed,
+// so that the same code runs on sockets (internal/server) and in virtual time (internal/simulation).
 //
 // It has three parts, each with one owner at a time:
 //
-//   - Client is a client's connection: it takes requests apart, finds their route and studio, holds their bodies,
-//     and gives out whole Exchanges and the bytes of answers, in order.
-//   - BoxConn is a connection to a box: it takes an answer apart and renders it for the client that waits.
-//   - Core is the decision loop: it owns choice.Gateway, the table of exchanges, the pools of lines to the boxes,
-//     the calls to the tally keeper and the list of boxes.
+//   - ClientConn is a client's connection. It parses requests, finds their route and customer, holds their bodies, hands
+//     out each complete request as an Exchange, and renders the bytes of responses in the order of the requests.
+//   - ResponseReader is the codec of a connection to a backend. It parses a response and renders it for the client.
+//   - Instance is the decision loop. It owns the decision.Gateway, the table of exchanges, the pool of backend
+//     connections, the calls to the shared counter and the endpoint list. A BackendConn is a backend connection as the
+//     instance knows it; a ResponseReader belongs to it on the runtime's side.
 //
-// On sockets a Client belongs to whoever holds its connection's lock, a BoxConn likewise, and Core to one goroutine.
-// Exchanges pass from Client to Core with Arrive and back with an answer.
+// On sockets a ClientConn belongs to whoever holds its connection's lock, a ResponseReader to the goroutine that reads
+// the connection, and the Instance to one goroutine. An exchange passes from the ClientConn to the Instance with
+// Instance.RequestArrived and comes back in the effects Respond, StreamResponse and AbortClient.
 //
-// Times are since any fixed origin that is the same for all parts; virtual time begins at Start,
-// sockets at the time since 1970, since front doors that share a counter must have one time.
+// # The life of an exchange
+//
+// RequestArrived asks the decision gateway, which answers with actions: send an attempt, cancel one, reject, fail. The
+// state table in exchange.go says which of the events that follow are accepted; everything else is dropped, so that
+// there is exactly one final answer. An attempt begins with its first byte: writeAttempt in attempts.go checks just
+// before it what may have changed since it was decided on.
+//
+// Where to look at night:
+//
+//   - a client leaves: Instance.ClientLeft (requests.go)
+//   - a backend connection breaks: Instance.BackendDisconnected (backendconn.go), failAttempt (attempts.go)
+//   - an endpoint is removed between the decision and the first byte: isObsolete (attempts.go)
+//   - a timeout: Instance.Tick (timers.go)
+//
+// # Time
+//
+// Times are durations since an origin that is the same for all parts. Virtual time begins at Start; on sockets the origin
+// is 1970-01-01 UTC, since instances that share a counter must have one time.
 package proxy
-
-import (
-	"sync/atomic"
-	"time"
-
-	"sandyard/config"
-	"sandyard/internal/protocol"
-)
-
-// Start is the time at which a front door's clock begins in virtual time, and a stand-in's: well above zero, so that what happened before its
-// process started (a box's start, above all) has a time, too.
-const Start = 24 * time.Hour
-
-// Shared is what the parts of one front door have in common. Its counters may be used by all goroutines.
-type Shared struct {
-	Config   *config.Config
-	Protocol protocol.Protocol
-	Memory   atomic.Int64 // bytes of bodies held
-	Clients  atomic.Int64 // connections
-	starting atomic.Bool
-	leaving  atomic.Bool
-	draining atomic.Bool
-}
-
-// MarkStarting says that the front door has no list yet that it may go by: requests are refused, and it is not ready.
-func (s *Shared) MarkStarting() { s.starting.Store(true) }
-
-// MarkStarted ends that.
-func (s *Shared) MarkStarted() { s.starting.Store(false) }
-
-// CloseAfterResponses begins the end: answers close their connections, but requests are still taken.
-func (s *Shared) CloseAfterResponses() { s.leaving.Store(true) }
-
-// closes tells whether answers close their connections.
-func (s *Shared) closes() bool { return s.leaving.Load() }
-
-// Draining tells whether the front door is shutting down: it takes no more requests.
-func (s *Shared) Draining() bool { return s.draining.Load() }
-
-// RejectNewRequests ends the taking of requests: new ones are refused, and answers close their connections.
-func (s *Shared) RejectNewRequests() {
-	s.leaving.Store(true)
-	s.draining.Store(true)
-}
-
-// reserve takes room for n bytes, if limits.memory has it.
-func (s *Shared) reserve(n int) bool {
-	if s.Memory.Add(int64(n)) > int64(s.Config.Limits.Memory) {
-		s.Memory.Add(-int64(n))
-		return false
-	}
-	return true
-}
-
-func (s *Shared) release(n int) { s.Memory.Add(-int64(n)) }
