--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -1,6 +1,7 @@
 package simwire
 
 import (
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -8,6 +9,7 @@
 	"time"
 
 	"sandyard/decision"
+	"sandyard/internal/diagnostic"
 )
 
 func read(t *testing.T, text string) []Batch {
@@ -132,6 +134,29 @@
 	}
 }
 
+// TestErrorsOfInputAreTyped: what runs instances on the wire can tell an input that broke off from one that is wrong, and
+// finds the line and the field without reading the message.
+func TestErrorsOfInputAreTyped(t *testing.T) {
+	next := func(text string) error {
+		_, err := NewReader(strings.NewReader(text)).Next()
+		return err
+	}
+	var line *LineError
+	if err := next("clock\t1\ncensus\t0\t2\n"); !errors.Is(err, ErrInputEnded) || !errors.As(err, &line) || line.Line != 2 {
+		t.Errorf("an input that breaks off: %v", err)
+	}
+	if err := next("clock\t1\nnews\td\nend\n"); !errors.Is(err, ErrUnexpectedMessage) || !errors.As(err, &line) || line.Line != 2 {
+		t.Errorf("a message that is none: %v", err)
+	}
+	var field *diagnostic.FieldError
+	if err := next(initBatch("me=x")); !errors.As(err, &field) || *field != (diagnostic.FieldError{Field: "me", Value: "x", Want: "a whole number, 0 or more"}) {
+		t.Errorf("a setting that is no number: %v", err)
+	}
+	if err := next(""); err != io.EOF {
+		t.Errorf("an input that ends between batches: %v", err)
+	}
+}
+
 // TestActionsArePrinted: each action has the form of the wire, with times in milliseconds.
 func TestActionsArePrinted(t *testing.T) {
 	cases := []struct {
