--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -5,11 +5,18 @@
 	"fmt"
 )
 
-// Errors of input that does not have the wire's form; they come wrapped in a LineError.
-var (
-	ErrUnexpectedMessage = errors.New("unexpected message")
-	ErrInputEnded        = errors.New("input ended")
-)
+// ErrInputEnded says that the input ended within a batch; it comes wrapped in a LineError.
+var ErrInputEnded = errors.New("input ended")
+
+// UnexpectedMessageError is a message other than the one that has to come; it comes wrapped in a LineError.
+type UnexpectedMessageError struct {
+	Got  string // name of the message
+	Want string // what has to come
+}
+
+func (e *UnexpectedMessageError) Error() string {
+	return fmt.Sprintf("message %q: expected %s", e.Got, e.Want)
+}
 
 // LineError is an error at a line of the input, counted from 1. Where a field has a value that can't be taken, it wraps
 // a *diagnostic.FieldError.
@@ -25,7 +32,7 @@
 
 // unexpected is a message other than the one that has to come here.
 func unexpected(line int, got, want string) error {
-	return &LineError{line, fmt.Errorf("%w %q: expected %s", ErrUnexpectedMessage, got, want)}
+	return &LineError{line, &UnexpectedMessageError{got, want}}
 }
 
 // endedInside is an end of the input before a group of lines is complete.
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -145,7 +145,8 @@
 	if err := next("clock\t1\ncensus\t0\t2\n"); !errors.Is(err, ErrInputEnded) || !errors.As(err, &line) || line.Line != 2 {
 		t.Errorf("an input that breaks off: %v", err)
 	}
-	if err := next("clock\t1\nnews\td\nend\n"); !errors.Is(err, ErrUnexpectedMessage) || !errors.As(err, &line) || line.Line != 2 {
+	var message *UnexpectedMessageError
+	if err := next("clock\t1\nnews\td\nend\n"); !errors.As(err, &message) || message.Got != "news" || !errors.As(err, &line) || line.Line != 2 {
 		t.Errorf("a message that is none: %v", err)
 	}
 	var field *diagnostic.FieldError
