--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -122,6 +122,22 @@
 	p.t.Fatalf("not logged: %v (%v)", what, p.log.Err())
 }
 
+// maxTimeToReady is how long a process may take until it is ready, by the operators' gate.
+const maxTimeToReady = 10 * time.Second
+
+// waitForReady asks until the process says that it is ready.
+func (p *nodeProcess) waitForReady() {
+	p.t.Helper()
+	for deadline := time.Now().Add(maxTimeToReady); time.Now().Before(deadline); {
+		status, c := p.request("GET /ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
+		c.Close()
+		if status == 200 {
+			return
+		}
+	}
+	p.t.Fatalf("not ready within %v", maxTimeToReady)
+}
+
 // request sends a request on a new connection that stays open, and returns the status.
 func (p *nodeProcess) request(request string) (int, net.Conn) {
 	p.t.Helper()
@@ -172,11 +188,7 @@
 	}
 	p := startProcess(t, text(startPeer(t, discardInput), startPeer(t, serveCounter), backend))
 	p.waitForLog("msg=listening")
-	for s := 0; s != 200; { // with the list that it was started with
-		var c net.Conn
-		s, c = p.request("GET /ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
-		c.Close()
-	}
+	p.waitForReady()            // with the list that it was started with
 	for range 3 * nodeSockets { // more than may be held
 		c, err := net.Dial("tcp", p.listen)
 		if err != nil {
@@ -230,6 +242,7 @@
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.waitForLog("msg=reload")
+	p.waitForReady() // before discovery's first message requests are rejected: "a new process" in docs/design/platform.md
 	if s, _ := p.request(fmt.Sprintf(nodeRequest, 1)); s != 200 {
 		t.Errorf("served: %d", s)
 	}
