--- a/internal/cli/hunt.go
+++ b/internal/cli/hunt.go
@@ -4,18 +4,16 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"math"
 	"os"
 	"runtime"
 	"runtime/debug"
-	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"sandyard/internal/simulation"
 )
 
+// simHunt is "sandyard-sim hunt".
 type simHunt struct {
 	simCommon
 	Rule    string  `required:"" help:"Name of the rule, or a part of it that no other has; a wrong one lists them." placeholder:"NAME"`
@@ -28,7 +26,7 @@
 	output
 }
 
-// huntResult is the outcome of a hunt.
+// huntResult is what a hunt prints.
 type huntResult struct {
 	Runs     int              `json:"runs"`
 	Seconds  float64          `json:"seconds"`
@@ -67,12 +65,30 @@
 	if r.Workers <= 0 {
 		r.Workers = runtime.GOMAXPROCS(0)
 	}
-	debug.SetGCPercent(400)
-	begun, runs := time.Now(), 0
-	long := time.Duration(r.Minutes * float64(time.Minute))
-	h := simulation.Hunt{Rule: rule, Profile: r.profile(), Options: opt, Workers: r.Workers, Seed: r.Seed,
+	debug.SetGCPercent(runGCPercent)
+	begun := time.Now()
+	best, o, runs, err := r.hunt(c, rule, opt, begun).Run()
+	if err != nil {
+		return err
+	}
+	if best == nil {
+		return fmt.Errorf("no run fits into %g minutes", r.Minutes)
+	}
+	if r.json() {
+		return json.NewEncoder(c.Out).Encode(newHuntResult(best, o, rule, runs, time.Since(begun)))
+	}
+	fmt.Fprintf(c.Out, "%d runs in %v; nearest to breaking \"%s\": %.3f of the limit, %s\n", runs, time.Since(begun).Round(time.Second), simulation.RuleNames()[rule],
+		o.Nearness(rule), o.Verdict.Rules[rule].Of)
+	return r.writeScript(c, best, o, rule, opt)
+}
+
+// hunt returns the hunt that the flags describe.
+func (r simHunt) hunt(c *Console, rule int, opt simulation.Options, begun time.Time) *simulation.Hunt {
+	limit := time.Duration(r.Minutes * float64(time.Minute))
+	runs := 0
+	return &simulation.Hunt{Rule: rule, Profile: r.profile(), Options: opt, Workers: r.Workers, Seed: r.Seed,
 		Stop: func() bool {
-			if r.Runs > 0 && runs >= r.Runs || time.Since(begun) >= long {
+			if r.Runs > 0 && runs >= r.Runs || time.Since(begun) >= limit {
 				return true
 			}
 			runs++
@@ -82,24 +98,21 @@
 			fmt.Fprintf(c.Errs, "run %d, %v: %.3f of the limit; %d troubles, %d doors, %d boxes, %g a second\n", n, time.Since(begun).Round(time.Second),
 				o.Nearness(rule), len(s.Events), s.Instances, s.Backends.Count, s.Rate)
 		}}
-	best, o, n, err := h.Run()
-	if err != nil {
-		return err
-	}
-	if best == nil {
-		return fmt.Errorf("no run fits into %g minutes", r.Minutes)
-	}
-	if r.json() {
-		out := huntResult{Runs: n, Seconds: time.Since(begun).Seconds(), Nearness: o.Nearness(rule), Script: best.Text()}
-		if len(o.Findings) > 0 {
-			f := o.Findings[0]
-			out.Find = &simulation.Find{Seed: best.Seed, Rule: f.Rule, At: f.At, What: f.What}
-		}
-		return json.NewEncoder(c.Out).Encode(out)
+}
+
+func newHuntResult(best *simulation.Script, o simulation.Outcome, rule, runs int, took time.Duration) huntResult {
+	result := huntResult{Runs: runs, Seconds: took.Seconds(), Nearness: o.Nearness(rule), Script: best.Text()}
+	if len(o.Findings) > 0 {
+		f := o.Findings[0]
+		result.Find = &simulation.Find{Seed: best.Seed, Rule: f.Rule, At: f.At, What: f.What}
 	}
-	fmt.Fprintf(c.Out, "%d runs in %v; nearest to breaking \"%s\": %.3f of the limit, %s\n", n, time.Since(begun).Round(time.Second), simulation.RuleNames()[rule],
-		o.Nearness(rule), o.Verdict.Rules[rule].Of)
-	what, holds := fmt.Sprintf("Comes to %.3f of the limit of \"%s\".", o.Nearness(rule), simulation.RuleNames()[rule]), func(x simulation.Outcome) bool {
+	return result
+}
+
+// writeScript shrinks the nearest script and writes it. A script that breaks a rule is an error.
+func (r simHunt) writeScript(c *Console, best *simulation.Script, o simulation.Outcome, rule int, opt simulation.Options) error {
+	what := fmt.Sprintf("Comes to %.3f of the limit of \"%s\".", o.Nearness(rule), simulation.RuleNames()[rule])
+	holds := func(x simulation.Outcome) bool {
 		return len(x.Findings) == 0 && x.Nearness(rule) >= keptNearness*o.Nearness(rule)
 	}
 	if len(o.Findings) > 0 {
@@ -110,12 +123,7 @@
 	if r.Shrink > 0 {
 		best = simulation.Shrink(best, opt, holds, r.Shrink, nil)
 	}
-	text := "# " + what + "\n" + best.Text()
-	if r.To != "" {
-		if err := os.WriteFile(r.To, []byte(text), 0o644); err != nil {
-			return err
-		}
-	} else if _, err := io.WriteString(c.Out, text); err != nil {
+	if err := writeText(c, r.To, "# "+what+"\n"+best.Text()); err != nil {
 		return err
 	}
 	if len(o.Findings) > 0 {
@@ -124,58 +132,14 @@
 	return nil
 }
 
-const keptNearness = 0.9 // of its nearness that a script keeps when it is made smaller
-
-// printNearness shows for each rule how many runs came how near to its limit.
-func printNearness(out io.Writer, o simulation.SweepResult) {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(w, "\nshare of the limit\t")
-	names := simulation.RuleNames()
-	for _, n := range names {
-		fmt.Fprintf(w, "%s\t", n)
-	}
-	fmt.Fprintln(w)
-	bins := len(o.Nearness[0])
-	for b := range bins {
-		row := make([]int, len(names))
-		for k := range names {
-			row[k] = o.Nearness[k][b]
-		}
-		if slices.Max(row) == 0 {
-			continue
-		}
-		switch b {
-		case 0:
-			fmt.Fprint(w, "no case\t")
-		case bins - 1:
-			fmt.Fprint(w, "the limit or more\t")
-		default:
-			fmt.Fprintf(w, "%.2f to %.2f\t", float64(b-1)/float64(bins-2), float64(b)/float64(bins-2))
-		}
-		for _, n := range row {
-			fmt.Fprintf(w, "%d\t", n)
-		}
-		fmt.Fprintln(w)
+// writeText writes a text to a file, or prints it if there is no name.
+func writeText(c *Console, file, text string) error {
+	if file == "" {
+		_, err := io.WriteString(c.Out, text)
+		return err
 	}
-	w.Flush()
+	return os.WriteFile(file, []byte(text), 0o644)
 }
 
-// pairedDifference is the mean of paired differences, and how large it is beside what chance makes of it (its standard error).
-func pairedDifference(a, b []float64) (mean, units float64) {
-	n := float64(len(a))
-	if n < 2 {
-		return 0, 0
-	}
-	for i := range a {
-		mean += (b[i] - a[i]) / n
-	}
-	sum := 0.0
-	for i := range a {
-		d := b[i] - a[i] - mean
-		sum += d * d
-	}
-	if sum == 0 {
-		return mean, 0
-	}
-	return mean, mean / math.Sqrt(sum/(n-1)/n)
-}
+// keptNearness is the share of its nearness that a script keeps when it is made smaller.
+const keptNearness = 0.9
--- /dev/null
+++ b/internal/cli/mutantsearch.go
@@ -0,0 +1,144 @@
+package cli
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"slices"
+
+	"sandyard/internal/mutation"
+	"sandyard/internal/simulation"
+)
+
+// sweep runs a simulator over seeds, each with its own script or all with one.
+func (r simMutants) sweep(program string, first, n uint64, workers int, goOn bool, script string) (simulation.SweepResult, error) {
+	args := []string{"run", "--output", "json", "--quiet", "--workers", fmt.Sprint(workers), "--seeds", fmt.Sprintf("%d-%d", first, first+n-1)}
+	if goOn {
+		args = append(args, "--go-on")
+	}
+	if script != "" {
+		args = append(args, "--script", script)
+	}
+	cmd := exec.Command(program, args...)
+	var text, errs bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &text, &errs
+	err := cmd.Run()
+	var exit *exec.ExitError
+	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == Failure) {
+		return simulation.SweepResult{}, fmt.Errorf("%w\n%s", err, errs.Bytes())
+	}
+	var o simulation.SweepResult
+	if err := json.Unmarshal(text.Bytes(), &o); err != nil {
+		return o, fmt.Errorf("%w\n%s", err, errs.Bytes())
+	}
+	return o, nil
+}
+
+// hunt evolves scripts that come near to breaking a rule, on one core, so that it goes the same way each time.
+func (r simMutants) hunt(program, rule string, seed uint64) (h huntResult, err error) {
+	cmd := exec.Command(program, "hunt", "--output", "json", "--rule", rule, "--runs", fmt.Sprint(r.EvolveRuns), "--minutes", "60", "--seed", fmt.Sprint(seed),
+		"--workers", "1")
+	var errs bytes.Buffer
+	cmd.Stderr = &errs
+	text, err := cmd.Output()
+	if err != nil {
+		return h, fmt.Errorf("%w\n%s", err, errs.Bytes())
+	}
+	return h, json.Unmarshal(text, &h)
+}
+
+// searchSeedStep lies between the first seeds of searches for one mutation, so that they share none.
+const searchSeedStep = 1_000_003
+
+// search searches for a mutation, or compares what it costs if no rule sees it.
+func (r simMutants) search(dir string, m mutation.Mutation, base simulation.SweepResult) searchResult {
+	s := searchResult{Name: m.Name, Guards: m.Guards, Rule: m.Rule, Because: m.Because}
+	program, err := r.buildMutant(dir, m)
+	if err == nil {
+		defer os.Remove(program)
+		if m.Rule == mutation.CostOnly {
+			err = r.searchCost(&s, program, base)
+		} else {
+			err = r.searchViolations(&s, program)
+		}
+	}
+	if err != nil {
+		s.Failure = err.Error()
+	}
+	return s
+}
+
+// searchCost compares a mutation's runs with those of the source as it is.
+func (r simMutants) searchCost(s *searchResult, program string, base simulation.SweepResult) error {
+	o, err := r.sweep(program, r.First, r.CostSeeds, 1, true, "")
+	if err != nil {
+		return err
+	}
+	s.Found, s.Seeds, s.Seconds = o.Finds, []uint64{o.Seeds}, []float64{o.Took.Seconds()}
+	if len(s.Found) > 1 {
+		s.Found = s.Found[:1]
+	}
+	s.compare(base, o)
+	return nil
+}
+
+// searchViolations searches for runs in which a mutation breaks a rule: by a sweep, and by a hunt where that finds none.
+func (r simMutants) searchViolations(s *searchResult, program string) error {
+	for k := range r.Starts {
+		first := r.First + uint64(k)*searchSeedStep
+		o, err := r.sweep(program, first, r.Seeds, 1, false, "")
+		if err != nil {
+			return err
+		}
+		runs, took := o.Seeds, o.Took.Seconds()
+		if len(o.Finds) > 0 {
+			s.Found = append(s.Found, o.Finds[0])
+		} else if r.EvolveRuns > 0 && slices.Contains(simulation.RuleNames(), s.Rule) {
+			h, err := r.hunt(program, s.Rule, first)
+			if err != nil {
+				return err
+			}
+			if runs, took = runs+uint64(h.Runs), took+h.Seconds; h.Find != nil {
+				s.Found = append(s.Found, *h.Find)
+				s.Evolved++
+			}
+		}
+		s.Seeds, s.Seconds = append(s.Seeds, runs), append(s.Seconds, took)
+	}
+	return nil
+}
+
+// searchResult is what became of one mutation.
+type searchResult struct {
+	Name            string            `json:"name"`
+	Guards          string            `json:"guards"`
+	Rule            string            `json:"rule"`
+	Because         string            `json:"because,omitempty"`
+	Found           []simulation.Find `json:"found"`                 // one for each search that found it
+	Seeds           []uint64          `json:"seeds"`                 // runs that it took, evolved scripts included, by search; what was spent where nothing was found
+	Evolved         int               `json:"bred"`                  // searches that found it by evolved scripts only
+	Seconds         []float64         `json:"seconds"`               // of one core
+	ValueChange     float64           `json:"worth,omitempty"`       // of the value served, as a share
+	ValueDeviations float64           `json:"worth_noise,omitempty"` // the same in standard errors
+	CallsChange     float64           `json:"calls,omitempty"`       // of the calls to the counter, as a share
+	CallsDeviations float64           `json:"calls_noise,omitempty"` // the same in standard errors
+	Failure         string            `json:"failure,omitempty"`
+}
+
+// compare sets what a mutation costs in runs of the same seeds.
+func (s *searchResult) compare(whole, without simulation.SweepResult) {
+	n := len(whole.ValueServed)
+	calls := [2][]float64{make([]float64, n), make([]float64, n)}
+	sum, asked := 0.0, 0.0
+	for i := range n {
+		calls[0][i], calls[1][i] = float64(whole.CounterCalls[i]), float64(without.CounterCalls[i])
+		sum, asked = sum+whole.ValueServed[i], asked+float64(whole.CounterCalls[i])
+	}
+	mean, units := pairedDifference(whole.ValueServed, without.ValueServed)
+	s.ValueChange, s.ValueDeviations = mean*float64(n)/max(1, sum), units
+	mean, units = pairedDifference(calls[0], calls[1])
+	s.CallsChange, s.CallsDeviations = mean*float64(n)/max(1, asked), units
+}
--- a/internal/cli/quota.go
+++ b/internal/cli/quota.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/url"
 	"strconv"
 	"text/tabwriter"
@@ -13,9 +12,6 @@
 
 	"sandyard/coreid"
 	"sandyard/decision"
-	"sandyard/internal/http1"
-	"sandyard/internal/resp"
-	"sandyard/internal/server"
 	"sandyard/quota"
 	"sandyard/trace"
 )
@@ -31,53 +27,6 @@
 	return program("sandyard-quota", "How a studio stands with its quota.", &g, args, out, errs, &Console{out, errs})
 }
 
-// queryAdmin gets an answer from a front door's admin socket. One of another core is refused.
-func queryAdmin(socket, path string, into any) error {
-	c, err := net.DialTimeout("unix", socket, 2*time.Second)
-	if err != nil {
-		return err
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: admin\r\n\r\n", path); err != nil {
-		return err
-	}
-	rd := http1.NewResponses(http1.Limits{})
-	rd.Expect("GET")
-	text, err := io.ReadAll(io.LimitReader(c, 1<<20))
-	if err != nil {
-		return err
-	}
-	var head *http1.Head
-	var body []byte
-	for {
-		n, part, err := rd.Feed(text)
-		text = text[n:]
-		if err != nil {
-			return err
-		}
-		switch part.Kind {
-		case http1.More:
-			return errors.New("the front door's answer is cut off")
-		case http1.HeadEnd:
-			head = part.Head
-			core, _ := head.Get("Sandyard-Core")
-			if err := coreid.Check(core, "the running front door"); err != nil {
-				return err
-			}
-		case http1.Data:
-			body = append(body, part.Data...)
-		case http1.End:
-			if head.Status != 200 {
-				var e struct{ Error string }
-				json.Unmarshal(body, &e)
-				return fmt.Errorf("the front door says: %s", e.Error)
-			}
-			return json.Unmarshal(body, into)
-		}
-	}
-}
-
 type quotaShow struct {
 	Customer string        `name:"studio" required:"" help:"The studio's name."`
 	Socket   string        `help:"The front door's admin socket." placeholder:"PATH"`
@@ -194,103 +143,3 @@
 	_, err := fmt.Fprintln(c.Out, v.Answer)
 	return err
 }
-
-type quotaTotal struct {
-	Customer string `name:"studio" required:"" help:"The studio's name."`
-	Socket   string `required:"" help:"The admin socket of a front door that serves it: it knows the name." placeholder:"PATH"`
-	Counter  string `name:"keeper" help:"Ask this keeper, instead of the front door's." placeholder:"HOST:PORT"`
-	output
-}
-
-// totalView is what total prints.
-type totalView struct {
-	Customer    string  `json:"studio"`
-	Name        string  `json:"name"`
-	CounterAddr string  `json:"keeper"`
-	Held        bool    `json:"held"`    // the keeper has the name
-	Units       float64 `json:"units"`   // recent use over all front doors, as it fades
-	ExpiresIn   float64 `json:"lives_s"` // seconds until the keeper forgets the name; -1: never
-}
-
-func (q quotaTotal) Run(c *Console) error {
-	var n server.CounterEntry
-	if err := queryAdmin(q.Socket, "/v1/counted?name="+url.QueryEscape(q.Customer), &n); err != nil {
-		return err
-	}
-	if !n.Known {
-		return fmt.Errorf("the front door has not seen %q lately, or shares it with no other: the keeper holds nothing of it", q.Customer)
-	}
-	if q.Counter != "" {
-		n.CounterAddr = q.Counter
-	}
-	v := totalView{Customer: q.Customer, Name: n.Name, CounterAddr: n.CounterAddr, ExpiresIn: -1}
-	got, err := callCounter(n.CounterAddr, []string{"GET", n.Name}, []string{"PTTL", n.Name})
-	if err != nil {
-		return fmt.Errorf("keeper %s: %w", n.CounterAddr, err)
-	}
-	if got[0].Type != resp.Null {
-		x, ok := got[0].Float()
-		if !ok || !(n.Weight > 0) {
-			return fmt.Errorf("keeper %s holds %.40q under %s, which is no total", n.CounterAddr, got[0].Str, n.Name)
-		}
-		v.Held, v.Units = true, x/n.Weight
-	}
-	if got[1].Type == resp.Int && got[1].Int >= 0 {
-		v.ExpiresIn = float64(got[1].Int) / 1000
-	}
-	if q.json() {
-		return json.NewEncoder(c.Out).Encode(v)
-	}
-	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "studio\t%q\nkeeper\t%s\nname\t%q\n", v.Customer, v.CounterAddr, v.Name)
-	if !v.Held {
-		fmt.Fprintf(w, "held\tnothing: not counted yet, forgotten, or another keeper\n")
-		return w.Flush()
-	}
-	fmt.Fprintf(w, "recent use\t%.2f units over all front doors\n", v.Units)
-	if v.ExpiresIn >= 0 {
-		fmt.Fprintf(w, "forgotten in\t%.1f s\n", v.ExpiresIn)
-	}
-	return w.Flush()
-}
-
-// callCounter sends commands that change nothing and returns their answers.
-func callCounter(addr string, commands ...[]string) ([]resp.Value, error) {
-	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
-	if err != nil {
-		return nil, err
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	var out []byte
-	for _, args := range commands {
-		out = resp.AppendCommand(out, args...)
-	}
-	if _, err := c.Write(out); err != nil {
-		return nil, err
-	}
-	var rd resp.Reader
-	var got []resp.Value
-	b := make([]byte, 4096)
-	for {
-		n, err := c.Read(b)
-		if err != nil {
-			return nil, err
-		}
-		for in := b[:n]; ; {
-			used, v, whole, err := rd.Feed(in)
-			if err != nil {
-				return nil, err
-			}
-			if in = in[used:]; !whole {
-				break
-			}
-			if v.Type == resp.Failed {
-				return nil, fmt.Errorf("it says %.80q", v.Str)
-			}
-			if got = append(got, v); len(got) == len(commands) {
-				return got, nil
-			}
-		}
-	}
-}
--- /dev/null
+++ b/internal/cli/routesdiff.go
@@ -0,0 +1,192 @@
+package cli
+
+import (
+	"cmp"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"text/tabwriter"
+
+	"sandyard/routes"
+	"sandyard/trace"
+)
+
+// routesDiff is "sandyard-routes diff".
+type routesDiff struct {
+	Old   string   `arg:"" type:"existingfile" help:"The description in force."`
+	New   string   `arg:"" type:"existingfile" help:"The one to come."`
+	Trace []string `type:"existingfile" help:"Traces whose traffic tells who would pay more." placeholder:"FILE"`
+	output
+}
+
+// difference is one difference between two descriptions.
+type difference struct {
+	Kind      string `json:"kind"` // new, gone, shadowed, class, cost, repeat or id
+	Operation string `json:"operation"`
+	What      string `json:"what"`
+}
+
+// customerUnits is what a customer's traffic in traces draws, in units.
+type customerUnits struct {
+	Customer string  `json:"studio"`
+	Before   float64 `json:"was"`
+	After    float64 `json:"now"`
+}
+
+// comparison is what diff prints.
+type comparison struct {
+	Operations  [2]int          `json:"operations"` // of each description
+	Differences []difference    `json:"differences"`
+	Customers   int             `json:"studios,omitempty"`   // in the traces
+	Changed     []customerUnits `json:"otherwise,omitempty"` // customers whose traffic would draw other units, the largest increase first
+}
+
+func (d routesDiff) Run(c *Console) error {
+	old, err := compileRoutes(d.Old)
+	if err != nil {
+		return err
+	}
+	now, err := compileRoutes(d.New)
+	if err != nil {
+		return err
+	}
+	diff := diffTables(old, now)
+	out := comparison{Operations: [2]int{len(old.Operations), len(now.Operations)}, Differences: diff.found}
+	if len(d.Trace) > 0 {
+		if out.Customers, out.Changed, err = d.compareUnits(c, diff.cost); err != nil {
+			return err
+		}
+	}
+	if d.json() {
+		return printJSON(c.Out, out)
+	}
+	return d.print(c, out)
+}
+
+func compileRoutes(file string) (*routes.Table, error) {
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	return routes.Compile(file, text)
+}
+
+// tableDiff collects the differences between two descriptions.
+type tableDiff struct {
+	found []difference
+	cost  map[string][2]float64 // units before and after, by the old operation's id, where both are fixed
+}
+
+func (t *tableDiff) add(kind, operation, format string, args ...any) {
+	t.found = append(t.found, difference{kind, operation, fmt.Sprintf(format, args...)})
+}
+
+func operationKey(op *routes.Operation) string { return op.Method + " " + op.Template }
+
+// diffTables compares two descriptions. Differences are sorted by kind and operation.
+func diffTables(old, now *routes.Table) *tableDiff {
+	t := &tableDiff{found: []difference{}, cost: map[string][2]float64{}}
+	before, after := map[string]*routes.Operation{}, map[string]bool{}
+	for _, op := range old.Operations {
+		before[operationKey(op)] = op
+	}
+	for _, op := range now.Operations {
+		key := operationKey(op)
+		after[key] = true
+		if was, ok := before[key]; ok {
+			t.compare(key, was, op)
+		} else {
+			t.add("new", key, "line %d: class %s, %s", op.Line, op.Class, unitsText(op.Units))
+		}
+	}
+	for _, op := range old.Operations {
+		if key := operationKey(op); !after[key] {
+			t.add("gone", key, "line %d", op.Line)
+			if hit, v := now.Match(op.Method, strings.NewReplacer("{", "", "}", "").Replace(op.Template)); v == routes.Found {
+				t.add("shadowed", key, "its requests become %s (line %d)", operationKey(hit), hit.Line)
+			}
+		}
+	}
+	slices.SortFunc(t.found, func(a, b difference) int {
+		return cmp.Or(strings.Compare(a.Kind, b.Kind), strings.Compare(a.Operation, b.Operation))
+	})
+	return t
+}
+
+// compare adds the differences between two forms of an operation.
+func (t *tableDiff) compare(key string, was, op *routes.Operation) {
+	if was.Class != op.Class {
+		t.add("class", key, "%s (line %d) to %s (line %d)", was.Class, was.Line, op.Class, op.Line)
+	}
+	if was.Units != op.Units {
+		t.add("cost", key, "%s (line %d) to %s (line %d)", unitsText(was.Units), was.Line, unitsText(op.Units), op.Line)
+		if was.Units.In == "" && op.Units.In == "" {
+			t.cost[was.ID] = [2]float64{was.Units.Fixed, op.Units.Fixed}
+		}
+	}
+	if was.Repeat != op.Repeat {
+		t.add("repeat", key, "line %d to line %d", was.Line, op.Line)
+	}
+	if was.ID != op.ID {
+		t.add("id", key, "%s to %s", was.ID, op.ID)
+	}
+}
+
+func (d routesDiff) print(c *Console, out comparison) error {
+	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
+	for _, l := range out.Differences {
+		fmt.Fprintf(w, "%s\t%s\t%s\n", l.Kind, l.Operation, l.What)
+	}
+	w.Flush()
+	fmt.Fprintf(c.Out, "%d differences in %d and %d operations\n", len(out.Differences), out.Operations[0], out.Operations[1])
+	if len(d.Trace) == 0 {
+		return nil
+	}
+	fmt.Fprintln(w, "\nstudio\tunits in the traces\tunder the new description\tchange")
+	for _, x := range out.Changed {
+		fmt.Fprintf(w, "%q\t%g\t%g\t%+.1f%%\n", x.Customer, x.Before, x.After, 100*(x.After/max(x.Before, 1e-9)-1))
+	}
+	w.Flush()
+	_, err := fmt.Fprintf(c.Out, "%d of %d studios would pay otherwise\n", len(out.Changed), out.Customers)
+	return err
+}
+
+// compareUnits returns how many customers there are in the traces, and those whose traffic would have drawn other units.
+func (d routesDiff) compareUnits(c *Console, cost map[string][2]float64) (studios int, otherwise []customerUnits, err error) {
+	by := map[string]*customerUnits{}
+	err = traceFiles{d.Trace}.eachRecord(c, nil, func(h trace.Header, it trace.Record) error {
+		a := it.Event.Arrived
+		if a == nil {
+			return nil
+		}
+		s := by[a.Customer]
+		if s == nil {
+			s = &customerUnits{Customer: a.Customer}
+			by[a.Customer] = s
+		}
+		s.Before += a.Units
+		if ch, ok := cost[nameAt(h.Operations, it.Operation-1)]; ok {
+			s.After += ch[1]
+		} else {
+			s.After += a.Units
+		}
+		return nil
+	})
+	for _, s := range by {
+		if s.Before != s.After {
+			otherwise = append(otherwise, *s)
+		}
+	}
+	slices.SortFunc(otherwise, func(a, b customerUnits) int {
+		return cmp.Or(cmp.Compare(b.After-b.Before, a.After-a.Before), strings.Compare(a.Customer, b.Customer))
+	})
+	return len(by), otherwise, err
+}
+
+func unitsText(u routes.Units) string {
+	if u.In == "" {
+		return fmt.Sprintf("%g units", u.Fixed)
+	}
+	return fmt.Sprintf("units by %s %s, %g if absent, at most %g", u.In, u.Name, u.Default, u.Most)
+}
