--- a/internal/cli/adminclient.go
+++ b/internal/cli/adminclient.go
@@ -12,7 +12,8 @@
 	"sandyard/internal/http1"
 )
 
-// queryAdmin gets an answer from a front door's admin socket. One of another core is refused.
+// queryAdmin gets a response from a gateway's admin socket. It fails with a coreid.Mismatch if the gateway's core is another,
+// and with the gateway's own words if the status is not 200.
 func queryAdmin(socket, path string, into any) error {
 	c, err := net.DialTimeout("unix", socket, 2*time.Second)
 	if err != nil {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -29,7 +29,8 @@
 func router(a []string, o, e *bytes.Buffer) int  { return Routes(a, o, e) }
 func sim(a []string, o, e *bytes.Buffer) int     { return Sim(a, o, e) }
 
-func TestCheck(t *testing.T) {
+// A mistake in a configuration must be found before it serves: check names the file and the line.
+func TestCheckReportsMistakes(t *testing.T) {
 	if code, out, _ := run(gateway, "check", "--config", "../../examples/kilns/gateway.yaml"); code != Fine || !strings.Contains(out, "good") {
 		t.Errorf("%d %s", code, out)
 	}
@@ -75,7 +76,8 @@
 	return name
 }
 
-func TestTraceTool(t *testing.T) {
+// Whoever looks into an incident reads the trace with these commands: each must show the recorded requests.
+func TestTraceCommandsReadATrace(t *testing.T) {
 	f := traceFile(t, coreid.Core())
 	if code, out, errs := run(tracer, "replay", f); code != Fine || !strings.Contains(out, "4 steps replayed and 0 states compared, 0 differ") {
 		t.Errorf("%d %s %s", code, out, errs)
@@ -91,13 +93,13 @@
 	}
 }
 
-// TestOtherCores: a tool whose core is another says so and gives no verdict, whichever of the two is older; for traces and
-// for a running front door.
-func TestOtherCores(t *testing.T) {
+// A tool of another build could give a verdict that the running gateway would not give. A tool whose core is another must say
+// so and give none, whichever of the two is older; for traces and for a running gateway.
+func TestToolsOfAnotherCoreGiveNoVerdict(t *testing.T) {
 	if code, out, errs := run(tracer, "replay", traceFile(t, "0123456789abcdef")); code != OtherCore || out != "" || !strings.Contains(errs, "verdicts could differ") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
-	mine, other := frontDoor(t, coreid.Core()), frontDoor(t, "0123456789abcdef")
+	mine, other := gatewaySocket(t, coreid.Core()), gatewaySocket(t, "0123456789abcdef")
 	file := traceFile(t, coreid.Core())
 	dir := t.TempDir()
 	for _, c := range []struct {
@@ -133,8 +135,8 @@
 	}
 }
 
-// frontDoor answers everything on an admin socket with an empty object, as a front door of a core.
-func frontDoor(t *testing.T, core string) string {
+// gatewaySocket answers everything on an admin socket with an empty object, as a gateway of a core.
+func gatewaySocket(t *testing.T, core string) string {
 	path := filepath.Join(t.TempDir(), "a.sock")
 	ln, err := net.Listen("unix", path)
 	if err != nil {
@@ -155,7 +157,8 @@
 	return path
 }
 
-func TestSimTool(t *testing.T) {
+// The simulator's commands must agree with each other on a seed: its script, its digest, its replay.
+func TestSimCommands(t *testing.T) {
 	if code, out, errs := run(sim, "run", "--seeds", "1-5", "--quiet"); code != Fine || !strings.Contains(out, "5 seeds, 0 broken") || !strings.Contains(out, "not reached:") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
@@ -175,8 +178,8 @@
 	}
 }
 
-// TestOutputJSON: every command of the tools that prints a table prints the same as JSON.
-func TestOutputJSON(t *testing.T) {
+// Every command of the tools that prints a table must print the same as JSON.
+func TestCommandsPrintTablesAsJSON(t *testing.T) {
 	f, api := traceFile(t, coreid.Core()), "../../examples/kilns/openapi.yaml"
 	for _, c := range []struct {
 		tool func([]string, *bytes.Buffer, *bytes.Buffer) int
@@ -204,8 +207,8 @@
 	}
 }
 
-// TestInfoTellsOfACut: a file that a kill cut off is told to be so, with what is whole.
-func TestInfoTellsOfACut(t *testing.T) {
+// A trace that a kill cut off must not pass for a complete one: info says that it is truncated, and what is complete.
+func TestTraceInfoReportsTruncation(t *testing.T) {
 	f := traceFile(t, coreid.Core())
 	b, _ := os.ReadFile(f)
 	os.WriteFile(f, b[:len(b)-3], 0o600)
@@ -214,8 +217,8 @@
 	}
 }
 
-// TestCompletion: the program answers a shell that asks for the words that fit, and prints what makes it ask.
-func TestCompletion(t *testing.T) {
+// The program must complete a shell's command line, and print what makes the shell ask.
+func TestCompletionOfCommandLines(t *testing.T) {
 	for _, shell := range []string{"bash", "zsh", "fish"} {
 		if code, out, errs := run(tracer, "completion", shell); code != Fine || !strings.Contains(out, "sandyard-trace") {
 			t.Errorf("%s: %d %s %s", shell, code, out, errs)
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -9,8 +9,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// completion prints what a shell is to run so that it asks the program for the words that fit. The program answers when it
-// finds the line in COMP_LINE, which bash and zsh set.
+// completion prints what a shell has to run to complete the program's command lines. The program completes when it finds
+// COMP_LINE set, as bash and zsh do.
 type completion struct {
 	Shell string `arg:"" enum:"bash,zsh,fish" help:"One of bash, zsh, fish."`
 }
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -37,6 +37,7 @@
 		&Console{out, errs})
 }
 
+// drillArgs is "sandyard-drill".
 type drillArgs struct {
 	Seed      uint64  `default:"1" help:"Seed of the traffic."`
 	Seconds   float64 `default:"45" help:"Seconds of traffic."`
--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -28,6 +28,7 @@
 		&Console{out, errs})
 }
 
+// emulateBackendCommand is "sandyard-emulator box".
 type emulateBackendCommand struct {
 	Name           string        `default:"box" help:"Its name in records and answers."`
 	Listen         string        `default:"127.0.0.1:0" help:"Address to listen on."`
@@ -46,7 +47,7 @@
 	Record         bool          `help:"Print what happens as lines of JSON."`
 }
 
-// BackendFact is a line of a stand-in box's record.
+// BackendFact is one line of an emulated backend's record.
 type BackendFact struct {
 	At      int64             `json:"at"` // Unix time in nanoseconds
 	Backend string            `json:"box"`
@@ -55,14 +56,14 @@
 	Key     string            `json:"key,omitempty"`
 }
 
-// Ready is the first line that a stand-in prints.
+// Ready is the first line that an emulator prints.
 type Ready struct {
 	Msg     string `json:"msg"` // "listening"
 	Addr    string `json:"addr"`
 	Control string `json:"control"`
 }
 
-// lineWriter writes lines from a goroutine of its own, so that a slow reader does not hold up the box.
+// lineWriter writes lines from a goroutine of its own, so that a slow reader does not hold up the backend.
 type lineWriter struct {
 	mu    sync.Mutex
 	lines []byte
@@ -98,7 +99,7 @@
 	}
 }
 
-// close writes what is left.
+// close writes what is left, and ends the goroutine.
 func (r *lineWriter) close() {
 	select {
 	case r.wake <- struct{}{}:
@@ -127,7 +128,7 @@
 	return serveUntilSignal(rec, box.Addr(), b.Control, box)
 }
 
-// serveUntilSignal says where a stand-in listens and waits for a signal.
+// serveUntilSignal prints where an emulator listens, and waits for SIGTERM or SIGINT.
 func serveUntilSignal(rec *lineWriter, addr, control string, f server.FaultTarget) error {
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
@@ -142,6 +143,7 @@
 	return nil
 }
 
+// emulateCounterCommand is "sandyard-emulator keeper".
 type emulateCounterCommand struct {
 	Listen  string `default:"127.0.0.1:0" help:"Address to listen on."`
 	Control string `default:"127.0.0.1:0" help:"Address on which faults are set."`
@@ -158,6 +160,7 @@
 	return serveUntilSignal(rec, k.Addr(), s.Control, k)
 }
 
+// setFaultCommand is "sandyard-emulator set".
 type setFaultCommand struct {
 	Control string   `required:"" help:"The stand-in's control address." placeholder:"ADDR"`
 	Fault   []string `arg:"" help:"The fault, with its value."`
@@ -171,6 +174,7 @@
 	return err
 }
 
+// clearFaultCommand is "sandyard-emulator clear".
 type clearFaultCommand struct {
 	Control string `required:"" help:"The stand-in's control address." placeholder:"ADDR"`
 	Fault   string `arg:"" help:"The fault."`
--- a/internal/cli/quota.go
+++ b/internal/cli/quota.go
@@ -27,6 +27,7 @@
 	return program("sandyard-quota", "How a studio stands with its quota.", &g, args, out, errs, &Console{out, errs})
 }
 
+// quotaShow is "sandyard-quota show".
 type quotaShow struct {
 	Customer string        `name:"studio" required:"" help:"The studio's name."`
 	Socket   string        `help:"The front door's admin socket." placeholder:"PATH"`
@@ -81,7 +82,7 @@
 	return w.Flush()
 }
 
-// viewFromTrace replays up to a time and looks there.
+// viewFromTrace replays traces up to a time and returns the customer's view then.
 func (q quotaShow) viewFromTrace(c *Console) (quota.View, error) {
 	var r *trace.Replay
 	var head trace.Header
@@ -124,6 +125,7 @@
 	return quota.Inspect(head.Settings, plan, q.Customer, st, known, last), nil
 }
 
+// quotaWould is "sandyard-quota would".
 type quotaWould struct {
 	Customer string  `name:"studio" required:"" help:"The studio's name."`
 	Units    float64 `default:"1" help:"Units of the try."`
--- a/internal/cli/quota_test.go
+++ b/internal/cli/quota_test.go
@@ -12,8 +12,9 @@
 	"sandyard/internal/server"
 )
 
-// TestQuotaTotal: the name and its weight come from the front door, the total from the keeper; what is neither says so.
-func TestQuotaTotal(t *testing.T) {
+// The name and its weight come from the gateway, the total from the counter; where one of them has nothing the command must
+// say so and print no total.
+func TestQuotaTotalReadsCounter(t *testing.T) {
 	k, err := server.StartCounter("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +30,7 @@
 	}
 	defer ln.Close()
 	answers := make(chan string, 1)
-	go func() { // a front door of this build
+	go func() { // a gateway of this build
 		for {
 			c, err := ln.Accept()
 			if err != nil {
--- a/internal/cli/quotatotal.go
+++ b/internal/cli/quotatotal.go
@@ -12,6 +12,7 @@
 	"sandyard/internal/server"
 )
 
+// quotaTotal is "sandyard-quota total".
 type quotaTotal struct {
 	Customer string `name:"studio" required:"" help:"The studio's name."`
 	Socket   string `required:"" help:"The admin socket of a front door that serves it: it knows the name." placeholder:"PATH"`
@@ -24,9 +25,9 @@
 	Customer    string  `json:"studio"`
 	Name        string  `json:"name"`
 	CounterAddr string  `json:"keeper"`
-	Held        bool    `json:"held"`    // the keeper has the name
-	Units       float64 `json:"units"`   // recent use over all front doors, as it fades
-	ExpiresIn   float64 `json:"lives_s"` // seconds until the keeper forgets the name; -1: never
+	Held        bool    `json:"held"`    // the counter has the name
+	Units       float64 `json:"units"`   // recent use over all instances, as it decays
+	ExpiresIn   float64 `json:"lives_s"` // seconds until the counter drops the name; -1: never
 }
 
 func (q quotaTotal) Run(c *Console) error {
@@ -71,7 +72,7 @@
 	return w.Flush()
 }
 
-// callCounter sends commands that change nothing and returns their answers.
+// callCounter sends commands to a counter and returns their replies. An error reply is an error.
 func callCounter(addr string, commands ...[]string) ([]resp.Value, error) {
 	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -23,6 +23,7 @@
 	return program("sandyard-routes", "What a front door makes of requests, from its files, by its own code.", &g, args, out, errs, &Console{out, errs})
 }
 
+// routesMatch is "sandyard-routes match".
 type routesMatch struct {
 	Config   string   `type:"path" xor:"from" required:"" help:"The gateway.yaml." placeholder:"FILE"`
 	Socket   string   `xor:"from" required:"" help:"Or a running front door's admin socket: it answers by what it has." placeholder:"PATH"`
@@ -33,7 +34,7 @@
 	Request []string `name:"what" arg:"" help:"METHOD and target, or - for lines of METHOD TARGET [STUDIO] on standard input."`
 }
 
-// match asks the running front door, or the front door's own code with the configuration's files.
+// match queries a running gateway, or runs the gateway's own code with the configuration's files.
 func (m routesMatch) match(cfg *config.Config, method, target, studio string) (proxy.InspectionResult, error) {
 	l := proxy.Inspection{Method: method, Target: target, Fields: m.Header, Key: m.Key, Customer: studio}
 	if cfg != nil {
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -26,6 +26,7 @@
 	return program("sandyard-trace", "What a front door decided, from its trace files.", &g, args, out, errs, &Console{out, errs})
 }
 
+// traceFiles is what commands that read traces take.
 type traceFiles struct {
 	Files []string `arg:"" type:"existingfile" help:"Trace files of one front door, in the order of their parts."`
 }
@@ -63,6 +64,7 @@
 	return head, s, err
 }
 
+// traceOne is what commands about one request take.
 type traceOne struct {
 	Request uint64 `arg:"" help:"The request's number, as show has it."`
 	traceFiles
@@ -80,6 +82,7 @@
 	return head, s, st, nil
 }
 
+// traceFollow is "sandyard-trace follow".
 type traceFollow struct {
 	traceOne
 	output
@@ -114,6 +117,7 @@
 	return nil
 }
 
+// traceExplain is "sandyard-trace explain".
 type traceExplain struct {
 	traceOne
 	output
--- a/internal/cli/traceinfo.go
+++ b/internal/cli/traceinfo.go
@@ -11,12 +11,13 @@
 	"sandyard/trace"
 )
 
+// traceInfo is "sandyard-trace info".
 type traceInfo struct {
 	traceFiles
 	output
 }
 
-// fileInfo is what info tells of a file.
+// fileInfo is what info prints of a file.
 type fileInfo struct {
 	File        string    `json:"file"`
 	Instance    int       `json:"door"`
@@ -34,7 +35,7 @@
 	Dropped     uint64    `json:"dropped"`
 	States      uint64    `json:"states"`
 	Bytes       int64     `json:"bytes"`
-	TruncatedAt int       `json:"cut_at"` // byte up to which the file could be read; 0: it is whole
+	TruncatedAt int       `json:"cut_at"` // byte up to which the file could be read; 0: it is complete
 }
 
 func (t traceInfo) Run(c *Console) error {
--- a/internal/cli/tracereplay.go
+++ b/internal/cli/tracereplay.go
@@ -9,6 +9,7 @@
 	"sandyard/trace"
 )
 
+// traceReplay is "sandyard-trace replay".
 type traceReplay struct {
 	traceFiles
 	output
--- a/internal/cli/traceshow.go
+++ b/internal/cli/traceshow.go
@@ -10,6 +10,7 @@
 	"sandyard/trace"
 )
 
+// traceShow is "sandyard-trace show".
 type traceShow struct {
 	traceFiles
 	Customer string        `name:"studio" help:"Only this studio's."`
@@ -88,7 +89,7 @@
 	return false
 }
 
-// requestReport is a request with the names that its story has as numbers.
+// requestReport is a request with the names that its history has as numbers.
 type requestReport struct {
 	*trace.RequestHistory
 	ClassName string   `json:"class_name"`
