--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -1,15 +1,11 @@
 package cli
 
 import (
-	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"os"
-	"text/tabwriter"
 	"time"
 
-	"sandyard/coreid"
 	"sandyard/decision"
 	"sandyard/trace"
 )
@@ -30,6 +26,7 @@
 	return program("sandyard-trace", "What a front door decided, from its trace files.", &g, args, out, errs, &Console{out, errs})
 }
 
+// traceFiles is what commands that read traces take.
 type traceFiles struct {
 	Files []string `arg:"" type:"existingfile" help:"Trace files of one front door, in the order of their parts."`
 }
@@ -67,101 +64,7 @@
 	return head, s, err
 }
 
-type traceShow struct {
-	traceFiles
-	Customer string        `name:"studio" help:"Only this studio's."`
-	Class    string        `help:"Only this class's."`
-	Backend  string        `name:"box" help:"Only those with an attempt at this box."`
-	Outcome  string        `help:"Only those that ended so: served, refused, failed, left, open."`
-	From     time.Duration `help:"Only from this time after the first."`
-	To       time.Duration `help:"Only up to this time after the first; 0 for all."`
-	Limit    int           `default:"1000" help:"At most so many."`
-	output
-}
-
-func nameAt(list []string, i int) string {
-	if i >= 0 && i < len(list) {
-		return list[i]
-	}
-	return fmt.Sprint(i)
-}
-
-func (t traceShow) Run(c *Console) error {
-	head, s, err := t.histories(c)
-	if err != nil {
-		return err
-	}
-	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
-	if !t.json() {
-		fmt.Fprintln(w, "request\tat\tstudio\tplan\tclass\toperation\tunits\tattempts\toutcome\tms")
-	}
-	enc := json.NewEncoder(c.Out)
-	shown, matched := 0, 0
-	var first time.Duration
-	for i, st := range s.All {
-		if i == 0 {
-			first = st.At
-		}
-		at := st.At - first
-		class := nameAt(head.Classes, int(st.Class))
-		if t.Customer != "" && st.Customer != t.Customer || t.Class != "" && class != t.Class || t.Outcome != "" && string(st.Outcome) != t.Outcome ||
-			at < t.From || t.To > 0 && at > t.To || t.Backend != "" && !hasAttemptAt(s, st, t.Backend) {
-			continue
-		}
-		if matched++; shown >= t.Limit {
-			continue
-		}
-		shown++
-		if t.json() {
-			if err := enc.Encode(newRequestReport(head, s, st)); err != nil {
-				return err
-			}
-			continue
-		}
-		outcome := string(st.Outcome)
-		if st.Outcome == trace.Rejected && len(st.Attempts) == 0 {
-			outcome += map[decision.RejectReason]string{decision.OverQuota: " (quota)", decision.NoCapacity: " (no room)"}[st.Reason]
-		}
-		fmt.Fprintf(w, "%d\t%.3fs\t%q\t%s\t%s\t%s\t%g\t%d\t%s\t%.1f\n", st.Request, at.Seconds(), st.Customer, nameAt(head.Plans, int(st.Plan)), class,
-			nameAt(head.Operations, st.Operation-1), st.Units, len(st.Attempts), outcome, float64((st.Ended-st.At).Microseconds())/1000)
-	}
-	w.Flush()
-	if !t.json() {
-		fmt.Fprintf(c.Out, "%d of %d requests", shown, len(s.All))
-		if matched > shown {
-			fmt.Fprintf(c.Out, "; %d more match (--limit)", matched-shown)
-		}
-		fmt.Fprintln(c.Out)
-	}
-	return nil
-}
-
-func hasAttemptAt(s *trace.Histories, st *trace.RequestHistory, box string) bool {
-	for _, a := range st.Attempts {
-		if s.BackendNames[a.Backend] == box {
-			return true
-		}
-	}
-	return false
-}
-
-// requestReport is a request with the names that its story has as numbers.
-type requestReport struct {
-	*trace.RequestHistory
-	ClassName string   `json:"class_name"`
-	PlanName  string   `json:"plan_name"`
-	Operation string   `json:"operation"`
-	Backends  []string `json:"boxes"` // of its attempts
-}
-
-func newRequestReport(head trace.Header, s *trace.Histories, st *trace.RequestHistory) requestReport {
-	v := requestReport{RequestHistory: st, ClassName: nameAt(head.Classes, int(st.Class)), PlanName: nameAt(head.Plans, int(st.Plan)), Operation: nameAt(head.Operations, st.Operation-1), Backends: []string{}}
-	for _, a := range st.Attempts {
-		v.Backends = append(v.Backends, s.BackendNames[a.Backend])
-	}
-	return v
-}
-
+// traceOne is what commands about one request take.
 type traceOne struct {
 	Request uint64 `arg:"" help:"The request's number, as show has it."`
 	traceFiles
@@ -179,6 +82,7 @@
 	return head, s, st, nil
 }
 
+// traceFollow is "sandyard-trace follow".
 type traceFollow struct {
 	traceOne
 	output
@@ -213,6 +117,7 @@
 	return nil
 }
 
+// traceExplain is "sandyard-trace explain".
 type traceExplain struct {
 	traceOne
 	output
@@ -233,143 +138,3 @@
 	_, err = fmt.Fprintln(c.Out, s.Explain(head, st))
 	return err
 }
-
-type traceReplay struct {
-	traceFiles
-	output
-}
-
-func (t traceReplay) Run(c *Console) error {
-	var r *trace.Replay
-	next := 0
-	begun := time.Now()
-	err := t.eachRecord(c, func(h trace.Header) error {
-		if err := coreid.Check(h.Core, "the trace"); err != nil {
-			return err
-		}
-		if r == nil {
-			var err error
-			if r, err = trace.NewReplay(h); err != nil {
-				return err
-			}
-		} else if h.Part != next {
-			return fmt.Errorf("part %d follows part %d", h.Part, next-1)
-		}
-		next = h.Part + 1
-		return nil
-	}, func(h trace.Header, it trace.Record) error { return r.Step(h, it) })
-	if err != nil {
-		return err
-	}
-	took := time.Since(begun).Seconds()
-	if t.json() {
-		if err := printJSON(c.Out, r); err != nil {
-			return err
-		}
-		if r.Differences > r.Uncertain {
-			return errReplayDiffers
-		}
-		return nil
-	}
-	fmt.Fprintf(c.Out, "%d steps replayed and %d states compared, %d differ, %d missing; %.0f steps a second\n", r.Steps, r.States, r.Differences, r.Dropped, float64(r.Steps)/took)
-	if r.Skipped > 0 {
-		fmt.Fprintf(c.Out, "%d steps before the first recorded state could not be replayed\n", r.Skipped)
-	}
-	if r.Differences > 0 {
-		fmt.Fprintf(c.Out, "first at %v: %s\n", r.FirstDifferenceAt, r.FirstDifference)
-		if r.Uncertain == r.Differences {
-			fmt.Fprintln(c.Out, "all of them stand behind steps that the trace lacks, which may be why; what followed can't be told")
-			return nil
-		}
-		return errReplayDiffers
-	}
-	return nil
-}
-
-var errReplayDiffers = errors.New("the core decides otherwise than the trace says")
-
-type traceInfo struct {
-	traceFiles
-	output
-}
-
-// fileInfo is what info tells of a file.
-type fileInfo struct {
-	File        string    `json:"file"`
-	Instance    int       `json:"door"`
-	Part        int       `json:"part"`
-	Core        string    `json:"core"`
-	SameCore    bool      `json:"same_core"` // as this program's
-	Config      string    `json:"config"`    // digest
-	Share       float64   `json:"share"`
-	Plans       []string  `json:"plans"`
-	Operations  []string  `json:"operations"`
-	From        time.Time `json:"from"`
-	Seconds     float64   `json:"seconds"` // from the first step to the last
-	Steps       uint64    `json:"steps"`
-	Arrivals    uint64    `json:"arrivals"`
-	Dropped     uint64    `json:"dropped"`
-	States      uint64    `json:"states"`
-	Bytes       int64     `json:"bytes"`
-	TruncatedAt int       `json:"cut_at"` // byte up to which the file could be read; 0: it is whole
-}
-
-func (t traceInfo) Run(c *Console) error {
-	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
-	enc := json.NewEncoder(c.Out)
-	if !t.json() {
-		fmt.Fprintln(w, "file\tdoor\tpart\tcore\tconfiguration\tshare\tfrom\tseconds\tsteps\tarrivals\tdropped\tstates\tbytes\twhole")
-	}
-	for _, name := range t.Files {
-		v := fileInfo{File: name}
-		var first, last time.Duration
-		cut, err := eachRecordOf(name, func(h trace.Header) error {
-			v.Instance, v.Part, v.Core, v.SameCore, v.Config, v.Share = h.Instance, h.Part, h.Core, h.Core == coreid.Core(), h.Config, h.Share
-			v.Plans, v.Operations, v.From = h.Plans, h.Operations, time.Unix(0, h.Origin).Add(h.StartedAt).UTC()
-			return nil
-		}, func(_ trace.Header, it trace.Record) error {
-			if it.Snapshot != nil {
-				v.States++
-				return nil
-			}
-			if it.Dropped > 0 {
-				v.Dropped += it.Dropped
-				return nil
-			}
-			if it.Backend != nil {
-				return nil
-			}
-			if v.Steps++; v.Steps == 1 {
-				first = it.At
-			}
-			last = max(last, it.At)
-			if it.Event.Arrived != nil {
-				v.Arrivals++
-			}
-			return nil
-		})
-		if err != nil {
-			return fmt.Errorf("%s: %w", name, err)
-		}
-		v.TruncatedAt, v.Seconds = cut, (last - first).Seconds()
-		if st, err := os.Stat(name); err == nil {
-			v.Bytes = st.Size()
-		}
-		if t.json() {
-			if err := enc.Encode(v); err != nil {
-				return err
-			}
-			continue
-		}
-		core, whole := v.Core, "yes"
-		if !v.SameCore {
-			core += " (this program's is " + coreid.Core() + ")"
-		}
-		if cut > 0 {
-			whole = fmt.Sprintf("cut at %d", cut)
-		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%g\t%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%s\n", name, v.Instance, v.Part, core, v.Config, v.Share, v.From.Format(time.RFC3339),
-			v.Seconds, v.Steps, v.Arrivals, v.Dropped, v.States, v.Bytes, whole)
-	}
-	return w.Flush()
-}
