--- a/config/settings.go
+++ b/config/settings.go
@@ -188,7 +188,7 @@
 	Queue           int `yaml:"queue"`         // events that wait for the loop; 8192 by default
 
 	Memory       strictyaml.Size `yaml:"memory"`      // of bodies that are held; 256MiB by default
-	Body         strictyaml.Size `yaml:"body"`        // of a request; no more than Memory; 1MiB by default
+	Body         strictyaml.Size `yaml:"body"`        // of a request; no more than Memory; 1MiB by default, 0: requests with a body are rejected
 	Head         strictyaml.Size `yaml:"head"`        // of a message; 32KiB by default
 	Fields       int             `yaml:"fields"`      // of a head; 128 by default
 	HoldResponse strictyaml.Size `yaml:"hold-answer"` // larger responses flow, and can't be tried again; 64KiB by default
