--- a/internal/diagnostic/diagnostic.go
+++ b/internal/diagnostic/diagnostic.go
@@ -18,6 +18,7 @@
 	Cause        error  // behind the message; nil if there is none
 }
 
+// Error is the message with file, line, column and field in front.
 func (p Problem) Error() string {
 	s := p.File
 	if p.Line > 0 {
@@ -35,6 +36,7 @@
 // Problems is an error when it is not empty. errors.As finds each Problem and its cause.
 type Problems []Problem
 
+// Error is all messages, one a line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
--- a/internal/diagnostic/field.go
+++ b/internal/diagnostic/field.go
@@ -15,6 +15,7 @@
 	Want  string // what is expected instead, such as "a number"
 }
 
+// Error names the field, its value and what is expected.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: %q: expected %s", e.Field, e.Value, e.Want)
 }
@@ -25,6 +26,7 @@
 	Err   error
 }
 
+// Error is the cause with its place in front.
 func (e *PlaceError) Error() string { return e.Place + ": " + e.Err.Error() }
 
 // Unwrap gives the error without its place.
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -36,6 +36,7 @@
 	Err  error  // with its place
 }
 
+// Error is the cause, which names the entry.
 func (e *EndpointError) Error() string { return e.Err.Error() }
 
 // Unwrap gives the cause.
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -14,6 +14,7 @@
 	Want string // what has to come
 }
 
+// Error names the message and what had to come.
 func (e *UnexpectedMessageError) Error() string {
 	return fmt.Sprintf("message %q: expected %s", e.Got, e.Want)
 }
@@ -25,6 +26,7 @@
 	Err  error
 }
 
+// Error is the cause with its line in front.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
 // Unwrap gives the error without its line.
