--- a/emulator/counter.go
+++ b/emulator/counter.go
@@ -186,7 +186,7 @@
 func (c *CounterConn) command(now time.Duration, v resp.Value) {
 	var args []string
 	for _, a := range v.Items {
-		if a.Type != resp.Bulk {
+		if a.Type != resp.BulkString {
 			c.protocolError("expected bulk strings")
 			return
 		}
--- a/internal/cli/quota.go
+++ b/internal/cli/quota.go
@@ -235,7 +235,7 @@
 		}
 		v.Held, v.Units = true, x/n.Weight
 	}
-	if got[1].Type == resp.Int && got[1].Int >= 0 {
+	if got[1].Type == resp.Integer && got[1].Int >= 0 {
 		v.ExpiresIn = float64(got[1].Int) / 1000
 	}
 	if q.json() {
@@ -285,7 +285,7 @@
 			if in = in[used:]; !whole {
 				break
 			}
-			if v.Type == resp.Failed {
+			if v.Type == resp.SimpleError {
 				return nil, fmt.Errorf("it says %.80q", v.Str)
 			}
 			if got = append(got, v); len(got) == len(commands) {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -19,24 +19,24 @@
 
 func (e *Error) Error() string { return "http1: " + e.Reason }
 
-func bad(reason string) *Error { return &Error{400, reason} }
+func badRequest(reason string) *Error { return &Error{400, reason} }
 
 // Field is one line of a head or of trailers. Names keep the case they came in.
 type Field struct{ Name, Value string }
 
 // Head is a start line with its fields, and what they say of the body.
 type Head struct {
-	Method, Target   string // of a request
-	Path, Query      string // of a request's target; Path is "*" for OPTIONS *
-	Authority        string // of a request: the host that it names
-	Status           int    // of a response
-	Reason           string // of a response
-	Minor            int    // HTTP/1.Minor
-	Fields           []Field
-	Length           int64 // of the body; -1: chunked, -2: until the connection ends
-	Close            bool  // the sender won't use the connection after this message
-	Continue         bool  // a request that waits for 100 (RFC 9110 section 10.1.1)
-	hasTE, hasLength bool
+	Method, Target                        string // of a request
+	Path, Query                           string // of a request's target; Path is "*" for OPTIONS *
+	Authority                             string // of a request: the host that it names
+	Status                                int    // of a response
+	Reason                                string // of a response
+	Minor                                 int    // HTTP/1.Minor
+	Fields                                []Field
+	Length                                int64 // of the body; -1: chunked, -2: until the connection ends
+	Close                                 bool  // the sender won't use the connection after this message
+	Continue                              bool  // a request that waits for 100 (RFC 9110 section 10.1.1)
+	hasTransferEncoding, hasContentLength bool
 }
 
 // Lengths of bodies that no field states.
@@ -72,8 +72,8 @@
 	return true
 }
 
-// tokens holds the bytes of a token (RFC 9110 section 5.6.2).
-var tokens = func() (t [256]bool) {
+// tokenBytes holds the bytes of a token (RFC 9110 section 5.6.2).
+var tokenBytes = func() (t [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		t[c] = true
 	}
@@ -88,15 +88,15 @@
 
 func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
-		if !tokens[s[i]] {
+		if !tokenBytes[s[i]] {
 			return false
 		}
 	}
 	return s != ""
 }
 
-// isValue tells whether s may be a field's value: no control byte but the tab (RFC 9110 section 5.5).
-func isValue(s string) bool {
+// isFieldValue tells whether s may be a field's value: no control byte but the tab (RFC 9110 section 5.5).
+func isFieldValue(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < 0x20 && c != '\t' || c == 0x7f {
 			return false
@@ -111,18 +111,18 @@
 		line, rest, _ := strings.Cut(lines, "\r\n")
 		lines = rest
 		if line[0] == ' ' || line[0] == '\t' {
-			return nil, bad("a folded line")
+			return nil, badRequest("a folded line")
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok {
-			return nil, bad("a field without a colon")
+			return nil, badRequest("a field without a colon")
 		}
 		if !isToken(name) { // a space before the colon included
-			return nil, bad("a field name that is no token")
+			return nil, badRequest("a field name that is no token")
 		}
 		value = strings.Trim(value, " \t")
-		if !isValue(value) {
-			return nil, bad("a control byte in a field")
+		if !isFieldValue(value) {
+			return nil, badRequest("a control byte in a field")
 		}
 		fields = append(fields, Field{name, value})
 	}
@@ -136,15 +136,15 @@
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
 	if !ok || !ok2 || !isToken(method) || target == "" {
-		return nil, bad("a request line that is not method, target and version")
+		return nil, badRequest("a request line that is not method, target and version")
 	}
 	h.Method, h.Target = method, target
-	if err := h.version(version); err != nil {
+	if err := h.parseVersion(version); err != nil {
 		return nil, err
 	}
 	for i := 0; i < len(target); i++ {
 		if c := target[i]; c <= 0x20 || c >= 0x7f {
-			return nil, bad("a byte in the target that no URI has")
+			return nil, badRequest("a byte in the target that no URI has")
 		}
 	}
 	lines = lines[:len(lines)-2]
@@ -153,18 +153,18 @@
 		return nil, err
 	}
 	h.Fields = fields
-	if err := h.host(); err != nil {
+	if err := h.resolveTarget(); err != nil {
 		return nil, err
 	}
-	if err := h.framing(true); err != nil {
+	if err := h.resolveFraming(true); err != nil {
 		return nil, err
 	}
 	return h, nil
 }
 
-func (h *Head) version(v string) *Error {
+func (h *Head) parseVersion(v string) *Error {
 	if len(v) != 8 || v[:5] != "HTTP/" || v[6] != '.' || v[5] < '0' || v[5] > '9' || v[7] < '0' || v[7] > '9' {
-		return bad("no version of HTTP")
+		return badRequest("no version of HTTP")
 	}
 	if v[5] != '1' || v[7] > '1' {
 		return &Error{505, "version " + v}
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// host takes the target apart and settles which host is meant (RFC 9112 section 3.2).
-func (h *Head) host() *Error {
+// resolveTarget takes the target apart and settles which host is meant (RFC 9112 section 3.2).
+func (h *Head) resolveTarget() *Error {
 	host, n := "", 0
 	for i := range h.Fields {
 		if equalFold(h.Fields[i].Name, "Host") {
@@ -182,10 +182,10 @@
 		}
 	}
 	if n > 1 || n == 0 && h.Minor == 1 {
-		return bad("not exactly one Host")
+		return badRequest("not exactly one Host")
 	}
 	if !isHost(host) {
-		return bad("a Host that names none")
+		return badRequest("a Host that names none")
 	}
 	h.Authority = host
 	t := h.Target
@@ -194,20 +194,20 @@
 		return &Error{501, "CONNECT is not offered"}
 	case t == "*":
 		if h.Method != "OPTIONS" {
-			return bad("target * without OPTIONS")
+			return badRequest("target * without OPTIONS")
 		}
 	case t[0] == '/':
 	default: // absolute-form
 		scheme, rest, ok := strings.Cut(t, "://")
 		if !ok || !equalFold(scheme, "http") && !equalFold(scheme, "https") {
-			return bad("a target that is neither a path nor a URI")
+			return badRequest("a target that is neither a path nor a URI")
 		}
 		i := strings.IndexAny(rest, "/?")
 		if i < 0 {
 			i = len(rest)
 		}
 		if !isHost(rest[:i]) || rest[:i] == "" || n == 1 && !equalFold(rest[:i], host) {
-			return bad("a target that names another host than Host")
+			return badRequest("a target that names another host than Host")
 		}
 		h.Authority = rest[:i]
 		if t = rest[i:]; t == "" || t[0] == '?' {
@@ -215,7 +215,7 @@
 		}
 	}
 	if strings.IndexByte(t, '#') >= 0 {
-		return bad("a fragment in the target")
+		return badRequest("a fragment in the target")
 	}
 	h.Path, h.Query, _ = strings.Cut(t, "?")
 	return nil
@@ -224,15 +224,15 @@
 // isHost tells whether s can be a host with an optional port; user names in it are not taken.
 func isHost(s string) bool {
 	for i := 0; i < len(s); i++ {
-		if c := s[i]; !tokens[c] && c != ':' && c != '[' && c != ']' || c == '`' || c == '^' || c == '|' || c == '#' {
+		if c := s[i]; !tokenBytes[c] && c != ':' && c != '[' && c != ']' || c == '`' || c == '^' || c == '|' || c == '#' {
 			return false
 		}
 	}
 	return true
 }
 
-// framing settles how long the body is and what becomes of the connection (RFC 9112 sections 6 and 9.3).
-func (h *Head) framing(request bool) *Error {
+// resolveFraming settles how long the body is and what becomes of the connection (RFC 9112 sections 6 and 9.3).
+func (h *Head) resolveFraming(request bool) *Error {
 	h.Close = h.Minor == 0
 	h.Length = 0
 	codings := ""
@@ -240,19 +240,19 @@
 		f := &h.Fields[i]
 		switch {
 		case equalFold(f.Name, "Content-Length"):
-			if h.hasLength {
-				return bad("more than one Content-Length")
+			if h.hasContentLength {
+				return badRequest("more than one Content-Length")
 			}
 			n, err := strconv.ParseInt(f.Value, 10, 64)
 			if err != nil || f.Value[0] < '0' || f.Value[0] > '9' {
-				return bad("a Content-Length that is no number")
+				return badRequest("a Content-Length that is no number")
 			}
-			h.Length, h.hasLength = n, true
+			h.Length, h.hasContentLength = n, true
 		case equalFold(f.Name, "Transfer-Encoding"):
-			if h.hasTE {
+			if h.hasTransferEncoding {
 				codings += ","
 			}
-			codings, h.hasTE = codings+f.Value, true
+			codings, h.hasTransferEncoding = codings+f.Value, true
 		case equalFold(f.Name, "Connection"):
 			if hasToken(f.Value, "close") {
 				h.Close = true
@@ -266,14 +266,14 @@
 			h.Continue = h.Minor == 1
 		}
 	}
-	if h.hasTE {
+	if h.hasTransferEncoding {
 		switch {
-		case h.hasLength:
-			return bad("both Transfer-Encoding and Content-Length")
+		case h.hasContentLength:
+			return badRequest("both Transfer-Encoding and Content-Length")
 		case h.Minor == 0:
-			return bad("Transfer-Encoding in HTTP/1.0")
+			return badRequest("Transfer-Encoding in HTTP/1.0")
 		case strings.Count(strings.ToLower(codings), "chunked") > 1:
-			return bad("chunked twice")
+			return badRequest("chunked twice")
 		case !equalFold(codings, "chunked"):
 			return &Error{501, "a transfer coding other than chunked"}
 		}
@@ -299,16 +299,16 @@
 	line, lines, _ := strings.Cut(raw, "\r\n")
 	h := &Head{}
 	version, rest, _ := strings.Cut(line, " ")
-	if err := h.version(version); err != nil {
+	if err := h.parseVersion(version); err != nil {
 		return nil, err
 	}
 	code, reason, _ := strings.Cut(rest, " ")
 	if len(code) != 3 || code[0] < '1' || code[0] > '9' || code[1] < '0' || code[1] > '9' || code[2] < '0' || code[2] > '9' {
-		return nil, bad("no status code")
+		return nil, badRequest("no status code")
 	}
 	h.Status, _ = strconv.Atoi(code)
-	if h.Reason = reason; !isValue(reason) {
-		return nil, bad("a control byte in the status line")
+	if h.Reason = reason; !isFieldValue(reason) {
+		return nil, badRequest("a control byte in the status line")
 	}
 	lines = lines[:len(lines)-2]
 	fields, err := parseFields(lines, make([]Field, 0, strings.Count(lines, "\n")))
@@ -316,18 +316,18 @@
 		return nil, err
 	}
 	h.Fields = fields
-	if err := h.framing(false); err != nil {
+	if err := h.resolveFraming(false); err != nil {
 		return nil, err
 	}
 	switch { // RFC 9112 section 6.3
 	case h.Status == 101:
-		return nil, bad("a switch of protocols that nobody asked for")
+		return nil, badRequest("a switch of protocols that nobody asked for")
 	case method == "HEAD" || h.Status < 200 || h.Status == 204 || h.Status == 304:
-		if h.hasTE && (h.Status < 200 || h.Status == 204) {
-			return nil, bad("Transfer-Encoding where there is no body")
+		if h.hasTransferEncoding && (h.Status < 200 || h.Status == 204) {
+			return nil, badRequest("Transfer-Encoding where there is no body")
 		}
 		h.Length = 0
-	case !h.hasTE && !h.hasLength:
+	case !h.hasTransferEncoding && !h.hasContentLength:
 		h.Length, h.Close = UntilClose, true
 	}
 	return h, nil
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// parts feeds text in pieces that end at cuts and writes down what comes of it; Data is joined.
-func parts(r *Reader, text []byte, cuts []int, eof bool) string {
+// partsOf feeds text in pieces that end at cuts and writes down what comes of it; Data is joined.
+func partsOf(r *Reader, text []byte, cuts []int, eof bool) string {
 	var out strings.Builder
 	var body []byte
 	flush := func() {
@@ -133,7 +133,7 @@
 		{"many fields", "GET / HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("X: y\r\n", 200) + "\r\n", 431},
 		{"expectation", "POST / HTTP/1.1\r\nHost: h\r\nExpect: miracles\r\nContent-Length: 1\r\n\r\na", 417},
 	} {
-		got := parts(NewRequests(Limits{}), []byte(c.text), nil, false)
+		got := partsOf(NewRequests(Limits{}), []byte(c.text), nil, false)
 		if c.status == ok && (strings.Contains(got, "error") || !strings.Contains(got, "end")) ||
 			c.status != ok && !strings.Contains(got, fmt.Sprintf("error %d", c.status)) {
 			t.Errorf("%s: want %d, got:\n%s", c.name, c.status, got)
@@ -142,7 +142,7 @@
 		for i := range bytewise {
 			bytewise[i] = i
 		}
-		if split := parts(NewRequests(Limits{}), []byte(c.text), bytewise, false); split != got {
+		if split := partsOf(NewRequests(Limits{}), []byte(c.text), bytewise, false); split != got {
 			t.Errorf("%s: byte by byte:\n%sat once:\n%s", c.name, split, got)
 		}
 	}
@@ -165,7 +165,7 @@
 	} {
 		r := NewResponses(Limits{})
 		r.Expect(c.method)
-		if got := parts(r, []byte(c.text), nil, true); !strings.Contains(got, c.want) {
+		if got := partsOf(r, []byte(c.text), nil, true); !strings.Contains(got, c.want) {
 			t.Errorf("%s: want %q in:\n%s", c.name, c.want, got)
 		}
 	}
@@ -184,7 +184,7 @@
 			func() *Reader { return NewRequests(limits) },
 			func() *Reader { r := NewResponses(limits); r.Expect("GET"); return r },
 		} {
-			if a, b := parts(make(), text, nil, true), parts(make(), text, cuts, true); a != b {
+			if a, b := partsOf(make(), text, nil, true), partsOf(make(), text, cuts, true); a != b {
 				t.Fatalf("at once:\n%ssplit at %v:\n%s", a, cuts, b)
 			}
 		}
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -13,8 +13,8 @@
 	Trailers    int // bytes of trailers: 400 beyond; default 4 KiB
 }
 
-// orDefault returns the limits with defaults in place of zeros.
-func (l Limits) orDefault() Limits {
+// withDefaults returns the limits with defaults in place of zeros.
+func (l Limits) withDefaults() Limits {
 	set := func(v *int, d int) {
 		if *v <= 0 {
 			*v = d
@@ -69,8 +69,8 @@
 	maxChunkSize     = 1<<62 - 1 // of a chunk; sums of two still fit an int64
 )
 
-// errTruncated is the error of EOF within a message.
-var errTruncated = errors.New("http1: the connection ended within a message")
+// ErrTruncated is the error of EOF within a message.
+var ErrTruncated = errors.New("http1: the connection ended within a message")
 
 // Reader parses what comes on a connection. However the same bytes are split over calls, the parts are the same, but for
 // where Data is cut. It belongs to one goroutine at a time, and no method blocks.
@@ -89,10 +89,10 @@
 }
 
 // NewRequests returns a reader of what clients send.
-func NewRequests(l Limits) *Reader { return &Reader{limits: l.orDefault()} }
+func NewRequests(l Limits) *Reader { return &Reader{limits: l.withDefaults()} }
 
 // NewResponses returns a reader of what servers send. Expect must be called before each response.
-func NewResponses(l Limits) *Reader { return &Reader{limits: l.orDefault(), response: true} }
+func NewResponses(l Limits) *Reader { return &Reader{limits: l.withDefaults(), response: true} }
 
 // Expect names the method of the request that the next response answers.
 func (r *Reader) Expect(method string) { r.method = method }
@@ -124,7 +124,7 @@
 	case r.Idle() && r.err == nil:
 		return Part{}, nil
 	}
-	return Part{}, errTruncated
+	return Part{}, ErrTruncated
 }
 
 // feed is Feed without the care for errors.
@@ -134,7 +134,7 @@
 		rest := b[used:]
 		switch r.state {
 		case stateHead:
-			n, p, err := r.head(rest)
+			n, p, err := r.readHead(rest)
 			return used + n, p, err
 		case stateFixedBody, stateChunk, stateBodyUntilClose:
 			if r.bodyLeft == 0 && r.state != stateBodyUntilClose {
@@ -172,7 +172,7 @@
 			}
 			r.buf, r.state = r.buf[:0], stateChunkSize
 		case stateTrailers:
-			n, p, err := r.trailers(rest)
+			n, p, err := r.readTrailers(rest)
 			return used + n, p, err
 		case stateEnd:
 			r.state = stateHead
@@ -186,20 +186,20 @@
 func (r *Reader) collectLine(b []byte, limit int) (int, []byte, *Error) {
 	for i, c := range b {
 		if len(r.buf) == limit {
-			return i, nil, bad("a line of chunk framing that is too long")
+			return i, nil, badRequest("a line of chunk framing that is too long")
 		}
 		if l := len(r.buf); c != '\n' && l > 0 && r.buf[l-1] == '\r' {
-			return i, nil, bad("a bare CR")
+			return i, nil, badRequest("a bare CR")
 		}
 		r.buf = append(r.buf, c)
 		if c == '\n' {
 			if len(r.buf) < 2 || r.buf[len(r.buf)-2] != '\r' {
-				return i, nil, bad("a bare LF")
+				return i, nil, badRequest("a bare LF")
 			}
 			return i + 1, r.buf[:len(r.buf)-2], nil
 		}
 		if r.state == stateChunkEnd && c != '\r' {
-			return i, nil, bad("a chunk that is longer than its size")
+			return i, nil, badRequest("a chunk that is longer than its size")
 		}
 	}
 	return len(b), nil, nil
@@ -224,21 +224,21 @@
 			break
 		}
 		if i >= 15 || n > maxChunkSize>>4 {
-			return bad("a chunk size that is too large")
+			return badRequest("a chunk size that is too large")
 		}
 		n = n<<4 | d
 	}
 	if i == 0 {
-		return bad("a chunk without a size")
+		return badRequest("a chunk without a size")
 	}
 	if i < len(line) {
-		if line[i] != ';' || !isValue(string(line[i:])) {
-			return bad("a chunk size followed by something else")
+		if line[i] != ';' || !isFieldValue(string(line[i:])) {
+			return badRequest("a chunk size followed by something else")
 		}
 	}
 	r.excessFraming = max(0, r.excessFraming+int64(len(line))+4-16-2*n)
 	if r.excessFraming > maxExcessFraming {
-		return bad("more chunk framing than body")
+		return badRequest("more chunk framing than body")
 	}
 	if r.bodyLeft = n; n == 0 {
 		r.state, r.lineStart = stateTrailers, 0
@@ -248,9 +248,9 @@
 	return nil
 }
 
-// collect takes lines up to and with an empty one into r.buf; done reports that it has come. What is too long is found by
+// collectLines takes lines up to and with an empty one into r.buf; done reports that it has come. What is too long is found by
 // the count of bytes alone, so that it does not depend on how they were split.
-func (r *Reader) collect(b []byte, limit int, over *Error) (used int, done bool, err *Error) {
+func (r *Reader) collectLines(b []byte, limit int, over *Error) (used int, done bool, err *Error) {
 	for used < len(b) {
 		limit, over := limit, over
 		if r.state == stateHead && !r.response && r.lineStart == 0 && r.limits.RequestLine < limit {
@@ -270,10 +270,10 @@
 		used += nl + 1
 		line := r.buf[r.lineStart:]
 		if len(line) < 2 || line[len(line)-2] != '\r' {
-			return used, false, bad("a bare LF")
+			return used, false, badRequest("a bare LF")
 		}
 		if bytes.IndexByte(line[:len(line)-2], '\r') >= 0 {
-			return used, false, bad("a bare CR")
+			return used, false, badRequest("a bare CR")
 		}
 		if len(line) == 2 {
 			return used, true, nil
@@ -286,17 +286,17 @@
 	return used, false, nil
 }
 
-// head takes a head in.
-func (r *Reader) head(b []byte) (int, Part, *Error) {
+// readHead takes a head in.
+func (r *Reader) readHead(b []byte) (int, Part, *Error) {
 	used := 0
 	for {
-		n, done, err := r.collect(b[used:], r.limits.Head, &Error{431, "a head that is too large"})
+		n, done, err := r.collectLines(b[used:], r.limits.Head, &Error{431, "a head that is too large"})
 		used += n
 		if err != nil || !done {
 			return used, Part{}, err
 		}
 		if len(r.buf) > 2 {
-			h, err := r.parse()
+			h, err := r.finishHead()
 			if err != nil {
 				return used, Part{}, err
 			}
@@ -304,14 +304,14 @@
 		}
 		// One empty line before a request is forgiven (RFC 9112 section 2.2).
 		if r.response || r.skippedEmptyLine {
-			return used, Part{}, bad("an empty line in place of a message")
+			return used, Part{}, badRequest("an empty line in place of a message")
 		}
 		r.skippedEmptyLine, r.buf = true, r.buf[:0]
 	}
 }
 
-// parse reads the collected head and sets out for its body.
-func (r *Reader) parse() (*Head, *Error) {
+// finishHead reads the collected head and sets out for its body.
+func (r *Reader) finishHead() (*Head, *Error) {
 	raw := string(r.buf)
 	if cap(r.buf) > 4<<10 { // a large head is rare; its room isn't kept over the connection's life
 		r.buf = nil
@@ -340,9 +340,9 @@
 	return h, nil
 }
 
-// trailers takes the trailers of a chunked body in, of which those are refused that would frame or route the message.
-func (r *Reader) trailers(b []byte) (int, Part, *Error) {
-	n, done, err := r.collect(b, r.limits.Trailers, bad("trailers that are too large"))
+// readTrailers takes the trailers of a chunked body in, of which those are refused that would frame or route the message.
+func (r *Reader) readTrailers(b []byte) (int, Part, *Error) {
+	n, done, err := r.collectLines(b, r.limits.Trailers, badRequest("trailers that are too large"))
 	if err != nil || !done {
 		return n, Part{}, err
 	}
@@ -353,7 +353,7 @@
 	for _, f := range fields {
 		for _, no := range [...]string{"Content-Length", "Transfer-Encoding", "Host", "Connection", "Trailer"} {
 			if equalFold(f.Name, no) {
-				return n, Part{}, bad("a trailer that frames or routes")
+				return n, Part{}, badRequest("a trailer that frames or routes")
 			}
 		}
 	}
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// Hop tells whether a field belongs to one connection only and is not passed on (RFC 9110 section 7.6.1). The
+// IsHopByHop tells whether a field belongs to one connection only and is not passed on (RFC 9110 section 7.6.1). The
 // fields that Connection nominates are found with Nominated.
-func Hop(name string) bool {
+func IsHopByHop(name string) bool {
 	switch len(name) {
 	case 2:
 		return equalFold(name, "TE")
@@ -59,7 +59,7 @@
 	}
 	for i := range h.Fields {
 		f := &h.Fields[i]
-		if Hop(f.Name) || nominates && h.Nominated(f.Name) || skip != nil && skip(f.Name) {
+		if IsHopByHop(f.Name) || nominates && h.Nominated(f.Name) || skip != nil && skip(f.Name) {
 			continue
 		}
 		b = AppendField(b, f.Name, f.Value)
@@ -98,7 +98,7 @@
 func AppendLastChunk(b []byte, trailers []Field) []byte {
 	b = append(b, '0', '\r', '\n')
 	for _, f := range trailers {
-		if !Hop(f.Name) {
+		if !IsHopByHop(f.Name) {
 			b = AppendField(b, f.Name, f.Value)
 		}
 	}
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func all(text []byte, cuts []int) string {
+func valuesOf(text []byte, cuts []int) string {
 	var r Reader
 	var out strings.Builder
 	at := 0
@@ -41,7 +41,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		text := []byte(strings.Join(rapid.SliceOfN(rapid.SampledFrom(pieces), 1, 10).Draw(t, "pieces"), ""))
 		cuts := rapid.SliceOfN(rapid.IntRange(0, len(text)), 0, 10).Draw(t, "cuts")
-		if a, b := all(text, nil), all(text, cuts); a != b {
+		if a, b := valuesOf(text, nil), valuesOf(text, cuts); a != b {
 			t.Fatalf("at once:\n%ssplit:\n%s", a, b)
 		}
 	})
@@ -64,12 +64,12 @@
 
 func TestBounds(t *testing.T) {
 	for _, s := range []string{"$600000\r\n", "*2000\r\n", strings.Repeat("*1\r\n", 10), "+" + strings.Repeat("x", 600)} {
-		if got := all([]byte(s), nil); !strings.Contains(got, ErrSize.Error()) {
+		if got := valuesOf([]byte(s), nil); !strings.Contains(got, ErrSize.Error()) {
 			t.Errorf("%.20q: %s", s, got)
 		}
 	}
 	for _, s := range []string{"?\r\n", ":\r\n", "$x\r\n", "$-2\r\n", "$1\r\nabc", "+a\rb\r\n", "\r\n"} {
-		if got := all([]byte(s), nil); !strings.Contains(got, ErrSyntax.Error()) {
+		if got := valuesOf([]byte(s), nil); !strings.Contains(got, ErrSyntax.Error()) {
 			t.Errorf("%q: %s", s, got)
 		}
 	}
@@ -82,7 +82,7 @@
 		for i := range cuts {
 			cuts[i] = i
 		}
-		if a, b := all(text, nil), all(text, cuts); a != b {
+		if a, b := valuesOf(text, nil), valuesOf(text, cuts); a != b {
 			t.Fatalf("at once:\n%sbyte by byte:\n%s", a, b)
 		}
 	})
--- a/proxy/respcounter.go
+++ b/proxy/respcounter.go
@@ -34,5 +34,5 @@
 		return n, protocol.CounterReply{}, nil
 	}
 	sum, ok := v.Float()
-	return n, protocol.CounterReply{Complete: true, Added: ok && v.Type != resp.Failed, Total: sum}, nil
+	return n, protocol.CounterReply{Complete: true, Added: ok && v.Type != resp.SimpleError, Total: sum}, nil
 }
