--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,8 +2,9 @@
 
 import "strconv"
 
-// IsHopByHop tells whether a field belongs to one connection only and is not passed on (RFC 9110 section 7.6.1). The
-// fields that Connection nominates are found with Nominated.
+// IsHopByHop reports whether a field belongs to one connection only and is not passed on (RFC 9110 section 7.6.1), as are
+// those of the framing and Expect, which the gateway settles for each connection. The fields that Connection nominates are
+// found with Nominated. It compares only names of the same length, as it is asked for every field of every message.
 func IsHopByHop(name string) bool {
 	switch len(name) {
 	case 2:
@@ -28,20 +29,8 @@
 	return false
 }
 
-// Nominated tells whether a Connection field of the head names another field as its own.
-func (h *Head) Nominated(name string) bool {
-	for i := range h.Fields {
-		if equalFold(h.Fields[i].Name, "Connection") && hasToken(h.Fields[i].Value, name) {
-			return true
-		}
-	}
-	return false
-}
-
-// EqualName tells whether two field names are the same.
-func EqualName(a, b string) bool { return equalFold(a, b) }
-
-// AppendField appends one line.
+// AppendField appends one field line (RFC 9112 section 5) and returns the extended buffer, as all functions here do. The
+// name and value must hold no line end.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -49,7 +38,8 @@
 	return append(b, '\r', '\n')
 }
 
-// AppendFields appends those fields of h that go beyond this connection, except those that skip names.
+// AppendFields appends those fields of h that go beyond this connection (RFC 9110 section 7.6.1), except those for whose
+// name skip returns true; a nil skip leaves none out.
 func AppendFields(b []byte, h *Head, skip func(name string) bool) []byte {
 	nominates := false
 	for i := range h.Fields {
@@ -58,23 +48,23 @@
 		}
 	}
 	for i := range h.Fields {
-		f := &h.Fields[i]
-		if IsHopByHop(f.Name) || nominates && h.Nominated(f.Name) || skip != nil && skip(f.Name) {
+		field := &h.Fields[i]
+		if IsHopByHop(field.Name) || nominates && h.Nominated(field.Name) || skip != nil && skip(field.Name) {
 			continue
 		}
-		b = AppendField(b, f.Name, f.Value)
+		b = AppendField(b, field.Name, field.Value)
 	}
 	return b
 }
 
-// AppendLength appends Content-Length.
+// AppendLength appends a Content-Length of n bytes (RFC 9110 section 8.6).
 func AppendLength(b []byte, n int64) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, n, 10)
 	return append(b, '\r', '\n')
 }
 
-// AppendStatus appends a status line.
+// AppendStatus appends a status line of HTTP/1.1 (RFC 9112 section 4).
 func AppendStatus(b []byte, status int, reason string) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -83,7 +73,7 @@
 	return append(b, '\r', '\n')
 }
 
-// AppendChunk appends one chunk; an empty one would end the body and is left out.
+// AppendChunk appends one chunk (RFC 9112 section 7.1); an empty one would end the body and is left out.
 func AppendChunk(b, data []byte) []byte {
 	if len(data) == 0 {
 		return b
@@ -94,62 +84,14 @@
 	return append(b, '\r', '\n')
 }
 
-// AppendLastChunk ends a chunked body.
+// AppendLastChunk ends a chunked body: it appends the last chunk and the trailers, hop-by-hop fields left out (RFC 9112
+// sections 7.1 and 7.1.2).
 func AppendLastChunk(b []byte, trailers []Field) []byte {
 	b = append(b, '0', '\r', '\n')
-	for _, f := range trailers {
-		if !IsHopByHop(f.Name) {
-			b = AppendField(b, f.Name, f.Value)
+	for _, field := range trailers {
+		if !IsHopByHop(field.Name) {
+			b = AppendField(b, field.Name, field.Value)
 		}
 	}
 	return append(b, '\r', '\n')
 }
-
-// StatusText is the reason phrase of the statuses that this program answers with.
-func StatusText(status int) string {
-	switch status {
-	case 100:
-		return "Continue"
-	case 200:
-		return "OK"
-	case 201:
-		return "Created"
-	case 204:
-		return "No Content"
-	case 400:
-		return "Bad Request"
-	case 401:
-		return "Unauthorized"
-	case 404:
-		return "Not Found"
-	case 405:
-		return "Method Not Allowed"
-	case 408:
-		return "Request Timeout"
-	case 409:
-		return "Conflict"
-	case 413:
-		return "Content Too Large"
-	case 414:
-		return "URI Too Long"
-	case 417:
-		return "Expectation Failed"
-	case 429:
-		return "Too Many Requests"
-	case 431:
-		return "Request Header Fields Too Large"
-	case 500:
-		return "Internal Server Error"
-	case 501:
-		return "Not Implemented"
-	case 502:
-		return "Bad Gateway"
-	case 503:
-		return "Service Unavailable"
-	case 504:
-		return "Gateway Timeout"
-	case 505:
-		return "HTTP Version Not Supported"
-	}
-	return "Status"
-}
