--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -9,19 +9,20 @@
 	"pgregory.net/rapid"
 )
 
+// valuesOf feeds text in pieces that end at cuts and writes down the values, up to an error.
 func valuesOf(text []byte, cuts []int) string {
 	var r Reader
 	var out strings.Builder
 	at := 0
-	for _, c := range append(cuts, len(text)) {
-		if c < at {
+	for _, cut := range append(cuts, len(text)) {
+		if cut < at {
 			continue
 		}
-		b := text[at:c]
-		at = c
+		piece := text[at:cut]
+		at = cut
 		for {
-			n, v, whole, err := r.Feed(b)
-			b = b[n:]
+			n, v, whole, err := r.Feed(piece)
+			piece = piece[n:]
 			if err != nil {
 				fmt.Fprintln(&out, err)
 				return out.String()
@@ -35,7 +36,8 @@
 	return out.String()
 }
 
-func TestAnySplit(t *testing.T) {
+// The bytes of a stream arrive cut at any place, as the network and the sender have it. The values are the same.
+func TestValuesDoNotDependOnSplits(t *testing.T) {
 	pieces := []string{"+OK\r\n", "-ERR x\r\n", ":12\r\n", "$3\r\nabc\r\n", "$-1\r\n", "*2\r\n", "*0\r\n", "*-1\r\n", "_\r\n", "$0\r\n\r\n",
 		"$3\r\n", "abc", "\r\n", "\n", ":x\r\n", "*9999999\r\n", "$99999999\r\n"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -47,14 +49,15 @@
 	})
 }
 
+// A command with any bytes in its arguments, line ends included, is read as it was written.
 func TestCommandsReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		args := rapid.SliceOfN(rapid.String(), 1, 6).Draw(t, "args")
 		var r Reader
 		n, v, whole, err := r.Feed(AppendCommand(nil, args...))
 		var got []string
-		for _, i := range v.Items {
-			got = append(got, i.Str)
+		for _, item := range v.Items {
+			got = append(got, item.Str)
 		}
 		if !whole || err != nil || n == 0 || !reflect.DeepEqual(got, args) {
 			t.Fatalf("%q read back as %q, %v", args, got, err)
@@ -62,7 +65,9 @@
 	})
 }
 
-func TestBounds(t *testing.T) {
+// A peer sends what is no RESP, or announces more than a Reader may hold. It gets ErrSyntax or ErrSize before the memory is
+// reserved.
+func TestMalformedAndOversizedValuesAreRefused(t *testing.T) {
 	for _, s := range []string{"$600000\r\n", "*2000\r\n", strings.Repeat("*1\r\n", 10), "+" + strings.Repeat("x", 600)} {
 		if got := valuesOf([]byte(s), nil); !strings.Contains(got, ErrSize.Error()) {
 			t.Errorf("%.20q: %s", s, got)
@@ -75,6 +80,7 @@
 	}
 }
 
+// FuzzReader compares a stream read at once with the same read byte by byte.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("*2\r\n$3\r\nabc\r\n:1\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
