--- a/proxy/attempts_test.go
+++ b/proxy/attempts_test.go
@@ -8,17 +8,19 @@
 	"sandyard/config"
 )
 
-// Connections take time to be made. Meanwhile a client leaves, a deadline passes, or the endpoint list removes the
-// backend; a request that is written all the same runs for nobody, or on a backend that is going away. Each case is one
-// change between the decision and the first byte, in a deployment that does not cancel attempts.
-func TestAttemptIsCheckedBeforeFirstByte(t *testing.T) {
-	keepsOn := strings.Replace(harnessConfig, "attempts: {most: 3}", "attempts: {most: 3, cancel: false}", 1)
-	gone := endpointList(1, 0)
-	for _, c := range []struct {
-		name   string
-		change func(r *harness, client *ClientConn, ex *Exchange)
-		writes bool
-	}{
+// changeWhileConnecting is what happens between the decision to send an attempt and its first byte, and whether the attempt
+// is written all the same.
+type changeWhileConnecting struct {
+	name   string
+	change func(r *harness, client *ClientConn, ex *Exchange)
+	writes bool
+}
+
+// changesWhileConnecting are the changes that TestAttemptIsCheckedBeforeFirstByte makes.
+func changesWhileConnecting() []changeWhileConnecting {
+	removed := endpointList(1, 0)
+	removed[0].State = config.EndpointState(2)
+	return []changeWhileConnecting{
 		{"nothing", func(*harness, *ClientConn, *Exchange) {}, true},
 		{"the client left", func(r *harness, client *ClientConn, ex *Exchange) {
 			r.instance.ClientLeft(r.now, client.Disconnected())
@@ -29,25 +31,27 @@
 			r.instance.ReplaceEndpoints(r.now, nil, time.Time{})
 		}, false},
 		{"its backend is removed", func(r *harness, client *ClientConn, ex *Exchange) {
-			gone[0].State = config.EndpointState(2)
-			r.instance.UpdateEndpoints(r.now, gone, time.Time{})
+			r.instance.UpdateEndpoints(r.now, removed, time.Time{})
 		}, false},
 		{"its backend began to drain a moment ago", func(r *harness, client *ClientConn, ex *Exchange) {
 			r.instance.UpdateEndpoints(r.now, endpointList(1, 1), time.Time{})
 		}, true},
-	} {
-		r := newHarnessOf(t, keepsOn, 1, 1, "")
+	}
+}
+
+// Connections take time to be made. Meanwhile a client leaves, a deadline passes, or the endpoint list removes the
+// backend; a request that is written all the same runs for nobody, or on a backend that is going away. Each case is one
+// change between the decision and the first byte, in a deployment that does not cancel attempts.
+func TestAttemptIsCheckedBeforeFirstByte(t *testing.T) {
+	withoutCancel := strings.Replace(harnessConfig, "attempts: {most: 3}", "attempts: {most: 3, cancel: false}", 1)
+	for _, c := range changesWhileConnecting() {
+		r := newHarnessOf(t, withoutCancel, 1, 1, "")
 		client, ex := r.request("GET", "/look", "ka", "")
 		dial := r.want(DialBackend)
 		c.change(r, client, ex)
 		r.collect()
 		r.instance.BackendConnected(r.now, dial.Conn)
-		r.collect()
-		wrote := false
-		for _, effect := range r.effects {
-			wrote = wrote || effect.Kind == WriteAttempt
-		}
-		if wrote != c.writes {
+		if wrote := r.hasEffect(WriteAttempt); wrote != c.writes {
 			t.Errorf("%s: it is written: %v", c.name, wrote)
 		}
 	}
@@ -81,12 +85,7 @@
 		second := r.want(DialBackend)
 		r.advance(c.late)
 		r.instance.BackendConnected(r.now, second.Conn)
-		r.collect()
-		out := false
-		for _, effect := range r.effects {
-			out = out || effect.Kind == WriteAttempt
-		}
-		if out != c.out {
+		if out := r.hasEffect(WriteAttempt); out != c.out {
 			t.Errorf("%v after the first went out the repeat goes out: %v", c.late, out)
 		}
 	}
--- a/proxy/clientconn_test.go
+++ b/proxy/clientconn_test.go
@@ -199,9 +199,8 @@
 	}
 }
 
-// A client sent without end while it waited for its response. What is kept is bounded, by limits.head and limits.body
-// and in all by limits.memory. Reading goes on beyond the bound, or the client's end would not be seen; complete
-// requests that were kept are answered in order, and then the connection ends.
+// A client sent without end while it waited for its response. What is kept is bounded, by limits.head and limits.body.
+// Reading goes on beyond the bound; complete requests that were kept are answered in order, and then the connection ends.
 func TestReadAheadIsBounded(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	c := r.newClientConn()
@@ -225,15 +224,25 @@
 	if closes, linger := c.Closing(); !closes || !linger {
 		t.Error("the connection goes on after a gap")
 	}
-	if c = r.newClientConn(); c.Feed(r.now, requestText("GET", "/look", "ka", "")) == nil {
+}
+
+// A client sent more than is kept while it waited for its response, and then closed. Reading goes on beyond the bound, or
+// the close would not be seen, and its request would run for nobody.
+func TestDisconnectIsSeenBehindReadAhead(t *testing.T) {
+	r := newHarness(t, 1, 1, "")
+	c := r.newClientConn()
+	if c.Feed(r.now, requestText("GET", "/look", "ka", "")) == nil {
 		t.Fatal("no exchange")
 	}
 	c.Feed(r.now, make([]byte, 64<<10))
 	if c.Disconnected() == nil {
 		t.Error("the client that went is not seen")
 	}
+}
 
-	// limits.memory holds for all that is kept
+// Many clients sent ahead while they waited for their responses. limits.memory holds for all that is kept.
+func TestReadAheadOfAllClientsIsBounded(t *testing.T) {
+	r := newHarness(t, 1, 1, "")
 	var all []*ClientConn
 	for range 100 {
 		c := r.newClientConn()
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -4,6 +4,7 @@
 	"flag"
 	"fmt"
 	"os"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -111,6 +112,12 @@
 	return Effect{}
 }
 
+// hasEffect reports whether an effect of a kind is kept.
+func (r *harness) hasEffect(k EffectKind) bool {
+	r.collect()
+	return slices.ContainsFunc(r.effects, func(effect Effect) bool { return effect.Kind == k })
+}
+
 // wantNone fails if an effect of a kind is kept.
 func (r *harness) wantNone(k EffectKind) {
 	r.Helper()
--- a/proxy/pool_test.go
+++ b/proxy/pool_test.go
@@ -7,6 +7,29 @@
 	"sandyard/internal/strictyaml"
 )
 
+// maxChoices is the number of requests within which each of two backends is chosen, by far.
+const maxChoices = 102
+
+// writeOn sends requests until one is written on a given idle connection, as its backend is chosen, and returns its
+// exchange. Requests that get another connection are answered, and that connection is closed.
+func (r *harness) writeOn(conn *BackendConn, path, more string) *Exchange {
+	r.Helper()
+	for range maxChoices {
+		_, ex := r.request("POST", path, "ka", more+"Content-Length: 0\r\n")
+		r.collect()
+		if effect := r.effects[len(r.effects)-1]; effect.Kind == WriteAttempt && effect.Conn == conn {
+			r.effects = nil
+			return ex
+		}
+		other, otherExchange := r.connect()
+		r.reply(other, otherExchange, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+		r.wantResponse("200")
+		r.effects = nil
+	}
+	r.Fatal("the idle connection is never used")
+	return nil
+}
+
 // A backend closed an idle connection just as a request was written on it. Requests that may run twice, by their class
 // or by an idempotency key, are sent to another backend. One that may not fails, unless none of its bytes had been
 // written.
@@ -24,21 +47,7 @@
 		conn, _ := r.connect()
 		r.reply(conn, ex, ok200)
 		r.wantResponse("200")
-		for i := 0; ; i++ { // until the same backend is chosen
-			_, ex = r.request("POST", c.path, "ka", c.more+"Content-Length: 0\r\n")
-			r.collect()
-			if effect := r.effects[len(r.effects)-1]; effect.Kind == WriteAttempt && effect.Conn == conn {
-				r.effects = nil
-				break
-			}
-			conn2, ex2 := r.connect()
-			r.reply(conn2, ex2, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-			r.wantResponse("200")
-			r.effects = nil
-			if i > 100 {
-				t.Fatal("the idle connection is never used")
-			}
-		}
+		ex = r.writeOn(conn, c.path, c.more)
 		r.instance.BackendDisconnected(r.now, conn, c.unsent)
 		r.collect()
 		if !c.again {
