--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -19,16 +19,17 @@
 // Emulator runs the sandyard-emulator program.
 func Emulator(args []string, out, errs io.Writer) int {
 	var g struct {
-		Box    standInBox    `cmd:"" help:"Run a stand-in box."`
-		Keeper standInKeeper `cmd:"" help:"Run a stand-in tally keeper."`
-		Set    standInSet    `cmd:"" help:"Set a fault of a running stand-in: slow 3, hang, reset 20, lose, fault 0.5, refuse, lie 0, stall, delay 200; of the keeper: silent, empty, refuse, stall, delay."`
-		Clear  standInClear  `cmd:"" help:"End a fault of a running stand-in."`
+		Box    emulateBackendCommand `cmd:"" help:"Run a stand-in box."`
+		Keeper emulateCounterCommand `cmd:"" help:"Run a stand-in tally keeper."`
+		Set    setFaultCommand       `cmd:"" help:"Set a fault of a running stand-in: slow 3, hang, reset 20, lose, fault 0.5, refuse, lie 0, stall, delay 200; of the keeper: silent, empty, refuse, stall, delay."`
+		Clear  clearFaultCommand     `cmd:"" help:"End a fault of a running stand-in."`
 	}
 	return program("sandyard-emulator", "Peers to try a front door against: boxes and a tally keeper.", &g, args, out, errs,
 		&Console{out, errs})
 }
 
-type standInBox struct {
+// emulateBackendCommand is "sandyard-emulator box".
+type emulateBackendCommand struct {
 	Name           string        `default:"box" help:"Its name in records and answers."`
 	Listen         string        `default:"127.0.0.1:0" help:"Address to listen on."`
 	Control        string        `default:"127.0.0.1:0" help:"Address on which faults are set."`
@@ -36,8 +37,8 @@
 	Queue          int           `default:"24" help:"Requests that wait beside those."`
 	Work           time.Duration `default:"20ms" help:"Mean work of a request."`
 	Spread         float64       `default:"1" help:"Coefficient of variation of the work."`
-	ColdShare      float64       `default:"1" help:"Speed at the start, as a share of a warm box's."`
-	ColdTime       time.Duration `help:"Time until it is warm."`
+	SlowStartShare float64       `name:"cold-share" default:"1" help:"Speed at the start, as a share of a warm box's."`
+	SlowStartTime  time.Duration `name:"cold-time" help:"Time until it is warm."`
 	OverloadFactor float64       `help:"Work of this multiple of what it can do, within overload-time, makes a cold box fall over."`
 	OverloadTime   time.Duration `help:"See overload-factor."`
 	KeyTTL         time.Duration `name:"key-ttl" default:"10s" help:"Repeats of a key are discarded for so long."`
@@ -46,7 +47,7 @@
 	Record         bool          `help:"Print what happens as lines of JSON."`
 }
 
-// BackendFact is a line of a stand-in box's record.
+// BackendFact is one line of an emulated backend's record.
 type BackendFact struct {
 	At      int64             `json:"at"` // Unix time in nanoseconds
 	Backend string            `json:"box"`
@@ -55,23 +56,23 @@
 	Key     string            `json:"key,omitempty"`
 }
 
-// Ready is the first line that a stand-in prints.
+// Ready is the first line that an emulator prints.
 type Ready struct {
 	Msg     string `json:"msg"` // "listening"
 	Addr    string `json:"addr"`
 	Control string `json:"control"`
 }
 
-// record writes lines from a goroutine of its own, so that a slow reader does not hold up the box.
-type record struct {
+// lineWriter writes lines from a goroutine of its own, so that a slow reader does not hold up the backend.
+type lineWriter struct {
 	mu    sync.Mutex
 	lines []byte
 	wake  chan struct{}
 	done  chan struct{}
 }
 
-func newRecord(out io.Writer) *record {
-	r := &record{wake: make(chan struct{}, 1), done: make(chan struct{})}
+func newLineWriter(out io.Writer) *lineWriter {
+	r := &lineWriter{wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		w := bufio.NewWriter(out)
@@ -87,7 +88,7 @@
 	return r
 }
 
-func (r *record) write(v any) {
+func (r *lineWriter) write(v any) {
 	b, _ := json.Marshal(v)
 	r.mu.Lock()
 	r.lines = append(append(r.lines, b...), '\n')
@@ -98,8 +99,8 @@
 	}
 }
 
-// close writes what is left.
-func (r *record) close() {
+// close writes what is left, and ends the goroutine.
+func (r *lineWriter) close() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -108,8 +109,8 @@
 	<-r.done
 }
 
-func (b standInBox) Run(c *Console) error {
-	rec := newRecord(c.Out)
+func (b emulateBackendCommand) Run(c *Console) error {
+	rec := newLineWriter(c.Out)
 	defer rec.close()
 	var facts func(emulator.Fact)
 	if b.Record {
@@ -117,22 +118,22 @@
 			rec.write(BackendFact{time.Now().UnixNano(), f.Backend, f.Kind, f.ID, f.Key})
 		}
 	}
-	box, err := server.StartBackend(b.Listen, emulator.BackendConfig{Name: b.Name, Cores: b.Cores, Queue: b.Queue, Work: b.Work, Spread: b.Spread,
-		ColdShare: b.ColdShare, ColdTime: b.ColdTime, OverloadFactor: b.OverloadFactor, OverloadTime: b.OverloadTime, KeyTTL: b.KeyTTL,
-		Body: b.Body, Seed: b.Seed}, facts)
+	box, err := server.StartBackend(b.Listen, emulator.BackendConfig{Name: b.Name, Cores: b.Cores, Queue: b.Queue, Work: b.Work, WorkVariation: b.Spread,
+		SlowStartShare: b.SlowStartShare, SlowStartTime: b.SlowStartTime, OverloadFactor: b.OverloadFactor, OverloadTime: b.OverloadTime, KeyTTL: b.KeyTTL,
+		BodySize: b.Body, Seed: b.Seed}, facts)
 	if err != nil {
 		return err
 	}
 	defer box.Close()
-	return untilTold(rec, box.Addr(), b.Control, box)
+	return serveUntilSignal(rec, box.Addr(), b.Control, box)
 }
 
-// untilTold says where a stand-in listens and waits for a signal.
-func untilTold(rec *record, addr, control string, f server.FaultTarget) error {
+// serveUntilSignal prints where an emulator listens, and waits for SIGTERM or SIGINT.
+func serveUntilSignal(rec *lineWriter, addr, control string, f server.FaultTarget) error {
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(told)
-	at, stop, err := server.Control(control, f)
+	at, stop, err := server.ServeFaultControl(control, f)
 	if err != nil {
 		return err
 	}
@@ -142,42 +143,45 @@
 	return nil
 }
 
-type standInKeeper struct {
+// emulateCounterCommand is "sandyard-emulator keeper".
+type emulateCounterCommand struct {
 	Listen  string `default:"127.0.0.1:0" help:"Address to listen on."`
 	Control string `default:"127.0.0.1:0" help:"Address on which faults are set."`
 }
 
-func (s standInKeeper) Run(c *Console) error {
-	rec := newRecord(c.Out)
+func (s emulateCounterCommand) Run(c *Console) error {
+	rec := newLineWriter(c.Out)
 	defer rec.close()
 	k, err := server.StartCounter(s.Listen)
 	if err != nil {
 		return err
 	}
 	defer k.Close()
-	return untilTold(rec, k.Addr(), s.Control, k)
+	return serveUntilSignal(rec, k.Addr(), s.Control, k)
 }
 
-type standInSet struct {
+// setFaultCommand is "sandyard-emulator set".
+type setFaultCommand struct {
 	Control string   `required:"" help:"The stand-in's control address." placeholder:"ADDR"`
 	Fault   []string `arg:"" help:"The fault, with its value."`
 }
 
-func (s standInSet) Run(c *Console) error {
-	if err := server.SetFault(s.Control, "set "+strings.Join(s.Fault, " ")); err != nil {
+func (s setFaultCommand) Run(c *Console) error {
+	if err := server.SendFaultCommand(s.Control, "set "+strings.Join(s.Fault, " ")); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(c.Out, "ok")
 	return err
 }
 
-type standInClear struct {
+// clearFaultCommand is "sandyard-emulator clear".
+type clearFaultCommand struct {
 	Control string `required:"" help:"The stand-in's control address." placeholder:"ADDR"`
 	Fault   string `arg:"" help:"The fault."`
 }
 
-func (s standInClear) Run(c *Console) error {
-	if err := server.SetFault(s.Control, "clear "+s.Fault); err != nil {
+func (s clearFaultCommand) Run(c *Console) error {
+	if err := server.SendFaultCommand(s.Control, "clear "+s.Fault); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(c.Out, "ok")
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -1,16 +1,10 @@
 package cli
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
-	"maps"
 	"os"
-	"runtime"
-	"runtime/debug"
-	"slices"
 	"strconv"
-	"strings"
 	"text/tabwriter"
 	"time"
 
@@ -33,17 +27,18 @@
 		&Console{out, errs})
 }
 
+// simCommon has the flags of commands that generate scripts.
 type simCommon struct {
-	Config  string  `type:"existingfile" help:"Configuration to run on, instead of the built-in one." placeholder:"gateway.yaml"`
-	Seconds float64 `default:"16" help:"Most seconds of traffic, when a script is drawn."`
-	Rate    float64 `default:"60" help:"Most requests a second, when a script is drawn."`
-	Doors   int     `default:"40" help:"Most front doors, when a script is drawn."`
-	Shapes  float64 `default:"0.5" help:"Share of the drawn days that come in a whole shape."`
+	Config        string  `type:"existingfile" help:"Configuration to run on, instead of the built-in one." placeholder:"gateway.yaml"`
+	Seconds       float64 `default:"16" help:"Most seconds of traffic, when a script is drawn."`
+	Rate          float64 `default:"60" help:"Most requests a second, when a script is drawn."`
+	MaxInstances  int     `name:"doors" default:"40" help:"Most front doors, when a script is drawn."`
+	ScenarioShare float64 `name:"shapes" default:"0.5" help:"Share of the drawn days that come in a whole shape."`
 }
 
 func (c simCommon) profile() simulation.Profile {
 	p := simulation.Usual()
-	p.Seconds, p.Rate, p.MaxInstances, p.Config, p.ScenarioShare = c.Seconds, c.Rate, c.Doors, c.Config, c.Shapes
+	p.Seconds, p.Rate, p.MaxInstances, p.Config, p.ScenarioShare = c.Seconds, c.Rate, c.MaxInstances, c.Config, c.ScenarioShare
 	return p
 }
 
@@ -59,7 +54,7 @@
 	return opt, nil
 }
 
-// script is a seed's, or a file's.
+// script returns the script of a seed, or of a file.
 func (c simCommon) script(what string) (*simulation.Script, simulation.Options, error) {
 	if seed, err := strconv.ParseUint(what, 10, 53); err == nil {
 		opt, err := c.options()
@@ -80,8 +75,8 @@
 	return s, opt, err
 }
 
-// play runs a seed's script, or a file's.
-func (c simCommon) play(what string) (*simulation.Script, simulation.Options, simulation.Outcome, error) {
+// run runs the script of a seed, or of a file.
+func (c simCommon) run(what string) (*simulation.Script, simulation.Options, simulation.Outcome, error) {
 	s, opt, err := c.script(what)
 	if err != nil {
 		return nil, opt, simulation.Outcome{}, err
@@ -90,156 +85,13 @@
 	return s, opt, o, err
 }
 
-type simRun struct {
-	simCommon
-	Seeds    string `default:"1-200" help:"Seeds, as FROM-TO."`
-	Script   string `type:"existingfile" help:"Play this script with each seed, instead of drawing scripts." placeholder:"FILE"`
-	Workers  int    `help:"Runs side by side; as many as there are processors if absent."`
-	GoOn     bool   `help:"Go on after the first broken rule."`
-	Coverage bool   `default:"true" negatable:"" help:"Print what was reached."`
-	Nearness bool   `help:"Print how near runs came to the limit of each rule."`
-	output
-	Quiet bool `help:"No progress."`
-}
-
-func (r simRun) Run(c *Console) error {
-	from, to, ok := strings.Cut(r.Seeds, "-")
-	if !ok {
-		to = from
-	}
-	first, err1 := strconv.ParseUint(from, 10, 53)
-	last, err2 := strconv.ParseUint(to, 10, 53)
-	if err1 != nil || err2 != nil || last < first {
-		return fmt.Errorf("--seeds %q: expected FROM-TO", r.Seeds)
-	}
-	opt, err := r.options()
-	if err != nil {
-		return err
-	}
-	var script *simulation.Script
-	if r.Script != "" {
-		if script, opt, err = r.script(r.Script); err != nil {
-			return err
-		}
-	}
-	if r.Workers <= 0 {
-		r.Workers = runtime.GOMAXPROCS(0)
-	}
-	debug.SetGCPercent(400) // runs are short and their garbage is all they leave
-	begun, total, broken := time.Now(), last-first+1, 0
-	w := simulation.Sweep{First: first, Last: last, Profile: r.profile(), Script: script, Options: opt, Workers: r.Workers, GoOn: r.GoOn}
-	if !r.json() {
-		w.Found = func(f simulation.Find) {
-			broken++
-			fmt.Fprintf(c.Out, "seed %d: %s, at %v: %s\n  again: %s\n", f.Seed, f.Rule, f.At, f.What, r.again(f.Seed))
-		}
-	}
-	if !r.Quiet {
-		w.Each = func(n uint64) {
-			if n%500 == 0 {
-				took := time.Since(begun)
-				left := time.Duration(float64(took) * float64(total-n) / float64(n))
-				fmt.Fprintf(c.Errs, "%d of %d seeds, %d broken, %v, about %v left\n", n, total, broken, took.Round(time.Second), left.Round(time.Second))
-			}
-		}
-	}
-	o, err := w.Run()
-	if err != nil {
-		return err
-	}
-	if r.json() {
-		if err := json.NewEncoder(c.Out).Encode(o); err != nil {
-			return err
-		}
-	} else {
-		took := o.Took.Seconds()
-		fmt.Fprintf(c.Out, "%d seeds, %d broken; %d workers, %.1f s: %.0f virtual seconds, %.0f requests and %.0f events a second\n", o.Seeds, o.Broken,
-			r.Workers, took, o.Virtual.Seconds()/took, float64(o.Requests)/took, float64(o.Events)/took)
-		if r.Coverage {
-			printCoverage(c.Out, o)
-		}
-		if r.Nearness {
-			printNearness(c.Out, o)
-		}
-	}
-	if o.Broken > 0 {
-		return fmt.Errorf("%d seeds broke a rule", o.Broken)
-	}
-	return nil
-}
-
-// again is the command that plays a seed of the sweep once more, with its log.
-func (r simRun) again(seed uint64) string {
-	if r.Script != "" {
-		return fmt.Sprintf("sandyard-sim run --script %s --seeds %d", r.Script, seed)
-	}
-	return fmt.Sprintf("sandyard-sim replay %d%s", seed, r.flags())
-}
-
-func (c simCommon) flags() string {
-	s := ""
-	if c.Config != "" {
-		s += " --config " + c.Config
-	}
-	if c.Seconds != 16 || c.Rate != 60 || c.Doors != 40 || c.Shapes != 0.5 {
-		s += fmt.Sprintf(" --seconds %g --rate %g --doors %d --shapes %g", c.Seconds, c.Rate, c.Doors, c.Shapes)
-	}
-	return s
-}
-
-// printCoverage tells what a search reached, and what it did not.
-func printCoverage(out io.Writer, o simulation.Swept) {
-	reached, pairs := o.Reached, o.Pairs
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "\nreached\ttimes")
-	for _, k := range slices.Sorted(maps.Keys(reached)) {
-		fmt.Fprintf(w, "%s\t%d\n", k, reached[k])
-	}
-	fmt.Fprintln(w, "\nshape\tdays")
-	for _, k := range slices.Sorted(maps.Keys(o.Scenarios)) {
-		fmt.Fprintf(w, "%s\t%d\n", k, o.Scenarios[k])
-	}
-	fmt.Fprintln(w, "\nlet pass by a check\ttimes")
-	for _, k := range slices.Sorted(maps.Keys(o.Excuses)) {
-		fmt.Fprintf(w, "%s\t%d\n", k, o.Excuses[k])
-	}
-	w.Flush()
-	var missed []string
-	for _, k := range simulation.Reachable() {
-		if reached[k] == 0 {
-			missed = append(missed, k)
-		}
-	}
-	verbs := simulation.Verbs()
-	var unpaired []string
-	for i, a := range verbs {
-		for _, b := range verbs[i+1:] {
-			if pairs[[2]string{a, b}] == 0 {
-				unpaired = append(unpaired, a+"+"+b)
-			}
-		}
-	}
-	total := len(verbs) * (len(verbs) - 1) / 2
-	fmt.Fprintf(out, "not reached: %s\n", orNone(missed))
-	fmt.Fprintf(out, "pairs of troubles in one run: %d of %d\n", total-len(unpaired), total)
-	if len(unpaired) > 0 && len(unpaired) <= 40 {
-		fmt.Fprintf(out, "never together: %s\n", strings.Join(unpaired, ", "))
-	}
-}
-
-func orNone(xs []string) string {
-	if len(xs) == 0 {
-		return "nothing"
-	}
-	return strings.Join(xs, ", ")
-}
-
+// simReplay is "sandyard-sim replay".
 type simReplay struct {
 	simCommon
-	Script string        `arg:"" help:"A seed, or a script's file."`
-	Until  time.Duration `help:"Stop at this time."`
-	GoOn   bool          `help:"Go on after the first broken rule."`
-	Log    bool          `default:"true" negatable:"" help:"Print the events."`
+	Script                 string        `arg:"" help:"A seed, or a script's file."`
+	Until                  time.Duration `help:"Stop at this time."`
+	ContinueAfterViolation bool          `name:"go-on" help:"Go on after the first broken rule."`
+	Log                    bool          `default:"true" negatable:"" help:"Print the events."`
 	output
 }
 
@@ -248,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	opt.Until, opt.GoOn = r.Until, r.GoOn
+	opt.Until, opt.ContinueAfterViolation = r.Until, r.ContinueAfterViolation
 	if r.Log && !r.json() {
 		opt.Log = func(at time.Duration, what string) { fmt.Fprintf(c.Out, "%12.6f  %s\n", at.Seconds(), what) }
 	}
@@ -277,7 +129,7 @@
 	}
 	fmt.Fprintln(w, "\nplan\ttries\tserved\tof them late\trefused\tfailed\tlost\tcut\tno door\tleft")
 	for _, p := range o.Verdict.Plans {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Plan, p.Tries, p.Served, p.Late, p.Refused, p.Failed, p.Lost, p.Cut, p.NoDoor, p.Left)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Plan, p.Requests, p.Served, p.Late, p.Rejected, p.Failed, p.TimedOut, p.Broken, p.NotAccepted, p.Abandoned)
 	}
 	w.Flush()
 	for _, f := range o.Findings {
@@ -286,6 +138,7 @@
 	fmt.Fprintf(out, "digest %016x, %d events, %d tries, %v\n", o.Digest, o.Events, o.Requests, o.Virtual)
 }
 
+// simShrink is "sandyard-sim shrink".
 type simShrink struct {
 	simCommon
 	Script string `arg:"" help:"A seed, or a script's file."`
@@ -294,7 +147,7 @@
 }
 
 func (r simShrink) Run(c *Console) error {
-	s, opt, o, err := r.play(r.Script)
+	s, opt, o, err := r.run(r.Script)
 	if err != nil {
 		return err
 	}
@@ -313,20 +166,17 @@
 		return err
 	}
 	text := fmt.Sprintf("# Breaks \"%s\": %s\n%s", rule, o.Findings[0].What, small.Text())
-	if r.To == "" {
-		_, err = io.WriteString(c.Out, text)
-		return err
-	}
-	return os.WriteFile(r.To, []byte(text), 0o644)
+	return writeText(c, r.To, text)
 }
 
+// simDigest is "sandyard-sim digest".
 type simDigest struct {
 	simCommon
 	Script string `arg:"" help:"A seed, or a script's file."`
 }
 
 func (r simDigest) Run(c *Console) error {
-	_, _, o, err := r.play(r.Script)
+	_, _, o, err := r.run(r.Script)
 	if err != nil {
 		return err
 	}
@@ -334,6 +184,7 @@
 	return err
 }
 
+// simGenerate is "sandyard-sim generate".
 type simGenerate struct {
 	simCommon
 	Seed uint64 `arg:"" help:"The seed."`
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -1,15 +1,11 @@
 package cli
 
 import (
-	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"os"
-	"text/tabwriter"
 	"time"
 
-	"sandyard/coreid"
 	"sandyard/decision"
 	"sandyard/trace"
 )
@@ -30,14 +26,15 @@
 	return program("sandyard-trace", "What a front door decided, from its trace files.", &g, args, out, errs, &Console{out, errs})
 }
 
+// traceFiles is what commands that read traces take.
 type traceFiles struct {
 	Files []string `arg:"" type:"existingfile" help:"Trace files of one front door, in the order of their parts."`
 }
 
-// each calls f with every item of the files; a file that was cut off by a kill is read to its last whole frame.
-func (t traceFiles) each(c *Console, begin func(trace.Head) error, f func(trace.Head, trace.Item) error) error {
+// eachRecord calls f with every item of the files; a file that was cut off by a kill is read to its last whole frame.
+func (t traceFiles) eachRecord(c *Console, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) error {
 	for _, name := range t.Files {
-		cut, err := eachOf(name, begin, f)
+		cut, err := eachRecordOf(name, begin, f)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -48,8 +45,8 @@
 	return nil
 }
 
-// eachOf does so for one file and returns where it is cut off, or 0.
-func eachOf(name string, begin func(trace.Head) error, f func(trace.Head, trace.Item) error) (cut int, err error) {
+// eachRecordOf does so for one file and returns where it is cut off, or 0.
+func eachRecordOf(name string, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) (cut int, err error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return 0, err
@@ -57,118 +54,24 @@
 	return trace.Each(text, begin, f)
 }
 
-func (t traceFiles) stories(c *Console) (trace.Head, *trace.Stories, error) {
-	s := trace.NewStories()
-	var head trace.Head
-	err := t.each(c, func(h trace.Head) error { head = h; return nil }, func(_ trace.Head, it trace.Item) error { s.Add(it); return nil })
+func (t traceFiles) histories(c *Console) (trace.Header, *trace.Histories, error) {
+	s := trace.NewHistories()
+	var head trace.Header
+	err := t.eachRecord(c, func(h trace.Header) error { head = h; return nil }, func(_ trace.Header, it trace.Record) error { s.Add(it); return nil })
 	if s.Dropped > 0 {
 		fmt.Fprintf(c.Errs, "%d steps were dropped while recording and are missing here\n", s.Dropped)
 	}
 	return head, s, err
 }
 
-type traceShow struct {
-	traceFiles
-	Studio  string        `help:"Only this studio's."`
-	Class   string        `help:"Only this class's."`
-	Box     string        `help:"Only those with an attempt at this box."`
-	Outcome string        `help:"Only those that ended so: served, refused, failed, left, open."`
-	From    time.Duration `help:"Only from this time after the first."`
-	To      time.Duration `help:"Only up to this time after the first; 0 for all."`
-	Limit   int           `default:"1000" help:"At most so many."`
-	output
-}
-
-func name(list []string, i int) string {
-	if i >= 0 && i < len(list) {
-		return list[i]
-	}
-	return fmt.Sprint(i)
-}
-
-func (t traceShow) Run(c *Console) error {
-	head, s, err := t.stories(c)
-	if err != nil {
-		return err
-	}
-	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
-	if !t.json() {
-		fmt.Fprintln(w, "request\tat\tstudio\tplan\tclass\toperation\tunits\tattempts\toutcome\tms")
-	}
-	enc := json.NewEncoder(c.Out)
-	shown, matched := 0, 0
-	var first time.Duration
-	for i, st := range s.All {
-		if i == 0 {
-			first = st.At
-		}
-		at := st.At - first
-		class := name(head.Classes, int(st.Class))
-		if t.Studio != "" && st.Customer != t.Studio || t.Class != "" && class != t.Class || t.Outcome != "" && string(st.Outcome) != t.Outcome ||
-			at < t.From || t.To > 0 && at > t.To || t.Box != "" && !visited(s, st, t.Box) {
-			continue
-		}
-		if matched++; shown >= t.Limit {
-			continue
-		}
-		shown++
-		if t.json() {
-			if err := enc.Encode(tell(head, s, st)); err != nil {
-				return err
-			}
-			continue
-		}
-		outcome := string(st.Outcome)
-		if st.Outcome == trace.Refused && len(st.Attempts) == 0 {
-			outcome += map[decision.RejectReason]string{decision.OverQuota: " (quota)", decision.NoCapacity: " (no room)"}[st.Why]
-		}
-		fmt.Fprintf(w, "%d\t%.3fs\t%q\t%s\t%s\t%s\t%g\t%d\t%s\t%.1f\n", st.Request, at.Seconds(), st.Customer, name(head.Plans, int(st.Plan)), class,
-			name(head.Ops, st.Op-1), st.Units, len(st.Attempts), outcome, float64((st.Ended-st.At).Microseconds())/1000)
-	}
-	w.Flush()
-	if !t.json() {
-		fmt.Fprintf(c.Out, "%d of %d requests", shown, len(s.All))
-		if matched > shown {
-			fmt.Fprintf(c.Out, "; %d more match (--limit)", matched-shown)
-		}
-		fmt.Fprintln(c.Out)
-	}
-	return nil
-}
-
-func visited(s *trace.Stories, st *trace.Story, box string) bool {
-	for _, a := range st.Attempts {
-		if s.Names[a.Server] == box {
-			return true
-		}
-	}
-	return false
-}
-
-// told is a request with the names that its story has as numbers.
-type told struct {
-	*trace.Story
-	ClassName string   `json:"class_name"`
-	PlanName  string   `json:"plan_name"`
-	Operation string   `json:"operation"`
-	Boxes     []string `json:"boxes"` // of its attempts
-}
-
-func tell(head trace.Head, s *trace.Stories, st *trace.Story) told {
-	v := told{Story: st, ClassName: name(head.Classes, int(st.Class)), PlanName: name(head.Plans, int(st.Plan)), Operation: name(head.Ops, st.Op-1), Boxes: []string{}}
-	for _, a := range st.Attempts {
-		v.Boxes = append(v.Boxes, s.Names[a.Server])
-	}
-	return v
-}
-
+// traceOne is what commands about one request take.
 type traceOne struct {
 	Request uint64 `arg:"" help:"The request's number, as show has it."`
 	traceFiles
 }
 
-func (t traceOne) find(c *Console) (trace.Head, *trace.Stories, *trace.Story, error) {
-	head, s, err := t.stories(c)
+func (t traceOne) find(c *Console) (trace.Header, *trace.Histories, *trace.RequestHistory, error) {
+	head, s, err := t.histories(c)
 	if err != nil {
 		return head, nil, nil, err
 	}
@@ -179,6 +82,7 @@
 	return head, s, st, nil
 }
 
+// traceFollow is "sandyard-trace follow".
 type traceFollow struct {
 	traceOne
 	output
@@ -190,21 +94,21 @@
 		return err
 	}
 	if t.json() {
-		return printJSON(c.Out, tell(head, s, st))
+		return printJSON(c.Out, newRequestReport(head, s, st))
 	}
 	at := func(d time.Duration) string { return fmt.Sprintf("%+10.3f ms", float64((d-st.At).Microseconds())/1000) }
-	fmt.Fprintf(c.Out, "%s  arrived: %q, plan %s, class %s, %g units, %v left\n", at(st.At), st.Customer, name(head.Plans, int(st.Plan)),
-		name(head.Classes, int(st.Class)), st.Units, st.Left)
-	if k := st.Call; k != nil {
-		fmt.Fprintf(c.Out, "%s  keeper asked: %q + %g\n", at(k.Asked), k.Name, k.Amount)
-		if k.Heard > 0 {
-			fmt.Fprintf(c.Out, "%s  keeper: %s, total %g\n", at(k.Heard), trace.OutcomeText(k.How), k.Total)
+	fmt.Fprintf(c.Out, "%s  arrived: %q, plan %s, class %s, %g units, %v left\n", at(st.At), st.Customer, nameAt(head.Plans, int(st.Plan)),
+		nameAt(head.Classes, int(st.Class)), st.Units, st.TimeLeft)
+	if k := st.CounterCall; k != nil {
+		fmt.Fprintf(c.Out, "%s  keeper asked: %q + %g\n", at(k.SentAt), k.Name, k.Amount)
+		if k.RepliedAt > 0 {
+			fmt.Fprintf(c.Out, "%s  keeper: %s, total %g\n", at(k.RepliedAt), trace.OutcomeText(k.Outcome), k.Total)
 		}
 	}
 	for i, a := range st.Attempts {
-		fmt.Fprintf(c.Out, "%s  attempt %d sent to %s\n", at(a.Sent), i+1, s.Names[a.Server])
-		if a.Ended > 0 {
-			fmt.Fprintf(c.Out, "%s  attempt %d: %s\n", at(a.Ended), i+1, trace.OutcomeText(a.Outcome))
+		fmt.Fprintf(c.Out, "%s  attempt %d sent to %s\n", at(a.SentAt), i+1, s.BackendNames[a.Backend])
+		if a.EndedAt > 0 {
+			fmt.Fprintf(c.Out, "%s  attempt %d: %s\n", at(a.EndedAt), i+1, trace.OutcomeText(a.Outcome))
 		}
 	}
 	if st.Ended > 0 {
@@ -213,6 +117,7 @@
 	return nil
 }
 
+// traceExplain is "sandyard-trace explain".
 type traceExplain struct {
 	traceOne
 	output
@@ -233,143 +138,3 @@
 	_, err = fmt.Fprintln(c.Out, s.Explain(head, st))
 	return err
 }
-
-type traceReplay struct {
-	traceFiles
-	output
-}
-
-func (t traceReplay) Run(c *Console) error {
-	var r *trace.Replay
-	next := 0
-	begun := time.Now()
-	err := t.each(c, func(h trace.Head) error {
-		if err := coreid.Check(h.Core, "the trace"); err != nil {
-			return err
-		}
-		if r == nil {
-			var err error
-			if r, err = trace.NewReplay(h); err != nil {
-				return err
-			}
-		} else if h.Part != next {
-			return fmt.Errorf("part %d follows part %d", h.Part, next-1)
-		}
-		next = h.Part + 1
-		return nil
-	}, func(h trace.Head, it trace.Item) error { return r.Step(h, it) })
-	if err != nil {
-		return err
-	}
-	took := time.Since(begun).Seconds()
-	if t.json() {
-		if err := printJSON(c.Out, r); err != nil {
-			return err
-		}
-		if r.Differ > r.Uncertain {
-			return errDiffers
-		}
-		return nil
-	}
-	fmt.Fprintf(c.Out, "%d steps replayed and %d states compared, %d differ, %d missing; %.0f steps a second\n", r.Steps, r.States, r.Differ, r.Dropped, float64(r.Steps)/took)
-	if r.Skipped > 0 {
-		fmt.Fprintf(c.Out, "%d steps before the first recorded state could not be replayed\n", r.Skipped)
-	}
-	if r.Differ > 0 {
-		fmt.Fprintf(c.Out, "first at %v: %s\n", r.FirstAt, r.First)
-		if r.Uncertain == r.Differ {
-			fmt.Fprintln(c.Out, "all of them stand behind steps that the trace lacks, which may be why; what followed can't be told")
-			return nil
-		}
-		return errDiffers
-	}
-	return nil
-}
-
-var errDiffers = errors.New("the core decides otherwise than the trace says")
-
-type traceInfo struct {
-	traceFiles
-	output
-}
-
-// recorded is what info tells of a file.
-type recorded struct {
-	File       string    `json:"file"`
-	Door       int       `json:"door"`
-	Part       int       `json:"part"`
-	Core       string    `json:"core"`
-	SameCore   bool      `json:"same_core"` // as this program's
-	Config     string    `json:"config"`    // digest
-	Share      float64   `json:"share"`
-	Plans      []string  `json:"plans"`
-	Operations []string  `json:"operations"`
-	From       time.Time `json:"from"`
-	Seconds    float64   `json:"seconds"` // from the first step to the last
-	Steps      uint64    `json:"steps"`
-	Arrivals   uint64    `json:"arrivals"`
-	Dropped    uint64    `json:"dropped"`
-	States     uint64    `json:"states"`
-	Bytes      int64     `json:"bytes"`
-	CutAt      int       `json:"cut_at"` // byte up to which the file could be read; 0: it is whole
-}
-
-func (t traceInfo) Run(c *Console) error {
-	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
-	enc := json.NewEncoder(c.Out)
-	if !t.json() {
-		fmt.Fprintln(w, "file\tdoor\tpart\tcore\tconfiguration\tshare\tfrom\tseconds\tsteps\tarrivals\tdropped\tstates\tbytes\twhole")
-	}
-	for _, name := range t.Files {
-		v := recorded{File: name}
-		var first, last time.Duration
-		cut, err := eachOf(name, func(h trace.Head) error {
-			v.Door, v.Part, v.Core, v.SameCore, v.Config, v.Share = h.Instance, h.Part, h.Core, h.Core == coreid.Core(), h.Config, h.Share
-			v.Plans, v.Operations, v.From = h.Plans, h.Ops, time.Unix(0, h.Origin).Add(h.Began).UTC()
-			return nil
-		}, func(_ trace.Head, it trace.Item) error {
-			if it.State != nil {
-				v.States++
-				return nil
-			}
-			if it.Dropped > 0 {
-				v.Dropped += it.Dropped
-				return nil
-			}
-			if it.Backend != nil {
-				return nil
-			}
-			if v.Steps++; v.Steps == 1 {
-				first = it.At
-			}
-			last = max(last, it.At)
-			if it.Event.Arrived != nil {
-				v.Arrivals++
-			}
-			return nil
-		})
-		if err != nil {
-			return fmt.Errorf("%s: %w", name, err)
-		}
-		v.CutAt, v.Seconds = cut, (last - first).Seconds()
-		if st, err := os.Stat(name); err == nil {
-			v.Bytes = st.Size()
-		}
-		if t.json() {
-			if err := enc.Encode(v); err != nil {
-				return err
-			}
-			continue
-		}
-		core, whole := v.Core, "yes"
-		if !v.SameCore {
-			core += " (this program's is " + coreid.Core() + ")"
-		}
-		if cut > 0 {
-			whole = fmt.Sprintf("cut at %d", cut)
-		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%g\t%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%s\n", name, v.Door, v.Part, core, v.Config, v.Share, v.From.Format(time.RFC3339),
-			v.Seconds, v.Steps, v.Arrivals, v.Dropped, v.States, v.Bytes, whole)
-	}
-	return w.Flush()
-}
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -1,352 +1,227 @@
 package http1
 
-import (
-	"bytes"
-	"errors"
-)
-
-// Limits bound what a Reader keeps. The zero value stands for the defaults.
-type Limits struct {
-	Line     int // bytes of a request line: 414 beyond; default 8 KiB
-	Head     int // bytes of a head: 431 beyond; default 32 KiB
-	Fields   int // fields in a head: 431 beyond; default 128
-	Trailers int // bytes of trailers: 400 beyond; default 4 KiB
-}
-
-func (l Limits) orDefault() Limits {
-	set := func(v *int, d int) {
-		if *v <= 0 {
-			*v = d
-		}
-	}
-	set(&l.Line, 8<<10)
-	set(&l.Head, 32<<10)
-	set(&l.Fields, 128)
-	set(&l.Trailers, 4<<10)
-	return l
-}
-
 // Kind says what a Part is.
 type Kind int
 
 // The kinds of parts.
 const (
 	More    Kind = iota // nothing yet: all bytes were used
-	HeadEnd             // Part.Head is whole
+	HeadEnd             // Part.Head is complete
 	Data                // Part.Data is body; valid until the next call
-	End                 // the message is over; Part.Trailers came after a chunked body
+	End                 // the message is complete; Part.Trailers came after a chunked body
 )
 
 // Part is a piece of a message.
 type Part struct {
 	Kind     Kind
-	Head     *Head
-	Data     []byte
-	Trailers []Field
+	Head     *Head   // of HeadEnd
+	Data     []byte  // of Data: not empty, and part of the slice given to Feed
+	Trailers []Field // of End
 }
 
+// state is where a Reader stands in a message.
 type state int
 
+// The states of a Reader.
 const (
-	inHead state = iota
-	inFixed
-	inClose
-	inSize
-	inChunk
-	inChunkEnd
-	inTrailers
-	atEnd
-	broken
+	stateHead           state = iota // between messages, or in a head
+	stateFixedBody                   // in a body of a stated length
+	stateBodyUntilClose              // in a body that ends with the connection
+	stateChunkSize                   // in the line before a chunk
+	stateChunk                       // in a chunk
+	stateChunkEnd                    // in the line end behind a chunk
+	stateTrailers                    // behind the last chunk
+	stateEnd                         // the message is complete, and End is to be returned
+	stateFailed                      // an error was returned
 )
 
-const (
-	mostSizeLine = 256       // bytes of a chunk's size line, extensions included
-	mostExcess   = 16 << 10  // bytes of chunk framing beyond what bodies of honest chunks have
-	mostChunk    = 1<<62 - 1 // bytes of a chunk
-)
+// maxKeptBuffer is the largest buffer, in bytes, that a Reader keeps for the next head: a large head is rare, and its
+// buffer would be held as long as the connection lasts.
+const maxKeptBuffer = 4 << 10
 
-var errCut = errors.New("http1: the connection ended within a message")
-
-// Reader takes a connection's bytes apart. However the same bytes are split over calls, the parts are the same,
-// but for where Data is cut.
+// Reader parses what comes on a connection. However the same bytes are split over calls, the parts are the same, but for
+// where Data is cut. It belongs to one goroutine at a time, and no method blocks.
 type Reader struct {
-	limits   Limits
-	response bool
-	method   string // of the request that the next response answers
-	state    state
-	buf      []byte // an unfinished line or head
-	line     int    // where its last line begins
-	lines    int
-	skipped  bool // an empty line before the message
-	left     int64
-	excess   int64
-	err      *Error
+	limits           Limits
+	response         bool   // it reads responses
+	method           string // of the request that the next response answers
+	state            state
+	buf              []byte // the unfinished line or head
+	lineStart        int    // of a head or trailers: where the unfinished line begins in buf
+	lineCount        int    // of a head or trailers: complete lines in buf
+	skippedEmptyLine bool   // one before the message
+	bodyLeft         int64  // of a body or chunk: bytes that have not come
+	excessFraming    int64  // of a chunked body: see countFraming
+	err              *Error // what every further call returns
 }
 
-// NewRequests reads what clients send.
-func NewRequests(l Limits) *Reader { return &Reader{limits: l.orDefault()} }
+// NewRequests returns a reader of what clients send.
+func NewRequests(l Limits) *Reader { return &Reader{limits: l.withDefaults()} }
 
-// NewResponses reads what servers send. Expect must be called before each answer.
-func NewResponses(l Limits) *Reader { return &Reader{limits: l.orDefault(), response: true} }
+// NewResponses returns a reader of what servers send. Expect must be called before each response.
+func NewResponses(l Limits) *Reader { return &Reader{limits: l.withDefaults(), response: true} }
 
-// Expect names the method of the request that the next response answers.
+// Expect names the method of the request that the next response answers, which decides whether it has a body.
 func (r *Reader) Expect(method string) { r.method = method }
 
-// Idle tells whether the reader stands between messages with nothing begun.
-func (r *Reader) Idle() bool { return r.state == inHead && len(r.buf) == 0 && !r.skipped }
+// Idle reports whether the reader stands between messages with nothing begun.
+func (r *Reader) Idle() bool { return r.state == stateHead && len(r.buf) == 0 && !r.skippedEmptyLine }
 
-// Feed takes bytes in and returns how many it used and the next part. Call it with the rest until the part's
-// kind is More. An error is final.
+// Feed takes bytes in and returns how many it used and the next part. Call it with the rest until the part's kind is More.
+// The error is an *Error, and final: every call after it returns the same.
 func (r *Reader) Feed(b []byte) (int, Part, error) {
 	if r.err != nil {
 		return 0, Part{}, r.err
 	}
-	n, p, err := r.feed(b)
+	n, part, err := r.feed(b)
 	if err != nil {
-		r.state, r.err, r.buf = broken, err, nil
+		r.state = stateFailed
+		r.err = err
+		r.buf = nil
 		return n, Part{}, err
 	}
-	return n, p, nil
+	return n, part, nil
 }
 
-// EOF tells that no more bytes come. It returns the end of a body that lasts until then, and an error where a
-// message was cut off.
+// EOF reports that no more bytes come. It returns End for a body that lasts until then (RFC 9112 section 6.3, item 8), More
+// between messages, and ErrTruncated within a message or after an error of Feed.
 func (r *Reader) EOF() (Part, error) {
 	switch {
-	case r.state == inClose:
-		r.state = inHead
+	case r.state == stateBodyUntilClose:
+		r.state = stateHead
 		return Part{Kind: End}, nil
 	case r.Idle() && r.err == nil:
 		return Part{}, nil
 	}
-	return Part{}, errCut
+	return Part{}, ErrTruncated
 }
 
-func (r *Reader) feed(b []byte) (int, Part, *Error) {
-	used := 0
+// feed is Feed for a reader that has not failed. It goes from state to state until one gives a part or lacks bytes.
+func (r *Reader) feed(b []byte) (used int, part Part, err *Error) {
 	for {
-		rest := b[used:]
-		switch r.state {
-		case inHead:
-			n, p, err := r.head(rest)
-			return used + n, p, err
-		case inFixed, inChunk, inClose:
-			if r.left == 0 && r.state != inClose {
-				if r.state == inFixed {
-					r.state = atEnd
-				} else {
-					r.state = inChunkEnd
-				}
-				continue
-			}
-			if len(rest) == 0 {
-				return used, Part{}, nil
-			}
-			n := len(rest)
-			if r.state != inClose {
-				n = int(min(int64(n), r.left))
-				r.left -= int64(n)
-			}
-			return used + n, Part{Kind: Data, Data: rest[:n]}, nil
-		case inSize:
-			n, line, err := r.oneLine(rest, mostSizeLine)
-			used += n
-			if err != nil || line == nil {
-				return used, Part{}, err
-			}
-			if err := r.size(line); err != nil {
-				return used, Part{}, err
-			}
-			r.buf = r.buf[:0]
-		case inChunkEnd:
-			n, line, err := r.oneLine(rest, 2)
-			used += n
-			if err != nil || line == nil {
-				return used, Part{}, err
-			}
-			r.buf, r.state = r.buf[:0], inSize
-		case inTrailers:
-			n, p, err := r.trailers(rest)
-			return used + n, p, err
-		case atEnd:
-			r.state = inHead
-			return used, Part{Kind: End}, nil
+		n, part, done, err := r.step(b[used:])
+		used += n
+		if done || err != nil {
+			return used, part, err
 		}
 	}
 }
 
-// oneLine collects a line of at most the given size; nil while it has not come.
-func (r *Reader) oneLine(b []byte, most int) (int, []byte, *Error) {
-	for i, c := range b {
-		if len(r.buf) == most {
-			return i, nil, bad("a line of chunk framing that is too long")
-		}
-		if l := len(r.buf); c != '\n' && l > 0 && r.buf[l-1] == '\r' {
-			return i, nil, bad("a bare CR")
-		}
-		r.buf = append(r.buf, c)
-		if c == '\n' {
-			if len(r.buf) < 2 || r.buf[len(r.buf)-2] != '\r' {
-				return i, nil, bad("a bare LF")
-			}
-			return i + 1, r.buf[:len(r.buf)-2], nil
-		}
-		if r.state == inChunkEnd && c != '\r' {
-			return i, nil, bad("a chunk that is longer than its size")
-		}
+// step takes bytes in for the current state. done is false where the state has changed and the next can go on with the
+// rest.
+func (r *Reader) step(b []byte) (used int, part Part, done bool, err *Error) {
+	switch r.state {
+	case stateHead:
+		used, part, err = r.readHead(b)
+		return used, part, true, err
+	case stateFixedBody, stateChunk:
+		if r.bodyLeft == 0 {
+			r.endData()
+			return 0, Part{}, false, nil
+		}
+		used, part = r.readSizedData(b)
+		return used, part, true, nil
+	case stateBodyUntilClose:
+		used, part = dataPart(b)
+		return used, part, true, nil
+	case stateChunkSize:
+		used, done, err = r.readChunkSize(b)
+		return used, Part{}, done, err
+	case stateChunkEnd:
+		used, done, err = r.readChunkEnd(b)
+		return used, Part{}, done, err
+	case stateTrailers:
+		used, part, err = r.readTrailers(b)
+		return used, part, true, err
+	default: // stateEnd
+		r.state = stateHead
+		return 0, Part{Kind: End}, true, nil
 	}
-	return len(b), nil, nil
 }
 
-// size reads a chunk's size line. Extensions are skipped, but a sender that pads its chunks with framing makes
-// us work for nothing: what framing exceeds the body by is counted and bounded (net/http does the same).
-func (r *Reader) size(line []byte) *Error {
-	n, i := int64(0), 0
-	for ; i < len(line); i++ {
-		c, d := line[i], int64(0)
-		switch {
-		case c >= '0' && c <= '9':
-			d = int64(c - '0')
-		case c|0x20 >= 'a' && c|0x20 <= 'f':
-			d = int64(c|0x20-'a') + 10
-		default:
-			d = -1
-		}
-		if d < 0 {
-			break
-		}
-		if i >= 15 || n > mostChunk>>4 {
-			return bad("a chunk size that is too large")
-		}
-		n = n<<4 | d
-	}
-	if i == 0 {
-		return bad("a chunk without a size")
-	}
-	if i < len(line) {
-		if line[i] != ';' || !isValue(string(line[i:])) {
-			return bad("a chunk size followed by something else")
-		}
-	}
-	r.excess = max(0, r.excess+int64(len(line))+4-16-2*n)
-	if r.excess > mostExcess {
-		return bad("more chunk framing than body")
-	}
-	if r.left = n; n == 0 {
-		r.state, r.line = inTrailers, 0
-	} else {
-		r.state = inChunk
+// readSizedData takes bytes of a body or chunk whose size is known, as far as it goes.
+func (r *Reader) readSizedData(b []byte) (int, Part) {
+	n := int(min(int64(len(b)), r.bodyLeft))
+	r.bodyLeft -= int64(n)
+	return dataPart(b[:n])
+}
+
+// dataPart returns bytes as a part of the body, and More where there are none.
+func dataPart(b []byte) (int, Part) {
+	if len(b) == 0 {
+		return 0, Part{}
 	}
-	return nil
+	return len(b), Part{Kind: Data, Data: b}
 }
 
-// collect takes lines up to and with an empty one into r.buf; done tells that it has come. What is too long is
-// told by the count of bytes alone, so that it does not depend on how they were split.
-func (r *Reader) collect(b []byte, most int, over *Error) (used int, done bool, err *Error) {
-	for used < len(b) {
-		most, over := most, over
-		if r.state == inHead && !r.response && r.line == 0 && r.limits.Line < most {
-			most, over = r.limits.Line, &Error{414, "a request line that is too long"}
-		}
-		rest := b[used:min(len(b), used+most-len(r.buf))]
-		if len(rest) == 0 {
-			return used, false, over
-		}
-		nl := bytes.IndexByte(rest, '\n')
-		if nl < 0 {
-			r.buf = append(r.buf, rest...)
-			used += len(rest)
-			continue
-		}
-		r.buf = append(r.buf, rest[:nl+1]...)
-		used += nl + 1
-		line := r.buf[r.line:]
-		if len(line) < 2 || line[len(line)-2] != '\r' {
-			return used, false, bad("a bare LF")
-		}
-		if bytes.IndexByte(line[:len(line)-2], '\r') >= 0 {
-			return used, false, bad("a bare CR")
-		}
-		if len(line) == 2 {
-			return used, true, nil
-		}
-		if r.lines++; r.lines > r.limits.Fields+1 {
-			return used, false, &Error{431, "too many fields"}
-		}
-		r.line = len(r.buf)
+// endData leaves a body or chunk all of whose bytes have come.
+func (r *Reader) endData() {
+	if r.state == stateFixedBody {
+		r.state = stateEnd
+		return
 	}
-	return used, false, nil
+	r.state = stateChunkEnd
 }
 
-func (r *Reader) head(b []byte) (int, Part, *Error) {
-	used := 0
+// readHead takes a head in. One empty line before a request is skipped (RFC 9112 section 2.2).
+func (r *Reader) readHead(b []byte) (used int, part Part, err *Error) {
 	for {
-		n, done, err := r.collect(b[used:], r.limits.Head, &Error{431, "a head that is too large"})
+		n, done, err := r.collectLines(b[used:], r.limits.Head, &Error{statusHeaderFieldsTooLarge, "a head that is too large"})
 		used += n
 		if err != nil || !done {
 			return used, Part{}, err
 		}
-		if len(r.buf) > 2 {
-			h, err := r.parse()
+		if len(r.buf) > len(crlf) {
+			head, err := r.finishHead()
 			if err != nil {
 				return used, Part{}, err
 			}
-			return used, Part{Kind: HeadEnd, Head: h}, nil
+			return used, Part{Kind: HeadEnd, Head: head}, nil
 		}
-		// One empty line before a request is forgiven (RFC 9112 section 2.2).
-		if r.response || r.skipped {
-			return used, Part{}, bad("an empty line in place of a message")
+		if r.response || r.skippedEmptyLine {
+			return used, Part{}, badRequest("an empty line in place of a message")
 		}
-		r.skipped, r.buf = true, r.buf[:0]
+		r.skippedEmptyLine = true
+		r.buf = r.buf[:0]
 	}
 }
 
-// parse reads the collected head and sets out for its body.
-func (r *Reader) parse() (*Head, *Error) {
+// finishHead parses the collected head and makes ready for its body.
+func (r *Reader) finishHead() (*Head, *Error) {
 	raw := string(r.buf)
-	if cap(r.buf) > 4<<10 { // a large head is rare; its room isn't kept over the connection's life
-		r.buf = nil
-	}
-	r.buf, r.line, r.lines, r.excess, r.skipped = r.buf[:0], 0, 0, 0, false
-	var h *Head
-	var err *Error
-	if r.response {
-		h, err = parseResponse(raw, r.method)
-	} else {
-		h, err = parseRequest(raw)
-	}
+	r.resetHead()
+	head, err := r.parseHead(raw)
 	if err != nil {
 		return nil, err
 	}
 	switch {
-	case r.response && h.Status < 200: // an interim answer; the final one follows
-		r.state = inHead
-	case h.Length == Chunked:
-		r.state = inSize
-	case h.Length == UntilClose:
-		r.state = inClose
+	case r.response && head.isInterim(): // the final response follows
+		r.state = stateHead
+	case head.Length == Chunked:
+		r.state = stateChunkSize
+	case head.Length == UntilClose:
+		r.state = stateBodyUntilClose
 	default:
-		r.state, r.left = inFixed, h.Length
+		r.state = stateFixedBody
+		r.bodyLeft = head.Length
 	}
-	return h, nil
+	return head, nil
 }
 
-func (r *Reader) trailers(b []byte) (int, Part, *Error) {
-	n, done, err := r.collect(b, r.limits.Trailers, bad("trailers that are too large"))
-	if err != nil || !done {
-		return n, Part{}, err
-	}
-	fields, err := parseFields(string(r.buf[:len(r.buf)-2]), nil)
-	if err != nil {
-		return n, Part{}, err
+// resetHead makes ready for the lines behind a head.
+func (r *Reader) resetHead() {
+	if cap(r.buf) > maxKeptBuffer {
+		r.buf = nil
 	}
-	for _, f := range fields {
-		for _, no := range [...]string{"Content-Length", "Transfer-Encoding", "Host", "Connection", "Trailer"} {
-			if equalFold(f.Name, no) {
-				return n, Part{}, bad("a trailer that frames or routes")
-			}
-		}
+	r.resetLines()
+	r.excessFraming = 0
+	r.skippedEmptyLine = false
+}
+
+// parseHead reads a whole head of a request or a response.
+func (r *Reader) parseHead(raw string) (*Head, *Error) {
+	if r.response {
+		return parseResponse(raw, r.method)
 	}
-	r.buf, r.line, r.lines, r.state = r.buf[:0], 0, 0, inHead
-	return n, Part{Kind: End, Trailers: fields}, nil
+	return parseRequest(raw)
 }
--- a/internal/server/backendconn.go
+++ b/internal/server/backendconn.go
@@ -10,167 +10,208 @@
 	"sandyard/proxy"
 )
 
-// lineConn is a connection to a box. Whoever holds mu owns the machine.
-type lineConn struct {
-	s      *Server
-	line   *proxy.BackendConn
-	cancel context.CancelFunc
-	grant  chan bool // a begun answer may flow, or is not wanted
-
-	mu   sync.Mutex
-	m    *proxy.ResponseReader
-	link *link
-	ex   *proxy.Exchange // whose answer is awaited
-	dead bool            // closed, or its end was told
+// backendConn is the TCP side of a connection to a backend. Its goroutine reads; the event loop writes and closes.
+type backendConn struct {
+	server       *Server
+	conn         *proxy.BackendConn // the instance's side
+	cancel       context.CancelFunc // of the dial
+	streamPermit chan bool          // of one place: whether the response that has started may stream, or is not wanted
+	received     responseReceived   // the one that may be queued; of the reading goroutine until it is posted
+
+	// mu guards all below, and what responses holds.
+	mu        sync.Mutex
+	responses *proxy.ResponseReader
+	socket    *socket         // nil until the dial has succeeded
+	exchange  *proxy.Exchange // whose response is awaited
+	closed    bool            // closed by the event loop, or its end was posted: nothing more is posted
 }
 
-func (s *Server) dial(l *proxy.BackendConn) {
-	ctx, cancel := context.WithTimeout(s.hard, time.Duration(s.cfg.Limits.ConnectTimeout))
-	lc := &lineConn{s: s, line: l, cancel: cancel, m: proxy.NewResponseReader(s.shared), grant: make(chan bool, 1)}
-	l.Owner = lc
-	s.conns.Go(func() error {
+// dialBackend starts the goroutine of a new connection, which dials for limits.connect-timeout at most.
+func (s *Server) dialBackend(conn *proxy.BackendConn) {
+	ctx, cancel := context.WithTimeout(s.connectionsCtx, time.Duration(s.cfg.Limits.ConnectTimeout))
+	bc := &backendConn{server: s, conn: conn, cancel: cancel, responses: proxy.NewResponseReader(s.shared),
+		streamPermit: make(chan bool, 1)}
+	conn.Owner = bc
+	s.goroutines.Go(func() {
 		defer cancel()
-		lc.run(ctx)
-		return nil
+		bc.run(ctx)
 	})
 }
 
-// dialTCP connects, and hands over what can be written without blocking.
-func dialTCP(ctx context.Context, addr string, timeout time.Duration) (*link, error) {
+// dialTCP connects to an address (host:port). It blocks until ctx ends at most.
+func dialTCP(ctx context.Context, addr string, writeTimeout time.Duration) (*socket, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	l, err := newLink(conn.(*net.TCPConn), timeout)
+	socket, err := newSocket(conn.(*net.TCPConn), writeTimeout)
 	if err != nil {
 		conn.Close()
 	}
-	return l, err
+	return socket, err
 }
 
-func (lc *lineConn) run(ctx context.Context) {
-	l, err := dialTCP(ctx, lc.line.Addr, time.Duration(lc.s.cfg.Limits.WriteTimeout))
-	lc.mu.Lock()
-	if lc.dead || err != nil {
-		told := lc.dead
-		lc.dead = true
-		lc.mu.Unlock()
-		if !told {
-			lc.s.post(post{kind: lineDown, line: lc.line, unsent: true})
-		}
+// run dials and reads until the connection ends.
+func (bc *backendConn) run(ctx context.Context) {
+	socket, err := dialTCP(ctx, bc.conn.Addr, time.Duration(bc.server.cfg.Limits.WriteTimeout))
+	if !bc.begin(socket, err) {
 		if err == nil {
-			l.close()
+			socket.close()
 		}
 		return
 	}
-	lc.link = l
-	lc.mu.Unlock()
-	lc.s.post(post{kind: lineUp, line: lc.line})
-	defer l.close()
-	defer l.done()
-	for lc.turn(l) {
+	defer socket.close()
+	defer socket.releaseBuffer()
+	for bc.readOnce(socket) {
 	}
 }
 
-// turn reads once and hands on what came; false ends the connection.
-func (lc *lineConn) turn(l *link) bool {
-	b, err := l.read()
-	lc.mu.Lock()
-	if lc.dead {
-		lc.mu.Unlock()
+// begin reports how the dial went, unless the event loop has closed the connection meanwhile. It reports whether there is a
+// connection to read.
+func (bc *backendConn) begin(socket *socket, err error) bool {
+	bc.mu.Lock()
+	if bc.closed || err != nil {
+		reported := bc.closed
+		bc.closed = true
+		bc.mu.Unlock()
+		if !reported {
+			bc.postLostNotSent()
+		}
 		return false
 	}
-	ex := lc.ex
-	if ex == nil { // its end, or bytes that nobody asked for: it is of no use, and nothing of a request was written
-		lc.dead = true
-		lc.mu.Unlock()
-		lc.s.post(post{kind: lineDown, line: lc.line, unsent: true})
+	bc.socket = socket
+	bc.mu.Unlock()
+	bc.server.post(backendConnected{bc.conn})
+	return true
+}
+
+// readOnce waits for bytes and hands on what came of them; false ends the connection.
+func (bc *backendConn) readOnce(socket *socket) bool {
+	b, err := socket.read()
+	bc.mu.Lock()
+	if bc.closed {
+		bc.mu.Unlock()
 		return false
 	}
-	var a proxy.Response
-	switch {
-	case err == nil:
-		a = lc.m.Feed(b)
-	case err == io.EOF:
-		a = lc.m.EOF()
-	default:
-		a = lc.m.Lost()
+	exchange := bc.exchange
+	if exchange == nil { // its end, or bytes without a request: it is of no use, and nothing of a request was written
+		bc.closed = true
+		bc.mu.Unlock()
+		bc.postLostNotSent()
+		return false
 	}
-	if a.Kind == proxy.Complete || a.Kind == proxy.Ended || a.Kind == proxy.Malformed {
-		lc.ex = nil
-		a.Reuse = a.Reuse && l.pending() == 0
+	response := bc.parseLocked(b, err)
+	bc.mu.Unlock()
+	return bc.handOn(exchange, response) && err == nil
+}
+
+// parseLocked feeds what a read returned to the state machine, and ends the exchange where its response is over.
+func (bc *backendConn) parseLocked(b []byte, err error) proxy.Response {
+	var response proxy.Response
+	switch err {
+	case nil:
+		response = bc.responses.Feed(b)
+	case io.EOF:
+		response = bc.responses.EOF()
+	default:
+		response = bc.responses.ConnectionLost()
 	}
-	if a.Kind == proxy.Malformed {
-		lc.dead = true
+	switch response.Kind {
+	case proxy.Complete, proxy.Ended, proxy.Malformed:
+		bc.exchange = nil
+		bc.closed = response.Kind == proxy.Malformed
+		response.ReuseConn = response.ReuseConn && bc.socket.unwrittenBytes() == 0
 	}
-	lc.mu.Unlock()
-	switch a.Kind {
-	case proxy.NeedMore:
+	return response
+}
+
+// handOn gives the event loop what it decides on, and the body of a streamed response to its client. It blocks while the
+// event loop has not permitted the stream, and while the client has too much to take. False ends the connection.
+func (bc *backendConn) handOn(exchange *proxy.Exchange, response proxy.Response) bool {
+	switch response.Kind {
 	case proxy.Complete:
-		lc.s.post(post{kind: answer, line: lc.line, answer: a})
+		bc.postResponse(response)
 	case proxy.Started:
-		lc.s.post(post{kind: answer, line: lc.line, answer: a})
-		select {
-		case ok := <-lc.grant:
-			if !ok {
-				return false
-			}
-		case <-lc.s.hard.Done():
+		bc.postResponse(response)
+		if !bc.waitForStreamPermit() {
 			return false
 		}
-		l.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.s.cfg.Limits.StreamIdleTimeout)))
+		bc.setStreamDeadline()
 	case proxy.Continued:
-		ex.Owner.(*clientConn).relay(lc.s.now(), ex, a.Bytes, false, false)
-		l.conn.SetReadDeadline(time.Now().Add(time.Duration(lc.s.cfg.Limits.StreamIdleTimeout)))
+		exchange.Owner.(*clientConn).continueStream(bc.server.now(), exchange, response.Bytes)
+		bc.setStreamDeadline()
 	case proxy.Ended:
-		l.conn.SetReadDeadline(time.Time{})
-		ex.Owner.(*clientConn).relay(lc.s.now(), ex, a.Bytes, true, false)
-		lc.s.post(post{kind: answer, line: lc.line, answer: a})
+		bc.socket.conn.SetReadDeadline(time.Time{})
+		exchange.Owner.(*clientConn).endStream(bc.server.now(), exchange, response.Bytes)
+		bc.postResponse(response)
 	case proxy.Malformed:
-		if !l.end() { // the request's last byte never went out: the box can't have begun on it
-			lc.s.post(post{kind: lineDown, line: lc.line, unsent: true})
-			return false
+		if bc.socket.closeAndFlushed() {
+			bc.postResponse(response)
+		} else { // the request's last byte never went out: the backend can't have begun on it
+			bc.postLostNotSent()
 		}
-		lc.s.post(post{kind: answer, line: lc.line, answer: a})
 		return false
 	}
-	return err == nil
+	return true
+}
+
+func (bc *backendConn) waitForStreamPermit() bool {
+	select {
+	case permitted := <-bc.streamPermit:
+		return permitted
+	case <-bc.server.connectionsCtx.Done():
+		return false
+	}
 }
 
-// write sends a request; it never blocks. A line on which something lies to be read, which would be taken for the answer,
-// or on which not all of the request goes out, is of no use: the box can't have begun.
-func (lc *lineConn) write(ex *proxy.Exchange, wire []byte) {
-	lc.mu.Lock()
-	if lc.dead { // its end is on its way to the core, as that of a line on which nothing was sent
-		lc.mu.Unlock()
+// setStreamDeadline ends a stream from which nothing comes for limits.stream-silence.
+func (bc *backendConn) setStreamDeadline() {
+	bc.socket.conn.SetReadDeadline(time.Now().Add(time.Duration(bc.server.cfg.Limits.StreamIdleTimeout)))
+}
+
+func (bc *backendConn) postResponse(response proxy.Response) {
+	bc.received = responseReceived{conn: bc.conn, response: response}
+	bc.server.post(&bc.received)
+}
+
+func (bc *backendConn) postLostNotSent() { bc.server.post(backendLostNotSent{bc.conn}) }
+
+// write sends a request. Only the event loop calls it; it never blocks. A connection with unread bytes, which would be
+// taken for the response, or one that fails before all of the request is out, is closed and reported as lost with nothing
+// sent: the backend can't have begun on a part of a request.
+func (bc *backendConn) write(exchange *proxy.Exchange, request []byte) {
+	bc.mu.Lock()
+	if bc.closed { // its end is queued for the event loop, as that of a connection on which nothing was sent
+		bc.mu.Unlock()
 		return
 	}
-	unsent := !lc.link.quiet()
-	if !unsent {
-		lc.m.Expect(ex)
-		lc.ex = ex
-		unsent = lc.link.write(wire)
+	notSent := !bc.socket.nothingToRead()
+	if !notSent {
+		bc.responses.Expect(exchange)
+		bc.exchange = exchange
+		notSent = bc.socket.write(request)
 	}
-	lc.dead = unsent
-	lc.mu.Unlock()
-	if unsent {
-		lc.s.post(post{kind: lineDown, line: lc.line, unsent: true})
-		lc.link.close()
+	bc.closed = notSent
+	bc.mu.Unlock()
+	if notSent {
+		bc.postLostNotSent()
+		bc.socket.close()
 	}
 }
 
-// hang closes the connection; nothing more is told of it.
-func (lc *lineConn) hang() {
-	lc.mu.Lock()
-	lc.dead, lc.ex = true, nil
-	l := lc.link
-	lc.mu.Unlock()
-	lc.cancel()
+// close closes the connection, or ends its dial; nothing more is posted of it. Only the event loop calls it; it never
+// blocks.
+func (bc *backendConn) close() {
+	bc.mu.Lock()
+	bc.closed, bc.exchange = true, nil
+	socket := bc.socket
+	bc.mu.Unlock()
+	bc.cancel()
 	select {
-	case lc.grant <- false:
+	case bc.streamPermit <- false:
 	default:
 	}
-	if l != nil {
-		l.close()
+	if socket != nil {
+		socket.close()
 	}
 }
--- a/internal/server/emulated.go
+++ b/internal/server/emulated.go
@@ -1,338 +1,162 @@
 package server
 
 import (
-	"context"
-	"math"
 	"net"
 	"sync"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"sandyard/emulator"
-	"sandyard/fault"
 	"sandyard/proxy"
 )
 
-// peer is a connection that a stand-in has taken.
-type peer struct {
-	link *link
-	box  *emulator.BackendConn
-	keep *emulator.CounterConn
+// emulatorWriteTimeout is how long an emulated server lets its peer take 64 KiB: longer than any time-out of a gateway, so
+// that the gateway is the one to give up.
+const emulatorWriteTimeout = 10 * time.Second
+
+// emulatorConn is a connection that an emulated server has accepted; backend or counter is set, by the server's kind.
+type emulatorConn struct {
+	socket  *socket
+	backend *emulator.BackendConn
+	counter *emulator.CounterConn
 }
 
-// standIn is what the stand-ins on sockets have in common: a listener that comes and goes with the refuse verb, and
-// connections whose machines are all owned by whoever holds mu.
-type standIn struct {
-	start time.Time
-	addr  string
-	wg    errgroup.Group
+// emulatedServer is what the emulated backend and counter have in common: a listener that the refuse fault takes away, and
+// connections, each with a goroutine that reads. mu is held through a read's work: it guards the state machines, too.
+type emulatedServer struct {
+	startTime  time.Time
+	goroutines sync.WaitGroup // of the listener, the connections and delayed writes
+
+	// Set before listen, and called with mu held.
+	onAccept     func(*emulatorConn)
+	onBytes      func(*emulatorConn, []byte)
+	onDisconnect func(*emulatorConn)
 
-	mu     sync.Mutex
-	ln     *net.TCPListener
-	peers  map[*peer]struct{}
-	closed bool
-	feed   func(*peer, []byte) // mu is held
-	begin  func(*peer)         // mu is held
-	gone   func(*peer)         // mu is held
+	mu       sync.Mutex       // guards all below; comes before socket.mu
+	addr     string           // host:port of the first listener, and of all that follow it
+	listener *net.TCPListener // nil: connections are refused
+	conns    map[*emulatorConn]struct{}
+	closed   bool
 }
 
-func (s *standIn) now() time.Duration { return proxy.Start + time.Since(s.start) }
+// now is the time of the state machines.
+func (s *emulatedServer) now() time.Duration { return proxy.Start + time.Since(s.startTime) }
+
+// Addr is the address (host:port) on which the emulated server listens, or did before it refused connections.
+func (s *emulatedServer) Addr() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.addr
+}
 
-func (s *standIn) listen(addr string) error {
+func (s *emulatedServer) listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
+	listener := ln.(*net.TCPListener)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		return ln.Close()
+		return listener.Close()
 	}
-	s.addr = ln.Addr().String()
-	s.ln = ln.(*net.TCPListener)
-	s.wg.Go(func() error { s.accept(ln.(*net.TCPListener)); return nil })
+	s.addr = listener.Addr().String()
+	s.listener = listener
+	s.goroutines.Go(func() { s.accept(listener) })
 	return nil
 }
 
-func (s *standIn) accept(ln *net.TCPListener) {
+func (s *emulatedServer) accept(listener *net.TCPListener) {
 	for {
-		conn, err := ln.AcceptTCP()
+		conn, err := listener.AcceptTCP()
 		if err != nil {
 			return
 		}
-		l, err := newLink(conn, 10*time.Second)
+		socket, err := newSocket(conn, emulatorWriteTimeout)
 		if err != nil {
 			conn.Close()
 			continue
 		}
-		p := &peer{link: l}
-		s.mu.Lock()
-		if s.ln != ln {
-			s.mu.Unlock()
+		ec := &emulatorConn{socket: socket}
+		if !s.admit(ec, listener) {
 			conn.Close()
 			return
 		}
-		s.begin(p)
-		s.peers[p] = struct{}{}
-		s.mu.Unlock()
-		s.wg.Go(func() error { s.read(p); return nil })
+		s.goroutines.Go(func() { s.read(ec) })
 	}
 }
 
-func (s *standIn) read(p *peer) {
-	defer p.link.close()
-	defer p.link.done()
+// admit registers a connection; false: its listener was closed after it was accepted.
+func (s *emulatedServer) admit(ec *emulatorConn, listener *net.TCPListener) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.listener != listener {
+		return false
+	}
+	s.onAccept(ec)
+	s.conns[ec] = struct{}{}
+	return true
+}
+
+func (s *emulatedServer) read(ec *emulatorConn) {
+	defer ec.socket.close()
+	defer ec.socket.releaseBuffer()
 	for {
-		b, err := p.link.read()
-		s.mu.Lock()
-		if err != nil {
-			s.gone(p)
-			delete(s.peers, p)
-			s.mu.Unlock()
+		b, err := ec.socket.read()
+		if !s.handleRead(ec, b, err) {
 			return
 		}
-		s.feed(p, b)
-		s.mu.Unlock()
 	}
 }
 
-// refuse closes the listener and all connections, or listens again.
-func (s *standIn) refuse(on bool) error {
+func (s *emulatedServer) handleRead(ec *emulatorConn, b []byte, err error) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err != nil {
+		s.onDisconnect(ec)
+		delete(s.conns, ec)
+		return false
+	}
+	s.onBytes(ec, b)
+	return true
+}
+
+// setRefusing closes the listener and resets all connections, or listens again at the same address.
+func (s *emulatedServer) setRefusing(on bool) error {
 	s.mu.Lock()
-	ln, addr := s.ln, s.addr
+	listener, addr := s.listener, s.addr
 	if on {
-		s.ln = nil
-		for p := range s.peers {
-			abort(p.link)
-		}
+		s.listener = nil
+		s.resetConns()
 	}
 	s.mu.Unlock()
 	switch {
-	case on && ln != nil:
-		return ln.Close()
-	case !on && ln == nil:
+	case on && listener != nil:
+		return listener.Close()
+	case !on && listener == nil:
 		return s.listen(addr)
 	}
 	return nil
 }
 
-// abort closes with a reset.
-func abort(l *link) {
-	l.conn.SetLinger(0)
-	l.close()
+// resetConns resets all connections; mu is held. Their readers take them from conns.
+func (s *emulatedServer) resetConns() {
+	for ec := range s.conns {
+		ec.socket.reset()
+	}
 }
 
-func (s *standIn) close() {
+// close ends the listener and all connections, and waits for their goroutines.
+func (s *emulatedServer) close() {
 	s.mu.Lock()
 	s.closed = true
-	ln := s.ln
-	s.ln = nil
-	for p := range s.peers {
-		p.link.close()
+	listener := s.listener
+	s.listener = nil
+	for ec := range s.conns {
+		ec.socket.close()
 	}
 	s.mu.Unlock()
-	if ln != nil {
-		ln.Close()
-	}
-	s.wg.Wait()
-}
-
-// EmulatedBackend is a stand-in box on a socket.
-type EmulatedBackend struct {
-	standIn
-	box   *emulator.Backend
-	timer *time.Timer
-}
-
-// StartBackend starts a box. facts, if given, is told what happens; it must not block.
-func StartBackend(addr string, cfg emulator.BackendConfig, facts func(emulator.Fact)) (*EmulatedBackend, error) {
-	b := &EmulatedBackend{standIn: standIn{start: time.Now(), peers: map[*peer]struct{}{}}}
-	b.box = emulator.NewBackend(cfg, b.now())
-	b.box.Facts = facts
-	b.timer = time.AfterFunc(time.Hour, b.advance)
-	b.begin = func(p *peer) { p.box = b.box.NewConn() }
-	b.gone = func(p *peer) { p.box.Closed() }
-	b.feed = func(p *peer, in []byte) {
-		p.box.Feed(b.now(), in)
-		b.out(p)
-		b.after()
-	}
-	if err := b.listen(addr); err != nil {
-		b.timer.Stop()
-		return nil, err
-	}
-	return b, nil
-}
-
-// Addr is where the box listens.
-func (b *EmulatedBackend) Addr() string { b.mu.Lock(); defer b.mu.Unlock(); return b.addr }
-
-// Set begins or ends a fault.
-func (b *EmulatedBackend) Set(v fault.Verb, value float64, on bool) error {
-	b.mu.Lock()
-	b.box.Set(b.now(), v, value, on)
-	b.after()
-	b.mu.Unlock()
-	if v == fault.Refuse {
-		return b.refuse(on)
-	}
-	return nil
-}
-
-// Close stops the box.
-func (b *EmulatedBackend) Close() {
-	b.timer.Stop()
-	b.close()
-}
-
-func (b *EmulatedBackend) advance() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.closed {
-		return
+	if listener != nil {
+		listener.Close()
 	}
-	now := b.now()
-	b.box.Advance(now, func(j *emulator.Job) {
-		c := j.Conn()
-		c.Done(now, j)
-		for p := range b.peers { // few
-			if p.box == c {
-				b.out(p)
-			}
-		}
-	})
-	b.after()
-}
-
-// after sets the timer; a box that has fallen over refuses from then on. mu is held.
-func (b *EmulatedBackend) after() {
-	if b.box.HasCollapsed() && b.ln != nil {
-		ln := b.ln
-		b.ln = nil
-		ln.Close()
-		for p := range b.peers {
-			abort(p.link)
-		}
-	}
-	if t := b.box.Next(); t != 0 {
-		b.timer.Reset(max(0, t-b.now()))
-	}
-}
-
-// out writes what a connection has for its peer; mu is held.
-func (b *EmulatedBackend) out(p *peer) {
-	if len(p.box.Out) > 0 {
-		p.link.write(p.box.Out)
-		p.box.Out = p.box.Out[:0]
-	}
-	if p.box.Close {
-		p.end(p.box.Abort)
-	}
-}
-
-// end closes a connection once all is written.
-func (p *peer) end(aborts bool) {
-	if aborts {
-		p.link.conn.SetLinger(0)
-	}
-	p.link.mu.Lock()
-	waits := p.link.flushing
-	if waits {
-		p.link.flushed = func() { p.link.conn.Close() }
-	}
-	p.link.mu.Unlock()
-	if !waits {
-		p.link.close()
-	}
-}
-
-// EmulatedCounter is a stand-in tally keeper on a socket.
-type EmulatedCounter struct {
-	standIn
-	keeper *emulator.Counter
-	ctx    context.Context
-	stop   context.CancelFunc
-	wake   sync.Cond // signalled when a stall ends
-}
-
-// StartCounter starts a keeper.
-func StartCounter(addr string) (*EmulatedCounter, error) {
-	k := &EmulatedCounter{standIn: standIn{start: time.Now(), peers: map[*peer]struct{}{}}, keeper: emulator.NewCounter()}
-	k.wake.L = &k.mu
-	k.ctx, k.stop = context.WithCancel(context.Background())
-	served := 0.0
-	k.begin = func(p *peer) {
-		p.keep = k.keeper.NewConn()
-		_, p.keep.ClientPosition = math.Modf(served * (math.Sqrt(5) - 1) / 2) // a socket does not tell which front door it is
-		served++
-	}
-	k.gone = func(*peer) {}
-	k.feed = func(p *peer, in []byte) {
-		for k.keeper.Stalled() && !k.closed {
-			k.wake.Wait()
-		}
-		p.keep.Feed(k.now(), in)
-		if len(p.keep.Out) > 0 {
-			if d := k.keeper.Delay(); d > 0 {
-				k.delayed(p, append([]byte(nil), p.keep.Out...), d)
-			} else {
-				p.link.write(p.keep.Out)
-			}
-			p.keep.Out = p.keep.Out[:0]
-		}
-		if p.keep.Close {
-			p.end(false)
-		}
-	}
-	if err := k.listen(addr); err != nil {
-		return nil, err
-	}
-	return k, nil
-}
-
-// delayed writes later; writes of one connection keep their order as long as the delay stays the same.
-func (k *EmulatedCounter) delayed(p *peer, b []byte, d time.Duration) {
-	k.wg.Go(func() error {
-		t := time.NewTimer(d)
-		defer t.Stop()
-		select {
-		case <-t.C:
-			p.link.write(b)
-		case <-k.ctx.Done():
-		}
-		return nil
-	})
-}
-
-// Addr is where the keeper listens.
-func (k *EmulatedCounter) Addr() string { k.mu.Lock(); defer k.mu.Unlock(); return k.addr }
-
-// Total is a name's value.
-func (k *EmulatedCounter) Total(name string) float64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.keeper.Total(k.now(), name)
-}
-
-// Set begins or ends a fault.
-func (k *EmulatedCounter) Set(v fault.Verb, value float64, on bool) error {
-	k.mu.Lock()
-	k.keeper.Set(k.now(), v, value, on)
-	k.wake.Broadcast()
-	k.mu.Unlock()
-	if v == fault.Refuse {
-		return k.refuse(on)
-	}
-	return nil
-}
-
-// Close stops the keeper.
-func (k *EmulatedCounter) Close() {
-	k.stop()
-	k.mu.Lock()
-	k.closed = true
-	k.wake.Broadcast()
-	k.mu.Unlock()
-	k.close()
+	s.goroutines.Wait()
 }
--- /dev/null
+++ b/internal/server/faultcontrol.go
@@ -0,0 +1,154 @@
+package server
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+	"sync"
+	"time"
+
+	"sandyard/fault"
+)
+
+const (
+	// maxFaultControlConns is how many connections a fault control takes; a script or an engineer needs one.
+	maxFaultControlConns = 16
+	// maxFaultCommand (bytes) bounds a command; the longest verb with a number is far shorter.
+	maxFaultCommand = 256
+	// faultCommandTimeout bounds the dial of a fault control, and a command with its reply.
+	faultCommandTimeout = 2 * time.Second
+)
+
+// ErrFaultCommand is returned by SendFaultCommand, wrapped, where the emulator has rejected a command.
+var ErrFaultCommand = errors.New("the fault command is rejected")
+
+// rejectedFaultCommand is an emulator's reply other than "ok". It is ErrFaultCommand.
+type rejectedFaultCommand struct{ reply string }
+
+func (e rejectedFaultCommand) Error() string        { return e.reply }
+func (e rejectedFaultCommand) Is(target error) bool { return target == ErrFaultCommand }
+
+// FaultTarget is an emulated backend or counter whose faults can be set while it runs.
+type FaultTarget interface {
+	// Set begins a fault with a value, or ends it. Any goroutine may call it.
+	Set(v fault.Verb, value float64, on bool) error
+}
+
+// faultControl serves the commands that set an emulator's faults, with a goroutine for each connection.
+type faultControl struct {
+	target     FaultTarget
+	listener   net.Listener
+	goroutines sync.WaitGroup
+
+	mu     sync.Mutex // guards all below
+	open   map[net.Conn]struct{}
+	closed bool
+}
+
+// ServeFaultControl listens on an address (host:port) for commands that set a target's faults, one a line: "set slow 3",
+// "clear slow". Each is answered "ok" or "error: ...". The function returned stops it and waits for its end.
+func ServeFaultControl(addr string, target FaultTarget) (listening net.Addr, stop func(), err error) {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		return nil, nil, err
+	}
+	c := &faultControl{target: target, listener: listener, open: map[net.Conn]struct{}{}}
+	c.goroutines.Go(c.accept)
+	return listener.Addr(), c.close, nil
+}
+
+func (c *faultControl) accept() {
+	for {
+		conn, err := c.listener.Accept()
+		if err != nil {
+			return
+		}
+		if !c.admit(conn) {
+			conn.Close()
+			continue
+		}
+		c.goroutines.Go(func() {
+			c.serve(conn)
+			c.mu.Lock()
+			delete(c.open, conn)
+			c.mu.Unlock()
+		})
+	}
+}
+
+func (c *faultControl) admit(conn net.Conn) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed || len(c.open) >= maxFaultControlConns {
+		return false
+	}
+	c.open[conn] = struct{}{}
+	return true
+}
+
+func (c *faultControl) close() {
+	c.listener.Close()
+	c.mu.Lock()
+	c.closed = true
+	for conn := range c.open {
+		conn.Close()
+	}
+	c.mu.Unlock()
+	c.goroutines.Wait()
+}
+
+func (c *faultControl) serve(conn net.Conn) {
+	defer conn.Close()
+	commands := bufio.NewScanner(conn)
+	commands.Buffer(make([]byte, maxFaultCommand), maxFaultCommand)
+	for commands.Scan() {
+		if err := runFaultCommand(commands.Text(), c.target); err != nil {
+			fmt.Fprintf(conn, "error: %v\n", err)
+		} else {
+			fmt.Fprintln(conn, "ok")
+		}
+	}
+}
+
+func runFaultCommand(command string, target FaultTarget) error {
+	word, rest, _ := strings.Cut(strings.TrimSpace(command), " ")
+	switch word {
+	case "set":
+		verb, value, err := fault.Parse(rest)
+		if err != nil {
+			return err
+		}
+		return target.Set(verb, value, true)
+	case "clear":
+		verb, _, err := fault.Parse(rest + " 0")
+		if err != nil {
+			return err
+		}
+		return target.Set(verb, 0, false)
+	}
+	return fmt.Errorf("%q: expected set or clear", word)
+}
+
+// SendFaultCommand sends a command to a fault control at an address (host:port) and waits for its reply, for
+// faultCommandTimeout at most. A command that the emulator rejects is ErrFaultCommand.
+func SendFaultCommand(addr, command string) error {
+	conn, err := net.DialTimeout("tcp", addr, faultCommandTimeout)
+	if err != nil {
+		return err
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(faultCommandTimeout))
+	if _, err := fmt.Fprintln(conn, command); err != nil {
+		return err
+	}
+	reply, err := bufio.NewReader(conn).ReadString('\n')
+	if err != nil {
+		return err
+	}
+	if reply = strings.TrimSpace(reply); reply != "ok" {
+		return rejectedFaultCommand{reply}
+	}
+	return nil
+}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -1,6 +1,7 @@
 package simwire
 
 import (
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -8,6 +9,7 @@
 	"time"
 
 	"sandyard/decision"
+	"sandyard/internal/diagnostic"
 )
 
 func read(t *testing.T, text string) []Batch {
@@ -26,7 +28,8 @@
 	}
 }
 
-func TestEvents(t *testing.T) {
+// TestEventsAreDecoded: every message of the wire becomes the event it stands for, with absent values as zero.
+func TestEventsAreDecoded(t *testing.T) {
 	cases := []struct {
 		line string
 		want decision.Event
@@ -50,38 +53,39 @@
 	}
 	for _, c := range cases {
 		b := read(t, "clock\t8412.25\n"+c.line+"\nend\n")
-		if b[0].Now != 8412250*time.Microsecond || len(b[0].Items) != 1 {
+		if b[0].Now != 8412250*time.Microsecond || len(b[0].Messages) != 1 {
 			t.Fatalf("%s: %+v", c.line, b)
 		}
-		if it := b[0].Items[0]; it.Instance != "door-3" || !reflect.DeepEqual(it.Event, c.want) {
+		if it := b[0].Messages[0]; it.Instance != "door-3" || !reflect.DeepEqual(it.Event, c.want) {
 			t.Errorf("%s:\ngot  %+v\nwant %+v", c.line, it.Event, c.want)
 		}
 	}
 }
 
 // A list's number may be used again within a batch: the events before keep the list they named.
-func TestListsResolveInOrder(t *testing.T) {
+func TestEndpointListsResolveInOrder(t *testing.T) {
 	b := read(t, "clock\t1\ncensus\t0\t1\nrow\t-\t0\t0\t5\t0\tup\t1\ndirectory_update\td\trestored\t0\t1\n"+
 		"census\t0\t1\nrow\t6.5\t1\t0\t6\t2\tdraining\t2\ndirectory_update\td\tupdate\t0\t2\nend\n")
-	first := b[0].Items[0].Event.(decision.EndpointsChanged)
+	first := b[0].Messages[0].Event.(decision.EndpointsChanged)
 	if !first.Full || !first.Cached || first.Endpoints[0].Backend != 5 {
 		t.Errorf("first list: %+v", first)
 	}
-	last := b[0].Items[len(b[0].Items)-1].Event.(decision.EndpointsChanged)
+	last := b[0].Messages[len(b[0].Messages)-1].Event.(decision.EndpointsChanged)
 	want := decision.Endpoint{Backend: 6, Zone: 2, Cell: 1, State: decision.Draining, Weight: 2, Started: 6500 * time.Microsecond}
 	if last.Full || !reflect.DeepEqual(last.Endpoints, []decision.Endpoint{want}) {
 		t.Errorf("last list: %+v", last)
 	}
 }
 
-func TestSettings(t *testing.T) {
+// TestInitCarriesSettings: an instance starts with the seed and the settings of its init message.
+func TestInitCarriesSettings(t *testing.T) {
 	b := read(t, "clock\t1\ninit\tdoor-0\t51\tme=1\tpeers-total=2\tnew.key=x\tservices.count=1\tservices.0.semantics=dedup\t"+
 		"services.0.dedup-scope=cell\tservices.0.aim-ms=600\tservices.0.value=2\tplans.count=1\tplans.0.refill=1.5\t"+
 		"plans.0.store-size=5\tplans.0.never-over-rate=4\tfeedback.names=busy_reqs,odd,cpu_share\tfeedback.via=pull\t"+
 		"limits.may-duplicate=true\tspecifics.shared-counter=true\nstop\tdoor-0\nend\n")
-	it := b[0].Items[0]
+	it := b[0].Messages[0]
 	s := it.Settings
-	if it.Kind != Start || it.Seed != 51 || b[0].Items[1].Kind != Stop {
+	if it.Kind != Start || it.Seed != 51 || b[0].Messages[1].Kind != Stop {
 		t.Fatalf("%+v", b)
 	}
 	if s.Self != 1 || s.Instances != 2 || !s.Hedging || !s.Counter || !s.LoadByProbe || s.LoadInAnswers {
@@ -98,7 +102,9 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+// TestMalformedInputNamesLineAndField: the simulator ends a run on the first error, which has to say where the two sides
+// disagree.
+func TestMalformedInputNamesLineAndField(t *testing.T) {
 	cases := []struct{ text, line, field string }{
 		{"tock\t1\n", "line 1", "tock"},
 		{"clock\tx\nend\n", "line 1", "clock"},
@@ -128,7 +134,32 @@
 	}
 }
 
-func TestActions(t *testing.T) {
+// TestErrorsOfInputAreTyped: what runs instances on the wire can tell an input that broke off from one that is wrong, and
+// finds the line and the field without reading the message.
+func TestErrorsOfInputAreTyped(t *testing.T) {
+	next := func(text string) error {
+		_, err := NewReader(strings.NewReader(text)).Next()
+		return err
+	}
+	var line *LineError
+	if err := next("clock\t1\ncensus\t0\t2\n"); !errors.Is(err, ErrInputEnded) || !errors.As(err, &line) || line.Line != 2 {
+		t.Errorf("an input that breaks off: %v", err)
+	}
+	var message *UnexpectedMessageError
+	if err := next("clock\t1\nnews\td\nend\n"); !errors.As(err, &message) || message.Got != "news" || !errors.As(err, &line) || line.Line != 2 {
+		t.Errorf("a message that is none: %v", err)
+	}
+	var field *diagnostic.FieldError
+	if err := next(initBatch("me=x")); !errors.As(err, &field) || *field != (diagnostic.FieldError{Field: "me", Value: "x", Want: "a whole number, 0 or more"}) {
+		t.Errorf("a setting that is no number: %v", err)
+	}
+	if err := next(""); err != io.EOF {
+		t.Errorf("an input that ends between batches: %v", err)
+	}
+}
+
+// TestActionsArePrinted: each action has the form of the wire, with times in milliseconds.
+func TestActionsArePrinted(t *testing.T) {
 	cases := []struct {
 		action decision.Action
 		want   string
@@ -156,7 +187,7 @@
 }
 
 // A timer comes back as it was set.
-func TestTimerRoundTrip(t *testing.T) {
+func TestTimerTokenRoundTrip(t *testing.T) {
 	want := decision.Timer{Kind: decision.DeadlineTimer, Request: 0xfedcba9876543210}
 	var out strings.Builder
 	w := NewWriter(&out)
@@ -164,7 +195,7 @@
 	w.Done()
 	token := strings.Split(strings.Split(out.String(), "\n")[0], "\t")[3]
 	b := read(t, "clock\t1\ntimer\td\t"+token+"\nend\n")
-	if got := b[0].Items[0].Event.(decision.TimerFired).Timer; got != want {
+	if got := b[0].Messages[0].Event.(decision.TimerFired).Timer; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- /dev/null
+++ b/proxy/clientresponse.go
@@ -0,0 +1,109 @@
+package proxy
+
+import (
+	"errors"
+	"time"
+
+	"sandyard/internal/http1"
+)
+
+// localRetryAfter is the Retry-After of local responses 503 that no decision is behind. What they are for, memory, a full
+// queue or a start, is over within about that time; less would bring the load back at once.
+const localRetryAfter = time.Second
+
+// Respond appends the response to an exchange, or its beginning, as the effects Respond and StreamResponse give it. more says
+// that the rest follows by ContinueResponse; else the exchange is over, and the connection goes on, with Resume, or closes.
+// closeAfterResponse says that it is the connection's last. For an exchange that is not the one under way it does nothing.
+func (c *ClientConn) Respond(now time.Duration, ex *Exchange, b []byte, more, closeAfterResponse bool) {
+	if c.exchange != ex || c.phase != phaseAwaitResponse {
+		return
+	}
+	c.Outgoing = append(c.Outgoing, b...)
+	c.closeAfterResponse = c.closeAfterResponse || closeAfterResponse
+	if !more {
+		c.finishResponse(now)
+	}
+}
+
+// RejectOverload answers 503 to an exchange that the instance's queue has no room for. It was not handed to the instance.
+func (c *ClientConn) RejectOverload(now time.Duration, ex *Exchange) {
+	c.shared.release(ex.reservedBytes)
+	ex.reservedBytes = 0
+	closeAfterResponse := ex.CloseAfterResponse || c.shared.closesAfterResponse()
+	rendered := c.shared.appendLocalResponse(nil, &queueFull, ex.Method, ex.MinorVersion, closeAfterResponse, localRetryAfter)
+	c.Respond(now, ex, rendered, false, closeAfterResponse)
+}
+
+// ContinueResponse appends more of a streamed response. end says that it is complete, broken that it broke off: the
+// connection is closed, so that the client sees that the response is not complete.
+func (c *ClientConn) ContinueResponse(now time.Duration, ex *Exchange, b []byte, end, broken bool) {
+	if c.exchange != ex || c.phase != phaseAwaitResponse {
+		return
+	}
+	c.Outgoing = append(c.Outgoing, b...)
+	switch {
+	case broken:
+		c.mustReset = c.closeAfterResponse // the end of the connection would look like the end of the response
+		c.close()
+	case end:
+		c.finishResponse(now)
+	}
+}
+
+// finishResponse ends the exchange: the connection goes on with the next request, or closes.
+func (c *ClientConn) finishResponse(now time.Duration) {
+	ex := c.exchange
+	c.exchange, c.phase, c.phaseSince = nil, phaseIdle, now
+	if ex.CloseAfterResponse || c.closeAfterResponse || c.readAheadOverflowed && len(c.readAhead) == 0 {
+		c.linger = true
+		c.close()
+	}
+}
+
+// rejectMalformed answers bytes that are no request, and closes: it can't be known where the next request begins.
+func (c *ClientConn) rejectMalformed(now time.Duration, err error) {
+	response := malformedRequest
+	var e *http1.Error
+	if errors.As(err, &e) {
+		response.Status, response.Detail = e.Status, "The request has "+e.Reason+"."
+		if e.Status != 400 {
+			response.Kind, response.Title = "unsupported", http1.StatusText(e.Status)
+		}
+	}
+	c.rejectAndClose(now, response)
+}
+
+// rejectAndClose sends a local response at once and closes the connection after it.
+func (c *ClientConn) rejectAndClose(now time.Duration, response localResponse) {
+	c.setLocalResponse(response, true)
+	c.sendLocalResponse(now)
+}
+
+// setLocalResponse notes that the request under way gets a local response, unless it has one; sendLocalResponse sends it.
+func (c *ClientConn) setLocalResponse(response localResponse, closeAfterResponse bool) {
+	if c.localResponse == nil {
+		c.localResponse = &response
+	}
+	if c.exchange == nil {
+		c.exchange = &Exchange{Owner: c.owner, MinorVersion: 1, Method: "GET"}
+	}
+	c.exchange.CloseAfterResponse = c.exchange.CloseAfterResponse || closeAfterResponse
+}
+
+// sendLocalResponse sends the local response that was set, and ends the request.
+func (c *ClientConn) sendLocalResponse(now time.Duration) {
+	ex, response := c.exchange, c.localResponse
+	closeAfterResponse := ex.CloseAfterResponse || c.shared.closesAfterResponse()
+	retryAfter := time.Duration(0)
+	if response.Status == 503 {
+		retryAfter = localRetryAfter
+	}
+	c.Outgoing = c.shared.appendLocalResponse(c.Outgoing, response, ex.Method, ex.MinorVersion, closeAfterResponse, retryAfter)
+	c.LocalStatuses = append(c.LocalStatuses, response.Status)
+	c.releaseBody()
+	c.exchange, c.localResponse = nil, nil
+	c.phase, c.phaseSince, c.linger = phaseIdle, now, true
+	if closeAfterResponse {
+		c.close()
+	}
+}
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -17,7 +17,10 @@
 	return "  " + path + ":\n    get:\n      x-sandyard-class: c\n      responses: {}\n"
 }
 
-func TestLook(t *testing.T) {
+// TestMatchAndCost: literals go before parameters, HEAD is matched as GET, and a path or a cost that two parsers could read
+// differently is refused: a client that got another operation than the one it was charged for would pass its quota. A
+// match allocates nothing, since it is made for every request.
+func TestMatchAndCost(t *testing.T) {
 	table, err := Compile("api.yaml", []byte(head+get("/a")+get("/a/{x}")+get("/a/new")+get("/a/{x}/b")+get("/{y}/c/d")+
 		"  /units:\n    x-sandyard-class: c\n    post:\n      x-sandyard-units: {in: query, name: n, default: 2, most: 8}\n"+
 		"      x-sandyard-repeat: {kind: keyed, ttl: 6s, scope: zone}\n      responses: {}\n"))
@@ -28,12 +31,12 @@
 		method, path, want string
 		v                  MatchResult
 	}{
-		{"GET", "/a", "GET /a", Found}, {"HEAD", "/a", "GET /a", Found}, {"POST", "/a", "", NoMethod},
+		{"GET", "/a", "GET /a", Found}, {"HEAD", "/a", "GET /a", Found}, {"POST", "/a", "", MethodNotAllowed},
 		{"GET", "/a/7", "GET /a/{x}", Found}, {"GET", "/a/new", "GET /a/new", Found}, {"GET", "/a/new/b", "GET /a/{x}/b", Found},
-		{"GET", "/a/c/d", "GET /{y}/c/d", Found}, {"GET", "/a/", "", NoPath}, {"GET", "/", "", NoPath}, {"GET", "/b", "", NoPath},
-		{"GET", "//a", "", NoPath}, {"GET", "/a/../a", "", BadPath}, {"GET", "/a/%2e%2e/a", "", BadPath}, {"GET", "/a/..", "", BadPath},
+		{"GET", "/a/c/d", "GET /{y}/c/d", Found}, {"GET", "/a/", "", PathNotFound}, {"GET", "/", "", PathNotFound}, {"GET", "/b", "", PathNotFound},
+		{"GET", "//a", "", PathNotFound}, {"GET", "/a/../a", "", BadPath}, {"GET", "/a/%2e%2e/a", "", BadPath}, {"GET", "/a/..", "", BadPath},
 		{"GET", "/%61", "", BadPath}, {"GET", "/a/x%2Fb", "", BadPath}, {"GET", "/a/%zz", "", BadPath}, {"GET", "/a/%", "", BadPath},
-		{"GET", "/a/x%20y", "GET /a/{x}", Found}, {"GET", "*", "", NoPath},
+		{"GET", "/a/x%20y", "GET /a/{x}", Found}, {"GET", "*", "", PathNotFound},
 	} {
 		op, v := table.Match(c.method, c.path)
 		if v != c.v || op != nil && op.ID != c.want {
@@ -41,7 +44,7 @@
 		}
 	}
 	op, _ := table.Match("POST", "/units")
-	if op.Repeat.Kind != decision.IdempotentByKey || op.Repeat.Scope != decision.KeyScopeZone || op.Repeat.TTL.Seconds() != 6 {
+	if op.Repeat.Idempotency != decision.IdempotentByKey || op.Repeat.KeyScope != decision.KeyScopeZone || op.Repeat.KeyTTL.Seconds() != 6 {
 		t.Errorf("repeat: %+v", op.Repeat)
 	}
 	none := func(string) (string, bool) { return "", false }
@@ -56,8 +59,9 @@
 	}
 }
 
-// TestMistakes: each is told with its line, and all at once.
-func TestMistakes(t *testing.T) {
+// TestProblemsAreReportedWithTheirLines: an author sees every problem of a description with its line, all at
+// once, and no description with a problem is served.
+func TestProblemsAreReportedWithTheirLines(t *testing.T) {
 	for _, c := range []struct {
 		text  string
 		wants []string
@@ -88,8 +92,8 @@
 	}
 }
 
-// TestLookAgainstList: the tree finds what trying all templates finds, literals first.
-func TestLookAgainstList(t *testing.T) {
+// TestMatchAgreesWithTryingEveryTemplate: the tree finds what trying all templates finds, literals first.
+func TestMatchAgreesWithTryingEveryTemplate(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "b", "{x}"})
 	rapid.Check(t, func(t *rapid.T) {
 		seen, text := map[string]bool{}, head
