--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -10,10 +10,10 @@
 // estimates of the other files and for its request. Latencies are seconds.
 
 const (
-	// maxExpectedWait is the expected wait, as a share of the latency objective, above which no attempt is begun: its
+	// maxLatencyRatio is the expected wait, as a share of the latency objective, above which no attempt is begun: its
 	// answer would be late, and it would make others late. A request that may have run is an exception, since
 	// without an answer it fails.
-	maxExpectedWait = 0.8
+	maxLatencyRatio = 0.8
 	// timeoutDeviations is the number of deviations above the mean latency that an attempt may take if another could
 	// follow it: rarely is an answer that late still to come.
 	timeoutDeviations = 8.0
@@ -90,7 +90,7 @@
 func (g *Gateway) sendAttempt(request *requestRecord) bool {
 	backend := g.chooseBackend(request)
 	left := request.deadline - g.now
-	if backend == nil || left <= 0 || g.expectedWaitAt(backend) > maxExpectedWait && !request.mayHaveRun {
+	if backend == nil || left <= 0 || g.expectedLatencyRatioAt(backend) > maxLatencyRatio && !request.mayHaveRun {
 		g.finish(request, answerOwed)
 		return false
 	}
@@ -167,7 +167,7 @@
 	}
 	g.recordOutcome(backend, classID, event.Outcome)
 	if backend.State == Up {
-		g.slowStart.recordEnd(event.Outcome)
+		g.serviceRate.recordEnd(event.Outcome)
 	}
 	g.recordOverload(class, event.Outcome, took)
 }
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -34,14 +34,14 @@
 // chooseBackend gives the backend for the next attempt of a request, or nil if there is none. It may be called once for
 // an attempt: it draws random numbers and counts.
 func (g *Gateway) chooseBackend(request *requestRecord) *backendRecord {
-	g.slowStart.choices++
+	g.serviceRate.choicesMade++
 	class := g.settings.Classes[request.class]
-	wanted := candidatesPerChoice + int(g.outliers.classFailureRate[request.class].value*extraCandidates)
+	wanted := candidatesPerChoice + int(g.failureRates.byClass[request.class].value*extraCandidates)
 	drawn := make([]candidate, 0, candidatesPerChoice+extraCandidates)
 	var triedBefore *backendRecord
 	for draws := 0; draws < maxDraws && len(g.endpoints.up) > 0; draws++ {
 		backend := g.endpoints.up[g.rng.IntN(len(g.endpoints.up))]
-		if g.rng.Float64() >= g.capacityShare(backend) || !keyKnownAt(request, class, backend) {
+		if g.rng.Float64() >= g.capacityShare(backend) || !mayRunAt(request, class, backend) {
 			continue
 		}
 		if request.attemptedAt(backend) {
@@ -52,15 +52,15 @@
 		if len(drawn) < wanted {
 			continue
 		}
-		if best := g.bestCandidate(drawn); best != nil {
+		if best := g.admitBestCandidate(drawn); best != nil {
 			return best
 		}
 		drawn = drawn[:0]
 	}
-	if best := g.bestCandidate(drawn); best != nil {
+	if best := g.admitBestCandidate(drawn); best != nil {
 		return best
 	}
-	if triedBefore != nil && g.slowStartAllows(triedBefore) {
+	if triedBefore != nil && g.tryAdmitWarming(triedBefore) {
 		return triedBefore
 	}
 	return nil
@@ -68,27 +68,27 @@
 
 // costAt is the cost of an attempt of a class at a backend, in latency objectives.
 func (g *Gateway) costAt(backend *backendRecord, class ClassID) float64 {
-	wait := g.expectedWaitAt(backend)
+	latencyRatio := g.expectedLatencyRatioAt(backend)
 	if backend.Zone != g.settings.Zone {
-		wait *= otherZoneFactor
+		latencyRatio *= otherZoneFactor
 	}
-	return wait + g.failureRisk(backend, class)*failureCost
+	return latencyRatio + g.failureRisk(backend, class)*failureCost
 }
 
-// bestCandidate gives the backend of the lowest cost that may get one more attempt, or nil.
-func (g *Gateway) bestCandidate(drawn []candidate) *backendRecord {
+// admitBestCandidate gives the backend of the lowest cost that may get one more attempt, or nil.
+func (g *Gateway) admitBestCandidate(drawn []candidate) *backendRecord {
 	slices.SortStableFunc(drawn, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 	for _, candidate := range drawn {
-		g.slowStart.picks++
-		if g.slowStartAllows(candidate.backend) {
+		g.serviceRate.slowStartChecks++
+		if g.tryAdmitWarming(candidate.backend) {
 			return candidate.backend
 		}
 	}
 	return nil
 }
 
-// keyKnownAt tells whether a backend discards a repeat of a request that may have run already.
-func keyKnownAt(request *requestRecord, class Class, backend *backendRecord) bool {
+// mayRunAt tells whether a backend discards a repeat of a request that may have run already.
+func mayRunAt(request *requestRecord, class Class, backend *backendRecord) bool {
 	if class.Idempotency != IdempotentByKey || request.firstRunBackend == nil || class.KeyScope == KeyScopeAll {
 		return true
 	}
--- a/decision/countersync.go
+++ b/decision/countersync.go
@@ -118,8 +118,8 @@
 
 // mayCallCounter decides by chance whether the counter may be called. priority, 0 to 1, lowers the chance of calls that
 // are worth less, but only while the counter is overloaded.
-func (g *Gateway) mayCallCounter(priority float64) bool {
-	return g.counter.callProbability == 1 || g.rng.Float64() < g.counter.callProbability*priority
+func (g *Gateway) mayCallCounter(callPriority float64) bool {
+	return g.counter.callProbability == 1 || g.rng.Float64() < g.counter.callProbability*callPriority
 }
 
 // counterNameOf is the name to which a customer's use is added now, and what a unit counts in it. Names change before
@@ -127,12 +127,12 @@
 // all totals are unknown at once.
 func (g *Gateway) counterNameOf(customer *customerRecord) (name string, unitWeight float64) {
 	period := min(maxCounterNamePeriod.Seconds(), maxCounterNameFades*customer.quota.fadeTime)
-	epoch, age := math.Modf(g.now.Seconds()/period + customer.admissionHash)
+	epoch, elapsedShare := math.Modf(g.now.Seconds()/period + customer.admissionHash)
 	name = customer.id
 	if len(name) > maxCustomerInName {
 		name = strconv.FormatUint(math.Float64bits(customer.admissionHash), 36)
 	}
-	return name + "." + strconv.FormatInt(int64(epoch), 36), math.Exp(age * period / customer.quota.fadeTime)
+	return name + "." + strconv.FormatInt(int64(epoch), 36), math.Exp(elapsedShare * period / customer.quota.fadeTime)
 }
 
 // callCounter adds units to a customer's total, with its pending use; request, if any, waits for the answer.
@@ -205,7 +205,7 @@
 		return
 	}
 	total := max(0, event.Total) // what was taken back may leave a rounding error below nothing
-	ok := event.Outcome == OK && !anyInvalid(total)
+	ok := event.Outcome == OK && !anyNegativeOrNotFinite(total)
 	slow := event.Outcome == TimedOut || g.now-call.sentAt > g.settings.CounterTimeout/2
 	g.counter.recordCall(slow, ok, g.now)
 	if call.request != nil && call.request.ended && ok { // its client is gone
--- a/decision/gateway.go
+++ b/decision/gateway.go
@@ -35,8 +35,8 @@
 	quotas       quotaTable
 	counter      counterSync
 	endpoints    endpointTable
-	slowStart    serviceRateEstimator
-	outliers     outlierDetector
+	serviceRate  serviceRateEstimator
+	failureRates failureRates
 	requests     map[RequestID]*requestRecord // those with an answer owed or an attempt in flight
 	classLatency []latencyEstimate            // of attempts, by class
 }
@@ -59,8 +59,8 @@
 		quotas:       newQuotaTable(settings),
 		counter:      newCounterSync(settings.Plans, now),
 		endpoints:    newEndpointTable(settings.Subscribe),
-		slowStart:    newServiceRateEstimator(settings, now),
-		outliers:     newOutlierDetector(len(settings.Classes), now),
+		serviceRate:  newServiceRateEstimator(settings, now),
+		failureRates: newFailureRates(len(settings.Classes), now),
 		requests:     map[RequestID]*requestRecord{},
 		classLatency: newClassLatency(settings.Classes),
 	}
--- a/decision/load.go
+++ b/decision/load.go
@@ -9,9 +9,9 @@
 // Waits are shares of the latency objective, queue lengths are requests.
 
 const (
-	// fullLoadWait is the expected wait, as a share of the latency objective, that counts as full load: above it
+	// fullLoadLatencyRatio is the expected wait, as a share of the latency objective, that counts as full load: above it
 	// the queue may outgrow the objective before the control loop reacts. Measured, see docs/design.md.
-	fullLoadWait = 0.4
+	fullLoadLatencyRatio = 0.4
 	// fullLoadCPU is the reported use of processors that counts as full load; 1 is all of them.
 	fullLoadCPU = 1.0
 	// fullLoadBadShare is the share of attempts rejected, timed out or late that counts as full load, whatever
@@ -65,7 +65,7 @@
 // recordLoadReport takes in a backend's load report. Values that no backend can have are ignored.
 func (g *Gateway) recordLoadReport(load []float64) {
 	for i, field := range g.settings.LoadFields {
-		if i >= len(load) || anyInvalid(load[i]) {
+		if i >= len(load) || anyNegativeOrNotFinite(load[i]) {
 			continue
 		}
 		switch field {
@@ -115,15 +115,15 @@
 	return others*(instances-1)/instances + float64(backend.inFlight)
 }
 
-// expectedWait is how long a new attempt takes anywhere, as a share of its objective: the time for a position in the
+// expectedLatencyRatio is how long a new attempt takes anywhere, as a share of its objective: the time for a position in the
 // queue, times the queue. It rises with the queue at once, long before slow answers come back. Without reports it is
 // what attempts took.
-func (g *Gateway) expectedWait() float64 {
+func (g *Gateway) expectedLatencyRatio() float64 {
 	return g.load.latencyRatio.value * (g.queueLength() + 1) / g.load.queuePosition.value
 }
 
-// expectedWaitAt is how long a new attempt takes at one backend, as a share of its objective.
-func (g *Gateway) expectedWaitAt(backend *backendRecord) float64 {
+// expectedLatencyRatioAt is how long a new attempt takes at one backend, as a share of its objective.
+func (g *Gateway) expectedLatencyRatioAt(backend *backendRecord) float64 {
 	return g.load.latencyRatio.value / g.load.queuePosition.value * (g.queueLengthAt(backend) + 1) * backend.slowness
 }
 
@@ -131,7 +131,7 @@
 // the expected wait and the reported use of processors, or the wait alone where none is reported. Attempts rejected,
 // timed out or late count whatever these say.
 func (g *Gateway) utilization() float64 {
-	utilization := g.expectedWait() / fullLoadWait
+	utilization := g.expectedLatencyRatio() / fullLoadLatencyRatio
 	if use := &g.load.reportedCPU; use.weight > 0 && g.now-use.updatedAt < loadReportTTL {
 		utilization = (utilization + use.value/fullLoadCPU) / 2
 	}
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -42,17 +42,17 @@
 	h.updatedAt = now
 }
 
-// outlierDetector holds how often attempts fail anywhere.
-type outlierDetector struct {
-	classFailureRate []movingAverage // share of attempts that failed, by class
+// failureRates holds how often attempts fail anywhere.
+type failureRates struct {
+	byClass []movingAverage // share of attempts that failed, by class
 }
 
-func newOutlierDetector(classes int, now time.Duration) outlierDetector {
-	var detector outlierDetector
+func newFailureRates(classes int, now time.Duration) failureRates {
+	var rates failureRates
 	for range classes {
-		detector.classFailureRate = append(detector.classFailureRate, newMovingAverage(minNoisySamples, now))
+		rates.byClass = append(rates.byClass, newMovingAverage(minNoisySamples, now))
 	}
-	return detector
+	return rates
 }
 
 // failureRisk is how likely an attempt of a class fails at a backend, 0 to 1: by its last attempts there, weighed
@@ -63,7 +63,7 @@
 		failures++
 		attempts++
 	}
-	return (g.outliers.classFailureRate[class].value*failurePrior + failures) / (failurePrior + attempts)
+	return (g.failureRates.byClass[class].value*failurePrior + failures) / (failurePrior + attempts)
 }
 
 // recordOutcome takes in an attempt's end. A failure counts half for the other classes: a backend that hangs fails all,
@@ -77,7 +77,7 @@
 	default:
 		return
 	}
-	g.outliers.classFailureRate[class].add(failure, g.now)
+	g.failureRates.byClass[class].add(failure, g.now)
 	for i := range backend.outcomes {
 		weight := 1.0
 		if ClassID(i) != class {
--- a/decision/response.go
+++ b/decision/response.go
@@ -52,7 +52,7 @@
 		arrivedAt: g.now,
 		deadline:  g.now + max(0, event.TimeLeft),
 	}
-	if anyInvalid(event.Units) || customer.quota.rate == 0 { // without a rate, attempts in flight are counted
+	if anyNegativeOrNotFinite(event.Units) || customer.quota.rate == 0 { // without a rate, attempts in flight are counted
 		request.units = 1
 	}
 	return request
@@ -66,8 +66,8 @@
 		g.admitOrShed(request, quotaDecision{inside: true})
 		return
 	}
-	priority := g.insideProbability(customer, request.class) * g.settings.Plans[customer.plan].WeightFactor / g.counter.maxPlanWeight
-	if g.mayCallCounter(priority) {
+	callPriority := g.insideProbability(customer, request.class) * g.settings.Plans[customer.plan].WeightFactor / g.counter.maxPlanWeight
+	if g.mayCallCounter(callPriority) {
 		g.callCounter(customer, request.units, request)
 		return
 	}
--- a/decision/restore.go
+++ b/decision/restore.go
@@ -51,7 +51,7 @@
 	}{
 		{"Controllers", len(s.Controllers) == len(g.admission.controllers)},
 		{"InsideShare", len(s.InsideShare) == len(g.counter.insideShare)},
-		{"ClassFailureRate", len(s.ClassFailureRate) == len(g.outliers.classFailureRate)},
+		{"ClassFailureRate", len(s.ClassFailureRate) == len(g.failureRates.byClass)},
 		{"ClassLatency", len(s.ClassLatency) == len(g.classLatency)},
 		{"ListedCustomers", within(s.ListedCustomers, len(s.Customers)+1)},
 		{"KnownBackends", within(s.KnownBackends, len(s.Backends)+1)},
@@ -76,23 +76,23 @@
 	for i, c := range s.Controllers {
 		g.admission.controllers[i] = piController{admitRatio: c.AdmitRatio, lastError: c.LastError, admittedWork: c.AdmittedWork, offeredWork: c.OfferedWork}
 	}
-	restoreAverages(g.outliers.classFailureRate, s.ClassFailureRate)
+	restoreAverages(g.failureRates.byClass, s.ClassFailureRate)
 	for i, latency := range s.ClassLatency {
 		g.classLatency[i] = latencyEstimate{mean: latency[0], deviation: latency[1]}
 	}
-	g.slowStart.restore(s)
+	g.serviceRate.restore(s)
 	g.quotas.sweepPosition = s.SweepPosition
 }
 
 func (e *serviceRateEstimator) restore(s *State) {
 	e.throughput.restore(s.Throughput)
 	e.effectiveCapacity.restore(s.EffectiveCapacity)
-	e.serviceRate = s.ServiceRate
+	e.value = s.ServiceRate
 	e.heldBackUntil = s.HeldBackUntil
-	e.pickRate.restore(s.PickRate)
+	e.slowStartCheckRate.restore(s.SlowStartCheckRate)
 	e.choiceRate.restore(s.ChoiceRate)
-	e.picks = s.PicksInPeriod
-	e.choices = s.ChoicesInPeriod
+	e.slowStartChecks = s.SlowStartChecksInPeriod
+	e.choicesMade = s.ChoicesInPeriod
 	e.successes = s.SuccessesInPeriod
 	e.attemptsEnded = s.AttemptsEndedInPeriod
 }
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -138,12 +138,12 @@
 		return &SettingsError{Place: "classes", Cause: "there are none"}
 	}
 	for i, class := range s.Classes {
-		if anyInvalid(class.PriorityWeight, class.LateShare, float64(class.LatencyObjective), float64(class.Deadline), float64(class.KeyTTL)) {
+		if anyNegativeOrNotFinite(class.PriorityWeight, class.LateShare, float64(class.LatencyObjective), float64(class.Deadline), float64(class.KeyTTL)) {
 			return &SettingsError{Place: fmt.Sprint("class ", i), Cause: "a number is negative or not finite"}
 		}
 	}
 	for i, plan := range s.Plans {
-		if anyInvalid(plan.Rate, plan.Burst, plan.WeightFactor, plan.CeilingRate, plan.CeilingBurst, plan.CeilingSlack, float64(plan.MaxInFlight)) {
+		if anyNegativeOrNotFinite(plan.Rate, plan.Burst, plan.WeightFactor, plan.CeilingRate, plan.CeilingBurst, plan.CeilingSlack, float64(plan.MaxInFlight)) {
 			return &SettingsError{Place: fmt.Sprint("plan ", i), Cause: "a number is negative or not finite"}
 		}
 	}
@@ -169,7 +169,7 @@
 // reportsInFlight tells whether load reports say how many requests a backend has in work.
 func (s *Settings) reportsInFlight() bool { return slices.Contains(s.LoadFields, FieldInFlight) }
 
-// anyInvalid tells whether one of the values is negative, infinite or not a number.
-func anyInvalid(values ...float64) bool {
+// anyNegativeOrNotFinite tells whether one of the values is negative, infinite or not a number.
+func anyNegativeOrNotFinite(values ...float64) bool {
 	return slices.ContainsFunc(values, func(x float64) bool { return !(x >= 0) || math.IsInf(x, 0) })
 }
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -33,27 +33,27 @@
 type serviceRateEstimator struct {
 	throughput        movingAverage // good answers a second
 	effectiveCapacity movingAverage // warm working backends that gave them
-	serviceRate       float64       // their ratio, or what was known when it last was a measure
+	value             float64       // their ratio, or what was known when it last was a measure
 	heldBackUntil     time.Duration // until when it is no measure, since warming backends were spared
 
-	pickRate   movingAverage // backends a second that were considered for an attempt
-	choiceRate movingAverage // choices of a backend a second
+	slowStartCheckRate movingAverage // backends a second that were considered for an attempt
+	choiceRate         movingAverage // choices of a backend a second
 
 	// Counted in this control period.
-	picks         float64
-	choices       float64
-	successes     float64
-	attemptsEnded float64
+	slowStartChecks float64
+	choicesMade     float64
+	successes       float64
+	attemptsEnded   float64
 }
 
 // newServiceRateEstimator begins with so low a rate that all instances together send a backend one attempt after the
 // other.
 func newServiceRateEstimator(settings Settings, now time.Duration) serviceRateEstimator {
 	average := newMovingAverage(minSamples, now)
-	estimator := serviceRateEstimator{throughput: average, effectiveCapacity: average, pickRate: average, choiceRate: average}
+	estimator := serviceRateEstimator{throughput: average, effectiveCapacity: average, slowStartCheckRate: average, choiceRate: average}
 	objective := max(housekeepingInterval, settings.Classes[0].LatencyObjective)
-	estimator.serviceRate = 1 / (objective.Seconds() * initialLatencyShare * float64(settings.Instances))
-	estimator.throughput.add(estimator.serviceRate, now)
+	estimator.value = 1 / (objective.Seconds() * initialLatencyShare * float64(settings.Instances))
+	estimator.throughput.add(estimator.value, now)
 	estimator.effectiveCapacity.add(1, now)
 	return estimator
 }
@@ -61,18 +61,18 @@
 // endPeriod takes in a control period of so many seconds, in which the backends had this capacity. While attempts are
 // held back, the number of good answers is no measure: then only failures lower the rate.
 func (e *serviceRateEstimator) endPeriod(capacity, elapsed float64, now time.Duration) {
-	e.pickRate.add(e.picks/elapsed, now)
-	e.choiceRate.add(e.choices/elapsed, now)
+	e.slowStartCheckRate.add(e.slowStartChecks/elapsed, now)
+	e.choiceRate.add(e.choicesMade/elapsed, now)
 	e.throughput.add(e.successes/elapsed, now)
 	e.effectiveCapacity.add(capacity, now)
 	switch {
 	case now < e.heldBackUntil:
-		e.serviceRate *= 1 - (1-(e.successes+failurePrior)/(e.attemptsEnded+failurePrior))/minSamples
+		e.value *= 1 - (1-(e.successes+failurePrior)/(e.attemptsEnded+failurePrior))/minSamples
 	case e.effectiveCapacity.value > 0:
-		e.serviceRate = e.throughput.value / e.effectiveCapacity.value
+		e.value = e.throughput.value / e.effectiveCapacity.value
 	}
-	e.picks = 0
-	e.choices = 0
+	e.slowStartChecks = 0
+	e.choicesMade = 0
 	e.successes = 0
 	e.attemptsEnded = 0
 }
@@ -83,14 +83,14 @@
 	e.successes += indicator(outcome == OK)
 }
 
-// recentPickRate is the rate of picks, or that of this period where it is higher.
-func (e *serviceRateEstimator) recentPickRate() float64 {
-	return max(e.pickRate.value, e.picks/controlPeriod.Seconds())
+// recentSlowStartCheckRate is the rate of picks, or that of this period where it is higher.
+func (e *serviceRateEstimator) recentSlowStartCheckRate() float64 {
+	return max(e.slowStartCheckRate.value, e.slowStartChecks/controlPeriod.Seconds())
 }
 
 // recentChoiceRate is the rate of choices, or that of this period where it is higher.
 func (e *serviceRateEstimator) recentChoiceRate() float64 {
-	return max(e.choiceRate.value, e.choices/controlPeriod.Seconds())
+	return max(e.choiceRate.value, e.choicesMade/controlPeriod.Seconds())
 }
 
 // capacityShare is the share of its capacity that a backend is sure to have, 1 if it is warm. It counts as warming up
@@ -120,7 +120,7 @@
 	for _, backend := range g.endpoints.up {
 		capacity += g.capacityShare(backend) * backend.workingShare()
 	}
-	g.slowStart.endPeriod(capacity, elapsed, g.now)
+	g.serviceRate.endPeriod(capacity, elapsed, g.now)
 }
 
 // workingShare is how far a backend counts as working, 0 to 1, by the outcomes of all classes.
@@ -134,9 +134,9 @@
 	return min(1, workingBackendFactor*(1-max(0, failures-failurePrior)/attempts))
 }
 
-// slowStartAllows tells whether a backend may get one more attempt now. It is asked once for each time that a backend
+// tryAdmitWarming tells whether a backend may get one more attempt now. It is asked once for each time that a backend
 // is considered, since chance may decide.
-func (g *Gateway) slowStartAllows(backend *backendRecord) bool {
+func (g *Gateway) tryAdmitWarming(backend *backendRecord) bool {
 	if !backend.warmingUp || g.settings.OverloadFactor <= 0 || g.settings.OverloadTime <= 0 {
 		return true
 	}
@@ -149,7 +149,7 @@
 	}
 	backend.slowStartRefilledAt = g.now
 	if backend.slowStartTokens < backend.slowStartThreshold {
-		g.slowStart.heldBackUntil = g.now + failureMemory
+		g.serviceRate.heldBackUntil = g.now + failureMemory
 		return false
 	}
 	return true
@@ -157,8 +157,8 @@
 
 // slowStartRate is the rate of attempts that this instance may send to a warming backend.
 func (g *Gateway) slowStartRate(backend *backendRecord) float64 {
-	limit := g.settings.OverloadFactor * g.capacityShare(backend) * g.slowStart.serviceRate // this instance's part of what makes it fail
-	attempts := limit * float64(g.settings.Instances) * g.settings.OverloadTime.Seconds()   // of all instances in the window
+	limit := g.settings.OverloadFactor * g.capacityShare(backend) * g.serviceRate.value   // this instance's part of what makes it fail
+	attempts := limit * float64(g.settings.Instances) * g.settings.OverloadTime.Seconds() // of all instances in the window
 	// The number of attempts n for which n and confidenceMargin roots of n come to what makes it fail is (root/2)^2.
 	root := math.Sqrt(confidenceMargin*confidenceMargin+4*attempts) - confidenceMargin
 	return limit * min(slowStartLoadShare, root*root/4/max(attempts, leastDivisor))
@@ -179,9 +179,9 @@
 	elapsed := (g.now - backend.slowStartRefilledAt).Seconds()
 	between := g.totalCapacityShare() / g.capacityShare(backend) // mean number of choices from one that meets it to the next
 	if backend.slowStartRefilledAt == 0 {
-		elapsed = between / g.slowStart.recentPickRate()
+		elapsed = between / g.serviceRate.recentSlowStartCheckRate()
 	} else {
-		elapsed = min(elapsed, between/g.slowStart.recentChoiceRate())
+		elapsed = min(elapsed, between/g.serviceRate.recentChoiceRate())
 	}
 	backend.slowStartTokens = indicator(g.rng.Float64() < rate*elapsed)
 	backend.slowStartThreshold = 1
--- a/decision/snapshot.go
+++ b/decision/snapshot.go
@@ -40,7 +40,7 @@
 	all       []T
 }
 
-func (n *numbering[T]) of(x T) int {
+func (n *numbering[T]) position(x T) int {
 	if i, ok := n.positions[x]; ok {
 		return i
 	}
@@ -75,8 +75,8 @@
 	s := State{Random: random, Now: g.now, InFlight: g.load.inFlight}
 	g.load.snapshot(&s)
 	g.admission.snapshot(&s)
-	g.slowStart.snapshot(&s)
-	s.ClassFailureRate = averageStates(g.outliers.classFailureRate)
+	g.serviceRate.snapshot(&s)
+	s.ClassFailureRate = averageStates(g.failureRates.byClass)
 	for _, latency := range g.classLatency {
 		s.ClassLatency = append(s.ClassLatency, [2]float64{latency.mean, latency.deviation})
 	}
@@ -101,15 +101,15 @@
 // numberTables gives all that is in the tables its position; what only others refer to follows.
 func (p *snapshotter) numberTables(g *Gateway, s *State) {
 	for _, customer := range g.quotas.list {
-		p.customers.of(customer)
+		p.customers.position(customer)
 	}
 	s.ListedCustomers = len(g.quotas.list)
 	for _, id := range sortedKeys(g.endpoints.known) {
-		p.backends.of(g.endpoints.known[id])
+		p.backends.position(g.endpoints.known[id])
 	}
 	s.KnownBackends = len(g.endpoints.known)
 	for _, id := range sortedKeys(g.requests) {
-		p.requests.of(g.requests[id])
+		p.requests.position(g.requests[id])
 	}
 	s.KnownRequests = len(g.requests)
 }
@@ -130,12 +130,12 @@
 func (e *serviceRateEstimator) snapshot(s *State) {
 	s.Throughput = e.throughput.state()
 	s.EffectiveCapacity = e.effectiveCapacity.state()
-	s.ServiceRate = e.serviceRate
+	s.ServiceRate = e.value
 	s.HeldBackUntil = e.heldBackUntil
-	s.PickRate = e.pickRate.state()
+	s.SlowStartCheckRate = e.slowStartCheckRate.state()
 	s.ChoiceRate = e.choiceRate.state()
-	s.PicksInPeriod = e.picks
-	s.ChoicesInPeriod = e.choices
+	s.SlowStartChecksInPeriod = e.slowStartChecks
+	s.ChoicesInPeriod = e.choicesMade
 	s.SuccessesInPeriod = e.successes
 	s.AttemptsEndedInPeriod = e.attemptsEnded
 }
@@ -146,7 +146,7 @@
 	s.CounterCallProbability = c.callProbability
 	s.CounterOverloadedAt = c.overloadedAt
 	for _, customer := range c.pendingUseQueue {
-		s.PendingUseQueue = append(s.PendingUseQueue, positions.customers.of(customer))
+		s.PendingUseQueue = append(s.PendingUseQueue, positions.customers.position(customer))
 	}
 	for _, name := range sortedKeys(c.calls) {
 		for _, call := range c.calls[name] {
@@ -158,13 +158,13 @@
 func (call *counterCall) state(name string, positions *snapshotter) CallState {
 	state := CallState{
 		Name:         name,
-		Customer:     positions.customers.of(call.customer),
+		Customer:     positions.customers.position(call.customer),
 		UnitWeight:   call.unitWeight,
 		PendingUnits: call.pendingUnits,
 		SentAt:       call.sentAt,
 	}
 	if call.request != nil {
-		state.Request = positions.requests.of(call.request) + 1
+		state.Request = positions.requests.position(call.request) + 1
 	}
 	return state
 }
@@ -173,7 +173,7 @@
 	s.ProbeTurn = t.probeTurn
 	s.WatchPending = t.watchPending
 	for _, backend := range t.up {
-		s.UpBackends = append(s.UpBackends, positions.backends.of(backend))
+		s.UpBackends = append(s.UpBackends, positions.backends.position(backend))
 	}
 }
 
@@ -181,7 +181,7 @@
 	state := RequestState{
 		ID:             request.id,
 		Class:          request.class,
-		Customer:       positions.customers.of(request.customer),
+		Customer:       positions.customers.position(request.customer),
 		Units:          request.units,
 		ArrivedAt:      request.arrivedAt,
 		Deadline:       request.deadline,
@@ -195,10 +195,10 @@
 		RejectReason:   request.rejectReason,
 	}
 	if request.firstRunBackend != nil {
-		state.FirstRunBackend = positions.backends.of(request.firstRunBackend) + 1
+		state.FirstRunBackend = positions.backends.position(request.firstRunBackend) + 1
 	}
 	for _, a := range request.attempts {
-		state.Attempts = append(state.Attempts, AttemptState{Backend: positions.backends.of(a.backend), SentAt: a.sentAt, QueuePosition: a.queuePosition, Open: a.open})
+		state.Attempts = append(state.Attempts, AttemptState{Backend: positions.backends.position(a.backend), SentAt: a.sentAt, QueuePosition: a.queuePosition, Open: a.open})
 	}
 	return state
 }
--- a/decision/state.go
+++ b/decision/state.go
@@ -12,40 +12,40 @@
 
 // State is a gateway's whole state between two events. It is taken with Snapshot and given to Restore of the same build.
 type State struct {
-	Random                 []byte // of the random source
-	Now                    time.Duration
-	LoadSampledAt          time.Duration     `json:"Sampled"`
-	Load                   [5]AverageState   `json:"Sensor"` // requests in flight, processor use, latency ratio, queue position, bad share
-	Controllers            []ControllerState `json:"Loops"`
-	InsideShare            []AverageState    `json:"Lets"`    // by plan
-	ClassFailureRate       []AverageState    `json:"Failing"` // by class
-	ReportedUseShare       AverageState      `json:"Told"`
-	Throughput             AverageState      `json:"Borne"`
-	EffectiveCapacity      AverageState      `json:"Able"`
-	ServiceRate            float64           `json:"Pace"`
-	SuccessesInPeriod      float64           `json:"Good"`
-	AttemptsEndedInPeriod  float64           `json:"Ends"`
-	PicksInPeriod          float64           `json:"Picks"`
-	ChoicesInPeriod        float64           `json:"Tries"`
-	PickRate               AverageState      `json:"Picked"`
-	ChoiceRate             AverageState      `json:"Tried"`
-	HeldBackUntil          time.Duration     `json:"Short"`
-	ClassLatency           [][2]float64      `json:"Latency"` // mean and deviation, seconds, by class
-	CounterCallProbability float64           `json:"Asking"`
-	CounterOverloadedAt    time.Duration     `json:"Crowded"`
-	InFlight               int               `json:"Open"`
-	ProbeTurn              int               `json:"Turn"`
-	SweepPosition          int               `json:"Swept"`
-	WatchPending           bool              `json:"Subscribe"`
-	Customers              []CustomerState   // in the order of sweeping, then those that only others refer to
-	ListedCustomers        int               `json:"Roll"`    // how many of them are swept
-	PendingUseQueue        []int             `json:"Due"`     // customers
-	Backends               []BackendState    `json:"Servers"` // in the order of their numbers, then those that only others refer to
-	KnownBackends          int               `json:"Known"`   // how many of them are in the table
-	UpBackends             []int             `json:"List"`    // backends
-	Requests               []RequestState    // in the order of their numbers, then those that only others refer to
-	KnownRequests          int               `json:"Held"`  // how many of them are in the table
-	CounterCalls           []CallState       `json:"Calls"` // by name, then in order
+	Random                  []byte // of the random source
+	Now                     time.Duration
+	LoadSampledAt           time.Duration     `json:"Sampled"`
+	Load                    [5]AverageState   `json:"Sensor"` // requests in flight, processor use, latency ratio, queue position, bad share
+	Controllers             []ControllerState `json:"Loops"`
+	InsideShare             []AverageState    `json:"Lets"`    // by plan
+	ClassFailureRate        []AverageState    `json:"Failing"` // by class
+	ReportedUseShare        AverageState      `json:"Told"`
+	Throughput              AverageState      `json:"Borne"`
+	EffectiveCapacity       AverageState      `json:"Able"`
+	ServiceRate             float64           `json:"Pace"`
+	SuccessesInPeriod       float64           `json:"Good"`
+	AttemptsEndedInPeriod   float64           `json:"Ends"`
+	SlowStartChecksInPeriod float64           `json:"Picks"`
+	ChoicesInPeriod         float64           `json:"Tries"`
+	SlowStartCheckRate      AverageState      `json:"Picked"`
+	ChoiceRate              AverageState      `json:"Tried"`
+	HeldBackUntil           time.Duration     `json:"Short"`
+	ClassLatency            [][2]float64      `json:"Latency"` // mean and deviation, seconds, by class
+	CounterCallProbability  float64           `json:"Asking"`
+	CounterOverloadedAt     time.Duration     `json:"Crowded"`
+	InFlight                int               `json:"Open"`
+	ProbeTurn               int               `json:"Turn"`
+	SweepPosition           int               `json:"Swept"`
+	WatchPending            bool              `json:"Subscribe"`
+	Customers               []CustomerState   // in the order of sweeping, then those that only others refer to
+	ListedCustomers         int               `json:"Roll"`    // how many of them are swept
+	PendingUseQueue         []int             `json:"Due"`     // customers
+	Backends                []BackendState    `json:"Servers"` // in the order of their numbers, then those that only others refer to
+	KnownBackends           int               `json:"Known"`   // how many of them are in the table
+	UpBackends              []int             `json:"List"`    // backends
+	Requests                []RequestState    // in the order of their numbers, then those that only others refer to
+	KnownRequests           int               `json:"Held"`  // how many of them are in the table
+	CounterCalls            []CallState       `json:"Calls"` // by name, then in order
 }
 
 // AverageState is a moving average.
