--- a/decision/admission.go
+++ b/decision/admission.go
@@ -128,46 +128,90 @@
 }
 
 // quotaDecision is how a request stands with its customer's quota by the time that load shedding decides on it.
-type quotaDecision struct {
-	inside  bool // the quota allows it
-	counted bool // the shared counter has added its units, and said so
+type quotaDecision int
+
+const (
+	// beyondQuota: the quota does not allow it. If the shared counter had added its units, they have been taken back
+	// or are left there (recordOverQuota).
+	beyondQuota quotaDecision = iota
+	// insideUncounted: the quota allows it as far as is known here, or is not checked because load cuts the request
+	// anyway; the shared counter is not known to hold its units.
+	insideUncounted
+	// insideCounted: the quota allows it by the counter's total, which includes its units.
+	insideCounted
+)
+
+// uncountedDecision is the decision on a request whose units the shared counter is not known to hold.
+func uncountedDecision(inside bool) quotaDecision {
+	if inside {
+		return insideUncounted
+	}
+	return beyondQuota
+}
+
+// cuts tells whether the fraction of a controller leaves a customer out.
+func (c *piController) cuts(customer *customerRecord) bool {
+	return customer.admissionHash >= c.admitRatio
 }
 
 // admitOrShed sends the first attempt of a request or rejects it. A request is shed when the fraction of its priority
 // leaves its customer out, when it would pass the ceiling of its plan, when it is beyond a quota that its plan does not
-// pay for, or when no backend could answer it in time (sendAttempt).
+// pay for, or when no backend could answer it in time (sendAttempt). It is called once for each request that has not
+// ended.
 func (g *Gateway) admitOrShed(request *requestRecord, quota quotaDecision) {
-	customer := request.customer
-	plan := &g.settings.Plans[customer.plan]
-	controller := g.admission.controller(request.class, customer.plan)
-	if !quota.inside {
+	controller := g.admission.controller(request.class, request.customer.plan)
+	if quota == beyondQuota {
 		controller = g.admission.overQuotaController()
 		request.rejectReason = OverQuota
+		plan := &g.settings.Plans[request.customer.plan]
 		if plan.OverQuotaValue <= plan.OverQuotaCost {
-			g.finish(request, answerOwed)
+			g.finishWithAnswer(request)
 			return
 		}
 	}
 	work := g.classLatency[request.class].mean
 	controller.offeredWork += work
-	confirmed := quota.counted && quota.inside
-	ceilingExceeded := !confirmed && !customer.ceilingAllows(plan, request.units)
-	if ceilingExceeded {
-		request.rejectReason = OverQuota
+	if reason, shed := g.shedReason(request, quota, controller); shed {
+		request.rejectReason = reason
+		g.takeBackIfCounted(request, quota)
+		g.finishWithAnswer(request)
+		return
 	}
-	if customer.admissionHash >= controller.admitRatio || ceilingExceeded || !g.sendAttempt(request) {
-		if confirmed {
-			g.takeBackUnits(request)
-		}
-		if !request.ended {
-			g.finish(request, answerOwed)
-		}
+	if !g.sendAttempt(request) { // which has ended the request
+		g.takeBackIfCounted(request, quota)
 		return
 	}
 	controller.admittedWork += work
-	if confirmed {
+	g.spendUnits(request, quota)
+}
+
+// shedReason tells whether a request is rejected before any attempt, and why. It changes nothing.
+func (g *Gateway) shedReason(request *requestRecord, quota quotaDecision, controller *piController) (reason RejectReason, shed bool) {
+	customer := request.customer
+	plan := &g.settings.Plans[customer.plan]
+	ceilingExceeded := quota != insideCounted && !customer.ceilingAllows(plan, request.units)
+	switch {
+	case ceilingExceeded:
+		return OverQuota, true
+	case controller.cuts(customer):
+		return request.rejectReason, true
+	default:
+		return request.rejectReason, false
+	}
+}
+
+// takeBackIfCounted takes the units of a request that was not admitted back at the shared counter, if it holds them.
+func (g *Gateway) takeBackIfCounted(request *requestRecord, quota quotaDecision) {
+	if quota == insideCounted {
+		g.takeBackUnits(request)
+	}
+}
+
+// spendUnits takes an admitted request's units off this instance's split.
+func (g *Gateway) spendUnits(request *requestRecord, quota quotaDecision) {
+	if quota == insideCounted {
 		g.spendCountedUnits(request)
-	} else {
-		g.spendUncountedUnits(customer, request.units)
+		return
 	}
+	g.spendUncountedUnits(request.customer, request.units)
 }
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -90,8 +90,8 @@
 func (g *Gateway) sendAttempt(request *requestRecord) bool {
 	backend := g.chooseBackend(request)
 	left := request.deadline - g.now
-	if backend == nil || left <= 0 || g.expectedLatencyRatioAt(backend) > maxLatencyRatio && !request.mayHaveRun {
-		g.finish(request, answerOwed)
+	if backend == nil || left <= 0 || g.answersTooLate(backend, request) {
+		g.finishWithAnswer(request)
 		return false
 	}
 	queuePosition := g.queueLengthAt(backend) + 1
@@ -110,6 +110,12 @@
 	return true
 }
 
+// answersTooLate tells whether a backend would answer a request too late to begin an attempt. A request that may have
+// run is never too late, since without an answer it fails.
+func (g *Gateway) answersTooLate(backend *backendRecord, request *requestRecord) bool {
+	return g.expectedLatencyRatioAt(backend) > maxLatencyRatio && !request.mayHaveRun
+}
+
 // attemptTimeout is how long the last attempt of a request may take: all the time that is left, but less where a retry
 // could still be in time and harmless.
 func (g *Gateway) attemptTimeout(request *requestRecord, left time.Duration) time.Duration {
@@ -118,9 +124,9 @@
 		return left
 	}
 	latency := g.classLatency[request.class]
-	usual := time.Duration((latency.mean + timeoutDeviations*latency.deviation) * float64(time.Second))
+	usual := seconds(latency.mean + timeoutDeviations*latency.deviation)
 	timeout := max(usual, class.LatencyObjective)
-	if class.Idempotency == IdempotentByKey && g.now+timeout > request.arrivedAt+reliableKeyLifetime(class) {
+	if class.Idempotency == IdempotentByKey && g.now+timeout > keyReliableUntil(class, request.arrivedAt) {
 		return left
 	}
 	return min(timeout, left)
@@ -144,11 +150,11 @@
 	case request.ended:
 		g.forgetIfOver(request)
 	case event.Answered || event.Outcome == OK:
-		g.finish(request, noAnswerOwed)
+		g.finishWithoutAnswer(request)
 	case g.mayRetry(request, g.settings.Classes[request.class]):
 		g.sendAttempt(request)
 	default:
-		g.finish(request, answerOwed)
+		g.finishWithAnswer(request)
 	}
 }
 
@@ -184,7 +190,7 @@
 	backend.answerDueAt = g.now + g.suspectAfter(request.class)
 	customer := request.customer
 	customer.inFlight--
-	if request.addedToCounter && customer.quota.rate == 0 {
+	if request.addedToCounter && customer.quota.countsInFlight() {
 		g.takeBackUnits(request)
 	}
 	g.endpoints.forgetIfGone(backend)
--- a/decision/countersync.go
+++ b/decision/countersync.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 	"strconv"
 	"time"
 )
@@ -170,7 +169,15 @@
 
 // flushPendingUse tells the counter what was spent without asking and is due.
 func (g *Gateway) flushPendingUse() {
-	g.counter.pendingUseQueue = slices.DeleteFunc(g.counter.pendingUseQueue, g.flushCustomer)
+	queue := g.counter.pendingUseQueue
+	waiting := queue[:0]
+	for _, customer := range queue {
+		if !g.flushCustomer(customer) {
+			waiting = append(waiting, customer)
+		}
+	}
+	clear(queue[len(waiting):])
+	g.counter.pendingUseQueue = waiting
 }
 
 // flushCustomer tells the counter of a customer's pending use if it is due, and returns false if it has to wait on.
@@ -233,7 +240,7 @@
 func (g *Gateway) recordTotal(customer *customerRecord, total float64) {
 	expected := customer.counterTotal * customer.quota.fade(g.now-customer.counterTotalAt)
 	if customer.counterTotalAt > 0 && total < counterResetRatio*expected {
-		customer.counterDistrustedUntil = g.now + time.Duration(customer.quota.fadeTime*float64(time.Second))
+		customer.counterDistrustedUntil = g.now + seconds(customer.quota.fadeTime)
 	}
 	customer.counterTotal = total
 	customer.counterTotalAt = g.now
@@ -246,7 +253,7 @@
 	if outcome == TimedOut && !inside {
 		g.takeBackUnits(request)
 	}
-	g.admitOrShed(request, quotaDecision{inside: inside})
+	g.admitOrShed(request, uncountedDecision(inside))
 }
 
 // decideByTotal decides on a request by its customer's total, which holds it. Half a request above the quota is let in
@@ -259,15 +266,19 @@
 	g.counter.insideShare[customer.plan].add(indicator(inside), g.now)
 	if !inside {
 		g.recordOverQuota(request, before)
+		g.admitOrShed(request, beyondQuota)
+		return
 	}
 	plan := &g.settings.Plans[customer.plan]
-	if inside && !customer.ceilingAllows(plan, units) && (g.now < customer.counterDistrustedUntil || before+units > ceilingCounterShare*plan.CeilingBurst) {
+	beyondSplit := !customer.ceilingAllows(plan, units)
+	sharedPartUsedUp := g.now < customer.counterDistrustedUntil || before+units > ceilingCounterShare*plan.CeilingBurst
+	if beyondSplit && sharedPartUsedUp {
 		request.rejectReason = OverQuota
 		g.takeBackUnits(request)
-		g.finish(request, answerOwed)
+		g.finishWithAnswer(request)
 		return
 	}
-	g.admitOrShed(request, quotaDecision{inside: inside, counted: true})
+	g.admitOrShed(request, insideCounted)
 }
 
 // recordOverQuota notes that a customer is beyond its quota, until the total without the request can have faded
@@ -275,10 +286,10 @@
 func (g *Gateway) recordOverQuota(request *requestRecord, total float64) {
 	customer := request.customer
 	customer.counterTotal = total
-	if customer.quota.rate > 0 {
+	if !customer.quota.countsInFlight() {
 		room := max(customer.quota.maxTotal-request.units/2, request.units/2) * g.counter.reportedUseShare.value
 		wait := min(maxOverQuotaWait, customer.quota.fadeTime*math.Log(max(1, total/room)))
-		customer.overQuotaUntil = g.now + time.Duration(wait*float64(time.Second))
+		customer.overQuotaUntil = g.now + seconds(wait)
 	}
 	if g.mayCallCounter(1) {
 		g.takeBackUnits(request)
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -67,10 +67,20 @@
 	for _, endpoint := range event.Endpoints {
 		g.updateEndpoint(endpoint)
 	}
-	g.endpoints.up = slices.DeleteFunc(g.endpoints.up, func(backend *backendRecord) bool {
-		g.endpoints.forgetIfGone(backend)
-		return backend.State != Up
-	})
+	g.endpoints.dropNotUp()
+}
+
+// dropNotUp takes the backends that may get no more attempts off the list, and forgets those that are gone.
+func (t *endpointTable) dropNotUp() {
+	stillUp := t.up[:0]
+	for _, backend := range t.up {
+		t.forgetIfGone(backend)
+		if backend.State == Up {
+			stillUp = append(stillUp, backend)
+		}
+	}
+	clear(t.up[len(stillUp):])
+	t.up = stillUp
 }
 
 // updateEndpoint takes in the present state of one endpoint.
--- a/decision/ewma.go
+++ b/decision/ewma.go
@@ -55,6 +55,9 @@
 	return a.value * math.Exp(-(now-a.updatedAt).Seconds()/max(a.fadeTime, a.minSamples*a.gap))
 }
 
+// seconds is the duration of so many seconds.
+func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+
 // indicator is 1 for true and 0 for false, to average how often something holds.
 func indicator(b bool) float64 {
 	if b {
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -89,5 +89,5 @@
 
 // suspectAfter is the silence after which an attempt's backend is suspected.
 func (g *Gateway) suspectAfter(class ClassID) time.Duration {
-	return time.Duration(suspectLatencies * g.classLatency[class].mean * float64(time.Second))
+	return seconds(suspectLatencies * g.classLatency[class].mean)
 }
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -58,7 +58,7 @@
 		quota.burst = plan.CeilingBurst
 	}
 	quota.maxTotal = quota.burst
-	if quota.rate == 0 {
+	if quota.countsInFlight() {
 		quota.maxTotal = float64(plan.MaxInFlight)
 		for _, class := range classes {
 			quota.fadeTime += inFlightFadeFactor * max(class.LatencyObjective, housekeepingInterval).Seconds() / float64(len(classes))
@@ -69,6 +69,9 @@
 	return quota
 }
 
+// countsInFlight tells whether the use that is counted is attempts in flight, for want of a rate.
+func (q *planQuota) countsInFlight() bool { return q.rate == 0 }
+
 // fade is the factor by which a total falls in a time.
 func (q *planQuota) fade(elapsed time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / q.fadeTime)
@@ -206,7 +209,7 @@
 		return customer.checkSplit(plan, units)
 	case g.now < customer.overQuotaUntil:
 		return quotaExceeded
-	case customer.quota.rate == 0 || customer.counterTotalAt == 0 || !customer.ceilingAllows(plan, units):
+	case customer.quota.countsInFlight() || customer.counterTotalAt == 0 || !customer.ceilingAllows(plan, units):
 		return quotaUnknown
 	}
 	quota := customer.quota
@@ -244,7 +247,7 @@
 // counter lets in.
 func (g *Gateway) insideProbability(customer *customerRecord, class ClassID) float64 {
 	split := customer.quota.rate / customer.instances * demandMemory.Seconds()
-	if customer.quota.rate == 0 {
+	if customer.quota.countsInFlight() {
 		split = customer.quota.maxTotal / max(housekeepingInterval.Seconds(), g.classLatency[class].mean) / customer.instances * demandMemory.Seconds()
 	}
 	return min(1, (demandPrior*g.counter.insideShare[customer.plan].value+split)/(demandPrior+customer.recentDemand))
@@ -280,7 +283,7 @@
 func (g *Gateway) spendUncountedUnits(customer *customerRecord, units float64) {
 	customer.tokens = max(0, customer.tokens-units)
 	customer.ceilingTokens -= units
-	if customer.usesCounter && customer.quota.rate > 0 {
+	if customer.usesCounter && !customer.quota.countsInFlight() {
 		g.queuePendingUse(customer, units)
 	}
 }
--- a/decision/response.go
+++ b/decision/response.go
@@ -11,12 +11,6 @@
 // tries fit in its time.
 const maxRetryAfterShare = 0.1
 
-// Whether finish has to answer the client.
-const (
-	answerOwed   = true
-	noAnswerOwed = false
-)
-
 // handleRequest takes in a new request: it is decided at once, or held until the shared counter has answered.
 func (g *Gateway) handleRequest(event RequestArrived) {
 	if g.requests[event.Request] != nil {
@@ -32,9 +26,9 @@
 	g.emit(SetTimer{At: request.deadline, Timer: Timer{Kind: DeadlineTimer, Request: request.id}})
 	switch g.checkQuota(customer, request.units) {
 	case quotaInside:
-		g.admitOrShed(request, quotaDecision{inside: true})
+		g.admitOrShed(request, insideUncounted)
 	case quotaExceeded:
-		g.admitOrShed(request, quotaDecision{inside: false})
+		g.admitOrShed(request, beyondQuota)
 	default:
 		g.resolveUnknownQuota(request)
 	}
@@ -52,7 +46,7 @@
 		arrivedAt: g.now,
 		deadline:  g.now + max(0, event.TimeLeft),
 	}
-	if anyNegativeOrNotFinite(event.Units) || customer.quota.rate == 0 { // without a rate, attempts in flight are counted
+	if anyNegativeOrNotFinite(event.Units) || customer.quota.countsInFlight() {
 		request.units = 1
 	}
 	return request
@@ -62,8 +56,8 @@
 // the counter may not be called.
 func (g *Gateway) resolveUnknownQuota(request *requestRecord) {
 	customer := request.customer
-	if customer.admissionHash >= g.admission.controller(request.class, customer.plan).admitRatio {
-		g.admitOrShed(request, quotaDecision{inside: true})
+	if g.admission.controller(request.class, customer.plan).cuts(customer) {
+		g.admitOrShed(request, insideUncounted)
 		return
 	}
 	callPriority := g.insideProbability(customer, request.class) * g.settings.Plans[customer.plan].WeightFactor / g.counter.maxPlanWeight
@@ -71,12 +65,12 @@
 		g.callCounter(customer, request.units, request)
 		return
 	}
-	g.admitOrShed(request, quotaDecision{inside: g.decideWithoutCounter(customer, request.class, request.units)})
+	g.admitOrShed(request, uncountedDecision(g.decideWithoutCounter(customer, request.class, request.units)))
 }
 
 func (g *Gateway) handleDisconnect(event ClientDisconnected) {
 	if request := g.requests[event.Request]; request != nil && !request.ended {
-		g.finish(request, noAnswerOwed)
+		g.finishWithoutAnswer(request)
 	}
 }
 
@@ -94,7 +88,7 @@
 		return
 	}
 	if !request.ended && !request.streaming {
-		g.finish(request, answerOwed)
+		g.finishWithAnswer(request)
 	} else if request.ended && g.now >= request.deadline+lostAttemptTTL {
 		for i := range request.attempts {
 			g.closeAttempt(request, &request.attempts[i])
@@ -106,27 +100,38 @@
 	}
 }
 
-// finish ends a request; it is the only place where one ends. An answer is owed unless the client has it or is gone. A
-// rejection that could mislead becomes a failure: of what may have run and must not run again, or whose repeats only
-// some backends discard.
-func (g *Gateway) finish(request *requestRecord, owed bool) {
+// finishWithAnswer ends a request whose client still waits: with a rejection where a retry by the client is harmless,
+// else with a failure. With finishWithoutAnswer it is the only place where a request ends.
+func (g *Gateway) finishWithAnswer(request *requestRecord) {
 	request.ended = true
-	class := g.settings.Classes[request.class]
-	inFlight := request.inFlight()
 	g.cancelAttempts(request)
-	harmless := class.Idempotency == Idempotent || !request.mayHaveRun && !inFlight || class.Idempotency == IdempotentByKey && class.KeyScope == KeyScopeAll
-	switch {
-	case owed && harmless:
+	if g.clientMayRetry(request) {
 		if len(request.attempts) > 0 {
 			request.rejectReason = NoCapacity
 		}
 		g.emit(Reject{Request: request.id, Reason: request.rejectReason, RetryAfter: g.retryAfter(request)})
-	case owed:
+	} else {
 		g.emit(Fail{Request: request.id})
 	}
 	g.forgetIfOver(request)
 }
 
+// finishWithoutAnswer ends a request whose client has its answer or is gone.
+func (g *Gateway) finishWithoutAnswer(request *requestRecord) {
+	request.ended = true
+	g.cancelAttempts(request)
+	g.forgetIfOver(request)
+}
+
+// clientMayRetry tells whether a retry by the client is harmless. It is not for a request that may have run and must
+// not run again, or whose repeats only some backends discard.
+func (g *Gateway) clientMayRetry(request *requestRecord) bool {
+	class := g.settings.Classes[request.class]
+	cannotHaveRun := !request.mayHaveRun && !request.inFlight()
+	discardedEverywhere := class.Idempotency == IdempotentByKey && class.KeyScope == KeyScopeAll
+	return class.Idempotency == Idempotent || cannotHaveRun || discardedEverywhere
+}
+
 // cancelAttempts withdraws the attempts of a request that are in flight, where that is allowed.
 func (g *Gateway) cancelAttempts(request *requestRecord) {
 	if !g.settings.Cancel || request.streaming {
@@ -167,10 +172,10 @@
 	switch {
 	case customer.overQuotaUntil > g.now:
 		return customer.overQuotaUntil - g.now
-	case customer.quota.rate > 0:
+	case !customer.quota.countsInFlight():
 		missing := max(0, request.units-customer.tokens) / (customer.quota.rate / customer.instances)
-		return time.Duration(min(maxOverQuotaWait, missing) * float64(time.Second))
+		return seconds(min(maxOverQuotaWait, missing))
 	default:
-		return time.Duration(g.classLatency[request.class].mean * float64(time.Second))
+		return seconds(g.classLatency[request.class].mean)
 	}
 }
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -17,9 +17,11 @@
 	return o != Rejected && o != ConnectFailed && o != NotSent
 }
 
-// reliableKeyLifetime is how long the backends are sure to know an idempotency key, from the first attempt on.
-func reliableKeyLifetime(class Class) time.Duration {
-	return time.Duration(keyTTLShare * float64(class.KeyTTL))
+// keyReliableUntil is the time until which the backends are sure to know an idempotency key that they first saw at
+// seenAt. Callers use an earlier time where they can't know that one: the arrival of the request (attemptTimeout), or
+// the decision to send its first attempt that may have run (mayRetry).
+func keyReliableUntil(class Class, seenAt time.Duration) time.Duration {
+	return seenAt + time.Duration(keyTTLShare*float64(class.KeyTTL))
 }
 
 // mayRetry tells whether a further attempt is harmless and of use.
@@ -27,7 +29,9 @@
 	if len(request.attempts) >= g.settings.MaxAttempts || request.streaming {
 		return false
 	}
-	if request.mayHaveRun && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && g.now >= request.firstRunSentAt+reliableKeyLifetime(class)) {
+	keyExpired := class.Idempotency == IdempotentByKey && g.now >= keyReliableUntil(class, request.firstRunSentAt)
+	mustNotRepeat := class.Idempotency == NotIdempotent || keyExpired
+	if request.mayHaveRun && mustNotRepeat {
 		return false
 	}
 	useful := request.deadline
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -167,8 +167,11 @@
 // refillSlowStart fills the bucket at the rate. A backend that has just started has an empty one, so that many
 // instances do not come at once.
 func (g *Gateway) refillSlowStart(backend *backendRecord, rate, maxTokens float64) {
-	elapsed := (g.now - backend.slowStartRefilledAt).Seconds()
-	backend.slowStartTokens = min(maxTokens, backend.slowStartTokens+rate*elapsed*indicator(backend.slowStartRefilledAt > 0))
+	refill := 0.0
+	if backend.slowStartRefilledAt > 0 {
+		refill = rate * (g.now - backend.slowStartRefilledAt).Seconds()
+	}
+	backend.slowStartTokens = min(maxTokens, backend.slowStartTokens+refill)
 }
 
 // drawSlowStart decides by chance, where the bucket would never hold a whole attempt: the chance is what the rate
