--- a/decision/actions.go
+++ b/decision/actions.go
@@ -27,8 +27,11 @@
 
 // The reasons.
 const (
-	NoCapacity RejectReason = iota // the backends have none for it in time
-	OverQuota                      // its customer's plan allows no more now
+	// NoCapacity is any reason but the quota: load, no backend that could answer in time, attempts that brought no
+	// answer, or no answer of the shared counter by the deadline.
+	NoCapacity RejectReason = iota
+	// OverQuota: its customer's plan allows no more now.
+	OverQuota
 )
 
 // Reject is a final answer that promises that a retry by the client is harmless.
@@ -58,8 +61,8 @@
 
 // The timers that a gateway sets.
 const (
-	TickTimer     TimerKind = iota // periodic work
-	DeadlineTimer                  // a request's deadline, or what is left of the request later
+	TickTimer     TimerKind = iota // periodic work, every housekeepingInterval
+	DeadlineTimer                  // a request's deadline, and every lostAttemptTTL after it until the request is forgotten
 )
 
 // Timer is handed back as it was set.
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -11,26 +11,28 @@
 // This file decides which requests are admitted and which are shed. Each priority has a PI controller that moves the
 // admitted fraction of its customers so that the backends' utilization (load.go) stays at the set point. A request's
 // priority is its class's weight times its plan's; a higher priority is cut last. Requests beyond a quota that their
-// plan pays for share one more controller, below all others. The mechanism is section 5 of the paper that docs/design.md
-// names: a controller's set point is what those above it leave.
+// plan pays for share one more controller, below all others. The mechanism is that of T. Abdelzaher, K. Shin and
+// N. Bhatti, "Performance Guarantees for Web Server End-Systems: A Control-Theoretical Approach" (2002), sections 4 (the
+// control loop) and 5 (priorities): a controller's set point is what those above it leave.
 //
-// A customer is admitted while its hash is below the fraction, so that all instances shed the same customers, and a
-// customer that is admitted gets all of its requests through.
+// A customer is admitted while its hash is below the fraction, so that all instances shed the same customers, and the
+// requests of one priority of a customer that is admitted are not cut.
 
 const (
 	// controlPeriod is the time between two steps of the controllers: several service times, so that a step shows
 	// before the next one, and few per fault.
 	controlPeriod = 300 * time.Millisecond
-	// controlGainMargin is G of the paper, by which the gain stays below the critical one: a queue integrates, so a
+	// controlGainMargin is G of the paper (section 4), by which the gain stays below the critical one: a queue integrates, so a
 	// larger gain makes the fraction swing.
 	controlGainMargin = 20.0
 	// workAverageTime is the time over which offered and admitted work fade: long against controlPeriod, short
 	// against a change of traffic.
 	workAverageTime = 2 * time.Second
-	// utilizationSetPoint is the utilization to hold; 1 is where backends reject.
+	// utilizationSetPoint is the utilization to hold; 1 is full load (load.go), at half the expected latency from which
+	// an attempt is refused (maxLatencyRatio).
 	utilizationSetPoint = 0.95
-	// maxUtilization bounds the utilization handed to the controllers: a jam is not more urgent for being long, and
-	// an unbounded error would shed everybody after it.
+	// maxUtilization bounds the utilization handed to the controllers: a longer queue must not cause a larger step, and
+	// an unbounded error would shed everybody after an overload.
 	maxUtilization = 1.3
 	// offeredWorkDivisor: a controller that was offered less than the whole admitted work over this counts as offered
 	// that much, or its gain would have no bound.
@@ -55,6 +57,7 @@
 	// The utilization if all that was offered were admitted, p_max of the paper.
 	peakUtilization := utilizationSetPoint * max(c.offeredWork, totalWork/offeredWorkDivisor) / max(totalWork, leastDivisor)
 	proportionalGain := math.Sqrt(3) / (2 * controlGainMargin * peakUtilization)
+	// The gain is per second: it is divided by the time here and multiplied by it below, which cancels but for rounding.
 	integralGain := 5 * math.Pi / (3 * elapsed) / math.Sqrt(3)
 	c.admitRatio = min(1, max(0, c.admitRatio+proportionalGain*(controlError-c.lastError+integralGain*elapsed*controlError)))
 	c.lastError = controlError
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -10,7 +10,7 @@
 // estimates of the other files and for its request. Latencies are seconds.
 
 const (
-	// maxLatencyRatio is the expected wait, as a share of the latency objective, above which no attempt is begun: its
+	// maxLatencyRatio is the expected latency, as a share of the objective, above which no attempt is begun: its
 	// answer would be late, and it would make others late. A request that may have run is an exception, since
 	// without an answer it fails.
 	maxLatencyRatio = 0.8
@@ -37,13 +37,13 @@
 	// rejectReason is why it would be rejected before any attempt.
 	rejectReason RejectReason
 
-	mayHaveRun      bool           // some attempt may have run; the first of them
-	firstRunBackend *backendRecord // at this backend
-	firstRunSentAt  time.Duration  // was sent at this time
+	mayHaveRun      bool           // some attempt may have run
+	firstRunBackend *backendRecord // backend of the first attempt that may have run; nil: none
+	firstRunSentAt  time.Duration  // when that attempt was decided on
 
-	counterName    string  // to which its units were added
-	counterWeight  float64 // each as so much
-	addedToCounter bool    // and where they are now
+	counterName    string  // the counter's name to which its units were added
+	counterWeight  float64 // weight of one unit under counterName
+	addedToCounter bool    // the counter holds this request's units, after it was admitted
 }
 
 // attemptRecord is one attempt of a request.
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -6,7 +6,7 @@
 )
 
 // This file decides which backend gets the next attempt of a request: of a few drawn at random, the one with the lowest
-// cost, in latency objectives: the expected wait (load.go), times a little in another zone, and the risk of a failure
+// cost, in latency objectives: the expected latency (load.go), times a little in another zone, and the risk of a failure
 // (outlier.go). Drawing few keeps the instances from sending all to the one backend that looks best. A warming backend
 // is drawn as often as its capacity share says, and may be passed over (slowstart.go). Backends that the request has
 // been tried at come last; those that do not know its idempotency key, if it may have run, are left out.
@@ -17,9 +17,11 @@
 	// extraCandidates times the share of attempts that fail anywhere is the number of further ones: where many
 	// backends fail, those that work are to be found.
 	extraCandidates = 6.0
-	// maxDraws bounds the draws to find them, and with them the time of a choice.
+	// maxDraws bounds the draws to find them, and with them the time of a choice. If none of so many draws gives a
+	// backend that may get the attempt, the request ends, even with backends up. Draws are with replacement: one
+	// backend may be drawn several times.
 	maxDraws = 24
-	// otherZoneFactor is the factor on the expected wait in another zone: it decides between equals alone.
+	// otherZoneFactor is the factor on the expected latency in another zone: it decides between equals alone.
 	otherZoneFactor = 1.005
 	// failureCost is the cost of a sure failure, in latency objectives: about what it takes to notice and retry.
 	failureCost = 1.0
@@ -75,7 +77,8 @@
 	return latencyRatio + g.failureRisk(backend, class)*failureCost
 }
 
-// admitBestCandidate gives the backend of the lowest cost that may get one more attempt, or nil.
+// admitBestCandidate gives the backend of the lowest cost that may get one more attempt, or nil. It sorts the candidates
+// and counts its checks; tryAdmitWarming has effects of its own.
 func (g *Gateway) admitBestCandidate(drawn []candidate) *backendRecord {
 	slices.SortStableFunc(drawn, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 	for _, candidate := range drawn {
@@ -87,7 +90,9 @@
 	return nil
 }
 
-// mayRunAt tells whether a backend discards a repeat of a request that may have run already.
+// mayRunAt tells whether an attempt of a request at a backend can't run it twice on account of its key: false only for
+// a request by key that may have run, at a backend that does not know the key. Whether other requests that may have run
+// are sent again is decided by mayRetry.
 func mayRunAt(request *requestRecord, class Class, backend *backendRecord) bool {
 	if class.Idempotency != IdempotentByKey || request.firstRunBackend == nil || class.KeyScope == KeyScopeAll {
 		return true
--- a/decision/countersync.go
+++ b/decision/countersync.go
@@ -46,7 +46,8 @@
 	recoveryCallFactor = 1.25
 	// counterRecoveryTime is long enough for the counter to have recovered from an overload.
 	counterRecoveryTime = 4 * time.Second
-	// minCallProbability is the least chance of a call, which finds out that the counter has recovered.
+	// minCallProbability is the least callProbability, at which calls still find out that the counter has recovered.
+	// The chance of one request's call is this times its callPriority, which may be near 0.
 	minCallProbability = 0.15
 )
 
@@ -66,8 +67,8 @@
 	insideShare      []movingAverage          // share of the requests asked about that were inside their quota, by plan
 	reportedUseShare movingAverage            // share of the use that reached the counter
 	maxPlanWeight    float64                  // highest WeightFactor of all plans
-	callProbability  float64
-	overloadedAt     time.Duration // when it last was slow or rejected a call
+	callProbability  float64                  // chance of a call of the highest priority, minCallProbability to 1
+	overloadedAt     time.Duration            // when it last was slow or rejected a call
 }
 
 func newCounterSync(plans []Plan, now time.Duration) counterSync {
@@ -115,8 +116,8 @@
 	}
 }
 
-// mayCallCounter decides by chance whether the counter may be called. priority, 0 to 1, lowers the chance of calls that
-// are worth less, but only while the counter is overloaded.
+// mayCallCounter decides by chance whether the counter may be called; while the counter is overloaded it draws a random
+// number. callPriority, 0 to 1, lowers the chance of calls that are worth less, but only in that time.
 func (g *Gateway) mayCallCounter(callPriority float64) bool {
 	return g.counter.callProbability == 1 || g.rng.Float64() < g.counter.callProbability*callPriority
 }
@@ -180,8 +181,9 @@
 	g.counter.pendingUseQueue = waiting
 }
 
-// flushCustomer tells the counter of a customer's pending use if it is due, and returns false if it has to wait on.
-// Where the counter may not be called, use that matters is kept, and fades as it would there; the rest is dropped.
+// flushCustomer adds a customer's pending use to the counter, with an action, if it is due, and returns false if it has
+// to wait on. Where the counter may not be called, use that matters is kept, and fades as it would there; the rest is
+// dropped.
 func (g *Gateway) flushCustomer(customer *customerRecord) (done bool) {
 	if g.now < customer.pendingUseDueAt {
 		return false
@@ -215,7 +217,7 @@
 	ok := event.Outcome == OK && !anyNegativeOrNotFinite(total)
 	slow := event.Outcome == TimedOut || g.now-call.sentAt > g.settings.CounterTimeout/2
 	g.counter.recordCall(slow, ok, g.now)
-	if call.request != nil && call.request.ended && ok { // its client is gone
+	if call.request != nil && call.request.ended && ok { // the client left, or the deadline passed
 		g.takeBackUnits(call.request)
 	}
 	g.refillTokens(call.customer)
@@ -235,8 +237,10 @@
 	}
 }
 
-// recordTotal takes in a customer's total. One far below what it must be says that the counter has forgotten; it would
-// let in too much until the use before that has faded.
+// recordTotal takes in a customer's total. One far below the expected one means that the counter may have forgotten; it
+// would let in too much until the use before that has faded, so the counter is distrusted for that long. A change of
+// the counter's name (counterNameOf) looks the same: the new name's total starts from nothing, the counter is distrusted
+// too, and the customer may spend up to one more burst.
 func (g *Gateway) recordTotal(customer *customerRecord, total float64) {
 	expected := customer.counterTotal * customer.quota.fade(g.now-customer.counterTotalAt)
 	if customer.counterTotalAt > 0 && total < counterResetRatio*expected {
@@ -256,8 +260,9 @@
 	g.admitOrShed(request, uncountedDecision(inside))
 }
 
-// decideByTotal decides on a request by its customer's total, which holds it. Half a request above the quota is let in
-// as often as below.
+// decideByTotal decides on a request by its customer's total, which includes the request's units. A request is inside
+// if at least half of its units fit; recordOverQuota inverts the same rule. Beyond this instance's split of a ceiling it
+// is let in only from the part that is not split, while the counter is trusted.
 func (g *Gateway) decideByTotal(request *requestRecord) {
 	customer := request.customer
 	units := request.units
@@ -281,8 +286,9 @@
 	g.admitOrShed(request, insideCounted)
 }
 
-// recordOverQuota notes that a customer is beyond its quota, until the total without the request can have faded
-// enough, and takes the request's units back.
+// recordOverQuota notes that a customer is beyond its quota, until the total without the request has faded so far that
+// half of the request's units fit (at most maxOverQuotaWait). It takes the request's units back at the counter, with an
+// action, unless the counter may not be called; then they stay in the total until they fade.
 func (g *Gateway) recordOverQuota(request *requestRecord, total float64) {
 	customer := request.customer
 	customer.counterTotal = total
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -7,7 +7,7 @@
 
 // This file decides which backends exist and which may get new attempts, from the watch events of discovery. A backend
 // that is draining or removed gets none; its record stays while attempts are in flight there. One whose process started
-// anew is warming up (slowstart.go), and what its earlier process did is forgotten.
+// anew is warming up (slowstart.go).
 
 // backendRecord is what a gateway knows of a backend.
 type backendRecord struct {
@@ -37,7 +37,9 @@
 	return endpointTable{known: map[BackendID]*backendRecord{}, watchPending: subscribe}
 }
 
-// forgetIfGone forgets a removed backend once nothing is in flight there.
+// forgetIfGone forgets a removed backend if nothing is in flight there. It is called when a backend leaves the list of
+// those that are up, and when an attempt at it ends. A backend that was draining before it was removed, with nothing in
+// flight any more, is therefore not forgotten; nor is a draining one that a full list leaves out.
 func (t *endpointTable) forgetIfGone(backend *backendRecord) {
 	if backend.State == Removed && backend.inFlight == 0 {
 		delete(t.known, backend.Backend)
@@ -102,7 +104,9 @@
 	}
 }
 
-// beginSlowStart resets a backend whose process has started anew.
+// beginSlowStart notes that a backend's process has started anew. The outcomes of attempts at the earlier process are
+// forgotten; slowness and answerDueAt stay. A start that is learnt of only when SlowStartTime has passed is not noted,
+// and nothing is forgotten.
 func (g *Gateway) beginSlowStart(backend *backendRecord, startedAt time.Duration) {
 	backend.warmingUp = true
 	backend.startedAt = startedAt
--- a/decision/events.go
+++ b/decision/events.go
@@ -17,8 +17,8 @@
 	Customer string
 	TimeLeft time.Duration `json:"Left"` // until the client gives up
 	Units    float64       // what it counts in the customer's quota; an impossible number is taken as 1
-	Spread   int           // the customer comes in through so many instances,
-	First    int           // from this one on; no rule reads it
+	Spread   int           // number of instances through which the customer comes in
+	First    int           // number of the first of these instances; no rule reads it
 	Retry    bool          // the client says that it has tried before; it does not count as demand
 }
 
@@ -99,7 +99,7 @@
 type EndpointsChanged struct {
 	Full      bool       // Endpoints is the whole list: what is not on it is removed
 	Failed    bool       // the watch failed; no endpoints come with it
-	Cached    bool       // a full list from an earlier process, possibly outdated
+	Cached    bool       // a full list from an earlier process, possibly outdated; no rule reads it
 	Endpoints []Endpoint `json:"Entries"`
 }
 
--- a/decision/ewma.go
+++ b/decision/ewma.go
@@ -9,8 +9,8 @@
 // window is a time, stretched where values come so seldom that the time alone would hold too few of them.
 
 const (
-	// averageWindow is the time over which the weight of a value falls to 1/e: a change of load shows within one
-	// latency objective.
+	// averageWindow is the time over which the weight of a value falls to 1/e: a change of load shows
+	// within about 1 s.
 	averageWindow = time.Second
 	// averageFadeTime is the time over which a mean without new values falls to 1/e, see movingAverage.current.
 	averageFadeTime = time.Second
--- a/decision/gateway.go
+++ b/decision/gateway.go
@@ -19,8 +19,9 @@
 // This file constructs a Gateway and dispatches events to the rules. It has no rule of its own.
 
 // housekeepingInterval is the time between two runs of the periodic work. It is well under any latency objective, so
-// that nothing that waits for it makes an answer late; for the same reason it is the least objective that is reckoned
-// with.
+// that nothing that waits for it makes an answer late. Shorter latency objectives are taken as this where they scale an
+// estimate: in latency ratios (learnFromAttempt), the fading of attempts in flight (newPlanQuota) and the first service
+// rate. Elsewhere they hold as they are.
 const housekeepingInterval = 50 * time.Millisecond
 
 // Gateway decides for one proxy instance. It is not safe for concurrent use: one goroutine owns it.
@@ -42,7 +43,8 @@
 }
 
 // New makes a gateway. The actions are the first that its owner has to carry out. The seed decides all random choices;
-// now is the time on the clock that later events use. The error is a *SettingsError.
+// now is the time on the clock that later events use. It must be above zero, because zero stands for "never" in several
+// times that are kept; it is not checked. The error is a *SettingsError.
 func New(settings Settings, seed uint64, now time.Duration) (*Gateway, []Action, error) {
 	if err := settings.validate(); err != nil {
 		return nil, nil, err
--- a/decision/load.go
+++ b/decision/load.go
@@ -3,13 +3,13 @@
 import "time"
 
 // This file estimates how loaded the backends are: the utilization that admission control holds at its set point, and
-// the wait that an attempt has to expect, which the balancer compares. Inputs are load reports (requests in flight, use
+// the latency that an attempt has to expect, which the balancer compares. Inputs are load reports (requests in flight, use
 // of processors), latencies of attempts with the queue positions that they were spent in, and outcomes that mean
 // overload. All are pooled over all backends: with hundreds of instances, what one of them sees of one backend is noise.
-// Waits are shares of the latency objective, queue lengths are requests.
+// A latency ratio is a latency as a share of its objective; queue lengths are requests.
 
 const (
-	// fullLoadLatencyRatio is the expected wait, as a share of the latency objective, that counts as full load: above it
+	// fullLoadLatencyRatio is the expected latency, as a share of the objective, that counts as full load: above it
 	// the queue may outgrow the objective before the control loop reacts. Measured, see docs/design.md.
 	fullLoadLatencyRatio = 0.4
 	// fullLoadCPU is the reported use of processors that counts as full load; 1 is all of them.
@@ -29,12 +29,13 @@
 	maxReportedInFlight = 1000.0
 	// maxProbeCost is the cost of a probe, in requests, from which on none is sent: it would take more than it tells.
 	maxProbeCost = 0.05
-	// loadReportTTL is the time without a report of processor use after which the wait alone is used.
+	// loadReportTTL is the time without a report of processor use after which the latency ratio alone is used.
 	loadReportTTL = 4 * time.Second
 	// ownInFlightPrior is the number of own attempts in flight that weigh as much as the reports: with fewer, the own
 	// share of the fleet's traffic says little of the whole.
 	ownInFlightPrior = 5.0
-	// maxSlowness bounds how much slower than the others one backend is taken to be; ejecting is outlier.go's part.
+	// maxSlowness bounds how much slower than the others one backend is taken to be, and with it how
+	// much one very slow attempt can count.
 	maxSlowness = 10.0
 	// slownessWeight is the weight of one latency in a backend's slowness: some thirty attempts show a trend.
 	slownessWeight = 0.03
@@ -106,8 +107,10 @@
 	return reported + (g.estimatedInFlight()-reported)*own/(own+ownInFlightPrior)
 }
 
-// queueLengthAt is the number of requests in work at one backend: the mean of all, and what this instance has there.
-// What a backend reported of itself is not used: all instances would send where the queue was short a moment ago.
+// queueLengthAt estimates the number of requests in work at one backend. The others' queue is estimated as the mean of
+// all backends, drawn by 1/n towards n times our own attempts there, n being the number of instances; (n-1)/n of that
+// is theirs, and our own attempts are added. What a backend reported of itself is not used: all instances would send
+// where the queue was short a moment ago.
 func (g *Gateway) queueLengthAt(backend *backendRecord) float64 {
 	instances := float64(g.settings.Instances)
 	others := g.queueLength()
@@ -115,9 +118,8 @@
 	return others*(instances-1)/instances + float64(backend.inFlight)
 }
 
-// expectedLatencyRatio is how long a new attempt takes anywhere, as a share of its objective: the time for a position in the
-// queue, times the queue. It rises with the queue at once, long before slow answers come back. Without reports it is
-// what attempts took.
+// expectedLatencyRatio is how long a new attempt takes anywhere, as a share of its objective: the time for a position in
+// the queue, times the queue. It rises with the queue at once, long before slow answers come back.
 func (g *Gateway) expectedLatencyRatio() float64 {
 	return g.load.latencyRatio.value * (g.queueLength() + 1) / g.load.queuePosition.value
 }
@@ -127,9 +129,9 @@
 	return g.load.latencyRatio.value / g.load.queuePosition.value * (g.queueLengthAt(backend) + 1) * backend.slowness
 }
 
-// utilization is the load of the backends, where 1 is the load at which they reject or are too slow: halfway between
-// the expected wait and the reported use of processors, or the wait alone where none is reported. Attempts rejected,
-// timed out or late count whatever these say.
+// utilization is the load of the backends, where 1 is full load: the mean of what the expected latency ratio and the
+// reported use of processors say, or the former alone where no use was reported lately. Attempts rejected, timed out or
+// late count whatever these say.
 func (g *Gateway) utilization() float64 {
 	utilization := g.expectedLatencyRatio() / fullLoadLatencyRatio
 	if use := &g.load.reportedCPU; use.weight > 0 && g.now-use.updatedAt < loadReportTTL {
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -6,15 +6,16 @@
 )
 
 // This file estimates how likely an attempt fails at a backend, from the outcomes of attempts there, by class, and from
-// silence. Nothing is ejected outright: the balancer adds the risk to the expected wait, so a backend that fails is
+// silence. Nothing is ejected outright: the balancer adds the risk to the expected latency, so a backend that fails is
 // avoided as far as others fail less. What all backends suffer alike changes nothing.
 
 const (
 	// failureMemory is the time over which a backend's outcomes fade to 1/e: after that, one that failed is tried
 	// again.
 	failureMemory = 10 * time.Second
-	// failurePrior is the number of attempts that the rate of failures anywhere counts beside a backend's own: small,
-	// so that one failure tells where failures are rare.
+	// failurePrior is a number of attempts that are counted beside those seen. In failureRisk they fail as often as
+	// attempts do anywhere: it is small, so that one failure tells where failures are rare. slowstart.go uses it
+	// twice: in workingShare twice this many attempts count as good, in endPeriod this many do.
 	failurePrior = 0.5
 	// suspectLatencies is the silence, in mean latencies, after which an attempt in flight counts as a failure: a
 	// backend that hangs answers nothing, and its timeouts come too late.
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -37,7 +37,8 @@
 	// speak of however many there are.
 	customersPerSweep = 20
 	// customerIdleTTL is the time after which an idle customer is forgotten, longer than the counter keeps a total
-	// under one name (maxCounterNamePeriod). If it comes again, it begins with a full bucket.
+	// under one name (maxCounterNamePeriod). If it comes again, it begins with a full bucket
+	// of the quota; that of its ceiling holds only the slack.
 	customerIdleTTL = 60 * time.Second
 )
 
@@ -269,7 +270,8 @@
 	return probability*unconfirmedQuotaWeight > (1-probability)*plan.OverQuotaCost
 }
 
-// spendCountedUnits takes an admitted request's units off the split when the counter has added them.
+// spendCountedUnits takes an admitted request's units off the split when the counter has added them, and counts the use
+// as reported (reportedUseShare).
 func (g *Gateway) spendCountedUnits(request *requestRecord) {
 	customer := request.customer
 	g.counter.reportedUseShare.add(1, g.now)
--- a/decision/response.go
+++ b/decision/response.go
@@ -8,7 +8,7 @@
 // when to come back.
 
 // maxRetryAfterShare is the share of the latency objective that a client is asked to stay away at most, so that several
-// tries fit in its time.
+// tries fit in its time. A protocol that states whole seconds rounds the hint up to 1 s, which may be longer.
 const maxRetryAfterShare = 0.1
 
 // handleRequest takes in a new request: it is decided at once, or held until the shared counter has answered.
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -5,7 +5,7 @@
 // This file decides whether a request is sent again after an attempt that brought no answer. It must be harmless: a
 // request that may have run is sent again only if it is idempotent, or by its idempotency key while backends are sure to
 // know that (and then only to backends that do, see balancer.go). A request that is not idempotent is retried only if no
-// attempt can have run. And it must be of use: an answer that still earns something must be possible. What retries add
+// attempt can have run. And it must be of use: an answer that still has some value must be possible. What retries add
 // to the load, admission control sees.
 
 // keyTTLShare is the share of an idempotency key's lifetime that is relied on: the rest is for clock drift and the time
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -48,21 +48,23 @@
 	Idempotency      Idempotency   `json:"Repeat"`
 	KeyScope         KeyScope      `json:"Scope"` // of idempotency keys; only for IdempotentByKey
 	KeyTTL           time.Duration // how long backends remember an idempotency key
-	LatencyObjective time.Duration `json:"Aim"` // an answer within this earns the full value
+	LatencyObjective time.Duration `json:"Aim"` // an answer within this has the full value; 0: every attempt counts as late
 	Deadline         time.Duration // how long clients wait in all; informative, since each request states its time left
-	PriorityWeight   float64       `json:"Worth"` // value of an answer in time; times the plan's WeightFactor it is the priority
-	LateShare        float64       // share of that value that an answer after the objective still earns, 0 to 1
+	PriorityWeight   float64       `json:"Worth"` // value of an answer in time, in any unit that all classes share; times the plan's WeightFactor it is the priority
+	LateShare        float64       // share of that value that an answer after the objective still has, 0 to 1; 0: no retry begins after it
 	Stream           bool          // answers are streams, which no attempt timeout and no deadline may cut
 }
 
-// Plan holds what each customer of it is entitled to, over all gateways together. Zero means no such limit.
+// Plan holds what each customer of it is entitled to, over all gateways together. Zero means no such limit. MaxInFlight
+// beside Rate or CeilingRate is an exception: the counter then holds units and not attempts in flight, so each instance
+// that asks the counter allows the full number.
 type Plan struct {
 	Rate           float64 // units per second
 	Burst          float64 // units
 	MaxInFlight    int     `json:"Open"`      // attempts in flight at once
 	WeightFactor   float64 `json:"Price"`     // factor on the PriorityWeight of its requests
-	OverQuotaValue float64 `json:"OverWorth"` // what an answer beyond the quota earns, as a share of the weight
-	OverQuotaCost  float64 `json:"OverCost"`  // what it costs, likewise; with value at or below cost such requests are rejected
+	OverQuotaValue float64 `json:"OverWorth"` // value of an answer beyond the quota, as a share of its value within
+	OverQuotaCost  float64 `json:"OverCost"`  // cost of such an answer, in the same shares; with value at or below cost such requests are rejected
 	CeilingRate    float64 // hard limit beside the quota: units per second
 	CeilingBurst   float64 // units
 	CeilingSlack   float64 // units by which the ceiling may be passed
@@ -83,8 +85,8 @@
 )
 
 // Settings is the configuration of a gateway, which does not change. The zero value of a field means that the feature is absent or
-// the limit does not exist, where nothing else is said. Fields marked as informative are in traces, and some are read
-// by the proxy, but no rule of this package reads them.
+// the limit does not exist, where nothing else is said at the field. Fields marked as informative
+// are in traces, and some are read by the proxy, but no rule of this package reads them.
 type Settings struct {
 	Self             int     // this instance's number, from 0; informative
 	Instances        int     `json:"Gateways"` // proxy instances before the same backends; less than 1 is taken as 1
@@ -99,7 +101,7 @@
 	Cancel           bool          // attempts may be cancelled
 	Hedging          bool          `json:"SecondCopies"` // a request may have two attempts in flight; informative, none is hedged
 	RetryAfter       bool          // rejections say how long the client should stay away
-	MaxRetryAfter    time.Duration // longest time that clients heed
+	MaxRetryAfter    time.Duration // longest time that clients heed; 0: no hint is given, as with RetryAfter unset
 	MaxAttempts      int           // per request, the first included; less than 1 is taken as 1
 	Subscribe        bool          // endpoints are watched, and the watch has to be asked for
 	PollInterval     time.Duration `json:"AskWithin"` // longest time between polls of the endpoint list; informative
@@ -109,7 +111,7 @@
 	OverloadFactor   float64       // multiple of its present capacity at which a warming backend fails; 0: nothing is held back
 	OverloadTime     time.Duration // window over which that multiple is measured; 0: nothing is held back
 	Counter          bool          // the shared counter may be called
-	CounterTimeout   time.Duration // of a call; answers slower than half of it count as slow
+	CounterTimeout   time.Duration // of a call; answers slower than half of it count as slow; 0: all that take any time do
 	CounterCost      float64       `json:"CounterPrice"` // of a call, in requests; informative
 	MaxUnits         float64       `json:"MostUnits"`    // most units that one request counts; less than 1 is taken as 1
 	UnitsSettleLater bool          // units are an estimate until the first good answer; informative
@@ -163,7 +165,8 @@
 	return s
 }
 
-// planIndex is the position of a plan in Plans, once they have their default.
+// planIndex is the position of a plan in Plans, once they have their default. A position that is not there gives the
+// last plan, which has no limits; a negative one does too, since it wraps around to a large unsigned number.
 func (s *Settings) planIndex(plan PlanID) int { return int(min(uint(plan), uint(len(s.Plans)-1))) }
 
 // reportsInFlight tells whether load reports say how many requests a backend has in work.
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -21,7 +21,7 @@
 	// confidenceMargin is the room left for chance, in standard deviations (roots of the number of attempts): where
 	// few attempts make a backend fail, their number and work by chance come to several times the mean.
 	confidenceMargin = 4.0
-	// slowStartBurstShare is the share of what goes in OverloadTime that may go at once.
+	// slowStartBurstShare is the bucket size, as a share of what the rate allows in OverloadTime.
 	slowStartBurstShare = 0.3
 	// workingBackendFactor times the share of good answers tells how far a backend counts as working: from one good
 	// answer in twelve on it does wholly. One that is only overloaded still gives many, one that hangs gives none.
@@ -36,14 +36,14 @@
 	value             float64       // their ratio, or what was known when it last was a measure
 	heldBackUntil     time.Duration // until when it is no measure, since warming backends were spared
 
-	slowStartCheckRate movingAverage // backends a second that were considered for an attempt
-	choiceRate         movingAverage // choices of a backend a second
+	slowStartCheckRate movingAverage // slowStartChecks a second
+	choiceRate         movingAverage // choicesMade a second
 
 	// Counted in this control period.
-	slowStartChecks float64
-	choicesMade     float64
-	successes       float64
-	attemptsEnded   float64
+	slowStartChecks float64 // candidates that were asked about with tryAdmitWarming
+	choicesMade     float64 // calls of chooseBackend
+	successes       float64 // attempts at backends that are up that ended with OK
+	attemptsEnded   float64 // attempts at backends that are up that ended
 }
 
 // newServiceRateEstimator begins with so low a rate that all instances together send a backend one attempt after the
@@ -83,7 +83,7 @@
 	e.successes += indicator(outcome == OK)
 }
 
-// recentSlowStartCheckRate is the rate of picks, or that of this period where it is higher.
+// recentSlowStartCheckRate is the rate of checks, or that of this period where it is higher.
 func (e *serviceRateEstimator) recentSlowStartCheckRate() float64 {
 	return max(e.slowStartCheckRate.value, e.slowStartChecks/controlPeriod.Seconds())
 }
@@ -94,7 +94,7 @@
 }
 
 // capacityShare is the share of its capacity that a backend is sure to have, 1 if it is warm. It counts as warming up
-// for OverloadTime longer, since what it was sent in that time still counts.
+// for OverloadTime longer, since what it was sent in that time still counts; the first call after that marks it as warm.
 func (g *Gateway) capacityShare(backend *backendRecord) float64 {
 	if !backend.warmingUp {
 		return 1
@@ -123,7 +123,9 @@
 	g.serviceRate.endPeriod(capacity, elapsed, g.now)
 }
 
-// workingShare is how far a backend counts as working, 0 to 1, by the outcomes of all classes.
+// workingShare is how far a backend counts as working, 0 to 1, by the outcomes of all classes. Only the attempts get a
+// prior: that of the failures is added and subtracted again, which cancels but for rounding, and the difference is never
+// below 0. The arithmetic stays because recorded decisions depend on every digit.
 func (backend *backendRecord) workingShare() float64 {
 	failures := failurePrior
 	attempts := 2 * failurePrior
@@ -134,8 +136,9 @@
 	return min(1, workingBackendFactor*(1-max(0, failures-failurePrior)/attempts))
 }
 
-// tryAdmitWarming tells whether a backend may get one more attempt now. It is asked once for each time that a backend
-// is considered, since chance may decide.
+// tryAdmitWarming tells whether a backend may get one more attempt now. It is called once for each time that a backend
+// is considered: it fills the backend's bucket and may draw a random number, and a refusal sets heldBackUntil. The
+// attempt itself is taken off the bucket by spendSlowStart.
 func (g *Gateway) tryAdmitWarming(backend *backendRecord) bool {
 	if !backend.warmingUp || g.settings.OverloadFactor <= 0 || g.settings.OverloadTime <= 0 {
 		return true
@@ -177,10 +180,10 @@
 // drawSlowStart decides by chance, where the bucket would never hold a whole attempt: the chance is what the rate
 // brings in the time since the backend was last considered. So as many go as the rate allows, however seldom this
 // instance meets the backend. That time counts up to the usual one between two choices that meet it, and the first time
-// as that between two picks: many instances would otherwise come at once, after a lull, with what they saved up.
+// as that between two checks: many instances would otherwise come at once, after a lull, with what they saved up.
 func (g *Gateway) drawSlowStart(backend *backendRecord, rate float64) {
 	elapsed := (g.now - backend.slowStartRefilledAt).Seconds()
-	between := g.totalCapacityShare() / g.capacityShare(backend) // mean number of choices from one that meets it to the next
+	between := g.totalCapacityShare() / g.capacityShare(backend) // mean number of choices from one that draws it to the next
 	if backend.slowStartRefilledAt == 0 {
 		elapsed = between / g.serviceRate.recentSlowStartCheckRate()
 	} else {
