--- a/decision/slowstart_fleet_test.go
+++ b/decision/slowstart_fleet_test.go
@@ -53,126 +53,194 @@
 	workSent     float64
 }
 
+const (
+	fleetBegin   = time.Hour
+	fleetReturn  = fleetBegin + 6*time.Second // when backends return, and the burst begins
+	fleetEnd     = fleetReturn + 10*time.Second
+	networkDelay = 2 * time.Millisecond // from an attempt's end at the backend to its end at the instance
+	customers    = 4000
+)
+
+// fleetSimulation is a run of a scenario.
+type fleetSimulation struct {
+	warmUpScenario
+	rng       *rand.Rand
+	instances []*driver
+	shares    []float64           // of the traffic by instance: uneven, and summed up
+	endpoints []decision.Endpoint // the first ones return
+	models    []backendModel      // of the backends, by number, from 1
+	ends      attemptEnds
+	returned  bool
+	worst     float64 // the most that a warming backend got in the window against what makes it fail
+}
+
 // play runs the scenario. worst is the most that a warming backend got in the window against what makes it fail (at 1 it does);
 // used is the mean of what warming backends got, against the same without the margin for chance.
 func (scenario warmUpScenario) play(t *testing.T) (worst, used float64) {
-	set := basicSettings()
-	set.SlowStartShare, set.SlowStartTime, set.OverloadFactor, set.OverloadTime = scenario.slowStartShare, scenario.slowStartTime, scenario.overloadFactor, scenario.overloadTime
-	const begin = time.Hour
-	back := begin + 6*time.Second // when backends return, and the burst begins
-	end := back + 10*time.Second
+	simulation := scenario.start(t)
+	for now := fleetBegin; now < fleetEnd; {
+		now += time.Duration(simulation.rng.ExpFloat64() / simulation.requestRate() * float64(time.Second))
+		simulation.endAttemptsUntil(now)
+		if !simulation.returned && now >= fleetReturn {
+			simulation.returnBackends(now)
+		}
+		simulation.sendRequest(now)
+	}
+	return simulation.worst, simulation.workToReturned() / simulation.allowance()
+}
+
+// start makes the instances, which know only the backends that do not return later.
+func (scenario warmUpScenario) start(t *testing.T) *fleetSimulation {
+	settings := basicSettings()
+	settings.SlowStartShare = scenario.slowStartShare
+	settings.SlowStartTime = scenario.slowStartTime
+	settings.OverloadFactor = scenario.overloadFactor
+	settings.OverloadTime = scenario.overloadTime
 	backendIDs := make([]decision.BackendID, scenario.backends)
 	for i := range backendIDs {
 		backendIDs[i] = decision.BackendID(i + 1)
 	}
-	all := upEndpoints(backendIDs...)
-	instances := startInstances(t, scenario.instances, set, begin, sharedCounter{}.add, all[scenario.returning:]...)
-	rng := rand.New(rand.NewPCG(scenario.seed, 7))
-	var shares []float64 // of the traffic: uneven, and summed up
+	simulation := &fleetSimulation{
+		warmUpScenario: scenario,
+		rng:            rand.New(rand.NewPCG(scenario.seed, 7)),
+		endpoints:      upEndpoints(backendIDs...),
+		models:         make([]backendModel, scenario.backends+1),
+	}
+	simulation.instances = startInstances(t, scenario.instances, settings, fleetBegin, sharedCounter{}.add, simulation.endpoints[scenario.returning:]...)
 	sum := 0.0
-	for range instances {
-		sum += math.Exp(rng.NormFloat64() * 0.8)
-		shares = append(shares, sum)
-	}
-	backends := make([]backendModel, scenario.backends+1)
-	warmRate := 2 / scenario.meanWork.Seconds()
-	var ends attemptEnds
-	workToWarm := warmRate * scenario.slowStartTime.Seconds() / 2 // of work until a backend is warm, where that decides
-	warmth := func(model *backendModel, now time.Duration) float64 {
-		if !model.warmingUp {
-			return 1
-		}
-		by := model.workDone / workToWarm
-		if !scenario.warmsByWork || now-back >= scenario.slowStartTime {
-			by = (now - back).Seconds() / scenario.slowStartTime.Seconds()
-		}
-		return scenario.slowStartShare + (1-scenario.slowStartShare)*min(1, by)
-	}
-	allowance := 0.0
-	send := func(driver *driver, id decision.RequestID, backend decision.BackendID) {
-		model, now := &backends[backend], driver.now
-		work := rng.ExpFloat64()
-		warmth := warmth(model, now)
-		if model.warmingUp {
-			for len(model.sentAt) > 0 && model.sentAt[0] <= now-scenario.overloadTime {
-				model.workInWindow -= model.work[0]
-				model.sentAt, model.work = model.sentAt[1:], model.work[1:]
-			}
-			model.sentAt, model.work, model.workInWindow, model.workSent = append(model.sentAt, now), append(model.work, work), model.workInWindow+work, model.workSent+work
-			n := scenario.overloadFactor * warmth * warmRate * scenario.overloadTime.Seconds()
-			worst = max(worst, model.workInWindow/(n+2*math.Sqrt(n)+2))
-		}
-		if model.inFlight >= scenario.maxInFlight {
-			heap.Push(&ends, attemptEnd{now + 2*time.Millisecond, driver, id, backend, decision.Rejected})
-			return
-		}
-		model.inFlight++
-		core := 0
-		if model.coreFreeAt[1] < model.coreFreeAt[0] {
-			core = 1
-		}
-		model.coreFreeAt[core] = max(now, model.coreFreeAt[core]) + time.Duration(work*float64(scenario.meanWork)/warmth)
-		model.workDone += work
-		heap.Push(&ends, attemptEnd{model.coreFreeAt[core] + 2*time.Millisecond, driver, id, backend, decision.OK})
-	}
-	sendAll := func(driver *driver, actions []decision.Action) {
-		for _, a := range actions {
-			if a, ok := a.(decision.SendAttempt); ok {
-				send(driver, a.Request, a.Backend)
-			}
-		}
+	for range simulation.instances {
+		sum += math.Exp(simulation.rng.NormFloat64() * 0.8)
+		simulation.shares = append(simulation.shares, sum)
 	}
-	until := func(at time.Duration) {
-		for len(ends) > 0 && ends[0].at <= at {
-			e := heap.Pop(&ends).(attemptEnd)
-			if e.outcome == decision.OK {
-				backends[e.backend].inFlight--
-			}
-			e.driver.advanceTo(max(e.driver.now, e.at))
-			sendAll(e.driver, e.driver.endAttempt(e.request, e.backend, e.outcome))
-		}
+	return simulation
+}
+
+// warmRate is the number of requests of mean work that a warm backend does in a second.
+func (scenario warmUpScenario) warmRate() float64 { return 2 / scenario.meanWork.Seconds() }
+
+// requestRate is the number of requests a second that all clients send now.
+func (s *fleetSimulation) requestRate() float64 {
+	switch {
+	case !s.returned:
+		return s.load * s.warmRate() * float64(s.backends-s.returning)
+	case s.leaving > 0: // those that leave give their work to the others
+		return s.load * s.warmRate() * float64(s.backends-s.returning) * s.burst
+	default:
+		return s.load * s.warmRate() * float64(s.backends-s.leaving) * s.burst
 	}
-	returned := false
-	for now := begin; now < end; {
-		rate := scenario.load * warmRate * float64(scenario.backends-scenario.returning)
-		if returned {
-			rate = scenario.load * warmRate * float64(scenario.backends-scenario.leaving) * scenario.burst
-			if scenario.leaving > 0 { // they leave their work to the others
-				rate = scenario.load * warmRate * float64(scenario.backends-scenario.returning) * scenario.burst
-			}
+}
+
+// warmth is the share of its capacity that a backend has.
+func (scenario warmUpScenario) warmth(model *backendModel, now time.Duration) float64 {
+	if !model.warmingUp {
+		return 1
+	}
+	workToWarm := scenario.warmRate() * scenario.slowStartTime.Seconds() / 2 // work until a backend is warm, where that decides
+	progress := model.workDone / workToWarm
+	if !scenario.warmsByWork || now-fleetReturn >= scenario.slowStartTime {
+		progress = (now - fleetReturn).Seconds() / scenario.slowStartTime.Seconds()
+	}
+	return scenario.slowStartShare + (1-scenario.slowStartShare)*min(1, progress)
+}
+
+// returnBackends restarts the backends that return, and takes away those that leave.
+func (s *fleetSimulation) returnBackends(now time.Duration) {
+	s.returned = true
+	for i := range s.returning {
+		s.models[i+1].warmingUp = true
+		s.endpoints[i].Started = fleetReturn
+	}
+	for _, driver := range s.instances {
+		driver.advanceTo(now)
+		driver.handle(decision.EndpointsChanged{Full: true, Endpoints: s.endpoints[:len(s.endpoints)-s.leaving]})
+	}
+}
+
+// sendRequest sends a request of a random customer through a random instance.
+func (s *fleetSimulation) sendRequest(now time.Duration) {
+	x := s.rng.Float64() * s.shares[len(s.shares)-1]
+	chosen := 0
+	for s.shares[chosen] < x {
+		chosen++
+	}
+	driver := s.instances[chosen]
+	driver.advanceTo(now)
+	if id, backend, ok := driver.request(fmt.Sprint("c", s.rng.IntN(customers)), 0, 1); ok {
+		s.sendAttempt(driver, id, backend)
+	}
+	driver.actions = driver.actions[:0]
+}
+
+// sendAttempt brings an attempt to its backend, which rejects it or puts it on the core that is free first.
+func (s *fleetSimulation) sendAttempt(driver *driver, id decision.RequestID, backend decision.BackendID) {
+	model := &s.models[backend]
+	now := driver.now
+	work := s.rng.ExpFloat64()
+	warmth := s.warmth(model, now)
+	if model.warmingUp {
+		s.recordWork(model, now, work, warmth)
+	}
+	if model.inFlight >= s.maxInFlight {
+		heap.Push(&s.ends, attemptEnd{now + networkDelay, driver, id, backend, decision.Rejected})
+		return
+	}
+	model.inFlight++
+	core := 0
+	if model.coreFreeAt[1] < model.coreFreeAt[0] {
+		core = 1
+	}
+	model.coreFreeAt[core] = max(now, model.coreFreeAt[core]) + time.Duration(work*float64(s.meanWork)/warmth)
+	model.workDone += work
+	heap.Push(&s.ends, attemptEnd{model.coreFreeAt[core] + networkDelay, driver, id, backend, decision.OK})
+}
+
+// recordWork notes what a warming backend is sent, and how near that comes to what makes it fail.
+func (s *fleetSimulation) recordWork(model *backendModel, now time.Duration, work, warmth float64) {
+	for len(model.sentAt) > 0 && model.sentAt[0] <= now-s.overloadTime {
+		model.workInWindow -= model.work[0]
+		model.sentAt, model.work = model.sentAt[1:], model.work[1:]
+	}
+	model.sentAt = append(model.sentAt, now)
+	model.work = append(model.work, work)
+	model.workInWindow += work
+	model.workSent += work
+	n := s.overloadFactor * warmth * s.warmRate() * s.overloadTime.Seconds()
+	s.worst = max(s.worst, model.workInWindow/(n+2*math.Sqrt(n)+2))
+}
+
+// endAttemptsUntil ends the attempts that are due, and sends those that follow.
+func (s *fleetSimulation) endAttemptsUntil(at time.Duration) {
+	for len(s.ends) > 0 && s.ends[0].at <= at {
+		end := heap.Pop(&s.ends).(attemptEnd)
+		if end.outcome == decision.OK {
+			s.models[end.backend].inFlight--
 		}
-		now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		until(now)
-		if !returned && now >= back {
-			returned = true
-			for i := range scenario.returning {
-				backends[i+1].warmingUp = true
-				all[i].Started = back
+		end.driver.advanceTo(max(end.driver.now, end.at))
+		for _, action := range end.driver.endAttempt(end.request, end.backend, end.outcome) {
+			if retry, ok := action.(decision.SendAttempt); ok {
+				s.sendAttempt(end.driver, retry.Request, retry.Backend)
 			}
-			for _, driver := range instances {
-				driver.advanceTo(now)
-				driver.handle(decision.EndpointsChanged{Full: true, Endpoints: all[:scenario.backends-scenario.leaving]})
-			}
-		}
-		x, chosen := rng.Float64()*sum, 0
-		for shares[chosen] < x {
-			chosen++
 		}
-		driver := instances[chosen]
-		driver.advanceTo(now)
-		if id, s, ok := driver.request(fmt.Sprint("c", rng.IntN(4000)), 0, 1); ok {
-			send(driver, id, s)
-		}
-		driver.actions = driver.actions[:0]
 	}
-	for i := range scenario.returning {
-		model := &backends[i+1]
-		used += model.workSent / float64(scenario.returning)
+}
+
+// workToReturned is the mean work that the backends which returned were sent.
+func (s *fleetSimulation) workToReturned() float64 {
+	mean := 0.0
+	for i := range s.returning {
+		mean += s.models[i+1].workSent / float64(s.returning)
 	}
-	for at := back; at < end; at += 100 * time.Millisecond {
-		allowance += scenario.overloadFactor * warmth(&backendModel{warmingUp: true}, at) * warmRate * 0.1
+	return mean
+}
+
+// allowance is the work that makes a backend fail, from its return to the end. One that warms up by its work is taken as
+// idle.
+func (scenario warmUpScenario) allowance() float64 {
+	sum := 0.0
+	for at := fleetReturn; at < fleetEnd; at += 100 * time.Millisecond {
+		sum += scenario.overloadFactor * scenario.warmth(&backendModel{warmingUp: true}, at) * scenario.warmRate() * 0.1
 	}
-	return worst, used / allowance
+	return sum
 }
 
 // What all instances together send warming backends, at any moment of the ramp, stays under what makes one fail, with chance; and
