--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -10,10 +10,10 @@
 // estimates of the other files and for its request. Latencies are seconds.
 
 const (
-	// maxExpectedWait is the expected wait, as a share of the latency objective, above which no attempt is begun: its
+	// maxLatencyRatio is the expected latency, as a share of the objective, above which no attempt is begun: its
 	// answer would be late, and it would make others late. A request that may have run is an exception, since
 	// without an answer it fails.
-	maxExpectedWait = 0.8
+	maxLatencyRatio = 0.8
 	// timeoutDeviations is the number of deviations above the mean latency that an attempt may take if another could
 	// follow it: rarely is an answer that late still to come.
 	timeoutDeviations = 8.0
@@ -37,13 +37,13 @@
 	// rejectReason is why it would be rejected before any attempt.
 	rejectReason RejectReason
 
-	mayHaveRun      bool           // some attempt may have run; the first of them
-	firstRunBackend *backendRecord // at this backend
-	firstRunSentAt  time.Duration  // was sent at this time
+	mayHaveRun      bool           // some attempt may have run
+	firstRunBackend *backendRecord // backend of the first attempt that may have run; nil: none
+	firstRunSentAt  time.Duration  // when that attempt was decided on
 
-	counterName    string  // to which its units were added
-	counterWeight  float64 // each as so much
-	addedToCounter bool    // and where they are now
+	counterName    string  // the counter's name to which its units were added
+	counterWeight  float64 // weight of one unit under counterName
+	addedToCounter bool    // the counter holds this request's units, after it was admitted
 }
 
 // attemptRecord is one attempt of a request.
@@ -90,8 +90,8 @@
 func (g *Gateway) sendAttempt(request *requestRecord) bool {
 	backend := g.chooseBackend(request)
 	left := request.deadline - g.now
-	if backend == nil || left <= 0 || g.expectedWaitAt(backend) > maxExpectedWait && !request.mayHaveRun {
-		g.finish(request, answerOwed)
+	if backend == nil || left <= 0 || g.answersTooLate(backend, request) {
+		g.finishWithAnswer(request)
 		return false
 	}
 	queuePosition := g.queueLengthAt(backend) + 1
@@ -110,6 +110,12 @@
 	return true
 }
 
+// answersTooLate tells whether a backend would answer a request too late to begin an attempt. A request that may have
+// run is never too late, since without an answer it fails.
+func (g *Gateway) answersTooLate(backend *backendRecord, request *requestRecord) bool {
+	return g.expectedLatencyRatioAt(backend) > maxLatencyRatio && !request.mayHaveRun
+}
+
 // attemptTimeout is how long the last attempt of a request may take: all the time that is left, but less where a retry
 // could still be in time and harmless.
 func (g *Gateway) attemptTimeout(request *requestRecord, left time.Duration) time.Duration {
@@ -118,9 +124,9 @@
 		return left
 	}
 	latency := g.classLatency[request.class]
-	usual := time.Duration((latency.mean + timeoutDeviations*latency.deviation) * float64(time.Second))
+	usual := seconds(latency.mean + timeoutDeviations*latency.deviation)
 	timeout := max(usual, class.LatencyObjective)
-	if class.Idempotency == IdempotentByKey && g.now+timeout > request.arrivedAt+reliableKeyLifetime(class) {
+	if class.Idempotency == IdempotentByKey && g.now+timeout > keyReliableUntil(class, request.arrivedAt) {
 		return left
 	}
 	return min(timeout, left)
@@ -144,11 +150,11 @@
 	case request.ended:
 		g.forgetIfOver(request)
 	case event.Answered || event.Outcome == OK:
-		g.finish(request, noAnswerOwed)
+		g.finishWithoutAnswer(request)
 	case g.mayRetry(request, g.settings.Classes[request.class]):
 		g.sendAttempt(request)
 	default:
-		g.finish(request, answerOwed)
+		g.finishWithAnswer(request)
 	}
 }
 
@@ -167,7 +173,7 @@
 	}
 	g.recordOutcome(backend, classID, event.Outcome)
 	if backend.State == Up {
-		g.slowStart.recordEnd(event.Outcome)
+		g.serviceRate.recordEnd(event.Outcome)
 	}
 	g.recordOverload(class, event.Outcome, took)
 }
@@ -184,7 +190,7 @@
 	backend.answerDueAt = g.now + g.suspectAfter(request.class)
 	customer := request.customer
 	customer.inFlight--
-	if request.addedToCounter && customer.quota.rate == 0 {
+	if request.addedToCounter && customer.quota.countsInFlight() {
 		g.takeBackUnits(request)
 	}
 	g.endpoints.forgetIfGone(backend)
--- a/decision/gateway.go
+++ b/decision/gateway.go
@@ -19,8 +19,9 @@
 // This file constructs a Gateway and dispatches events to the rules. It has no rule of its own.
 
 // housekeepingInterval is the time between two runs of the periodic work. It is well under any latency objective, so
-// that nothing that waits for it makes an answer late; for the same reason it is the least objective that is reckoned
-// with.
+// that nothing that waits for it makes an answer late. Shorter latency objectives are taken as this where they scale an
+// estimate: in latency ratios (learnFromAttempt), the fading of attempts in flight (newPlanQuota) and the first service
+// rate. Elsewhere they hold as they are.
 const housekeepingInterval = 50 * time.Millisecond
 
 // Gateway decides for one proxy instance. It is not safe for concurrent use: one goroutine owns it.
@@ -35,14 +36,15 @@
 	quotas       quotaTable
 	counter      counterSync
 	endpoints    endpointTable
-	slowStart    serviceRateEstimator
-	outliers     outlierDetector
+	serviceRate  serviceRateEstimator
+	failureRates failureRates
 	requests     map[RequestID]*requestRecord // those with an answer owed or an attempt in flight
 	classLatency []latencyEstimate            // of attempts, by class
 }
 
 // New makes a gateway. The actions are the first that its owner has to carry out. The seed decides all random choices;
-// now is the time on the clock that later events use. The error is a *SettingsError.
+// now is the time on the clock that later events use. It must be above zero, because zero stands for "never" in several
+// times that are kept; it is not checked. The error is a *SettingsError.
 func New(settings Settings, seed uint64, now time.Duration) (*Gateway, []Action, error) {
 	if err := settings.validate(); err != nil {
 		return nil, nil, err
@@ -59,8 +61,8 @@
 		quotas:       newQuotaTable(settings),
 		counter:      newCounterSync(settings.Plans, now),
 		endpoints:    newEndpointTable(settings.Subscribe),
-		slowStart:    newServiceRateEstimator(settings, now),
-		outliers:     newOutlierDetector(len(settings.Classes), now),
+		serviceRate:  newServiceRateEstimator(settings, now),
+		failureRates: newFailureRates(len(settings.Classes), now),
 		requests:     map[RequestID]*requestRecord{},
 		classLatency: newClassLatency(settings.Classes),
 	}
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -6,15 +6,16 @@
 )
 
 // This file estimates how likely an attempt fails at a backend, from the outcomes of attempts there, by class, and from
-// silence. Nothing is ejected outright: the balancer adds the risk to the expected wait, so a backend that fails is
+// silence. Nothing is ejected outright: the balancer adds the risk to the expected latency, so a backend that fails is
 // avoided as far as others fail less. What all backends suffer alike changes nothing.
 
 const (
 	// failureMemory is the time over which a backend's outcomes fade to 1/e: after that, one that failed is tried
 	// again.
 	failureMemory = 10 * time.Second
-	// failurePrior is the number of attempts that the rate of failures anywhere counts beside a backend's own: small,
-	// so that one failure tells where failures are rare.
+	// failurePrior is a number of attempts that are counted beside those seen. In failureRisk they fail as often as
+	// attempts do anywhere: it is small, so that one failure tells where failures are rare. slowstart.go uses it
+	// twice: in workingShare twice this many attempts count as good, in endPeriod this many do.
 	failurePrior = 0.5
 	// suspectLatencies is the silence, in mean latencies, after which an attempt in flight counts as a failure: a
 	// backend that hangs answers nothing, and its timeouts come too late.
@@ -42,17 +43,17 @@
 	h.updatedAt = now
 }
 
-// outlierDetector holds how often attempts fail anywhere.
-type outlierDetector struct {
-	classFailureRate []movingAverage // share of attempts that failed, by class
+// failureRates holds how often attempts fail anywhere.
+type failureRates struct {
+	byClass []movingAverage // share of attempts that failed, by class
 }
 
-func newOutlierDetector(classes int, now time.Duration) outlierDetector {
-	var detector outlierDetector
+func newFailureRates(classes int, now time.Duration) failureRates {
+	var rates failureRates
 	for range classes {
-		detector.classFailureRate = append(detector.classFailureRate, newMovingAverage(minNoisySamples, now))
+		rates.byClass = append(rates.byClass, newMovingAverage(minNoisySamples, now))
 	}
-	return detector
+	return rates
 }
 
 // failureRisk is how likely an attempt of a class fails at a backend, 0 to 1: by its last attempts there, weighed
@@ -63,7 +64,7 @@
 		failures++
 		attempts++
 	}
-	return (g.outliers.classFailureRate[class].value*failurePrior + failures) / (failurePrior + attempts)
+	return (g.failureRates.byClass[class].value*failurePrior + failures) / (failurePrior + attempts)
 }
 
 // recordOutcome takes in an attempt's end. A failure counts half for the other classes: a backend that hangs fails all,
@@ -77,7 +78,7 @@
 	default:
 		return
 	}
-	g.outliers.classFailureRate[class].add(failure, g.now)
+	g.failureRates.byClass[class].add(failure, g.now)
 	for i := range backend.outcomes {
 		weight := 1.0
 		if ClassID(i) != class {
@@ -89,5 +90,5 @@
 
 // suspectAfter is the silence after which an attempt's backend is suspected.
 func (g *Gateway) suspectAfter(class ClassID) time.Duration {
-	return time.Duration(suspectLatencies * g.classLatency[class].mean * float64(time.Second))
+	return seconds(suspectLatencies * g.classLatency[class].mean)
 }
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -37,7 +37,8 @@
 	// speak of however many there are.
 	customersPerSweep = 20
 	// customerIdleTTL is the time after which an idle customer is forgotten, longer than the counter keeps a total
-	// under one name (maxCounterNamePeriod). If it comes again, it begins with a full bucket.
+	// under one name (maxCounterNamePeriod). If it comes again, it begins with a full bucket
+	// of the quota; that of its ceiling holds only the slack.
 	customerIdleTTL = 60 * time.Second
 )
 
@@ -58,7 +59,7 @@
 		quota.burst = plan.CeilingBurst
 	}
 	quota.maxTotal = quota.burst
-	if quota.rate == 0 {
+	if quota.countsInFlight() {
 		quota.maxTotal = float64(plan.MaxInFlight)
 		for _, class := range classes {
 			quota.fadeTime += inFlightFadeFactor * max(class.LatencyObjective, housekeepingInterval).Seconds() / float64(len(classes))
@@ -69,6 +70,9 @@
 	return quota
 }
 
+// countsInFlight tells whether the use that is counted is attempts in flight, for want of a rate.
+func (q *planQuota) countsInFlight() bool { return q.rate == 0 }
+
 // fade is the factor by which a total falls in a time.
 func (q *planQuota) fade(elapsed time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / q.fadeTime)
@@ -206,7 +210,7 @@
 		return customer.checkSplit(plan, units)
 	case g.now < customer.overQuotaUntil:
 		return quotaExceeded
-	case customer.quota.rate == 0 || customer.counterTotalAt == 0 || !customer.ceilingAllows(plan, units):
+	case customer.quota.countsInFlight() || customer.counterTotalAt == 0 || !customer.ceilingAllows(plan, units):
 		return quotaUnknown
 	}
 	quota := customer.quota
@@ -244,7 +248,7 @@
 // counter lets in.
 func (g *Gateway) insideProbability(customer *customerRecord, class ClassID) float64 {
 	split := customer.quota.rate / customer.instances * demandMemory.Seconds()
-	if customer.quota.rate == 0 {
+	if customer.quota.countsInFlight() {
 		split = customer.quota.maxTotal / max(housekeepingInterval.Seconds(), g.classLatency[class].mean) / customer.instances * demandMemory.Seconds()
 	}
 	return min(1, (demandPrior*g.counter.insideShare[customer.plan].value+split)/(demandPrior+customer.recentDemand))
@@ -266,7 +270,8 @@
 	return probability*unconfirmedQuotaWeight > (1-probability)*plan.OverQuotaCost
 }
 
-// spendCountedUnits takes an admitted request's units off the split when the counter has added them.
+// spendCountedUnits takes an admitted request's units off the split when the counter has added them, and counts the use
+// as reported (reportedUseShare).
 func (g *Gateway) spendCountedUnits(request *requestRecord) {
 	customer := request.customer
 	g.counter.reportedUseShare.add(1, g.now)
@@ -280,7 +285,7 @@
 func (g *Gateway) spendUncountedUnits(customer *customerRecord, units float64) {
 	customer.tokens = max(0, customer.tokens-units)
 	customer.ceilingTokens -= units
-	if customer.usesCounter && customer.quota.rate > 0 {
+	if customer.usesCounter && !customer.quota.countsInFlight() {
 		g.queuePendingUse(customer, units)
 	}
 }
