--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -51,7 +51,7 @@
 }
 
 func (a drillArgs) Run(c *Console) error {
-	opt := drill.Options{Seed: a.Seed, Seconds: a.Seconds, Instances: a.Instances, Backends: a.Backends, Rate: a.Rate, Keep: a.Keep, Command: self}
+	opt := drill.Options{Seed: a.Seed, Seconds: a.Seconds, Instances: a.Instances, Backends: a.Backends, Rate: a.Rate, LogDir: a.Keep, Command: self}
 	if a.Instances < 2 || a.Backends < 1 || !(a.Seconds > 0) || !(a.Rate > 0) {
 		return fmt.Errorf("at least 2 doors, 1 box, and more than 0 seconds and requests are needed")
 	}
@@ -83,7 +83,7 @@
 	} else {
 		printReport(c.Out, r)
 	}
-	if r.Bad() {
+	if r.Failed() {
 		return fmt.Errorf("%d violations, not exercised: %v, bad exits: %d", r.Violations, r.NotExercised, len(r.Exits))
 	}
 	return nil
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -26,7 +26,7 @@
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && strings.HasPrefix(os.Args[1], "--as=") {
 		if strings.HasPrefix(os.Args[1], "--as=broken-") {
-			brokenDoor(strings.TrimPrefix(os.Args[1], "--as=broken-"), os.Args[2:])
+			brokenGateway(strings.TrimPrefix(os.Args[1], "--as=broken-"), os.Args[2:])
 			return
 		}
 		os.Exit(cli.Drill(os.Args[1:], os.Stdout, os.Stderr))
@@ -37,15 +37,15 @@
 // slack is generous: a test machine that is busy with other tests must not look like a broken rule.
 const slack = 700 * time.Millisecond
 
-func run(t *testing.T, door string, seconds float64, events ...fault.Event) drill.Report {
+func run(t *testing.T, broken string, seconds float64, events ...fault.Event) drill.Report {
 	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	opt := drill.Options{Seed: 5, Seconds: seconds, Rate: 150, Instances: 2, Backends: 4, Slack: slack, Command: func(p string) (string, []string) {
-		if p == "sandyard" && door != "" {
-			return exe, []string{"--as=broken-" + door}
+		if p == "sandyard" && broken != "" {
+			return exe, []string{"--as=broken-" + broken}
 		}
 		return exe, []string{"--as=" + p}
 	}}
@@ -61,24 +61,25 @@
 
 const sec = time.Second
 
-// TestShortDay: a few troubles on real processes, and no rule broken.
-func TestShortDay(t *testing.T) {
+// A few faults on real processes must break no rule, and every rule must be exercised.
+func TestShortDrillBreaksNoRule(t *testing.T) {
 	r := run(t, "", 8, fault.Event{At: sec, Duration: 2 * sec, Verb: fault.Surge, Target: "school-0", Value: 12},
 		fault.Event{At: sec, Duration: sec, Verb: fault.Replace, Target: "box-0"},
 		fault.Event{At: 3 * sec, Duration: sec, Verb: fault.DropResponse, Target: "box-1"},
 		fault.Event{At: 4 * sec, Duration: sec, Verb: fault.Kill, Target: "door-1"},
 		fault.Event{At: 5 * sec, Duration: sec, Verb: fault.NoReply, Target: "keeper"})
-	if r.Bad() {
+	if r.Failed() {
 		b, _ := json.MarshalIndent(r, "", " ")
 		t.Errorf("%s", b)
 	}
 }
 
-// TestBrokenDoorsAreFound: for each rule, a front door that breaks it.
-func TestBrokenDoorsAreFound(t *testing.T) {
+// A drill that finds nothing says nothing unless it finds what is broken: for each rule there is a gateway that breaks it, and
+// the drill must find it.
+func TestDrillFindsBrokenGateways(t *testing.T) {
 	lose := fault.Event{At: 0, Verb: fault.DropResponse, Target: "*"}
 	for _, c := range []struct {
-		door   string
+		broken string
 		rule   int
 		events []fault.Event
 	}{
@@ -89,9 +90,9 @@
 		{"stale", 3, []fault.Event{{At: 200 * time.Millisecond, Duration: sec, Verb: fault.Replace, Target: "box-0"}, {At: sec, Verb: fault.Surge, Target: "*", Value: 3}}},
 		{"stale", 4, []fault.Event{{At: 0, Verb: fault.Surge, Target: "school-0", Value: 30}}},
 	} {
-		t.Run(fmt.Sprintf("%s-%d", c.door, c.rule), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s-%d", c.broken, c.rule), func(t *testing.T) {
 			t.Parallel()
-			r := run(t, c.door, 4, c.events...)
+			r := run(t, c.broken, 4, c.events...)
 			if r.Rules[c.rule].Count == 0 {
 				t.Errorf("not found: %+v", r.Rules[c.rule])
 			}
@@ -99,8 +100,8 @@
 	}
 }
 
-// brokenDoor is a front door without any decision: it passes on whatever comes, to one box or to the newest.
-func brokenDoor(how string, args []string) {
+// brokenGateway is a gateway without any decision: it forwards whatever comes, to one backend or to the newest.
+func brokenGateway(how string, args []string) {
 	var conf, listen string
 	for i := range args {
 		switch args[i] {
@@ -120,7 +121,7 @@
 	proxy := &httputil.ReverseProxy{Transport: t, Rewrite: func(r *httputil.ProxyRequest) {
 		list := first
 		target := list[n.Add(1)%int64(len(list))][2]
-		if how == "stale" { // all to the first box of the first list, or to a replacement
+		if how == "stale" { // all to the first backend of the first list, or to a replacement
 			target = first[0][2]
 			if now := addrs(); strings.Contains(now[len(now)-1][1], "-r") {
 				target = now[len(now)-1][2]
@@ -151,7 +152,7 @@
 			}
 			w.WriteHeader(429)
 			fmt.Fprint(w, `{"retry":"harmless"}`)
-			go func() { // and once more after the answer
+			go func() { // and once more after the response
 				time.Sleep(2 * slack)
 				again := r.Clone(context.Background())
 				again.Body = struct {
--- /dev/null
+++ b/internal/drill/faults.go
@@ -0,0 +1,175 @@
+package drill
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"sandyard/fault"
+	"sandyard/internal/server"
+)
+
+// How faults of processes are played.
+const (
+	finishTime = 4 * time.Second // that a removed backend has for what it holds: longer than any deadline
+	stopTime   = 5 * time.Second // for an emulator to end by itself
+)
+
+// verbsOnSockets are the verbs that mean something on real processes.
+var verbsOnSockets = []fault.Verb{fault.Slow, fault.Hang, fault.ResetResponse, fault.DropResponse, fault.ServerErrors, fault.Refuse, fault.ExtraResponse, fault.FalseReports,
+	fault.Stall, fault.NoReply, fault.Delay, fault.ResetTotals, fault.Kill, fault.Drain, fault.Replace, fault.Vanish, fault.Surge, fault.MoveTraffic}
+
+// playFault plays one event of the script.
+func (d *Drill) playFault(ctx context.Context, e fault.Event) error {
+	d.logf("%s %s %g for %v", e.Verb, e.Target, e.Value, e.Duration)
+	switch e.Verb {
+	case fault.Surge:
+		d.setSurge(e, true)
+		if e.Duration > 0 {
+			sleep(ctx, e.Duration)
+			d.setSurge(e, false)
+		}
+		return nil
+	case fault.MoveTraffic:
+		d.moveTraffic(e)
+		return nil
+	case fault.Kill:
+		return d.kill(ctx, e)
+	case fault.Drain, fault.Replace, fault.Vanish:
+		return d.drain(ctx, e)
+	}
+	return d.playEmulatorFault(ctx, e)
+}
+
+func (d *Drill) moveTraffic(e fault.Event) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, c := range d.customers {
+		if e.Target == "*" || e.Target == c.name || e.Target == plans[c.plan].name {
+			c.moves++
+		}
+	}
+}
+
+// errNoTarget is an event whose target is none, or no longer.
+var errNoTarget = errors.New("no such target")
+
+// playEmulatorFault sets a fault at emulators, and clears it after its duration.
+func (d *Drill) playEmulatorFault(ctx context.Context, e fault.Event) error {
+	controls := d.controlsOf(e.Target)
+	if len(controls) == 0 {
+		return errNoTarget
+	}
+	for _, c := range controls {
+		if err := server.SendFaultCommand(c, fmt.Sprintf("set %s %g", e.Verb, e.Value)); err != nil {
+			return err
+		}
+	}
+	if e.Duration == 0 {
+		return nil
+	}
+	sleep(ctx, e.Duration)
+	for _, c := range controls {
+		// a backend that was removed meanwhile has taken its fault along
+		_ = server.SendFaultCommand(c, "clear "+string(e.Verb))
+	}
+	return nil
+}
+
+// controlsOf returns the control addresses of a target.
+func (d *Drill) controlsOf(target string) (controls []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if target == "keeper" {
+		controls = append(controls, d.counterControl)
+	}
+	for _, b := range d.backends {
+		if b.listedState != listedGone && (target == "*" || target == "boxes" || target == b.name) {
+			controls = append(controls, b.control)
+		}
+	}
+	return controls
+}
+
+func (d *Drill) setSurge(e fault.Event, on bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	switch {
+	case e.Target == "*" && on:
+		d.totalSurge = e.Value
+	case e.Target == "*":
+		d.totalSurge = 1
+	case on:
+		d.surges[e.Target] = e.Value
+	default:
+		delete(d.surges, e.Target)
+	}
+}
+
+// kill ends an instance at once and restarts it after the event's duration.
+func (d *Drill) kill(ctx context.Context, e fault.Event) error {
+	i, err := strconv.Atoi(strings.TrimPrefix(e.Target, "door-"))
+	if err != nil || i < 0 || i >= len(d.instances) {
+		return fmt.Errorf("expected door-0 to door-%d", len(d.instances)-1)
+	}
+	d.mu.Lock()
+	p, addr := d.instances[i], d.clients[i].address
+	d.auditor.InstanceDown(i, d.now())
+	d.mu.Unlock()
+	p.kill()
+	sleep(ctx, e.Duration)
+	if err := d.startInstance(i, addr); err != nil {
+		return err
+	}
+	d.mu.Lock()
+	d.auditor.InstanceUp(i, d.now())
+	d.mu.Unlock()
+	return nil
+}
+
+// drain lists a backend as draining and then removes it, with a replacement in slow start if asked for; one that vanishes is
+// removed without notice.
+func (d *Drill) drain(ctx context.Context, e fault.Event) error {
+	d.mu.Lock()
+	i := slices.IndexFunc(d.backends, func(b *backend) bool { return b.name == e.Target && b.listedState == listedUp })
+	if i < 0 {
+		d.mu.Unlock()
+		return fmt.Errorf("no such box is up")
+	}
+	b := d.backends[i]
+	b.listedState = listedDraining
+	if e.Verb == fault.Vanish {
+		b.listedState = listedGone
+	}
+	d.mu.Unlock()
+	if err := d.writeEndpoints(); err != nil {
+		return err
+	}
+	d.mu.Lock()
+	d.auditor.EndpointRemoved(b.name, d.now())
+	d.mu.Unlock()
+	if !sleep(ctx, max(e.Duration, drainGrace)) {
+		return nil
+	}
+	if e.Verb == fault.Replace {
+		d.mu.Lock()
+		d.replacements++
+		name := fmt.Sprintf("%s-r%d", e.Target, d.replacements)
+		d.mu.Unlock()
+		if _, err := d.startBackend(name, true); err != nil {
+			return err
+		}
+	}
+	d.mu.Lock()
+	b.listedState = listedGone
+	d.mu.Unlock()
+	if err := d.writeEndpoints(); err != nil {
+		return err
+	}
+	sleep(ctx, finishTime)
+	return b.process.stop(stopTime)
+}
--- a/internal/drill/process.go
+++ b/internal/drill/process.go
@@ -13,36 +13,36 @@
 	"time"
 )
 
-// process is a child: a front door or a stand-in.
+// process is a child process: an instance or an emulator.
 type process struct {
-	name  string
-	cmd   *exec.Cmd
-	ready chan ready
-	done  chan struct{}
-	err   error
-	log   *os.File
+	name    string
+	cmd     *exec.Cmd
+	ready   chan readyLine
+	done    chan struct{}
+	err     error
+	logFile *os.File
 }
 
-// ready is what a child says of itself in its line with "msg":"listening".
-type ready struct {
+// readyLine is what a child says of itself in its line with "msg":"listening".
+type readyLine struct {
 	Msg     string `json:"msg"`
 	Addr    string `json:"addr"`
 	Control string `json:"control"`
 }
 
-const startTime = 15 * time.Second // a child that is not ready by then is given up
+const maxStartTime = 15 * time.Second // after which a child that is not ready is killed
 
-// start runs a program of this drill. lines gets what the child prints; it is called by one goroutine.
-func (d *Drill) start(name, program string, args []string, stdout bool, lines func([]byte)) (*process, ready, error) {
+// startProcess runs a program of this drill. lines gets what the child prints; it is called by one goroutine.
+func (d *Drill) startProcess(name, program string, args []string, stdout bool, lines func([]byte)) (*process, readyLine, error) {
 	exe, pre := d.command(program)
-	p := &process{name: name, cmd: exec.Command(exe, append(pre, args...)...), ready: make(chan ready, 1), done: make(chan struct{})}
+	p := &process{name: name, cmd: exec.Command(exe, append(pre, args...)...), ready: make(chan readyLine, 1), done: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the drill
 	log, err := os.OpenFile(filepath.Join(d.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, ready{}, err
+		return nil, readyLine{}, err
 	}
-	p.log = log
+	p.logFile = log
 	var pipe io.ReadCloser
 	if stdout {
 		p.cmd.Stderr = log
@@ -55,17 +55,17 @@
 	}
 	if err != nil {
 		log.Close()
-		return nil, ready{}, fmt.Errorf("%s: %w", name, err)
+		return nil, readyLine{}, fmt.Errorf("%s: %w", name, err)
 	}
 	go p.read(pipe, lines)
 	select {
 	case r := <-p.ready:
 		return p, r, nil
 	case <-p.done:
-		return nil, ready{}, fmt.Errorf("%s ended before it was ready: %v; see %s", name, p.err, log.Name())
-	case <-time.After(startTime):
+		return nil, readyLine{}, fmt.Errorf("%s ended before it was ready: %v; see %s", name, p.err, log.Name())
+	case <-time.After(maxStartTime):
 		p.kill()
-		return nil, ready{}, fmt.Errorf("%s was not ready within %v", name, startTime)
+		return nil, readyLine{}, fmt.Errorf("%s was not ready within %v", name, maxStartTime)
 	}
 }
 
@@ -92,7 +92,7 @@
 	in := bufio.NewScanner(pipe)
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
-		var r ready
+		var r readyLine
 		if json.Unmarshal(in.Bytes(), &r) == nil && r.Msg == "listening" {
 			select {
 			case p.ready <- r:
@@ -102,11 +102,11 @@
 		if lines != nil {
 			lines(in.Bytes())
 		}
-		p.log.Write(append(in.Bytes(), '\n'))
+		p.logFile.Write(append(in.Bytes(), '\n'))
 	}
 	io.Copy(io.Discard, pipe)
 	p.err = p.cmd.Wait()
-	p.log.Close()
+	p.logFile.Close()
 	close(p.done)
 }
 
