--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -1,5 +1,5 @@
-// Package bench measures a front door beside what a user would pick instead, all in one run: direct, through
-// net/http/httputil's reverse proxy and through a fasthttp proxy, both without any decision.
+// Package bench measures a gateway beside what a user would pick instead, all in one run: direct, through net/http/httputil's
+// reverse proxy and through a fasthttp proxy, both without any decision.
 package bench
 
 import (
@@ -14,46 +14,57 @@
 	"sandyard/internal/http1"
 )
 
-// Result is what a load saw. Latencies are in microseconds.
+// Result is what a load measured.
 type Result struct {
-	Done, Bad uint64
-	Took      time.Duration
-	Latency   *hdrhistogram.Histogram
+	Done    uint64 // responses
+	NotOK   uint64 // of them with a status other than 200
+	Took    time.Duration
+	Latency *hdrhistogram.Histogram // in microseconds
 }
 
-// PerSecond is the throughput.
+// PerSecond returns the throughput in responses a second.
 func (r Result) PerSecond() float64 { return float64(r.Done) / r.Took.Seconds() }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
+// maxLatency is in microseconds: a minute, longer than any timeout.
+const maxLatency = 60_000_000
 
-// one is a connection that asks the same thing again and again.
-type one struct {
-	conn net.Conn
-	rd   *http1.Reader
-	req  []byte
-	buf  []byte
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, 3) }
+
+// Timeouts of a load's connections.
+const (
+	dialTimeout     = 5 * time.Second
+	responseTimeout = 10 * time.Second // after the load's end
+)
+
+// benchConn is a connection that sends the same request again and again.
+type benchConn struct {
+	conn    net.Conn
+	reader  *http1.Reader
+	request []byte
+	buffer  []byte
 }
 
-func dial(addr string, req []byte) (*one, error) {
-	c, err := net.DialTimeout("tcp", addr, 5*time.Second)
+func dial(addr string, req []byte) (*benchConn, error) {
+	c, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return &one{conn: c, rd: http1.NewResponses(http1.Limits{}), req: req, buf: make([]byte, 8<<10)}, nil
+	return &benchConn{conn: c, reader: http1.NewResponses(http1.Limits{}), request: req, buffer: make([]byte, 8<<10)}, nil
 }
 
-func (o *one) ask() (status int, err error) {
-	if _, err := o.conn.Write(o.req); err != nil {
+// roundTrip sends the request and reads its response.
+func (c *benchConn) roundTrip() (status int, err error) {
+	if _, err := c.conn.Write(c.request); err != nil {
 		return 0, err
 	}
-	o.rd.Expect("GET")
+	c.reader.Expect("GET")
 	for {
-		n, err := o.conn.Read(o.buf)
+		n, err := c.conn.Read(c.buffer)
 		if err != nil {
 			return 0, err
 		}
-		for in := o.buf[:n]; ; {
-			used, part, err := o.rd.Feed(in)
+		for in := c.buffer[:n]; ; {
+			used, part, err := c.reader.Feed(in)
 			in = in[used:]
 			switch {
 			case err != nil:
@@ -70,75 +81,72 @@
 	}
 }
 
-// Load asks over a number of connections for a time. With a rate (in all, a second) each connection asks on a
-// schedule of its own and latencies count from when an ask was due if the answer before it was late, so that waiting
-// for a slow answer is not left out; without one, each asks as soon as it is answered.
+// Load sends requests over a number of connections for a time. With a rate, in requests a second over all connections, each
+// connection sends on a schedule of its own (an open loop), and latencies count from when a request was due if the response
+// before it was late, so that waiting for a slow response is not left out. Without one, each sends as soon as it has its
+// response (a closed loop).
 func Load(addr string, req []byte, conns int, rate float64, d time.Duration) (Result, error) {
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	r := Result{Latency: newHistogram()}
-	var firstErr error
-	all := make([]*one, 0, conns)
+	all := make([]*benchConn, 0, conns)
 	defer func() {
-		for _, o := range all {
-			o.conn.Close()
+		for _, c := range all {
+			c.conn.Close()
 		}
 	}()
 	for range conns {
-		o, err := dial(addr, req)
+		c, err := dial(addr, req)
 		if err != nil {
-			return r, err
+			return Result{Latency: newHistogram()}, err
 		}
-		all = append(all, o)
+		all = append(all, c)
 	}
 	begun := time.Now()
-	end := begun.Add(d)
-	for i, o := range all {
-		wg.Go(func() {
-			h := newHistogram()
-			var done, bad uint64
-			var failed error
-			gap := time.Duration(0)
-			due := begun
-			if rate > 0 {
-				gap = time.Duration(float64(conns) / rate * float64(time.Second))
-				due = begun.Add(gap * time.Duration(i) / time.Duration(conns))
-			}
-			o.conn.SetDeadline(end.Add(10 * time.Second))
-			for due.Before(end) {
-				from := due
-				if wait := time.Until(due); rate == 0 || wait > 0 {
-					time.Sleep(wait)
-					from = time.Now() // the timer's own lateness is not the peer's
-				}
-				status, err := o.ask()
-				now := time.Now()
-				if err != nil {
-					failed = err
-					break
-				}
-				if status != 200 {
-					bad++
-				}
-				done++
-				h.RecordValue(max(1, now.Sub(from).Microseconds()))
-				if rate > 0 {
-					due = due.Add(gap)
-				} else {
-					due = now
-				}
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			r.Done, r.Bad = r.Done+done, r.Bad+bad
-			r.Latency.Merge(h)
-			firstErr = errors.Join(firstErr, failed)
-		})
+	results, errs := make([]Result, conns), make([]error, conns)
+	var wg sync.WaitGroup
+	for i, c := range all {
+		first, gap := begun, time.Duration(0)
+		if rate > 0 {
+			gap = time.Duration(float64(conns) / rate * float64(time.Second))
+			first = begun.Add(gap * time.Duration(i) / time.Duration(conns))
+		}
+		wg.Go(func() { results[i], errs[i] = c.run(first, gap, begun.Add(d)) })
 	}
 	wg.Wait()
-	r.Took = time.Since(begun)
-	if firstErr != nil {
-		return r, fmt.Errorf("%s: %w", addr, firstErr)
+	total := Result{Took: time.Since(begun), Latency: newHistogram()}
+	for _, r := range results {
+		total.Done, total.NotOK = total.Done+r.Done, total.NotOK+r.NotOK
+		total.Latency.Merge(r.Latency)
+	}
+	if err := errors.Join(errs...); err != nil {
+		return total, fmt.Errorf("%s: %w", addr, err)
+	}
+	return total, nil
+}
+
+// run sends requests from a time until another, one each gap; 0: as soon as there is a response.
+func (c *benchConn) run(due time.Time, gap time.Duration, end time.Time) (Result, error) {
+	r := Result{Latency: newHistogram()}
+	c.conn.SetDeadline(end.Add(responseTimeout))
+	for due.Before(end) {
+		from := due
+		if wait := time.Until(due); gap == 0 || wait > 0 {
+			time.Sleep(wait)
+			from = time.Now() // the timer's own lateness is not the target's
+		}
+		status, err := c.roundTrip()
+		now := time.Now()
+		if err != nil {
+			return r, err
+		}
+		if status != 200 {
+			r.NotOK++
+		}
+		r.Done++
+		r.Latency.RecordValue(max(1, now.Sub(from).Microseconds()))
+		if gap > 0 {
+			due = due.Add(gap)
+		} else {
+			due = now
+		}
 	}
 	return r, nil
 }
--- a/internal/bench/peers.go
+++ b/internal/bench/programs.go
@@ -12,14 +12,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The peers that a front door is measured with and against. Each runs as a process of its own and prints where it
-// listens.
+// The programs that a gateway is measured with and against. Each runs as a process of its own and prints where it listens.
 
 func listening(out io.Writer, ln net.Listener) {
 	fmt.Fprintf(out, "{\"msg\":\"listening\",\"addr\":%q}\n", ln.Addr())
 }
 
-// Backend answers at once, so that what is measured is the way to it.
+// Backend responds at once, so that what is measured is the way through a proxy. It returns when serving fails.
 func Backend(out io.Writer) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,14 +33,15 @@
 	return s.Serve(ln)
 }
 
-// ReverseProxy is net/http/httputil's, with a transport that keeps as many connections as it needs.
-func ReverseProxy(out io.Writer, box string) error {
+// ReverseProxy is net/http/httputil's, with a transport that keeps as many connections as it needs. It returns when serving
+// fails.
+func ReverseProxy(out io.Writer, backend string) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	listening(out, ln)
-	target := &url.URL{Scheme: "http", Host: box}
+	target := &url.URL{Scheme: "http", Host: backend}
 	p := &httputil.ReverseProxy{
 		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(target); r.SetXForwarded() },
 		Transport: &http.Transport{MaxIdleConns: 4096, MaxIdleConnsPerHost: 4096, DisableCompression: true},
@@ -50,14 +50,14 @@
 	return http.Serve(ln, p)
 }
 
-// FastHTTP is a proxy made of fasthttp's client and server.
-func FastHTTP(out io.Writer, box string) error {
+// FastHTTP is a proxy made of fasthttp's client and server. It returns when serving fails.
+func FastHTTP(out io.Writer, backend string) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	listening(out, ln)
-	client := &fasthttp.HostClient{Addr: box, MaxConns: 4096}
+	client := &fasthttp.HostClient{Addr: backend, MaxConns: 4096}
 	s := &fasthttp.Server{Concurrency: 1 << 20, Handler: func(c *fasthttp.RequestCtx) {
 		c.Request.Header.Del("Connection")
 		if err := client.Do(&c.Request, &c.Response); err != nil {
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -15,24 +15,26 @@
 	"time"
 )
 
-// Options say what to measure.
+// Options says what to measure.
 type Options struct {
 	Conns   []int
 	Seconds float64 // of each load
-	Rounds  int     // that are played in turn; medians are told
+	Rounds  int     // targets are measured in turn; medians are printed
 	Idle    int     // idle connections whose memory is measured; 0: none
 	Out     io.Writer
 	// Command says how to run a program as a child: "sandyard", "box", "reverseproxy" or "fasthttp".
 	Command func(program string) (exe string, args []string)
 }
 
-type peer struct {
+// target is a process under load.
+type target struct {
 	name string
 	addr string
 	cmd  *exec.Cmd
 }
 
-func (o Options) start(name string, args ...string) (*peer, error) {
+// start starts a program, and returns once it has printed where it listens.
+func (o Options) start(name string, args ...string) (*target, error) {
 	exe, pre := o.Command(name)
 	cmd := exec.Command(exe, append(pre, args...)...)
 	cmd.Stderr = nil
@@ -50,7 +52,7 @@
 		var line struct{ Msg, Addr string }
 		if json.Unmarshal(in.Bytes(), &line) == nil && line.Msg == "listening" {
 			go io.Copy(io.Discard, r)
-			return &peer{name, line.Addr, cmd}, nil
+			return &target{name, line.Addr, cmd}, nil
 		}
 	}
 	cmd.Process.Kill()
@@ -73,20 +75,20 @@
 paths: {/look: {get: {x-sandyard-class: c, responses: {"200": {description: fine}}}}}
 `
 
-// peers are processes to be ended.
-type peers []*peer
+// targets are processes to be ended.
+type targets []*target
 
-func (ps *peers) stop() {
+func (ps *targets) stop() {
 	for _, p := range *ps {
 		p.cmd.Process.Kill()
 		p.cmd.Wait()
 	}
 }
 
-// startDoor starts a front door before a box, with its files in a folder. extra is more of its gateway.yaml.
-func (o Options) startDoor(dir, box, extra string) (*peer, error) {
+// startGateway starts a gateway before a backend, with its files in a folder. extra is more of its gateway.yaml.
+func (o Options) startGateway(dir, backend, extra string) (*target, error) {
 	for name, text := range map[string]string{"gateway.yaml": gatewayYAML + extra, "openapi.yaml": openapiYAML,
-		"boxes.yaml": fmt.Sprintf("boxes: [{name: b, address: %q}]\n", box)} {
+		"boxes.yaml": fmt.Sprintf("boxes: [{name: b, address: %q}]\n", backend)} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			return nil, err
 		}
@@ -94,44 +96,44 @@
 	return o.start("sandyard", "serve", "--config", filepath.Join(dir, "gateway.yaml"), "--listen", "127.0.0.1:0")
 }
 
-// warmUp is a load before the first that is measured: a front door that has just started guesses how long answers take, and
-// may refuse some until it knows.
-func warmUp(p *peer) error {
-	if _, err := Load(p.addr, ask, 4, 0, 500*time.Millisecond); err != nil {
+// warmUp is a load before the first that is measured: a gateway that has just started estimates how long responses take, and
+// may reject some until it knows.
+func warmUp(p *target) error {
+	if _, err := Load(p.addr, benchRequest, 4, 0, 500*time.Millisecond); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
 	return nil
 }
 
-// ask is the request that all loads consist of.
-var ask = []byte("GET /look HTTP/1.1\r\nHost: bench\r\nX-Api-Key: k\r\nUser-Agent: bench\r\nAccept: */*\r\n\r\n")
+// benchRequest is the request that all loads consist of.
+var benchRequest = []byte("GET /look HTTP/1.1\r\nHost: bench\r\nX-Api-Key: k\r\nUser-Agent: bench\r\nAccept: */*\r\n\r\n")
 
-// Run measures and prints.
+// Run measures all targets and prints the results. The error is that of a target that failed, or did not respond with 200.
 func Run(o Options) error {
 	dir, err := os.MkdirTemp("", "sandyard-bench-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var peers peers
-	defer peers.stop()
-	box, err := o.start("box")
+	var processes targets
+	defer processes.stop()
+	backend, err := o.start("box")
 	if err != nil {
 		return err
 	}
-	peers = append(peers, box)
-	door, err := o.startDoor(dir, box.addr, "")
+	processes = append(processes, backend)
+	gateway, err := o.startGateway(dir, backend.addr, "")
 	if err != nil {
 		return err
 	}
-	peers = append(peers, door)
-	targets := []*peer{{name: "direct", addr: box.addr}, door}
+	processes = append(processes, gateway)
+	targets := []*target{{name: "direct", addr: backend.addr}, gateway}
 	for _, name := range []string{"reverseproxy", "fasthttp"} {
-		p, err := o.start(name, box.addr)
+		p, err := o.start(name, backend.addr)
 		if err != nil {
 			return err
 		}
-		peers, targets = append(peers, p), append(targets, p)
+		processes, targets = append(processes, p), append(targets, p)
 	}
 	for _, p := range targets {
 		if err := warmUp(p); err != nil {
@@ -140,12 +142,12 @@
 	}
 	d := time.Duration(o.Seconds * float64(time.Second))
 	for _, conns := range o.Conns {
-		if err := o.atConns(targets, conns, d); err != nil {
+		if err := o.measureConns(targets, conns, d); err != nil {
 			return err
 		}
 	}
 	if o.Idle > 0 {
-		return o.idle(targets)
+		return o.measureIdle(targets)
 	}
 	return nil
 }
@@ -156,62 +158,71 @@
 	return xs[len(xs)/2]
 }
 
-func (o Options) atConns(targets []*peer, conns int, d time.Duration) error {
-	most := map[string][]float64{}
+// quantiles are the percentiles of latency that are printed.
+var quantiles = []float64{50, 99, 99.9}
+
+// measureConns loads all targets over a number of connections: for their throughput, and then for their latency at a rate
+// that all can serve.
+func (o Options) measureConns(all []*target, conns int, d time.Duration) error {
+	throughput := map[string][]float64{}
 	for range o.Rounds {
-		for _, t := range targets {
-			r, err := Load(t.addr, ask, conns, 0, d)
+		for _, t := range all {
+			r, err := Load(t.addr, benchRequest, conns, 0, d)
 			if err != nil {
 				return err
 			}
-			if r.Bad > 0 {
-				return fmt.Errorf("%s: %d bad answers of %d", t.name, r.Bad, r.Done)
+			if r.NotOK > 0 {
+				return fmt.Errorf("%s: %d bad answers of %d", t.name, r.NotOK, r.Done)
 			}
-			most[t.name] = append(most[t.name], r.PerSecond())
+			throughput[t.name] = append(throughput[t.name], r.PerSecond())
 		}
 	}
-	rate := median(most["reverseproxy"]) / 2 // what all can serve
-	at := map[string]map[float64][]float64{}
+	rate := median(throughput["reverseproxy"]) / 2
+	latency := map[string]map[float64][]float64{} // by target and percentile, in microseconds
 	for range o.Rounds {
-		for _, t := range targets {
-			r, err := Load(t.addr, ask, conns, rate, d)
+		for _, t := range all {
+			r, err := Load(t.addr, benchRequest, conns, rate, d)
 			if err != nil {
 				return err
 			}
-			if at[t.name] == nil {
-				at[t.name] = map[float64][]float64{}
+			if latency[t.name] == nil {
+				latency[t.name] = map[float64][]float64{}
 			}
-			for _, q := range []float64{50, 99, 99.9} {
-				at[t.name][q] = append(at[t.name][q], float64(r.Latency.ValueAtQuantile(q)))
+			for _, q := range quantiles {
+				latency[t.name][q] = append(latency[t.name][q], float64(r.Latency.ValueAtQuantile(q)))
 			}
 		}
 	}
 	fmt.Fprintf(o.Out, "\n%d connections; latency at %.0f a second, open loop, added over going direct, in us\n", conns, rate)
+	o.printConns(all, throughput, latency)
+	return nil
+}
+
+func (o Options) printConns(all []*target, throughput map[string][]float64, latency map[string]map[float64][]float64) {
 	fmt.Fprintf(o.Out, "%-14s %12s %14s %10s %10s %10s\n", "", "most a second", "of reverseproxy", "p50", "p99", "p99.9")
-	for _, t := range targets {
+	for _, t := range all {
 		ratios := make([]float64, o.Rounds)
 		for i := range ratios {
-			ratios[i] = most[t.name][i] / most["reverseproxy"][i]
+			ratios[i] = throughput[t.name][i] / throughput["reverseproxy"][i]
 		}
-		fmt.Fprintf(o.Out, "%-14s %12.0f %14.2f ", t.name, median(most[t.name]), median(ratios))
-		for _, q := range []float64{50, 99, 99.9} {
-			v := median(at[t.name][q])
+		fmt.Fprintf(o.Out, "%-14s %12.0f %14.2f ", t.name, median(throughput[t.name]), median(ratios))
+		for _, q := range quantiles {
+			v := median(latency[t.name][q])
 			if t.name == "direct" {
 				fmt.Fprintf(o.Out, " %10.0f", v)
 				continue
 			}
-			fmt.Fprintf(o.Out, " %+10.0f", v-median(at["direct"][q]))
+			fmt.Fprintf(o.Out, " %+10.0f", v-median(latency["direct"][q]))
 		}
 		fmt.Fprintln(o.Out)
 	}
-	return nil
 }
 
-// idle measures what idle connections cost a process in resident memory.
-func (o Options) idle(targets []*peer) error {
+// measureIdle measures what idle connections cost a process in resident memory, in bytes.
+func (o Options) measureIdle(targets []*target) error {
 	fmt.Fprintf(o.Out, "\n%d idle connections, resident memory\n", o.Idle)
 	for _, t := range targets[1:] {
-		before, err := resident(t.cmd.Process.Pid)
+		before, err := residentMemory(t.cmd.Process.Pid)
 		if err != nil {
 			return err
 		}
@@ -224,7 +235,7 @@
 			open = append(open, c)
 		}
 		time.Sleep(2 * time.Second)
-		after, err := resident(t.cmd.Process.Pid)
+		after, err := residentMemory(t.cmd.Process.Pid)
 		if err != nil {
 			return err
 		}
@@ -237,7 +248,8 @@
 	return nil
 }
 
-func resident(pid int) (int, error) {
+// residentMemory returns a process's resident memory in bytes.
+func residentMemory(pid int) (int, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0, err
--- a/internal/bench/tools.go
+++ b/internal/bench/tools.go
@@ -17,65 +17,65 @@
 	"sandyard/trace"
 )
 
-// ToolOptions say how to measure what recording and looking cost.
+// ToolOptions says how to measure what recording and queries of the admin socket cost.
 type ToolOptions struct {
 	Options
-	Rate  float64 // of the open loop, a second
-	Looks int     // at one studio, a second, and one in twenty-five asks what the front door would decide
-	// Ask asks a front door's admin socket.
-	Ask func(socket, path string) error
+	Rate    float64 // of the open loop, a second
+	Lookups int     // queries of one customer a second; one in wouldEvery asks what the gateway would decide
+	// Query sends a query to a gateway's admin socket.
+	Query func(socket, path string) error
 }
 
-// variant is a front door under measurement, and what came of it by round, as shares of the plain one's.
+// variant is a gateway under measurement, and its results by round.
 type variant struct {
-	name   string
-	extra  string // of its gateway.yaml
-	looked bool
-	peer   *peer
-	socket string
-	dir    string
-	most   []float64
-	p50    []float64
-	p99    []float64
-	cpu    []float64 // processor time for a request
+	name        string
+	extra       string // of its gateway.yaml
+	queried     bool
+	target      *target
+	adminSocket string
+	dir         string
+	throughput  []float64
+	p50         []float64
+	p99         []float64
+	cpu         []float64 // processor time of a request, in microseconds
 }
 
-// Tools measures front doors that record, and that are looked at, against one that does neither, played in turn in one run;
-// and a second one that does neither, which tells the noise. What was recorded is then read and replayed.
+// Tools measures gateways that record, and that are queried, against one that does neither, in turn in one run; and a second
+// one that does neither, which shows the noise. What was recorded is then read and replayed.
 func Tools(o ToolOptions) error {
 	dir, err := os.MkdirTemp("", "sandyard-bench-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var peers peers
-	defer peers.stop()
-	box, err := o.start("box")
+	var processes targets
+	defer processes.stop()
+	backend, err := o.start("box")
 	if err != nil {
 		return err
 	}
-	peers = append(peers, box)
+	processes = append(processes, backend)
 	all := []*variant{{name: "plain"}, {name: "plain, again"}, {name: "recording", extra: "trace: {mode: full, folder: traces, most: 8GiB}\n"},
-		{name: "looked at", extra: "admin: {socket: admin.sock}\n", looked: true}}
+		{name: "looked at", extra: "admin: {socket: admin.sock}\n", queried: true}}
 	for i, v := range all {
 		v.dir = filepath.Join(dir, fmt.Sprint(i))
 		if err := os.Mkdir(v.dir, 0o700); err != nil {
 			return err
 		}
-		v.socket = filepath.Join(v.dir, "admin.sock")
-		if v.peer, err = o.startDoor(v.dir, box.addr, v.extra); err != nil {
+		v.adminSocket = filepath.Join(v.dir, "admin.sock")
+		if v.target, err = o.startGateway(v.dir, backend.addr, v.extra); err != nil {
 			return err
 		}
-		peers = append(peers, v.peer)
-		v.peer.name = v.name
-		if err := warmUp(v.peer); err != nil {
+		processes = append(processes, v.target)
+		v.target.name = v.name
+		if err := warmUp(v.target); err != nil {
 			return err
 		}
 	}
 	looks := &atomic.Int64{}
 	for _, conns := range o.Conns {
 		for _, v := range all {
-			v.most, v.p50, v.p99, v.cpu = nil, nil, nil, nil
+			v.throughput, v.p50, v.p99, v.cpu = nil, nil, nil, nil
 		}
 		for round := range o.Rounds {
 			for i := range all {
@@ -88,51 +88,55 @@
 	}
 	fmt.Fprintf(o.Out, "\n%d looks were answered\n", looks.Load())
 	rec := all[2]
-	if err := rec.peer.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := rec.target.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	if err := rec.peer.cmd.Wait(); err != nil {
+	if err := rec.target.cmd.Wait(); err != nil {
 		return fmt.Errorf("the recording front door: %w", err)
 	}
-	return o.read(filepath.Join(rec.dir, "traces"))
+	return o.readTraces(filepath.Join(rec.dir, "traces"))
 }
 
-// round loads one front door in a closed loop and then in an open one.
+// round loads one gateway in a closed loop and then in an open one.
 func (o ToolOptions) round(v *variant, conns int, looks *atomic.Int64) error {
 	d := time.Duration(o.Seconds * float64(time.Second))
 	var wg sync.WaitGroup
 	var lookErr error
 	stop := make(chan struct{})
-	if v.looked {
-		wg.Go(func() { lookErr = o.look(v.socket, stop, looks) })
+	if v.queried {
+		wg.Go(func() { lookErr = o.lookUp(v.adminSocket, stop, looks) })
 	}
-	most, err := Load(v.peer.addr, ask, conns, 0, d)
+	most, err := Load(v.target.addr, benchRequest, conns, 0, d)
 	var open Result
 	var before, after time.Duration
 	if err == nil {
-		before, err = processor(v.peer.cmd.Process.Pid)
+		before, err = processorTime(v.target.cmd.Process.Pid)
 	}
 	if err == nil {
-		open, err = Load(v.peer.addr, ask, conns, o.Rate, d)
+		open, err = Load(v.target.addr, benchRequest, conns, o.Rate, d)
 	}
 	if err == nil {
-		after, err = processor(v.peer.cmd.Process.Pid)
+		after, err = processorTime(v.target.cmd.Process.Pid)
 	}
 	close(stop)
 	wg.Wait()
 	if err = errors.Join(err, lookErr); err != nil {
 		return fmt.Errorf("%s: %w", v.name, err)
 	}
-	if n := most.Bad + open.Bad; n > 0 {
+	if n := most.NotOK + open.NotOK; n > 0 {
 		return fmt.Errorf("%s: %d bad answers of %d", v.name, n, most.Done+open.Done)
 	}
-	v.most, v.cpu = append(v.most, most.PerSecond()), append(v.cpu, float64((after-before).Microseconds())/float64(open.Done))
+	v.throughput, v.cpu = append(v.throughput, most.PerSecond()), append(v.cpu, float64((after-before).Microseconds())/float64(open.Done))
 	v.p50, v.p99 = append(v.p50, float64(open.Latency.ValueAtQuantile(50))), append(v.p99, float64(open.Latency.ValueAtQuantile(99)))
 	return nil
 }
 
-func (o ToolOptions) look(socket string, stop chan struct{}, looks *atomic.Int64) error {
-	tick := time.NewTicker(time.Second / time.Duration(max(1, o.Looks)))
+// wouldEvery is in queries: asking what the gateway would decide copies its state, at most four times a second.
+const wouldEvery = 25
+
+// lookUp queries the admin socket until it is stopped.
+func (o ToolOptions) lookUp(socket string, stop chan struct{}, looks *atomic.Int64) error {
+	tick := time.NewTicker(time.Second / time.Duration(max(1, o.Lookups)))
 	defer tick.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -141,10 +145,10 @@
 		case <-tick.C:
 		}
 		path := "/v1/studio?name=s"
-		if n%25 == 24 {
+		if n%wouldEvery == wouldEvery-1 {
 			path = "/v1/would?name=s&units=1"
 		}
-		if err := o.Ask(socket, path); err != nil {
+		if err := o.Query(socket, path); err != nil {
 			return err
 		}
 		looks.Add(1)
@@ -155,8 +159,8 @@
 	fmt.Fprintf(o.Out, "\n%d connections; open loop at %.0f a second; as shares of the plain one's in the same round: median (least to most)\n", conns, o.Rate)
 	fmt.Fprintf(o.Out, "%-14s %12s %26s %26s %26s %26s\n", "", "most a second", "of plain", "processor a request", "p50", "p99")
 	for _, v := range all {
-		fmt.Fprintf(o.Out, "%-14s %12.0f", v.name, median(v.most))
-		for _, x := range [][2][]float64{{v.most, all[0].most}, {v.cpu, all[0].cpu}, {v.p50, all[0].p50}, {v.p99, all[0].p99}} {
+		fmt.Fprintf(o.Out, "%-14s %12.0f", v.name, median(v.throughput))
+		for _, x := range [][2][]float64{{v.throughput, all[0].throughput}, {v.cpu, all[0].cpu}, {v.p50, all[0].p50}, {v.p99, all[0].p99}} {
 			var r []float64
 			for i := range x[0] {
 				r = append(r, x[0][i]/max(x[1][i], 1e-9))
@@ -167,75 +171,97 @@
 	}
 }
 
-// read reads what was recorded, checks that it is whole, and then replays it.
-func (o ToolOptions) read(folder string) error {
+// readTraces reads what was recorded, checks that it is complete, replays it, and prints sizes and rates.
+func (o ToolOptions) readTraces(folder string) error {
 	files, err := os.ReadDir(folder)
 	if err != nil {
 		return err
 	}
-	var names []string
-	part := map[string]int{}
-	each := func(name string, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) (size int, err error) {
-		text, err := os.ReadFile(filepath.Join(folder, name))
-		if err != nil {
-			return 0, err
-		}
-		cut, err := trace.Each(text, begin, f)
-		if err == nil && cut > 0 {
-			err = trace.ErrTruncated
-		}
-		if err != nil {
-			return 0, fmt.Errorf("%s: %w", name, err)
-		}
-		return len(text), nil
-	}
-	var steps, actions, dropped uint64
-	total := 0
+	var total traceCounts
 	begun := time.Now()
 	for _, f := range files {
-		n, err := each(f.Name(), func(h trace.Header) error { part[f.Name()] = h.Part; return nil }, func(_ trace.Header, it trace.Record) error {
-			dropped += it.Dropped
-			if it.Snapshot == nil && it.Backend == nil && it.Dropped == 0 {
-				steps++
-			}
-			actions += uint64(len(it.Actions))
-			return nil
-		})
-		if err != nil {
+		if err := total.add(folder, f.Name()); err != nil {
 			return err
 		}
-		names, total = append(names, f.Name()), total+n
 	}
 	reading := time.Since(begun)
-	if steps == 0 {
+	if total.steps == 0 {
 		return errors.New("nothing was recorded")
 	}
-	slices.SortFunc(names, func(a, b string) int { return part[a] - part[b] })
-	var rep *trace.Replay
+	slices.SortFunc(total.names, func(a, b string) int { return total.part[a] - total.part[b] })
 	begun = time.Now()
+	replay, err := replayTraces(folder, total.names)
+	if err != nil {
+		return err
+	}
+	replaying := time.Since(begun)
+	_, err = fmt.Fprintf(o.Out, "%d files, %.1f MiB: %d steps with %d actions, %d dropped; %.1f bytes a step\nread: %.0f steps a second; read and replayed: %.0f steps a second, %d differ, %d of them behind a gap\n",
+		len(total.names), float64(total.bytes)/(1<<20), total.steps, total.actions, total.dropped, float64(total.bytes)/float64(total.steps),
+		float64(total.steps)/reading.Seconds(), float64(replay.Steps)/replaying.Seconds(), replay.Differences, replay.Uncertain)
+	if err == nil && replay.Differences > replay.Uncertain {
+		return errors.New("a replay differs: " + replay.FirstDifference)
+	}
+	return err
+}
+
+// traceCounts is what the files of a recording hold.
+type traceCounts struct {
+	names                   []string
+	part                    map[string]int // of the recording, by file
+	bytes                   int
+	steps, actions, dropped uint64
+}
+
+func (t *traceCounts) add(folder, name string) error {
+	if t.part == nil {
+		t.part = map[string]int{}
+	}
+	size, err := eachRecord(folder, name, func(h trace.Header) error { t.part[name] = h.Part; return nil }, func(_ trace.Header, r trace.Record) error {
+		t.dropped += r.Dropped
+		if r.Snapshot == nil && r.Backend == nil && r.Dropped == 0 {
+			t.steps++
+		}
+		t.actions += uint64(len(r.Actions))
+		return nil
+	})
+	t.names, t.bytes = append(t.names, name), t.bytes+size
+	return err
+}
+
+// replayTraces replays the files of a recording in the order of their parts.
+func replayTraces(folder string, names []string) (replay *trace.Replay, err error) {
 	for _, name := range names {
-		if _, err := each(name, func(h trace.Header) (err error) {
-			if rep == nil {
-				rep, err = trace.NewReplay(h)
+		if _, err := eachRecord(folder, name, func(h trace.Header) (err error) {
+			if replay == nil {
+				replay, err = trace.NewReplay(h)
 			}
 			return err
-		}, func(h trace.Header, it trace.Record) error { return rep.Step(h, it) }); err != nil {
-			return err
+		}, func(h trace.Header, r trace.Record) error { return replay.Step(h, r) }); err != nil {
+			return nil, err
 		}
 	}
-	replaying := time.Since(begun)
-	_, err = fmt.Fprintf(o.Out, "%d files, %.1f MiB: %d steps with %d actions, %d dropped; %.1f bytes a step\nread: %.0f steps a second; read and replayed: %.0f steps a second, %d differ, %d of them behind a gap\n",
-		len(names), float64(total)/(1<<20), steps, actions, dropped, float64(total)/float64(steps), float64(steps)/reading.Seconds(),
-		float64(rep.Steps)/replaying.Seconds(), rep.Differences, rep.Uncertain)
-	if err == nil && rep.Differences > rep.Uncertain {
-		return errors.New("a replay differs: " + rep.FirstDifference)
+	return replay, nil
+}
+
+// eachRecord calls functions with the header and the records of a file, and returns its size. A truncated file is an error.
+func eachRecord(folder, name string, begin func(trace.Header) error, each func(trace.Header, trace.Record) error) (size int, err error) {
+	text, err := os.ReadFile(filepath.Join(folder, name))
+	if err != nil {
+		return 0, err
 	}
-	return err
+	truncatedAt, err := trace.Each(text, begin, each)
+	if err == nil && truncatedAt > 0 {
+		err = trace.ErrTruncated
+	}
+	if err != nil {
+		return 0, fmt.Errorf("%s: %w", name, err)
+	}
+	return len(text), nil
 }
 
-// processor is the processor time that a process has used: utime and stime of proc(5)'s stat, in hundredths of a second. The
+// processorTime returns the processor time that a process has used: utime and stime of proc(5)'s stat, in ticks of 10 ms. The
 // name before them may hold anything, so that fields count from its closing parenthesis.
-func processor(pid int) (time.Duration, error) {
+func processorTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -61,7 +61,7 @@
 		return fmt.Errorf("at least one round and one look, and more than 0 seconds and requests are needed")
 	}
 	return bench.Tools(bench.ToolOptions{Options: bench.Options{Conns: b.Conns, Seconds: b.Seconds, Rounds: b.Rounds, Out: c.Out, Command: self},
-		Rate: b.Rate, Looks: b.Lookups, Ask: func(socket, path string) error {
+		Rate: b.Rate, Lookups: b.Lookups, Query: func(socket, path string) error {
 			var v any
 			return queryAdmin(socket, path, &v)
 		}})
