--- a/internal/cli/quota.go
+++ b/internal/cli/quota.go
@@ -54,7 +54,12 @@
 	if q.json() {
 		return json.NewEncoder(c.Out).Encode(v)
 	}
-	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
+	return printView(c.Out, v)
+}
+
+// printView prints how a customer stands with its quota, as one instance sees it.
+func printView(out io.Writer, v quota.View) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "studio\t%q\n", v.Customer)
 	fmt.Fprintf(w, "plan\t%g units a second, %g at once\n", v.Rate, v.Burst)
 	if !v.Known {
--- a/internal/cli/quotatotal.go
+++ b/internal/cli/quotatotal.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"net"
 	"net/url"
 	"text/tabwriter"
@@ -59,7 +60,11 @@
 	if q.json() {
 		return json.NewEncoder(c.Out).Encode(v)
 	}
-	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
+	return v.print(c.Out)
+}
+
+func (v totalView) print(out io.Writer) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "studio\t%q\nkeeper\t%s\nname\t%q\n", v.Customer, v.CounterAddr, v.Name)
 	if !v.Held {
 		fmt.Fprintf(w, "held\tnothing: not counted yet, forgotten, or another keeper\n")
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -52,49 +52,65 @@
 			return err
 		}
 	}
-	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
-	enc := json.NewEncoder(c.Out)
-	print := func(x proxy.InspectionResult, err error) error {
-		if err != nil {
-			return err
+	p := &matchPrinter{table: tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)}
+	if m.json() {
+		p.json = json.NewEncoder(c.Out)
+	} else {
+		fmt.Fprintln(p.table, "method\ttarget\toperation\tclass\trepeat\tunits\tstudio\tplan\tanswer")
+	}
+	defer p.table.Flush()
+	switch {
+	case len(m.Request) == 1 && m.Request[0] == "-":
+		return m.matchLines(cfg, os.Stdin, p)
+	case len(m.Request) == 2:
+		return p.print(m.match(cfg, m.Request[0], m.Request[1], m.Customer))
+	}
+	return fmt.Errorf("expected METHOD TARGET, or -")
+}
+
+// maxLine bounds a line of standard input, in bytes: far longer than a target may be.
+const maxLine = 1 << 20
+
+// matchLines matches lines of METHOD TARGET [STUDIO].
+func (m routesMatch) matchLines(cfg *config.Config, lines io.Reader, p *matchPrinter) error {
+	in := bufio.NewScanner(lines)
+	in.Buffer(nil, maxLine)
+	for n := 1; in.Scan(); n++ {
+		f := strings.Fields(in.Text())
+		if len(f) == 0 {
+			continue
+		}
+		if len(f) < 2 || len(f) > 3 {
+			return fmt.Errorf("standard input, line %d: expected METHOD TARGET [STUDIO]", n)
 		}
-		if m.json() {
-			return enc.Encode(x)
+		customer := m.Customer
+		if len(f) == 3 {
+			customer = f[2]
 		}
-		status := "decided"
-		if x.Status != 0 {
-			status = fmt.Sprintf("%d %s", x.Status, x.Reason)
+		if err := p.print(m.match(cfg, f[0], f[1], customer)); err != nil {
+			return err
 		}
-		_, err = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%g\t%q\t%s\t%s\n", x.Method, x.Target, x.Operation, x.Class, x.Idempotency, x.Units, x.Customer, x.Plan, status)
+	}
+	return in.Err()
+}
+
+// matchPrinter prints results as rows of a table, or as JSON if that is set.
+type matchPrinter struct {
+	table *tabwriter.Writer
+	json  *json.Encoder
+}
+
+func (p *matchPrinter) print(x proxy.InspectionResult, err error) error {
+	if err != nil {
 		return err
 	}
-	if !m.json() {
-		fmt.Fprintln(w, "method\ttarget\toperation\tclass\trepeat\tunits\tstudio\tplan\tanswer")
+	if p.json != nil {
+		return p.json.Encode(x)
 	}
-	defer w.Flush()
-	switch {
-	case len(m.Request) == 1 && m.Request[0] == "-":
-		in := bufio.NewScanner(os.Stdin)
-		in.Buffer(nil, 1<<20)
-		for n := 1; in.Scan(); n++ {
-			f := strings.Fields(in.Text())
-			if len(f) == 0 {
-				continue
-			}
-			if len(f) < 2 || len(f) > 3 {
-				return fmt.Errorf("standard input, line %d: expected METHOD TARGET [STUDIO]", n)
-			}
-			studio := m.Customer
-			if len(f) == 3 {
-				studio = f[2]
-			}
-			if err := print(m.match(cfg, f[0], f[1], studio)); err != nil {
-				return err
-			}
-		}
-		return in.Err()
-	case len(m.Request) == 2:
-		return print(m.match(cfg, m.Request[0], m.Request[1], m.Customer))
+	status := "decided"
+	if x.Status != 0 {
+		status = fmt.Sprintf("%d %s", x.Status, x.Reason)
 	}
-	return fmt.Errorf("expected METHOD TARGET, or -")
+	_, err = fmt.Fprintf(p.table, "%s\t%s\t%s\t%s\t%s\t%g\t%q\t%s\t%s\n", x.Method, x.Target, x.Operation, x.Class, x.Idempotency, x.Units, x.Customer, x.Plan, status)
+	return err
 }
--- a/internal/cli/traceinfo.go
+++ b/internal/cli/traceinfo.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"text/tabwriter"
 	"time"
@@ -45,55 +46,62 @@
 		fmt.Fprintln(w, "file\tdoor\tpart\tcore\tconfiguration\tshare\tfrom\tseconds\tsteps\tarrivals\tdropped\tstates\tbytes\twhole")
 	}
 	for _, name := range t.Files {
-		v := fileInfo{File: name}
-		var first, last time.Duration
-		cut, err := eachRecordOf(name, func(h trace.Header) error {
-			v.Instance, v.Part, v.Core, v.SameCore, v.Config, v.Share = h.Instance, h.Part, h.Core, h.Core == coreid.Core(), h.Config, h.Share
-			v.Plans, v.Operations, v.From = h.Plans, h.Operations, time.Unix(0, h.Origin).Add(h.StartedAt).UTC()
-			return nil
-		}, func(_ trace.Header, it trace.Record) error {
-			if it.Snapshot != nil {
-				v.States++
-				return nil
-			}
-			if it.Dropped > 0 {
-				v.Dropped += it.Dropped
-				return nil
-			}
-			if it.Backend != nil {
-				return nil
-			}
-			if v.Steps++; v.Steps == 1 {
-				first = it.At
-			}
-			last = max(last, it.At)
-			if it.Event.Arrived != nil {
-				v.Arrivals++
-			}
-			return nil
-		})
+		v, err := readFileInfo(name)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		v.TruncatedAt, v.Seconds = cut, (last - first).Seconds()
-		if st, err := os.Stat(name); err == nil {
-			v.Bytes = st.Size()
+		if !t.json() {
+			v.print(w)
+		} else if err := enc.Encode(v); err != nil {
+			return err
 		}
-		if t.json() {
-			if err := enc.Encode(v); err != nil {
-				return err
+	}
+	return w.Flush()
+}
+
+// readFileInfo reads a trace file, up to where it is truncated.
+func readFileInfo(name string) (fileInfo, error) {
+	v := fileInfo{File: name}
+	var first, last time.Duration
+	truncatedAt, err := eachRecordOf(name, func(h trace.Header) error {
+		v.Instance, v.Part, v.Core, v.SameCore, v.Config, v.Share = h.Instance, h.Part, h.Core, h.Core == coreid.Core(), h.Config, h.Share
+		v.Plans, v.Operations, v.From = h.Plans, h.Operations, time.Unix(0, h.Origin).Add(h.StartedAt).UTC()
+		return nil
+	}, func(_ trace.Header, r trace.Record) error {
+		switch {
+		case r.Snapshot != nil:
+			v.States++
+		case r.Dropped > 0:
+			v.Dropped += r.Dropped
+		case r.Backend == nil:
+			if v.Steps++; v.Steps == 1 {
+				first = r.At
+			}
+			last = max(last, r.At)
+			if r.Event.Arrived != nil {
+				v.Arrivals++
 			}
-			continue
-		}
-		core, whole := v.Core, "yes"
-		if !v.SameCore {
-			core += " (this program's is " + coreid.Core() + ")"
-		}
-		if cut > 0 {
-			whole = fmt.Sprintf("cut at %d", cut)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%g\t%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%s\n", name, v.Instance, v.Part, core, v.Config, v.Share, v.From.Format(time.RFC3339),
-			v.Seconds, v.Steps, v.Arrivals, v.Dropped, v.States, v.Bytes, whole)
+		return nil
+	})
+	if err != nil {
+		return v, err
 	}
-	return w.Flush()
+	v.TruncatedAt, v.Seconds = truncatedAt, (last - first).Seconds()
+	if st, err := os.Stat(name); err == nil {
+		v.Bytes = st.Size()
+	}
+	return v, nil
+}
+
+func (v fileInfo) print(w io.Writer) {
+	core, complete := v.Core, "yes"
+	if !v.SameCore {
+		core += " (this program's is " + coreid.Core() + ")"
+	}
+	if v.TruncatedAt > 0 {
+		complete = fmt.Sprintf("cut at %d", v.TruncatedAt)
+	}
+	fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%g\t%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%s\n", v.File, v.Instance, v.Part, core, v.Config, v.Share, v.From.Format(time.RFC3339),
+		v.Seconds, v.Steps, v.Arrivals, v.Dropped, v.States, v.Bytes, complete)
 }
--- a/internal/cli/traceshow.go
+++ b/internal/cli/traceshow.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"text/tabwriter"
 	"time"
 
@@ -31,7 +32,7 @@
 }
 
 func (t traceShow) Run(c *Console) error {
-	head, s, err := t.histories(c)
+	head, histories, err := t.histories(c)
 	if err != nil {
 		return err
 	}
@@ -41,45 +42,59 @@
 	}
 	enc := json.NewEncoder(c.Out)
 	shown, matched := 0, 0
-	var first time.Duration
-	for i, st := range s.All {
-		if i == 0 {
-			first = st.At
-		}
-		at := st.At - first
-		class := nameAt(head.Classes, int(st.Class))
-		if t.Customer != "" && st.Customer != t.Customer || t.Class != "" && class != t.Class || t.Outcome != "" && string(st.Outcome) != t.Outcome ||
-			at < t.From || t.To > 0 && at > t.To || t.Backend != "" && !hasAttemptAt(s, st, t.Backend) {
+	for _, request := range histories.All {
+		at := request.At - histories.All[0].At
+		if !t.matches(head, histories, request, at) {
 			continue
 		}
 		if matched++; shown >= t.Limit {
 			continue
 		}
 		shown++
-		if t.json() {
-			if err := enc.Encode(newRequestReport(head, s, st)); err != nil {
-				return err
-			}
-			continue
+		if !t.json() {
+			printRequest(w, head, request, at)
+		} else if err := enc.Encode(newRequestReport(head, histories, request)); err != nil {
+			return err
 		}
-		outcome := string(st.Outcome)
-		if st.Outcome == trace.Rejected && len(st.Attempts) == 0 {
-			outcome += map[decision.RejectReason]string{decision.OverQuota: " (quota)", decision.NoCapacity: " (no room)"}[st.Reason]
-		}
-		fmt.Fprintf(w, "%d\t%.3fs\t%q\t%s\t%s\t%s\t%g\t%d\t%s\t%.1f\n", st.Request, at.Seconds(), st.Customer, nameAt(head.Plans, int(st.Plan)), class,
-			nameAt(head.Operations, st.Operation-1), st.Units, len(st.Attempts), outcome, float64((st.Ended-st.At).Microseconds())/1000)
 	}
 	w.Flush()
-	if !t.json() {
-		fmt.Fprintf(c.Out, "%d of %d requests", shown, len(s.All))
-		if matched > shown {
-			fmt.Fprintf(c.Out, "; %d more match (--limit)", matched-shown)
-		}
-		fmt.Fprintln(c.Out)
+	if t.json() {
+		return nil
+	}
+	fmt.Fprintf(c.Out, "%d of %d requests", shown, len(histories.All))
+	if matched > shown {
+		fmt.Fprintf(c.Out, "; %d more match (--limit)", matched-shown)
 	}
+	fmt.Fprintln(c.Out)
 	return nil
 }
 
+// matches reports whether a request is one that the flags ask for.
+func (t traceShow) matches(head trace.Header, histories *trace.Histories, request *trace.RequestHistory, at time.Duration) bool {
+	switch {
+	case t.Customer != "" && request.Customer != t.Customer,
+		t.Class != "" && nameAt(head.Classes, int(request.Class)) != t.Class,
+		t.Outcome != "" && string(request.Outcome) != t.Outcome,
+		at < t.From,
+		t.To > 0 && at > t.To:
+		return false
+	}
+	return t.Backend == "" || hasAttemptAt(histories, request, t.Backend)
+}
+
+// rejectReasons are added to the outcome of requests that were rejected before an attempt.
+var rejectReasons = map[decision.RejectReason]string{decision.OverQuota: " (quota)", decision.NoCapacity: " (no room)"}
+
+func printRequest(w io.Writer, head trace.Header, request *trace.RequestHistory, at time.Duration) {
+	outcome := string(request.Outcome)
+	if request.Outcome == trace.Rejected && len(request.Attempts) == 0 {
+		outcome += rejectReasons[request.Reason]
+	}
+	fmt.Fprintf(w, "%d\t%.3fs\t%q\t%s\t%s\t%s\t%g\t%d\t%s\t%.1f\n", request.Request, at.Seconds(), request.Customer, nameAt(head.Plans, int(request.Plan)),
+		nameAt(head.Classes, int(request.Class)), nameAt(head.Operations, request.Operation-1), request.Units, len(request.Attempts), outcome,
+		float64((request.Ended-request.At).Microseconds())/1000)
+}
+
 func hasAttemptAt(s *trace.Histories, st *trace.RequestHistory, box string) bool {
 	for _, a := range st.Attempts {
 		if s.BackendNames[a.Backend] == box {
