--- a/fault/fault.go
+++ b/fault/fault.go
@@ -101,6 +101,15 @@
 	InvalidRequests Verb = "noise"
 )
 
+// Targets of events that are no name of a process, plan or customer.
+const (
+	TargetAll       = "*"       // all of the verb's kind
+	TargetBackends  = "boxes"   // all backends
+	TargetInstances = "doors"   // all proxy instances
+	TargetCounter   = "keeper"  // the shared counter
+	TargetClients   = "clients" // of links only: the host of all clients
+)
+
 // verbs lists all verbs, in the order in which an error names them.
 var verbs = []Verb{Slow, Hang, ResetResponse, DropResponse, ServerErrors, Refuse, ExtraResponse, FalseReports, Stall, NoReply, Delay, ResetTotals,
 	Rollback, PartialOutage, Split, Kill, Drain, Replace, Vanish, Surge, MoveTraffic, ClientsAbort, SlowClients, InvalidRequests, Partition,
@@ -118,7 +127,7 @@
 	At       time.Duration // since the start of the script
 	Duration time.Duration // 0: until the end, or for verbs without duration
 	Verb     Verb
-	Target   string // backends, the counter, an instance, a plan or customer; * for all of the verb's kind
+	Target   string // the name of a process, plan or customer, two processes for a link, or one of the targets above
 	Value    float64
 }
 
--- a/internal/drill/client.go
+++ b/internal/drill/client.go
@@ -72,58 +72,76 @@
 	c.idle = nil
 }
 
-// call sends one request and returns how it ended, with the status and the number of complete responses.
-func (c *client) call(request []byte, method string, deadline time.Time) (e invariant.Ending, status, answers int) {
-	cn, err := c.get(deadline)
+// readBuffer is in bytes: most responses fit.
+const readBuffer = 8 << 10
+
+// call sends one request and returns how it ended, with the number of complete responses.
+func (c *client) call(request []byte, method string, deadline time.Time) (e invariant.Ending, responses int) {
+	conn, err := c.get(deadline)
 	if err != nil {
-		return invariant.NotAccepted, 0, 0
+		return invariant.NotAccepted, 0
 	}
-	cn.SetDeadline(deadline)
-	if _, err := cn.Write(request); err != nil {
-		cn.Close()
-		return endingOf(err), 0, 0
+	conn.SetDeadline(deadline)
+	if _, err := conn.Write(request); err != nil {
+		conn.Close()
+		return endingOf(err), 0
 	}
-	cn.reader.Expect(method)
-	var head *http1.Head
-	var body []byte
-	b := make([]byte, 8<<10)
+	conn.reader.Expect(method)
+	var r response
+	b := make([]byte, readBuffer)
 	for {
-		n, err := cn.Read(b)
+		n, err := conn.Read(b)
 		if err != nil {
-			cn.Close()
-			if e := endingOf(err); e != invariant.ConnectionBroken || head == nil {
-				return e, 0, 0
+			conn.Close()
+			if e := endingOf(err); e != invariant.ConnectionBroken || r.head == nil {
+				return e, 0
 			}
-			return invariant.Failed, head.Status, 1 // the client sees that its response broke off
+			return invariant.Failed, 1 // the client sees that its response broke off
 		}
-		for in := b[:n]; ; {
-			used, part, err := cn.reader.Feed(in)
-			in = in[used:]
-			if err != nil {
-				cn.Close()
-				return invariant.ConnectionBroken, 0, 0
-			}
-			if part.Kind == http1.More {
-				break
-			}
-			switch part.Kind {
-			case http1.HeadEnd:
-				if part.Head.Status >= 200 {
-					head = part.Head
-				}
-			case http1.Data:
-				body = append(body, part.Data...)
-			case http1.End:
-				if answers = 1; len(in) > 0 { // a second response behind it
-					answers = 2
-				}
-				if head.Close || len(in) > 0 {
-					cn.Close()
-				} else {
-					c.put(cn)
-				}
-				return endingOfResponse(head, body), head.Status, answers
+		complete, extra, err := r.feed(conn.reader, b[:n])
+		switch {
+		case err != nil:
+			conn.Close()
+			return invariant.ConnectionBroken, 0
+		case complete && extra:
+			conn.Close()
+			return endingOfResponse(r.head, r.body), 2
+		case complete && r.head.Close:
+			conn.Close()
+			return endingOfResponse(r.head, r.body), 1
+		case complete:
+			c.put(conn)
+			return endingOfResponse(r.head, r.body), 1
+		}
+	}
+}
+
+// response is a response as far as it was read.
+type response struct {
+	head *http1.Head // nil: not yet
+	body []byte
+}
+
+// feed reads bytes, and reports whether the response is complete and whether there are more bytes behind it: a second
+// response that nobody asked for.
+func (r *response) feed(reader *http1.Reader, in []byte) (complete, extra bool, err error) {
+	for {
+		used, part, err := reader.Feed(in)
+		in = in[used:]
+		if err != nil {
+			return false, false, err
+		}
+		switch part.Kind {
+		case http1.More:
+			return false, false, nil
+		case http1.HeadEnd:
+			if part.Head.Status >= 200 {
+				r.head = part.Head
 			}
+		case http1.Data:
+			r.body = append(r.body, part.Data...)
+		case http1.End:
+			return true, len(in) > 0, nil
 		}
 	}
 }
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -63,20 +63,20 @@
 func DefaultEvents(seconds float64) []fault.Event {
 	at := func(share float64) time.Duration { return time.Duration(share * seconds * float64(time.Second)) }
 	return []fault.Event{
-		{At: at(0.08), Duration: at(0.08), Verb: fault.Surge, Target: "*", Value: 1.9},
+		{At: at(0.08), Duration: at(0.08), Verb: fault.Surge, Target: fault.TargetAll, Value: 1.9},
 		{At: at(0.20), Duration: at(0.14), Verb: fault.Surge, Target: "school-0", Value: 6},
 		{At: at(0.20), Duration: at(0.14), Verb: fault.Surge, Target: "hobby-1", Value: 10},
-		{At: at(0.30), Duration: at(0.08), Verb: fault.Slow, Target: "*", Value: 1.8},
+		{At: at(0.30), Duration: at(0.08), Verb: fault.Slow, Target: fault.TargetAll, Value: 1.8},
 		{At: at(0.40), Duration: 2 * time.Second, Verb: fault.Replace, Target: "box-0"},
 		{At: at(0.42), Duration: 2 * time.Second, Verb: fault.Replace, Target: "box-1"},
 		{At: at(0.44), Duration: 2 * time.Second, Verb: fault.Replace, Target: "box-2"},
-		{At: at(0.54), Duration: at(0.06), Verb: fault.NoReply, Target: "keeper"},
-		{At: at(0.60), Verb: fault.ResetTotals, Target: "keeper"},
+		{At: at(0.54), Duration: at(0.06), Verb: fault.NoReply, Target: fault.TargetCounter},
+		{At: at(0.60), Verb: fault.ResetTotals, Target: fault.TargetCounter},
 		{At: at(0.60), Duration: at(0.10), Verb: fault.Surge, Target: "school-1", Value: 6},
 		{At: at(0.64), Duration: at(0.08), Verb: fault.Hang, Target: "box-4"},
 		{At: at(0.70), Duration: at(0.06), Verb: fault.ResetResponse, Target: "box-5", Value: 20},
 		{At: at(0.76), Duration: at(0.05), Verb: fault.DropResponse, Target: "box-6"},
 		{At: at(0.80), Duration: at(0.04), Verb: fault.Kill, Target: "door-1"},
-		{At: at(0.86), Verb: fault.MoveTraffic, Target: "*"},
+		{At: at(0.86), Verb: fault.MoveTraffic, Target: fault.TargetAll},
 	}
 }
--- a/internal/drill/faults.go
+++ b/internal/drill/faults.go
@@ -49,7 +49,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.customers {
-		if e.Target == "*" || e.Target == c.name || e.Target == plans[c.plan].name {
+		if e.Target == fault.TargetAll || e.Target == c.name || e.Target == plans[c.plan].name {
 			c.moves++
 		}
 	}
@@ -84,11 +84,11 @@
 func (d *Drill) controlsOf(target string) (controls []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if target == "keeper" {
+	if target == fault.TargetCounter {
 		controls = append(controls, d.counterControl)
 	}
 	for _, b := range d.backends {
-		if b.listedState != listedGone && (target == "*" || target == "boxes" || target == b.name) {
+		if b.listedState != listedGone && (target == fault.TargetAll || target == fault.TargetBackends || target == b.name) {
 			controls = append(controls, b.control)
 		}
 	}
@@ -99,9 +99,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case e.Target == "*" && on:
+	case e.Target == fault.TargetAll && on:
 		d.totalSurge = e.Value
-	case e.Target == "*":
+	case e.Target == fault.TargetAll:
 		d.totalSurge = 1
 	case on:
 		d.surges[e.Target] = e.Value
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -144,9 +144,9 @@
 		}
 	}
 	d.mu.Lock()
-	boxes := slices.Clone(d.backends)
+	backends := slices.Clone(d.backends)
 	d.mu.Unlock()
-	for _, b := range boxes {
+	for _, b := range backends {
 		select {
 		case <-b.process.done:
 		default:
--- a/internal/drill/traffic.go
+++ b/internal/drill/traffic.go
@@ -96,7 +96,7 @@
 	r.SentAt = d.now()
 	d.auditor.RequestSent(*r)
 	d.mu.Unlock()
-	ending, _, responses := client.call([]byte(requestText(r, class, attempt)), class.method, d.origin.Add(r.SentAt+r.Timeout))
+	ending, responses := client.call([]byte(requestText(r, class, attempt)), class.method, d.origin.Add(r.SentAt+r.Timeout))
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.auditor.RequestEnded(invariant.Outcome{ID: r.ID, Ending: ending, At: d.now(), Responses: responses})
--- a/internal/simulation/evolve.go
+++ b/internal/simulation/evolve.go
@@ -23,54 +23,89 @@
 	}
 }
 
-// mutate makes one change to a script.
+// mutation is a change that mutate can make. The order is part of what a seed of a hunt gives.
+type mutation int
+
+const (
+	newSeed mutation = iota
+	scaleRate
+	changeBackends
+	changeInstances
+	scaleWork
+	changeLatency
+	changeClients
+	dropFault
+	copyFault
+	shiftFault
+	scaleDuration
+	scaleValue
+	changeTarget
+	addNewFault
+	mutationCount
+)
+
+// mutate makes one change to a script. One that does not apply adds a fault instead.
 func (s *Script) mutate(rng *rand.Rand) {
-	builder := &scenarioBuilder{s, rng}
 	n := len(s.Events)
-	some := func() *fault.Event { return &s.Events[rng.IntN(n)] }
-	factor := func() float64 { return math.Exp(rng.NormFloat64() * 0.4) }
-	switch k := rng.IntN(14); {
-	case k == 0:
+	switch m := mutation(rng.IntN(int(mutationCount))); {
+	case m <= changeClients:
+		s.mutateFleet(m, rng)
+	case n > 0 && m < addNewFault && (m != copyFault || n < maxEvolvedFaults):
+		s.mutateFault(m, rng)
+	case n < maxEvolvedFaults:
+		s.Events = append(s.Events, s.drawFault(rng, faultKinds[rng.IntN(len(faultKinds))]))
+	}
+}
+
+// drawFactor draws a factor about 1.
+func drawFactor(rng *rand.Rand) float64 { return math.Exp(rng.NormFloat64() * 0.4) }
+
+// mutateFleet changes the seed, the processes, the network or the clients.
+func (s *Script) mutateFleet(m mutation, rng *rand.Rand) {
+	builder := &scenarioBuilder{s, rng}
+	switch m {
+	case newSeed:
 		s.WrittenSeed = rng.IntN(1 << 40)
 		s.Seed = uint64(s.WrittenSeed)
-	case k == 1:
-		s.Rate = math.Round(s.Rate * factor())
-	case k == 2:
+	case scaleRate:
+		s.Rate = math.Round(s.Rate * drawFactor(rng))
+	case changeBackends:
 		s.Backends.Count += rng.IntN(3) - 1
-	case k == 3:
+	case changeInstances:
 		s.Instances += rng.IntN(3) - 1
-	case k == 4:
-		s.Backends.Work = strictyaml.Duration((time.Duration(float64(s.Backends.Work) * factor())).Truncate(time.Millisecond))
-	case k == 5:
+	case scaleWork:
+		s.Backends.Work = strictyaml.Duration((time.Duration(float64(s.Backends.Work) * drawFactor(rng))).Truncate(time.Millisecond))
+	case changeLatency:
 		s.Net.Latency = strictyaml.Duration(time.Duration(builder.oneOf(100, 500, 1000, 5000)) * time.Microsecond)
-	case k == 6:
+	case changeClients:
 		s.Clients.Retries, s.Clients.NewConnShare = rng.IntN(4), builder.oneOf(0.02, 0.2, 0.8)
-	case k == 7 && n > 0:
-		i := rng.IntN(n)
+	}
+}
+
+// mutateFault changes one of the faults, of which there must be some.
+func (s *Script) mutateFault(m mutation, rng *rand.Rand) {
+	i := rng.IntN(len(s.Events))
+	e := &s.Events[i]
+	switch m {
+	case dropFault:
 		s.Events = slices.Delete(s.Events, i, i+1)
-	case k == 8 && n > 0 && n < maxEvolvedFaults:
-		e := *some()
-		e.At += time.Duration(rng.NormFloat64() * float64(time.Second)).Truncate(time.Millisecond)
-		s.Events = append(s.Events, e)
-	case k == 9 && n > 0:
-		e := some()
+	case copyFault:
+		again := *e
+		again.At += time.Duration(rng.NormFloat64() * float64(time.Second)).Truncate(time.Millisecond)
+		s.Events = append(s.Events, again)
+	case shiftFault:
 		e.At += time.Duration(rng.NormFloat64() * float64(700*time.Millisecond)).Truncate(time.Millisecond)
-	case k == 10 && n > 0:
-		e := some()
-		e.Duration = time.Duration(float64(e.Duration) * factor()).Truncate(time.Millisecond)
-	case k == 11 && n > 0:
-		e := some()
-		e.Value = math.Round(e.Value*factor()*100) / 100
-	case k == 12 && n > 0: // another target of the same kind
-		e := some()
-		switch name := fmt.Sprint(e.Target); {
+	case scaleDuration:
+		e.Duration = time.Duration(float64(e.Duration) * drawFactor(rng)).Truncate(time.Millisecond)
+	case scaleValue:
+		e.Value = math.Round(e.Value*drawFactor(rng)*100) / 100
+	case changeTarget: // to another of the same kind
+		switch name := e.Target; {
 		case len(name) > 4 && name[:4] == "box-":
-			e.Target = builder.backendName(rng.IntN(max(1, s.Backends.Count)))
+			e.Target = (&scenarioBuilder{s, rng}).backendName(rng.IntN(max(1, s.Backends.Count)))
 		case len(name) > 5 && name[:5] == "door-":
 			e.Target = fmt.Sprintf("door-%d", rng.IntN(max(1, s.Instances)))
 		}
-	case n < maxEvolvedFaults:
-		s.Events = append(s.Events, s.drawFault(rng, faultKinds[rng.IntN(len(faultKinds))]))
 	}
 }
 
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -69,7 +69,7 @@
 		s.atEnd(e, func() { s.invalidShare = 0 })
 	case fault.MoveTraffic:
 		for _, customer := range s.config.Customers {
-			if e.Target == "*" || e.Target == customer.Name || e.Target == customer.Plan {
+			if e.Target == fault.TargetAll || e.Target == customer.Name || e.Target == customer.Plan {
 				s.trafficMoves[customer.Name]++
 			}
 		}
@@ -107,13 +107,13 @@
 
 // beginModelFault begins a fault of the emulated counter or of backends.
 func (s *Sim) beginModelFault(e fault.Event) {
-	if s.counter != nil && e.Target == "keeper" {
+	if s.counter != nil && e.Target == fault.TargetCounter {
 		s.counter.setFault(e.Verb, e.Value, true)
 		s.atEnd(e, func() { s.counter.setFault(e.Verb, e.Value, false) })
 		return
 	}
 	for _, b := range s.backends {
-		if e.Target == "*" || e.Target == "boxes" || e.Target == b.name {
+		if e.Target == fault.TargetAll || e.Target == fault.TargetBackends || e.Target == b.name {
 			b.setFault(e.Verb, e.Value, true)
 			s.atEnd(e, func() { b.setFault(e.Verb, e.Value, false) })
 		}
@@ -123,19 +123,19 @@
 // targets finds processes by name; * stands for all backends and instances.
 func (s *Sim) targets(name string) (hs []*host) {
 	for _, inst := range s.instances {
-		if name == "*" || name == "doors" || name == inst.host.name {
+		if name == fault.TargetAll || name == fault.TargetInstances || name == inst.host.name {
 			hs = append(hs, inst.host)
 		}
 	}
 	for _, b := range s.backends {
-		if name == "*" || name == "boxes" || name == b.name {
+		if name == fault.TargetAll || name == fault.TargetBackends || name == b.name {
 			hs = append(hs, b.host)
 		}
 	}
-	if s.counter != nil && name == "keeper" {
+	if s.counter != nil && name == fault.TargetCounter {
 		hs = append(hs, s.counter.host)
 	}
-	if name == "clients" {
+	if name == fault.TargetClients {
 		hs = append(hs, s.clientHost)
 	}
 	return hs
@@ -146,7 +146,7 @@
 	a, b, two := strings.Cut(e.Target, "/")
 	from, to := s.targets(a), s.targets(b)
 	if !two {
-		to = append(s.targets("*"), s.targets("keeper")...)
+		to = append(s.targets(fault.TargetAll), s.targets(fault.TargetCounter)...)
 	}
 	for _, x := range from {
 		for _, y := range to {
@@ -178,7 +178,7 @@
 // killProcesses ends processes at once; they are restarted after the fault's duration.
 func (s *Sim) killProcesses(e fault.Event) {
 	for _, inst := range s.instances {
-		if e.Target != inst.host.name && e.Target != "doors" || !inst.host.alive {
+		if e.Target != inst.host.name && e.Target != fault.TargetInstances || !inst.host.alive {
 			continue
 		}
 		s.checker.InstanceDown(inst.number, s.now)
@@ -191,7 +191,7 @@
 		})
 	}
 	for _, b := range s.backends {
-		if e.Target != b.name && e.Target != "boxes" || !b.host.alive {
+		if e.Target != b.name && e.Target != fault.TargetBackends || !b.host.alive {
 			continue
 		}
 		b.kill()
@@ -200,7 +200,7 @@
 			s.writeEndpoints() // with the new start time
 		})
 	}
-	if s.counter != nil && e.Target == "keeper" && s.counter.host.alive {
+	if s.counter != nil && e.Target == fault.TargetCounter && s.counter.host.alive {
 		s.counter.kill()
 		s.atEnd(e, s.counter.start)
 	}
--- a/internal/simulation/faultkinds.go
+++ b/internal/simulation/faultkinds.go
@@ -22,7 +22,7 @@
 }
 
 var faultKinds = []faultKind{
-	{fault.Slow, "boxes", uniform(1.2, 4), 4 * time.Second},
+	{fault.Slow, fault.TargetBackends, uniform(1.2, 4), 4 * time.Second},
 	{fault.Slow, "box", uniform(2, 12), 6 * time.Second},
 	{fault.Hang, "box", nil, 5 * time.Second},
 	{fault.ResetResponse, "box", func(r *rand.Rand) float64 { return float64(r.IntN(300)) }, 4 * time.Second},
@@ -33,16 +33,16 @@
 	{fault.FalseReports, "box", uniform(-2, 8), 5 * time.Second},
 	{fault.Stall, "box", nil, 3 * time.Second},
 	{fault.Delay, "box", uniform(20, 900), 4 * time.Second},
-	{fault.NoReply, "keeper", nil, 5 * time.Second},
-	{fault.Refuse, "keeper", nil, 5 * time.Second},
-	{fault.Stall, "keeper", nil, 3 * time.Second},
-	{fault.Delay, "keeper", uniform(10, 300), 5 * time.Second},
-	{fault.ResetTotals, "keeper", nil, 0},
-	{fault.Rollback, "keeper", uniform(100, 5000), 0},
-	{fault.PartialOutage, "keeper", uniform(0.1, 1), 5 * time.Second},
-	{fault.Split, "keeper", uniform(0.2, 0.8), 5 * time.Second},
-	{fault.InvalidReplies, "keeper", nil, 2 * time.Second},
-	{fault.Kill, "keeper", nil, 3 * time.Second},
+	{fault.NoReply, fault.TargetCounter, nil, 5 * time.Second},
+	{fault.Refuse, fault.TargetCounter, nil, 5 * time.Second},
+	{fault.Stall, fault.TargetCounter, nil, 3 * time.Second},
+	{fault.Delay, fault.TargetCounter, uniform(10, 300), 5 * time.Second},
+	{fault.ResetTotals, fault.TargetCounter, nil, 0},
+	{fault.Rollback, fault.TargetCounter, uniform(100, 5000), 0},
+	{fault.PartialOutage, fault.TargetCounter, uniform(0.1, 1), 5 * time.Second},
+	{fault.Split, fault.TargetCounter, uniform(0.2, 0.8), 5 * time.Second},
+	{fault.InvalidReplies, fault.TargetCounter, nil, 2 * time.Second},
+	{fault.Kill, fault.TargetCounter, nil, 3 * time.Second},
 	{fault.Kill, "box", nil, 3 * time.Second},
 	{fault.Kill, "door", nil, 3 * time.Second},
 	{fault.Pause, "door", nil, 900 * time.Millisecond},
@@ -103,10 +103,10 @@
 		return []string{"school-0", "school-1", "studio-0", "hobby-0"}[rng.IntN(4)]
 	case "plan":
 		return []string{"school", "studio", "hobby"}[rng.IntN(3)]
-	case "boxes":
-		return "boxes"
-	case "keeper", "list":
+	case fault.TargetBackends:
+		return fault.TargetBackends
+	case fault.TargetCounter, "list":
 		return what
 	}
-	return "*"
+	return fault.TargetAll
 }
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -14,10 +14,10 @@
 	b.fleet()
 	b.setLoad(b.between(0.6, 3))
 	if b.chance(0.5) {
-		b.addFault(b.milliseconds(2000, 4000), fault.Event{Duration: b.milliseconds(2000, 6000), Verb: fault.Surge, Target: "*", Value: b.between(1.5, 3)})
+		b.addFault(b.milliseconds(2000, 4000), fault.Event{Duration: b.milliseconds(2000, 6000), Verb: fault.Surge, Target: fault.TargetAll, Value: b.between(1.5, 3)})
 	}
 	if b.chance(0.3) {
-		b.addFault(b.milliseconds(1000, 5000), fault.Event{Duration: b.milliseconds(1000, 6000), Verb: fault.Slow, Target: "boxes", Value: b.between(1.5, 4)})
+		b.addFault(b.milliseconds(1000, 5000), fault.Event{Duration: b.milliseconds(1000, 6000), Verb: fault.Slow, Target: fault.TargetBackends, Value: b.between(1.5, 4)})
 	}
 }
 
@@ -50,7 +50,7 @@
 		b.addFault(when, fault.Event{Duration: b.milliseconds(100, 1500), Verb: verb, Target: b.backendName(order[i])})
 	}
 	if b.chance(0.4) { // a surge during slow start
-		b.addFault(at+b.milliseconds(0, 3000), fault.Event{Duration: b.milliseconds(1000, 5000), Verb: fault.Surge, Target: "*", Value: b.between(1.5, 4)})
+		b.addFault(at+b.milliseconds(0, 3000), fault.Event{Duration: b.milliseconds(1000, 5000), Verb: fault.Surge, Target: fault.TargetAll, Value: b.between(1.5, 4)})
 	}
 	if b.chance(0.3) { // warm backends fail meanwhile
 		for i := n; i < b.Backends.Count; i++ {
@@ -87,7 +87,7 @@
 	}
 	if b.chance(0.3) { // a counter that loses its totals again and again
 		for at := b.milliseconds(500, 2500); at < 9*time.Second; at += b.milliseconds(200, 1500) {
-			e := fault.Event{Verb: fault.ResetTotals, Target: "keeper"}
+			e := fault.Event{Verb: fault.ResetTotals, Target: fault.TargetCounter}
 			if b.chance(0.3) {
 				e.Verb, e.Value = fault.Rollback, b.between(200, 3000)
 			}
@@ -104,7 +104,7 @@
 
 // counterFault draws a fault of the counter, or of its link to one instance.
 func (b *scenarioBuilder) counterFault() fault.Event {
-	e := fault.Event{Duration: b.milliseconds(200, 4000), Target: "keeper", Verb: []fault.Verb{fault.NoReply, fault.ResetTotals, fault.Refuse, fault.Delay, fault.Stall,
+	e := fault.Event{Duration: b.milliseconds(200, 4000), Target: fault.TargetCounter, Verb: []fault.Verb{fault.NoReply, fault.ResetTotals, fault.Refuse, fault.Delay, fault.Stall,
 		fault.Kill, fault.Rollback, fault.PartialOutage, fault.Split}[b.rng.IntN(9)]}
 	switch e.Verb {
 	case fault.ResetTotals:
@@ -167,7 +167,7 @@
 		case 0:
 			e.Verb, e.Value = fault.ResetResponse, float64(b.rng.IntN(b.Backends.Body))
 		case 1:
-			e.Verb, e.Target, e.Value = fault.SlowClients, "*", b.between(0.1, 0.5)
+			e.Verb, e.Target, e.Value = fault.SlowClients, fault.TargetAll, b.between(0.1, 0.5)
 		}
 		b.addFault(b.milliseconds(500, 9000), e)
 	}
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"sandyard/fault"
 	"sandyard/invariant"
 )
 
@@ -24,7 +25,7 @@
 	rng := s.traffic
 	weights, sum, usual := s.customerWeights()
 	rate := s.script.Rate
-	if f, ok := s.surges["*"]; ok {
+	if f, ok := s.surges[fault.TargetAll]; ok {
 		rate *= f
 	}
 	rate *= sum / usual
