--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -122,6 +122,22 @@
 	p.t.Fatalf("not logged: %v (%v)", what, p.log.Err())
 }
 
+// maxTimeToReady is how long a process may take until it is ready, by the operators' gate.
+const maxTimeToReady = 10 * time.Second
+
+// waitForReady asks until the process says that it is ready.
+func (p *nodeProcess) waitForReady() {
+	p.t.Helper()
+	for deadline := time.Now().Add(maxTimeToReady); time.Now().Before(deadline); {
+		status, c := p.request("GET /ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
+		c.Close()
+		if status == 200 {
+			return
+		}
+	}
+	p.t.Fatalf("not ready within %v", maxTimeToReady)
+}
+
 // request sends a request on a new connection that stays open, and returns the status.
 func (p *nodeProcess) request(request string) (int, net.Conn) {
 	p.t.Helper()
@@ -160,8 +176,9 @@
 	}
 }
 
-// TestNodeWithFewDescriptors: idle clients take all connections that there may be while discovery is silent; requests are
-// still served, the configuration is read at SIGHUP, and the new discovery and counter are reached.
+// TestNodeWithFewDescriptors: idle clients take all connections that there may be, in a process with few descriptors, while
+// discovery is silent. Requests must still be served, the configuration be read at SIGHUP, and the new discovery and
+// counter be reached: each has its share of the descriptors.
 func TestNodeWithFewDescriptors(t *testing.T) {
 	backend, other := startPeer(t, serveHTTP), startPeer(t, serveHTTP)
 	text := func(discovery, counter, backend string) func(string) string {
@@ -171,11 +188,7 @@
 	}
 	p := startProcess(t, text(startPeer(t, discardInput), startPeer(t, serveCounter), backend))
 	p.waitForLog("msg=listening")
-	for s := 0; s != 200; { // with the list that it was started with
-		var c net.Conn
-		s, c = p.request("GET /ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
-		c.Close()
-	}
+	p.waitForReady()            // with the list that it was started with
 	for range 3 * nodeSockets { // more than may be held
 		c, err := net.Dial("tcp", p.listen)
 		if err != nil {
@@ -184,7 +197,7 @@
 		defer c.Close()
 	}
 	for id := range 10 {
-		for try := 0; ; try++ { // in a crowd a new connection may be turned away
+		for try := 0; ; try++ { // at the limit of connections a new one may be rejected
 			s, _ := p.request(fmt.Sprintf(nodeRequest, 100*id+try))
 			if s == 200 {
 				break
@@ -207,8 +220,9 @@
 	p.waitForLog("list of boxes", "seq=9")
 }
 
-// TestNodeSignals: SIGHUP with a broken file leaves all as it was; SIGHUP twice at once, SIGTERM right behind one, and SIGTERM twice
-// end in order; a broken file at the start is one line with the field, and status 1.
+// TestNodeSignals: signals come in close order. A SIGHUP with a broken file must leave all as it was; after two at once the
+// last file holds; SIGTERM right behind a SIGHUP, twice, must end the process in order, with status 0. A broken file at the
+// start is one line with the field, and status 1.
 func TestNodeSignals(t *testing.T) {
 	discovery := startPeer(t, func(c net.Conn, in *bufio.Reader) {
 		http.ReadRequest(in)
@@ -228,6 +242,7 @@
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.waitForLog("msg=reload")
+	p.waitForReady() // before discovery's first message requests are rejected: "a new process" in docs/design/platform.md
 	if s, _ := p.request(fmt.Sprintf(nodeRequest, 1)); s != 200 {
 		t.Errorf("served: %d", s)
 	}
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -93,10 +93,10 @@
 	r.Units = operation.Units.Fixed
 	switch operation.Units.In {
 	case "query":
-		r.Units = min(operation.Units.Most, float64(1+r.rng.IntN(3)))
+		r.Units = min(operation.Units.Max, float64(1+r.rng.IntN(3)))
 		path += "?" + operation.Units.Name + "=" + strconv.FormatFloat(r.Units, 'g', -1, 64)
 	case "header":
-		r.Units = min(operation.Units.Most, float64(1+r.rng.IntN(3)))
+		r.Units = min(operation.Units.Max, float64(1+r.rng.IntN(3)))
 	}
 	var b strings.Builder
 	h := s.config.Headers
--- a/proxy/configured.go
+++ b/proxy/configured.go
@@ -54,7 +54,7 @@
 	operation, result := cfg.Routes.Match(h.Method, h.Path)
 	switch result {
 	case routes.Found:
-	case routes.NoMethod:
+	case routes.MethodNotAllowed:
 		return &methodNotAllowed
 	case routes.BadPath:
 		return &ambiguousPath
