--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -23,7 +23,7 @@
 	Customer   *config.Customer  // never nil in a request that goes on to a decision
 	Units      float64           // cost, in units of the customer's quota
 	IsRetry    bool              // the client says that it has sent the request before
-	Timeout    time.Duration     // how long the client waits in all, from the request's last byte; at most the class's deadline
+	Timeout    time.Duration     // how long the client waits in all, from the request's last byte
 	UniqueName string            // name that no other open request may have; empty: none
 }
 
--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -20,6 +20,9 @@
 
 // accept takes connections until the listener ends. It stops while the queue of the event loop is half full, so that
 // clients wait in the backlog before any is rejected. Only Serve calls it.
+//
+// Its waits do not see a shutdown: connectionsCtx ends, at step 4, only after accept has returned. Each is bounded: the
+// backoff by maxAcceptBackoff, waitForClientSlot by clientSlotTimeout, waitForQueueSpace by how soon the event loop takes its queue.
 func (s *Server) accept() error {
 	backoff, deadlinePassed := minAcceptBackoff, false
 	for {
@@ -47,7 +50,8 @@
 	}
 }
 
-// waitForQueueSpace returns when less than half of limits.queue messages wait for the event loop, or it has ended.
+// waitForQueueSpace returns when less than half of limits.queue messages wait for the event loop. That the loop, or
+// connectionsCtx, has ended would also end the wait, but both end only after accept, its one caller, has returned.
 func (s *Server) waitForQueueSpace() {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
--- a/internal/server/backendconn.go
+++ b/internal/server/backendconn.go
@@ -15,7 +15,7 @@
 	server       *Server
 	conn         *proxy.BackendConn // the instance's side
 	cancel       context.CancelFunc // of the dial
-	streamPermit chan bool          // of one place: whether the response that has started may stream, or is not wanted
+	streamPermit chan bool          // buffered, capacity 1: whether the response that has started may stream, or is not wanted
 	received     responseReceived   // the one that may be queued; of the reading goroutine until it is posted
 
 	// mu guards all below, and what responses holds.
@@ -75,7 +75,7 @@
 		bc.closed = true
 		bc.mu.Unlock()
 		if !reported {
-			bc.postLostNotSent()
+			bc.postLostRequestIncomplete()
 		}
 		return false
 	}
@@ -94,10 +94,10 @@
 		return false
 	}
 	exchange := bc.exchange
-	if exchange == nil { // its end, or bytes without a request: it is of no use, and nothing of a request was written
+	if exchange == nil { // its end, or bytes without a request: it is of no use, and awaits no response
 		bc.closed = true
 		bc.mu.Unlock()
-		bc.postLostNotSent()
+		bc.postLostRequestIncomplete()
 		return false
 	}
 	response := bc.parseLocked(b, err)
@@ -147,8 +147,8 @@
 	case proxy.Malformed:
 		if bc.socket.closeAndFlushed() {
 			bc.postResponse(response)
-		} else { // the request's last byte never went out: the backend can't have begun on it
-			bc.postLostNotSent()
+		} else { // not all of the request was handed to the kernel: see write
+			bc.postLostRequestIncomplete()
 		}
 		return false
 	}
@@ -174,27 +174,30 @@
 	bc.server.post(&bc.received)
 }
 
-func (bc *backendConn) postLostNotSent() { bc.server.post(backendLostNotSent{bc.conn}) }
+func (bc *backendConn) postLostRequestIncomplete() {
+	bc.server.post(backendLostRequestIncomplete{bc.conn})
+}
 
 // write sends a request. Only the event loop calls it; it never blocks. A connection with unread bytes, which would be
-// taken for the response, or one that fails before all of the request is out, is closed and reported as lost with nothing
-// sent: the backend can't have begun on a part of a request.
+// taken for the response, or one that fails at once, before all of the request was handed to the kernel, is closed and
+// reported by backendLostRequestIncomplete. The attempt is counted as not run, also where a part of the request went out:
+// that assumes that backends act only on complete requests.
 func (bc *backendConn) write(exchange *proxy.Exchange, request []byte) {
 	bc.mu.Lock()
-	if bc.closed { // its end is queued for the event loop, as that of a connection on which nothing was sent
+	if bc.closed { // its end is queued for the event loop, by backendLostRequestIncomplete
 		bc.mu.Unlock()
 		return
 	}
-	notSent := !bc.socket.nothingToRead()
-	if !notSent {
+	incomplete := !bc.socket.nothingToRead()
+	if !incomplete {
 		bc.responses.Expect(exchange)
 		bc.exchange = exchange
-		notSent = bc.socket.write(request)
+		incomplete = bc.socket.write(request)
 	}
-	bc.closed = notSent
+	bc.closed = incomplete
 	bc.mu.Unlock()
-	if notSent {
-		bc.postLostNotSent()
+	if incomplete {
+		bc.postLostRequestIncomplete()
 		bc.socket.close()
 	}
 }
--- a/internal/server/backendconn_test.go
+++ b/internal/server/backendconn_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("the event loop is given %+v", s.queue)
 		return
 	}
-	if _, ok := s.queue[0].(backendLostNotSent); !ok {
+	if _, ok := s.queue[0].(backendLostRequestIncomplete); !ok {
 		t.Errorf("the event loop is given %+v", s.queue[0])
 	}
 }
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -63,7 +63,7 @@
 	defer cc.socket.releaseBuffer()
 	defer cc.socket.close()
 	for {
-		if cc.waitReadable() {
+		if cc.prepareRead() {
 			cc.closeGracefully()
 			return
 		}
@@ -74,12 +74,12 @@
 	}
 }
 
-// waitReadable waits while the client has too much to take, sets the read deadline, and reports whether the last bytes are
+// prepareRead waits while the client has too much to take, sets the read deadline, and reports whether the last bytes are
 // written.
-func (cc *clientConn) waitReadable() (closed bool) {
+func (cc *clientConn) prepareRead() (closed bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	for cc.socket.unwrittenBytes() > maxUnwrittenClientBytes && !cc.closed && !cc.socket.writeFailed() {
+	for cc.socket.unwrittenBytes() > maxUnwrittenClientBytes && !cc.closed && !cc.socket.closedOrFailed() {
 		cc.readable.Wait()
 	}
 	cc.setReadDeadline()
@@ -94,9 +94,9 @@
 	switch {
 	case err == nil:
 		cc.advance(now, cc.client.Feed(now, b))
-	case isTimeout(err) && !cc.socket.writeFailed() && cc.closeRequested && !cc.closed:
+	case isTimeout(err) && !cc.socket.closedOrFailed() && cc.closeRequested && !cc.closed:
 		cc.closeIfIdle(now)
-	case isTimeout(err) && !cc.socket.writeFailed():
+	case isTimeout(err) && !cc.socket.closedOrFailed():
 		cc.readDeadline = 0
 		cc.server.expiredReads.Add(1)
 		cc.socket.clearReadDeadline() // a deadline that has passed would end every read from now on at once
@@ -145,7 +145,7 @@
 		return
 	}
 	cc.socket.conn.CloseWrite()
-	if !lingers || cc.socket.writeFailed() {
+	if !lingers || cc.socket.closedOrFailed() {
 		return
 	}
 	cc.socket.conn.SetReadDeadline(time.Now().Add(lingeringCloseTimeout))
@@ -239,7 +239,7 @@
 func (cc *clientConn) flushed() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	if cc.socket.writeFailed() {
+	if cc.socket.closedOrFailed() {
 		cc.server.log.Debug("client took too long, or went", "client", cc.socket.conn.RemoteAddr().String())
 		cc.readable.Signal()
 		return
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -31,12 +31,14 @@
 	clientSlotTimeout = 300 * time.Millisecond
 	// clientSlotPoll is how often it looks: an evicted connection closes within a few milliseconds.
 	clientSlotPoll = 5 * time.Millisecond
-	// neverRequestedRank puts connections that have sent no request before all that have, in the order of eviction.
+	// neverRequestedRank puts connections of which no request was handed to the instance before all others, in the order of
+	// eviction. Requests that got a local response don't count.
 	neverRequestedRank = time.Hour
 )
 
 // waitForClientSlot evicts an idle connection to make room for a new one, and waits for clientSlotTimeout at most until
 // there is room or one is on its way out. The accept loop calls it; connections that come meanwhile wait in the backlog.
+// A shutdown does not cut the wait short: connectionsCtx ends only after the accept loop has returned.
 func (s *Server) waitForClientSlot() bool {
 	for range clientSlotTimeout / clientSlotPoll {
 		over := s.shared.ClientConns.Load() - int64(s.cfg.Limits.Connections)
@@ -56,8 +58,8 @@
 	return false
 }
 
-// evictIdleClient asks one idle connection to close, and reports whether there is one: one that has sent no request yet, or
-// else the one that has been idle for longest.
+// evictIdleClient asks one idle connection to close, and reports whether there is one: one of which no request
+// was handed to the instance yet, or else the one that has been idle for longest.
 func (s *Server) evictIdleClient() bool {
 	candidate := s.leastUsefulClient()
 	if candidate == nil {
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -42,7 +42,7 @@
 }
 
 // eventLoop owns the instance: it takes what is queued, hands it over in order, carries out the effects of each message
-// before the next, and keeps the instance's timers. Nothing blocks it. Only Serve runs it.
+// before the next, and keeps the instance's timers. It waits for no peer (see carryOutEffects). Only Serve runs it.
 func (s *Server) eventLoop(stop <-chan struct{}) {
 	s.carryOutEffects()
 	timer := time.NewTimer(0)
@@ -50,7 +50,7 @@
 	var batch []message
 	for {
 		batch = s.takeQueue(batch)
-		now := s.now()
+		now := s.now() // one time for the whole batch, and for the timers after it
 		for i, m := range batch {
 			m.apply(s, now)
 			s.carryOutEffects()
@@ -94,11 +94,12 @@
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
 	s.loopEnded = true
-	s.queueSpace.Broadcast()
+	s.queueSpace.Broadcast() // nobody waits: the accept loop, which alone does, has ended before step 3 of a shutdown
 }
 
-// carryOutEffects does what the instance has asked for, in order. Nothing here blocks: sockets are written as far as the
-// kernel takes it, and what has to wait does so in a goroutine of its own.
+// carryOutEffects does what the instance has asked for, in order. Nothing here waits for a peer: sockets are written as far
+// as the kernel takes it, and what has to wait does so in a goroutine of its own. Log records are written synchronously,
+// at the debug level one for each response.
 func (s *Server) carryOutEffects() {
 	for _, effect := range s.instance.Effects() {
 		switch effect.Kind {
--- a/internal/server/message.go
+++ b/internal/server/message.go
@@ -34,14 +34,14 @@
 	s.instance.BackendConnected(now, m.conn)
 }
 
-// backendLostNotSent tells that a backend connection could not be made, or ended, and that no backend can have begun on
-// the request that it was given, if any: not all of it was written. A loss after the last byte is a responseReceived that
-// is malformed.
-type backendLostNotSent struct{ conn *proxy.BackendConn }
-
-func (m backendLostNotSent) apply(s *Server, now time.Duration) {
-	const notSent = true
-	s.instance.BackendDisconnected(now, m.conn, notSent)
+// backendLostRequestIncomplete tells that a backend connection could not be made, or ended, and that not all of the request
+// that it was given, if any, was handed to the kernel: it is counted as not run, assuming that backends act only on complete
+// requests. A loss after the last byte is a responseReceived that is malformed.
+type backendLostRequestIncomplete struct{ conn *proxy.BackendConn }
+
+func (m backendLostRequestIncomplete) apply(s *Server, now time.Duration) {
+	const requestIncomplete = true
+	s.instance.BackendDisconnected(now, m.conn, requestIncomplete)
 }
 
 // responseReceived is a response, its beginning or its end. It is a part of its backendConn, which has one in the queue at
@@ -94,8 +94,10 @@
 
 func (m counterMoved) apply(s *Server, now time.Duration) { s.instance.SetCounter(now, m.address) }
 
-// endpointsReplaced is a whole endpoint list: what it leaves out is removed. A removal takes effect here: from the next
-// message on no attempt begins at a removed endpoint, not even one that was decided before (proxy/attempts.go).
+// endpointsReplaced is a whole endpoint list: what it leaves out is removed. A removal takes effect within this message: no
+// attempt begins any more at an endpoint that was up, not even one that was decided before (isObsolete in
+// proxy/attempts.go). Exception: where a list leaves out an endpoint that was draining, an attempt that was decided before
+// may still begin, as for any draining endpoint, until half of its drain grace is over.
 type endpointsReplaced struct{ endpoints []config.Endpoint }
 
 func (m endpointsReplaced) apply(s *Server, now time.Duration) {
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -18,9 +18,10 @@
 //	4     at once                         dials, backend connections that wait for a stream's permit, inspections by the
 //	                                      admin socket
 //	5     at once                         the client connections that are left
-//	6     at once                         nothing: it waits for the goroutines of connections, and logs "stopped". A backend
-//	                                      connection with an attempt under way is not closed before: where step 3 began by
-//	                                      the timeout, this waits for its backend
+//	6     at once                         nothing: it waits, without limit, for every backend connection that is not idle,
+//	                                      and for the other goroutines of connections; then it logs "stopped". An answer
+//	                                      does not end the wait: the event loop, which would close the connection, is
+//	                                      over, so that the backend has to. A second SIGTERM does not end it either
 //	7     at once                         the admin socket
 //	8     at once                         the trace recorder, once it has written what it holds
 
@@ -38,7 +39,7 @@
 	}
 	s.listener.Close()
 	s.queueMu.Lock()
-	s.queueSpace.Broadcast()
+	s.queueSpace.Broadcast() // a waiter goes on waiting: its condition has not changed
 	s.queueMu.Unlock()
 }
 
--- a/internal/server/socket.go
+++ b/internal/server/socket.go
@@ -36,7 +36,7 @@
 	unwritten     []byte
 	flushing      bool // a goroutine writes what is unwritten
 	failed        bool // closed, or a write has failed: nothing more is written
-	incomplete    bool // it failed, and not all that it was handed was written
+	incomplete    bool // it failed, and not all that it was given was handed to the kernel
 	tryWriteFunc  func(fd uintptr) bool
 	writeSource   []byte // of the write under way, with its result
 	writeCount    int
@@ -155,7 +155,7 @@
 }
 
 // write hands bytes to the kernel as far as it takes them and keeps the rest. It never blocks. incomplete reports that the
-// connection failed before all of b was written.
+// connection failed before all of b was handed to the kernel; a part of it may have been.
 func (s *socket) write(b []byte) (incomplete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,8 +224,8 @@
 	return len(s.unwritten)
 }
 
-// writeFailed reports whether a write has failed, or the socket was closed.
-func (s *socket) writeFailed() bool {
+// closedOrFailed reports whether a write has failed, or the socket was closed.
+func (s *socket) closedOrFailed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failed
--- a/proxy/backendconn.go
+++ b/proxy/backendconn.go
@@ -50,9 +50,10 @@
 	inst.drainEvents()
 }
 
-// BackendDisconnected reports that a connection could not be made or is lost. unsent says that nothing of a request had
-// been given to the network: then the attempt on it certainly did not run; else it may have.
-func (inst *Instance) BackendDisconnected(now time.Duration, conn *BackendConn, unsent bool) {
+// BackendDisconnected reports that a connection could not be made or is lost. requestIncomplete says that not all of the
+// request was written: the attempt on it is counted as not run, assuming that backends act only on complete requests. Else
+// it may have run.
+func (inst *Instance) BackendDisconnected(now time.Duration, conn *BackendConn, requestIncomplete bool) {
 	inst.advanceTo(now)
 	if conn.state == connClosed {
 		return
@@ -61,7 +62,7 @@
 	inst.removeConn(conn)
 	if ex != nil {
 		outcome := decision.ConnectionReset
-		if previous == connDialing || unsent {
+		if previous == connDialing || requestIncomplete {
 			outcome = decision.ConnectFailed
 		}
 		inst.failAttempt(ex, index, outcome)
@@ -131,6 +132,9 @@
 // The attempt of a streaming class lasts until the response's end. Any other ends here: the backend has done its part, and
 // what the rest takes is up to how fast the client reads. Counted as the backend's latency it would make a slow client
 // look like a slow backend, and other requests would be rejected.
+//
+// Health checks are not told apart: a successful response to one that is larger than limits.hold-answer gives StreamResponse
+// with an Exchange whose Owner is nil, which internal/server does not survive.
 func (inst *Instance) startResponse(conn *BackendConn, response *Response) {
 	ex, index, outcome := conn.exchange, conn.attempt, response.Outcome
 	if outcome != decision.OK || !ex.apply(eventResponseStarted) {
--- a/proxy/clientconn.go
+++ b/proxy/clientconn.go
@@ -28,7 +28,7 @@
 // closed one until something is written to it.
 type ClientConn struct {
 	Outgoing      []byte // bytes for the client; the owner writes and removes them
-	LocalStatuses []int  // statuses of local responses that no decision is behind; the owner counts and removes them
+	LocalStatuses []int  // statuses of local responses that no decision is behind; the owner reports and removes them
 
 	shared     *Shared
 	owner      any
@@ -39,14 +39,14 @@
 	phaseSince time.Duration // when the phase began
 
 	// The request under way.
-	receivedAt    time.Duration // when the bytes that are being parsed were received
-	exchange      *Exchange     // from the end of its head until its response is out
-	head          *http1.Head
-	body          []byte // its capacity is reserved in Shared.ReservedBytes
-	trailers      []http1.Field
-	bytesToSkip   int64          // of phaseSkipBody: how much of the body is still read
-	localResponse *localResponse // that it gets without a decision; nil: none
-	hadRequest    bool           // a request has been complete on this connection
+	receivedAt       time.Duration // when the bytes that are being parsed were received
+	exchange         *Exchange     // from the end of its head until its response is out
+	head             *http1.Head
+	body             []byte // its capacity is reserved in Shared.ReservedBytes
+	trailers         []http1.Field
+	bytesToSkip      int64          // of phaseSkipBody: how much of the body is still read
+	localResponse    *localResponse // that it gets without a decision; nil: none
+	handedOutRequest bool           // a request was handed out for the instance to decide; local responses don't count
 
 	// What came while a response was awaited.
 	readAhead           []byte        // reserved in Shared.ReservedBytes
@@ -77,7 +77,7 @@
 // on its way: the owner then reads and drops what comes for a while before it closes, since closing over unread bytes
 // resets the connection and could take the response with it.
 func (c *ClientConn) Closing() (closing, linger bool) {
-	return c.phase == phaseClosing, c.linger || c.hadRequest
+	return c.phase == phaseClosing, c.linger || c.handedOutRequest
 }
 
 // MustReset reports whether a connection that closes must be reset once Outgoing is written: its response broke off, and a
@@ -90,13 +90,13 @@
 // Idle reports whether nothing of a request was received since the last response.
 func (c *ClientConn) Idle() bool { return c.phase == phaseIdle && len(c.readAhead) == 0 }
 
-// IdleSince reports, with Idle, since when the phase lasts and whether there was a request before.
-func (c *ClientConn) IdleSince() (since time.Duration, hadRequest, idle bool) {
-	return c.phaseSince, c.hadRequest, c.Idle()
+// IdleSince reports, with Idle, since when the phase lasts and whether a request was handed out before, by Feed or Resume.
+func (c *ClientConn) IdleSince() (since time.Duration, handedOutRequest, idle bool) {
+	return c.phaseSince, c.handedOutRequest, c.Idle()
 }
 
 // Deadline returns when DeadlinePassed should be called if nothing else happens; 0 is never. A new connection has
-// limits.first-timeout in all until its first request is complete.
+// limits.first-timeout in all until its first request is handed out; one that gets a local response does not count.
 func (c *ClientConn) Deadline() time.Duration {
 	limits := &c.shared.Config.Limits
 	deadline := time.Duration(0)
@@ -110,7 +110,7 @@
 	default:
 		return 0
 	}
-	if !c.hadRequest {
+	if !c.handedOutRequest {
 		deadline = min(deadline, c.openedAt+time.Duration(limits.FirstTimeout))
 	}
 	return deadline
--- a/proxy/clientrequest.go
+++ b/proxy/clientrequest.go
@@ -129,7 +129,7 @@
 	ex.reservedBytes = size
 	ex.RenderedRequest, ex.attemptFieldsAt = c.shared.Protocol.RenderRequest(make([]byte, 0, size), c.head, c.body, c.trailers, c.clientAddr)
 	c.releaseBody()
-	c.hadRequest = true
+	c.handedOutRequest = true
 	ex.Arrived = min(now, c.receivedAt) // the client waits since its bytes came, not since the response before it
 	c.phase, c.phaseSince = phaseAwaitResponse, now
 	return ex
--- a/proxy/counterclient.go
+++ b/proxy/counterclient.go
@@ -32,7 +32,8 @@
 // counterClient is the connection to the shared counter: one pipeline of calls, answered in their order.
 //
 // It holds at most Config.Counter.MaxPending calls; those beyond are reported as rejected, not added. When the counter is
-// silent each call is reported as timed out, and after counterSilenceLimit the connection is closed and made anew.
+// silent each call is reported as timed out, some of them late (see armCounterTimer), and after counterSilenceLimit the
+// connection is closed and made anew.
 type counterClient struct {
 	connected  bool
 	dialing    bool
@@ -77,7 +78,11 @@
 }
 
 // armCounterTimer sets the timer for what happens next without a reply: the timeout of the oldest call that is not reported,
-// or, where all are, the end of the counter's silence. There is at most one timer.
+// or, where all are, the end of the counter's silence.
+//
+// There is at most one timer, and one that is set is not brought forward. So a call that is sent while the timer stands for
+// the end of the silence is reported as timed out only then: up to counterSilenceLimit-2 timeouts after its own, which is
+// 900 ms at the default timeout of 50 ms.
 func (inst *Instance) armCounterTimer() {
 	counter := &inst.counter
 	if counter.timerArmed {
--- a/proxy/endpoints.go
+++ b/proxy/endpoints.go
@@ -58,7 +58,9 @@
 		}
 		inst.applyEndpoint(backend, update, origin)
 		removed := backend.endpoint.State == decision.Removed
-		backend.listed = change.Full || !removed // a removed one is handed on once
+		// A change that removes a backend has it forgotten with its last connection. One that a whole list names as removed
+		// is kept until a list leaves it out.
+		backend.listed = change.Full || !removed
 		change.Endpoints = append(change.Endpoints, backend.endpoint)
 		if inst.RecordDecision != nil {
 			inst.endpointNames = append(inst.endpointNames, update.Name)
@@ -115,8 +117,11 @@
 	backend.endpoint = endpoint
 }
 
-// retireBackends marks backends that the list has left out as removed, and closes the idle connections of all that are
-// not up. Attempts that were written are let finish; isObsolete decides about those that were not.
+// retireBackends marks backends that were up and that the list has left out as removed, and closes the idle connections of
+// all that are not up. Attempts that were written are let finish; isObsolete decides about those that were not.
+//
+// A backend that was draining when the list left it out keeps that state: an attempt that was decided before may still
+// begin there until half of its drain grace is over.
 func (inst *Instance) retireBackends() {
 	for _, backend := range slices.Clone(inst.backendsInOrder) { // closing may remove a backend
 		if !backend.listed && backend.endpoint.State == decision.Up {
