--- a/internal/server/backendconn.go
+++ b/internal/server/backendconn.go
@@ -188,7 +188,7 @@
 		bc.mu.Unlock()
 		return
 	}
-	incomplete := !bc.socket.nothingToRead()
+	incomplete := bc.socket.consumeUnexpectedByte()
 	if !incomplete {
 		bc.responses.Expect(exchange)
 		bc.exchange = exchange
--- a/internal/server/socket.go
+++ b/internal/server/socket.go
@@ -115,16 +115,16 @@
 	}
 }
 
-// nothingToRead reports that no byte and no end of the peer is there to be read. A byte that is there is lost: the
-// connection is of no use then. It does not wait.
-func (s *socket) nothingToRead() bool {
+// consumeUnexpectedByte reports whether a byte, the end of the peer's sending or an error is there to be read, while
+// nothing is expected. A byte that is there is consumed: the connection is of no use then. It does not wait.
+func (s *socket) consumeUnexpectedByte() bool {
 	nothing := false
 	err := s.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, err := syscall.Read(int(fd), b[:])
 		nothing = err == syscall.EAGAIN || err == syscall.EINTR
 	})
-	return err == nil && nothing
+	return err != nil || !nothing
 }
 
 // clearReadDeadline takes the read deadline back, unless it is there because writing has failed.
--- a/proxy/attempts.go
+++ b/proxy/attempts.go
@@ -7,10 +7,15 @@
 )
 
 // usableKeyLife is the share of an idempotency key's lifetime, from an attempt's first byte, within which a retry with the
-// same key may begin. The rest is for the retry's way to the backend: one that arrives after the key was forgotten would
-// have its effect twice.
+// same key may begin. The decision gateway decides on retries within a smaller share, 0.9 (keyTTLShare), which leaves time
+// for a connection to be made. The rest, a twentieth, is for the retry's way to the backend: one that arrives after the key
+// was forgotten would have its effect twice.
 const usableKeyLife = 0.95
 
+// drainGraceDivisor sets the part of a drain grace, from when the instance learnt that a backend is not up, within which a
+// decided attempt may still begin there: the first half. The other half is for the request's way to the backend.
+const drainGraceDivisor = 2
+
 // attempt is one sending of an exchange to a backend. It is decided on by the decision gateway, begins with its first
 // byte, and ends exactly once, with endAttempt.
 type attempt struct {
@@ -84,8 +89,9 @@
 	inst.emit(Effect{Kind: WriteAttempt, Conn: conn, Exchange: ex, Bytes: rendered})
 }
 
-// isObsolete reports whether an attempt must not begin any more, although it was decided on: connecting took a while. Each
-// case is a failure that the attempt's first byte would cause.
+// isObsolete reports whether an attempt must not begin any more, although it was decided on: connecting took a while. In
+// each case its first byte would go to the wrong process or to a backend that is about to end, or serve nobody, or could
+// have an effect twice.
 func (inst *Instance) isObsolete(conn *BackendConn, ex *Exchange, index int) bool {
 	backend := conn.backend
 	switch {
@@ -93,7 +99,7 @@
 		return true
 	case backend.endpoint.State == decision.Removed: // the endpoint list left it out, also where the backend still answers
 		return true
-	case backend.endpoint.State != decision.Up && inst.now >= backend.notUpSince+inst.shared.Config.Settings.DrainGrace/2:
+	case backend.endpoint.State != decision.Up && inst.now >= backend.notUpSince+inst.shared.Config.Settings.DrainGrace/drainGraceDivisor:
 		return true // its drain grace may end before the request is there
 	case ex.isProbe:
 		return false
--- a/proxy/backendconn.go
+++ b/proxy/backendconn.go
@@ -17,7 +17,8 @@
 	state          connState
 	exchange       *Exchange     // whose attempt it carries or is being made for; nil: none
 	attempt        int           // that attempt's number
-	lastUsedAt     time.Duration // when it last ended an attempt; before its first, when dialling began
+	dialStartedAt  time.Duration // when dialling began
+	idleSince      time.Duration // when it was last returned to the pool; 0 before
 	reportedLoad   []float64     // from the head of a response that is streamed, until its end
 	reportedUnits  float64       // likewise
 }
@@ -40,7 +41,7 @@
 		return
 	}
 	if conn.Addr == conn.backend.addr {
-		conn.backend.roundTrip.add(inst.now-conn.lastUsedAt, inst.now)
+		conn.backend.roundTrip.add(inst.now-conn.dialStartedAt, inst.now)
 	}
 	if ex := conn.exchange; ex == nil { // its attempt is over
 		inst.returnToPool(conn)
@@ -98,8 +99,7 @@
 	case Malformed: // the request was written, and may have run
 		conn.exchange = nil
 		inst.closeConn(conn)
-		outcome := decision.ConnectionReset
-		inst.failAttempt(ex, index, outcome)
+		inst.failAttempt(ex, index, decision.ConnectionReset)
 	}
 	inst.drainEvents()
 }
--- a/proxy/clientrequest.go
+++ b/proxy/clientrequest.go
@@ -72,7 +72,8 @@
 // bodyRead takes a piece of a body in, which is kept or skipped.
 func (c *ClientConn) bodyRead(now time.Duration, b []byte) {
 	if c.phase == phaseSkipBody {
-		if c.bytesToSkip -= int64(len(b)); c.bytesToSkip < 0 {
+		c.bytesToSkip -= int64(len(b))
+		if c.bytesToSkip < 0 {
 			c.exchange.CloseAfterResponse = true
 			c.sendLocalResponse(now)
 		}
--- a/proxy/clientresponse.go
+++ b/proxy/clientresponse.go
@@ -80,6 +80,8 @@
 }
 
 // setLocalResponse notes that the request under way gets a local response, unless it has one; sendLocalResponse sends it.
+// Where no head was read, there is no exchange yet: one for an HTTP/1.1 GET, which no instance gets to see, carries the
+// response.
 func (c *ClientConn) setLocalResponse(response localResponse, closeAfterResponse bool) {
 	if c.localResponse == nil {
 		c.localResponse = &response
--- a/proxy/configured.go
+++ b/proxy/configured.go
@@ -43,7 +43,8 @@
 			return &missingKey
 		}
 	}
-	if info.Customer = cfg.CustomerByKey(key); info.Customer == nil {
+	info.Customer = cfg.CustomerByKey(key)
+	if info.Customer == nil {
 		return &unknownKey
 	}
 	return matchRoute(cfg, h, info)
--- a/proxy/doc.go
+++ b/proxy/doc.go
@@ -22,7 +22,7 @@
 // there is exactly one final answer. An attempt begins with its first byte: writeAttempt in attempts.go checks just
 // before it what may have changed since it was decided on.
 //
-// Where to look at night:
+// Entry points by symptom:
 //
 //   - a client leaves: Instance.ClientLeft (requests.go)
 //   - a backend connection breaks: Instance.BackendDisconnected (backendconn.go), failAttempt (attempts.go)
--- a/proxy/effects.go
+++ b/proxy/effects.go
@@ -29,8 +29,19 @@
 	PollEndpoints
 )
 
-// effectNames are the names of the kinds, in their order. They are format: the simulator's output has them as JSON keys.
-var effectNames = [...]string{"dial", "write", "hang", "final", "grant", "cut", "dial keeper", "send keeper", "hang keeper", "read list"}
+// effectNames are the names of the kinds. Part of the stable output, as JSON keys of the simulator; do not change.
+var effectNames = [...]string{
+	DialBackend:    "dial",
+	WriteAttempt:   "write",
+	CloseBackend:   "hang",
+	Respond:        "final",
+	StreamResponse: "grant",
+	AbortClient:    "cut",
+	DialCounter:    "dial keeper",
+	WriteCounter:   "send keeper",
+	CloseCounter:   "hang keeper",
+	PollEndpoints:  "read list",
+}
 
 // String returns the name under which the simulator reports the kind.
 func (k EffectKind) String() string { return effectNames[k] }
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -124,7 +124,11 @@
 	reservedBytes    int                // reserved in Shared.ReservedBytes until the exchange is released
 }
 
-// apply moves the exchange as the table says and reports whether the event is accepted. Who gets false must do nothing.
+// apply moves the exchange as the table says and reports whether the event is accepted.
+//
+// Where it is not, nothing may be sent to the client for it, and nothing cancelled. The end of an attempt is booked all the
+// same, whatever the state: abandonAttempt and failAttempt ignore the result of eventAttemptLost, and sendAttempt, which
+// has opened the attempt by then, ends it as not sent.
 func (ex *Exchange) apply(event exchangeEvent) bool {
 	transition := transitions[ex.state][event]
 	ex.state = transition.next
--- a/proxy/inspect.go
+++ b/proxy/inspect.go
@@ -20,7 +20,8 @@
 	Customer       string   // the customer's name, used where Key is empty
 }
 
-// InspectionResult is the answer to an Inspection. Its JSON keys are format.
+// InspectionResult is the answer to an Inspection. Its JSON keys are part of the stable output; do not
+// change them.
 type InspectionResult struct {
 	Method      string  `json:"method"`
 	Target      string  `json:"target"`
@@ -59,7 +60,8 @@
 		out.Customer, out.Plan = identification.Customer.Name, identification.Customer.PlanName
 	}
 	if op := identification.Operation; op != nil {
-		out.Operation, out.Line, out.Class, out.Idempotency = op.ID, op.Line, op.Class, idempotencyText(cfg.Settings.Classes[identification.Class])
+		out.Operation, out.Line, out.Class = op.ID, op.Line, op.Class
+		out.Idempotency = idempotencyText(cfg.Settings.Classes[identification.Class])
 		out.Units, out.Deadline = identification.Units, identification.Timeout.String()
 	}
 	out.Status, out.Reason = identification.LocalResponse()
@@ -81,7 +83,8 @@
 	return text.String()
 }
 
-// idempotencyText describes what a second run of a request of a class would do. The words are format.
+// idempotencyText describes what a second run of a request of a class would do. The words are part of the stable
+// output; do not change them.
 func idempotencyText(class decision.Class) string {
 	switch class.Idempotency {
 	case decision.Idempotent:
@@ -94,18 +97,25 @@
 
 // Query returns the inspection as the query of a request to the admin socket; ParseInspection reads it.
 func (inspection Inspection) Query() string {
-	return url.Values{"method": {inspection.Method}, "target": {inspection.Target}, "fields": {strings.Join(inspection.Fields, "\n")}, "key": {inspection.Key}, "studio": {inspection.Customer}}.Encode()
+	query := url.Values{
+		"method": {inspection.Method},
+		"target": {inspection.Target},
+		"fields": {strings.Join(inspection.Fields, "\n")},
+		"key":    {inspection.Key},
+		"studio": {inspection.Customer},
+	}
+	return query.Encode()
 }
 
 // ParseInspection returns the inspection of which Query made the query parameters.
-func ParseInspection(q map[string]string) Inspection {
-	l := Inspection{Method: q["method"], Target: q["target"], Key: q["key"], Customer: q["studio"]}
-	for f := range strings.SplitSeq(q["fields"], "\n") {
-		if f != "" {
-			l.Fields = append(l.Fields, f)
+func ParseInspection(query map[string]string) Inspection {
+	inspection := Inspection{Method: query["method"], Target: query["target"], Key: query["key"], Customer: query["studio"]}
+	for field := range strings.SplitSeq(query["fields"], "\n") {
+		if field != "" {
+			inspection.Fields = append(inspection.Fields, field)
 		}
 	}
-	return l
+	return inspection
 }
 
 // Identification is what an instance makes of a request before anything is decided.
@@ -136,7 +146,8 @@
 // IdentifyFor is Identify for a customer whose key the tool does not have; nil stands for an unknown customer.
 func IdentifyFor(cfg *config.Config, h *http1.Head, customer *config.Customer) Identification {
 	var identification Identification
-	if identification.Customer = customer; customer == nil {
+	identification.Customer = customer
+	if customer == nil {
 		identification.localResponse = &unknownKey
 	} else {
 		identification.localResponse = matchRoute(cfg, h, &identification.RequestInfo)
--- a/proxy/instance.go
+++ b/proxy/instance.go
@@ -82,7 +82,8 @@
 		initialActions:  actions,
 	}
 	inst.perform(actions)
-	if inst.counter.addr = shared.Config.Counter.Address; inst.counter.addr != "" {
+	inst.counter.addr = shared.Config.Counter.Address
+	if inst.counter.addr != "" {
 		inst.dialCounter()
 	}
 	inst.timers.push(timer{at: now + idleSweepInterval, kind: idleSweepTimer})
@@ -134,11 +135,12 @@
 }
 
 // drainEvents hands queued events over, and those that follow from them, until there are none. Every method that reports
-// something ends with it.
+// something from which an event may follow ends with it.
 func (inst *Instance) drainEvents() {
 	for len(inst.pendingEvents) > 0 {
 		event := inst.pendingEvents[0]
-		if inst.pendingEvents = inst.pendingEvents[1:]; len(inst.pendingEvents) == 0 {
+		inst.pendingEvents = inst.pendingEvents[1:]
+		if len(inst.pendingEvents) == 0 {
 			inst.pendingEvents = nil
 		}
 		inst.handle(event, 0)
--- a/proxy/localresponse.go
+++ b/proxy/localresponse.go
@@ -11,7 +11,8 @@
 // localResponse is one of the gateway's own responses.
 type localResponse = protocol.LocalResponse
 
-// newLocalResponse returns a response with a problem's URN, title and detail, which are format: clients may rely on them.
+// newLocalResponse returns a response with a problem's URN, title and detail. Part of the stable output, on
+// which clients may rely; do not change.
 func newLocalResponse(status int, kind, title, detail string, retryIsSafe bool) localResponse {
 	return localResponse{Status: status, Kind: kind, Title: title, Detail: detail, RetryIsSafe: retryIsSafe}
 }
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -34,7 +34,7 @@
 		processStarted: backend.processStarted,
 		backend:        backend,
 		state:          connDialing,
-		lastUsedAt:     inst.now,
+		dialStartedAt:  inst.now,
 		exchange:       ex,
 		attempt:        index,
 	}
@@ -66,10 +66,10 @@
 func (inst *Instance) takeIdle(backend *backendEntry, maxIdle time.Duration) *BackendConn {
 	reuseDelay := time.Duration(inst.shared.Config.Limits.ReuseDelay)
 	newest := len(backend.idleConns) - 1
-	for newest >= 0 && inst.now-backend.idleConns[newest].lastUsedAt < reuseDelay {
+	for newest >= 0 && inst.now-backend.idleConns[newest].idleSince < reuseDelay {
 		newest--
 	}
-	if newest < 0 || inst.now-backend.idleConns[newest].lastUsedAt > maxIdle {
+	if newest < 0 || inst.now-backend.idleConns[newest].idleSince > maxIdle {
 		return nil
 	}
 	conn := backend.idleConns[newest]
@@ -79,7 +79,8 @@
 
 // makeRoom reports whether a connection to a backend may be added to limits.lines-per-box and limits.lines, closing idle
 // ones where that is needed. One for a request that must not run twice also takes the place of the backend's oldest idle
-// connection; such requests get new connections each time, and idle ones would pile up.
+// connection where the backend has more than one, also below the limits; such requests get new connections each time, and
+// idle ones would pile up.
 func (inst *Instance) makeRoom(backend *backendEntry, maxIdle time.Duration) bool {
 	limits := &inst.shared.Config.Limits
 	full := backend.connCount >= limits.ConnsPerBackend
@@ -96,7 +97,7 @@
 func (inst *Instance) evictOldestIdle() bool {
 	var oldest *BackendConn
 	for _, backend := range inst.backendsInOrder {
-		if len(backend.idleConns) > 0 && (oldest == nil || backend.idleConns[0].lastUsedAt < oldest.lastUsedAt) {
+		if len(backend.idleConns) > 0 && (oldest == nil || backend.idleConns[0].idleSince < oldest.idleSince) {
 			oldest = backend.idleConns[0]
 		}
 	}
@@ -110,11 +111,10 @@
 // returnToPool makes a connection idle that carries no attempt any more. It is closed where it can't be used again: its
 // backend is removed, draining or another process by now, or the instance is stopped.
 func (inst *Instance) returnToPool(conn *BackendConn) {
-	conn.exchange, conn.lastUsedAt = nil, inst.now
+	conn.exchange, conn.idleSince = nil, inst.now
 	backend := conn.backend
 	if !backend.listed || backend.endpoint.State != decision.Up || !backend.isSameProcess(conn) || inst.stopped {
-		conn.state = connBusy // it is not among the idle ones, so that closeConn need not search them
-		inst.closeConn(conn)
+		inst.closeUnpooled(conn)
 		return
 	}
 	conn.state = connIdle
@@ -131,14 +131,27 @@
 	inst.removeIfUnused(conn.backend)
 }
 
+// closeUnpooled closes a connection that is not closed already and is not in its backend's idleConns, which it does not
+// search.
+func (inst *Instance) closeUnpooled(conn *BackendConn) {
+	inst.markClosed(conn)
+	inst.emit(Effect{Kind: CloseBackend, Conn: conn})
+	inst.removeIfUnused(conn.backend)
+}
+
 // removeConn marks a connection as closed and takes it out of the pool and of the counts. It must not be closed already.
 func (inst *Instance) removeConn(conn *BackendConn) {
 	backend := conn.backend
 	if conn.state == connIdle {
 		backend.idleConns = slices.DeleteFunc(backend.idleConns, func(other *BackendConn) bool { return other == conn })
 	}
+	inst.markClosed(conn)
+}
+
+// markClosed marks a connection as closed and takes it out of the counts. It must not be closed already.
+func (inst *Instance) markClosed(conn *BackendConn) {
 	conn.state, conn.exchange = connClosed, nil
-	backend.connCount--
+	conn.backend.connCount--
 	inst.connCount--
 }
 
@@ -146,7 +159,7 @@
 func (inst *Instance) closeExpiredIdleConns() {
 	limit := time.Duration(inst.shared.Config.Limits.BackendIdleTimeout)
 	for _, backend := range slices.Clone(inst.backendsInOrder) { // closing may remove a backend
-		for len(backend.idleConns) > 0 && inst.now-backend.idleConns[0].lastUsedAt > limit {
+		for len(backend.idleConns) > 0 && inst.now-backend.idleConns[0].idleSince > limit {
 			inst.closeConn(backend.idleConns[0])
 		}
 	}
--- a/proxy/timers.go
+++ b/proxy/timers.go
@@ -38,7 +38,8 @@
 }
 
 // timerQueue is a binary heap of timers, the next one first. Timers are not removed when what they are for is over; what
-// they do then is nothing.
+// they do then is nothing. container/heap is not used: it takes and returns timers as interface values, which would be
+// allocated, several for each request.
 type timerQueue struct {
 	heap []timer
 	seq  uint64 // of the timer that was set last
