--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -27,7 +27,7 @@
 // Run runs one instance on the platform, until SIGTERM or SIGINT. At SIGHUP it reads the configuration again and goes on
 // with its addresses of discovery and counter.
 func (k node) Run(c *Console) error {
-	reloads := make(chan os.Signal, 1)     // of one place: signals that come during a reload ask for one more
+	reloads := make(chan os.Signal, 1)     // buffered, capacity 1: signals that come during a reload ask for one more
 	signal.Notify(reloads, syscall.SIGHUP) // to the end: one that comes during the shutdown must not kill the process
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -38,10 +38,10 @@
 	readable       sync.Cond // on mu: signalled when reading may go on
 	client         *proxy.ClientConn
 	readDeadline   time.Duration // that is set at the socket; 0: none
-	closed         bool          // the last bytes are written: the reader is to close
-	lingers        bool          // and to read on a while before
-	closeRequested bool          // the reader is to close it if no part of a request has been read
-	evicted        bool          // and without lingering: its last response arrived long ago, and another needs the place
+	closed         bool          // the last bytes are written, or the client has left: the reader is to close the socket
+	lingers        bool          // with closed: the reader first reads and drops what comes, for lingeringCloseTimeout
+	closeRequested bool          // the reader is to close the connection if no part of a request has been read
+	evicted        bool          // the reader closes it without lingering, to make room for a new client
 }
 
 // newClientConn sets up an accepted connection; its run has not begun.
@@ -74,8 +74,8 @@
 	}
 }
 
-// prepareRead waits while the client has too much to take, sets the read deadline, and reports whether the last bytes are
-// written.
+// prepareRead waits while more than maxUnwrittenClientBytes are kept for the client, sets the read deadline, and reports
+// whether the connection is to be closed instead of read.
 func (cc *clientConn) prepareRead() (closed bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -183,12 +183,12 @@
 		if cc.socket.unwrittenBytes() > 0 { // flushed goes on
 			break
 		}
-		if cc.markClosedIfFinished() {
+		if cc.beginCloseIfFinished() {
 			return
 		}
 		request = cc.client.Resume(now)
 		if request == nil && len(cc.client.Outgoing) == 0 {
-			if cc.markClosedIfFinished() {
+			if cc.beginCloseIfFinished() {
 				return
 			}
 			break
@@ -220,9 +220,9 @@
 	}
 }
 
-// markClosedIfFinished reports whether the connection is over, and wakes its reader to close it. mu is held, and nothing is
-// unwritten.
-func (cc *clientConn) markClosedIfFinished() bool {
+// beginCloseIfFinished reports whether the connection is over, and then ends the read under way, or prepareRead's wait, so
+// that the reader closes it. mu is held, and nothing is unwritten.
+func (cc *clientConn) beginCloseIfFinished() bool {
 	closes, lingers := cc.client.Closing()
 	if !closes || len(cc.client.Outgoing) > 0 {
 		return false
--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -19,8 +19,8 @@
 // The deadlines of the watch. docs/design/platform.md has the sums that must stay under the platform's bounds;
 // TestEndpointUpdateDeadlines adds them up.
 const (
-	// watchSilenceTimeout ends a watch from which nothing comes: half as much again as the time between the empty lines
-	// by which discovery shows that a watch stands.
+	// watchSilenceTimeout ends a watch from which nothing comes: 1.5 times discovery's heartbeat interval of 2 s. A
+	// heartbeat is an empty line, by which discovery shows that a watch stands.
 	watchSilenceTimeout = 3 * time.Second
 	// watchDialTimeout bounds the dial of a watch; the agent is on this machine.
 	watchDialTimeout = time.Second
@@ -62,8 +62,13 @@
 }
 
 func newEndpointWatch(s *Server, address string, version uint64) *endpointWatch {
-	w := &endpointWatch{server: s, address: address, addressChanged: make(chan struct{}), version: version,
-		endpoints: map[string]config.Endpoint{}}
+	w := &endpointWatch{
+		server:         s,
+		address:        address,
+		addressChanged: make(chan struct{}),
+		version:        version,
+		endpoints:      map[string]config.Endpoint{},
+	}
 	for _, e := range s.cfg.Endpoints {
 		w.endpoints[e.Name] = e
 	}
@@ -81,9 +86,9 @@
 	}
 }
 
-// run follows discovery until its context ends; it returns nil. Requests are rejected until discovery has answered, or for
+// run follows discovery until its context ends. Requests are rejected until discovery has answered, or for
 // firstEndpointsTimeout.
-func (w *endpointWatch) run(ctx context.Context) error {
+func (w *endpointWatch) run(ctx context.Context) {
 	late := time.AfterFunc(firstEndpointsTimeout, func() { w.server.post(endpointsInForce{}) })
 	defer late.Stop()
 	backoff := minWatchBackoff
@@ -100,13 +105,12 @@
 			backoff = minWatchBackoff
 			continue
 		case <-ctx.Done():
-			return nil
+			return
 		case <-time.After(jitter(backoff)):
 		}
 		w.server.log.Warn("watch of discovery", "addr", address, "error", err, "seq", w.version)
 		backoff = min(2*backoff, maxWatchBackoff)
 	}
-	return nil
 }
 
 // jitter draws a wait between a half of d and d, so that instances that lost discovery together do not come back together.
@@ -183,7 +187,8 @@
 			return 0, err
 		}
 	}
-	if b.messageBytes += len(b.unread); b.messageBytes > platform.MaxEndpointListBytes {
+	b.messageBytes += len(b.unread)
+	if b.messageBytes > platform.MaxEndpointListBytes {
 		return 0, errMessageTooLarge
 	}
 	n := copy(p, b.unread)
--- a/internal/server/faultcontrol.go
+++ b/internal/server/faultcontrol.go
@@ -147,7 +147,8 @@
 	if err != nil {
 		return err
 	}
-	if reply = strings.TrimSpace(reply); reply != "ok" {
+	reply = strings.TrimSpace(reply)
+	if reply != "ok" {
 		return rejectedFaultCommand{reply}
 	}
 	return nil
--- a/internal/server/filewatch.go
+++ b/internal/server/filewatch.go
@@ -12,7 +12,7 @@
 )
 
 // endpointWatchFunc follows the endpoint list until its context ends.
-type endpointWatchFunc func(context.Context) error
+type endpointWatchFunc func(context.Context)
 
 // startEndpointWatch hands the configured endpoint list to the instance and returns what follows its changes, at
 // discovery or in a file.
@@ -31,10 +31,9 @@
 	}
 	s.post(endpointsReplaced{s.withBackendAddresses(slices.Clone(s.cfg.Endpoints))})
 	s.readEndpointsFile() // it may have changed since the configuration was read
-	return func(ctx context.Context) error {
+	return func(ctx context.Context) {
 		defer watcher.Close()
 		s.followEndpointsFile(ctx, watcher, path)
-		return nil
 	}, nil
 }
 
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -38,7 +38,7 @@
 	done      chan struct{} // closed when the writing has ended
 	firstFile *os.File
 
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards steps, dropped and ended
 	steps   []proxy.DecisionStep
 	dropped uint64 // since the steps were last taken
 	ended   bool   // by an error
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,7 +1,7 @@
 // Package server is the runtime of a gateway instance on TCP: it carries bytes between sockets and the state machines of
 // package proxy, keeps the time and owns the goroutines. It decides nothing about a request.
 //
-// Every goroutine has one owner, which waits for its end:
+// Each goroutine but the last three has one owner, which waits for its end:
 //
 //	goroutine                     started by             ends with
 //	event loop                    Serve                  step 3 of the shutdown (see shutdown.go)
@@ -13,9 +13,12 @@
 //	backend connection, reading   event loop             its backend, or CloseBackend; a dial also with step 4
 //	counter connection, reading   event loop             the counter, CloseCounter, or step 3
 //	reading of the endpoint file  endpoint watch, loop   the end of the reading
-//	socket, flushing              a write                all bytes written, or the socket's end; nothing waits for it
 //	admin socket                  startAdmin             step 7
+//	admin connection              admin socket           its one response, adminTimeout at most, or step 7
 //	trace recorder                startWriting           step 8
+//	socket, flushing              a write                all bytes written, or the socket's end
+//	canceller of a watch          endpoint watch         the end of its watch, or another address of discovery
+//	reload at SIGHUP              command "node"         the end of Serve, or of the reload that is under way then
 //
 // The event loop alone owns proxy.Instance; all others hand it messages (message.go). The state machine of a connection
 // belongs to whoever holds that connection's mu.
@@ -23,7 +26,8 @@
 // Locks. Server.clientsMu comes before clientConn.mu, that before Server.queueMu and socket.mu; backendConn.mu comes before
 // socket.mu. The event loop holds no lock while it decides, and takes one connection's mu at a time while it carries out
 // an effect. Server.endpointsFileMu, held through the reading of a file, and adminServer.snapshotMu come before
-// Server.queueMu. None of the others is held while its holder waits for a peer, a file or the event loop.
+// Server.queueMu. Under recorder.mu, endpointWatch.mu, adminServer.mu and counterConn.mu no other lock is taken. None but
+// endpointsFileMu and snapshotMu is held while its holder waits for a peer, a file or the event loop.
 package server
 
 import (
@@ -48,7 +52,7 @@
 	cfg              *config.Config
 	shared           *proxy.Shared
 	log              *slog.Logger
-	debug            bool              // whether log takes debug records, asked once: each response is one
+	debug            bool              // whether log takes debug records; cached, since every response logs one
 	backendAddresses map[string]string // by endpoint name; see Options
 	startTime        time.Time         // when it was built, with its monotonic reading
 	startedAt        time.Duration     // the same instant on the instance's clock
@@ -72,7 +76,7 @@
 	loopIdle   bool          // the loop waits for wakeLoop
 	loopEnded  bool          // messages are dropped
 	queueSpace sync.Cond     // on queueMu: signalled when accepting may go on
-	wakeLoop   chan struct{} // of one place, so that a send never blocks
+	wakeLoop   chan struct{} // buffered, capacity 1: one wake-up covers all messages queued until then
 
 	endpointsFileMu sync.Mutex // held through a reading of the endpoint file, so that readings are handed over in their order
 
@@ -173,7 +177,10 @@
 		s.eventLoop(stopLoop)
 	}()
 	g, gctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return watchEndpoints(gctx) })
+	g.Go(func() error {
+		watchEndpoints(gctx)
+		return nil
+	})
 	g.Go(s.accept)
 	g.Go(func() error {
 		<-gctx.Done()
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -30,7 +30,7 @@
 const drainPoll = 10 * time.Millisecond
 
 // stopAccepting is step 1, but for the endpoint watch, which sees the end of its context itself. signalled reports that the
-// instance was asked to stop, rather than that its accept loop or its watch has failed.
+// instance was asked to stop, rather than that its accept loop has failed.
 func (s *Server) stopAccepting(signalled bool) {
 	if delay := time.Duration(s.cfg.Limits.StopDelay); delay > 0 && signalled {
 		s.shared.CloseAfterResponses()
