--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -50,15 +50,9 @@
 // ErrAdminSocketInUse is returned by Serve, wrapped, where another process listens on the admin socket.
 var ErrAdminSocketInUse = errors.New("another process listens there")
 
-// adminServer serves the admin socket, with a goroutine for each connection.
+// adminServer answers the requests of the admin socket.
 type adminServer struct {
-	server     *Server
-	listener   net.Listener
-	goroutines sync.WaitGroup
-
-	mu     sync.Mutex // guards open and closed
-	open   map[net.Conn]struct{}
-	closed bool
+	server *Server
 
 	snapshotMu   sync.Mutex // held while a copy of the state is waited for and used: one at a time
 	lastSnapshot time.Time
@@ -109,10 +103,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin socket: %w", err)
 	}
-	a := &adminServer{server: s, listener: listener, open: map[net.Conn]struct{}{}}
-	a.goroutines.Go(a.accept)
+	a := &adminServer{server: s}
+	connections := startConnServer(listener, maxAdminConns, a.serve)
 	s.log.Info("admin socket", "path", path)
-	return a.close, nil
+	return connections.close, nil
 }
 
 // listenUnix takes over the socket file of a process that has ended, never that of one that listens.
@@ -139,48 +133,6 @@
 	return net.Listen("unix", path)
 }
 
-func (a *adminServer) accept() {
-	for {
-		c, err := a.listener.Accept()
-		if err != nil {
-			return
-		}
-		if !a.admit(c) {
-			c.Close()
-			continue
-		}
-		a.goroutines.Go(func() {
-			a.serve(c)
-			c.Close()
-			a.mu.Lock()
-			delete(a.open, c)
-			a.mu.Unlock()
-		})
-	}
-}
-
-func (a *adminServer) admit(c net.Conn) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.closed || len(a.open) >= maxAdminConns {
-		return false
-	}
-	a.open[c] = struct{}{}
-	return true
-}
-
-// close ends all connections and waits for their goroutines.
-func (a *adminServer) close() {
-	a.listener.Close()
-	a.mu.Lock()
-	a.closed = true
-	for c := range a.open {
-		c.Close()
-	}
-	a.mu.Unlock()
-	a.goroutines.Wait()
-}
-
 // serve answers one request; tools need no more.
 func (a *adminServer) serve(c net.Conn) {
 	c.SetDeadline(time.Now().Add(adminTimeout))
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -9,7 +9,7 @@
 //	clients that are rejected       maxRejectedConnections        rejectClient
 //	connections to backends         limits.lines                  proxy/pool.go, which closes idle ones to make room
 //	counter, watch of discovery     one each; two as one moves    the event loop, endpointWatch
-//	admin socket                    maxAdminConns                 adminServer.admit
+//	admin socket                    maxAdminConns                 connServer.admit
 //	listeners, log, trace file,     one each
 //	watch of the endpoint file
 //
--- a/internal/server/faultcontrol.go
+++ b/internal/server/faultcontrol.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"net"
 	"strings"
-	"sync"
 	"time"
 
 	"sandyard/fault"
@@ -36,17 +35,6 @@
 	Set(v fault.Verb, value float64, on bool) error
 }
 
-// faultControl serves the commands that set an emulator's faults, with a goroutine for each connection.
-type faultControl struct {
-	target     FaultTarget
-	listener   net.Listener
-	goroutines sync.WaitGroup
-
-	mu     sync.Mutex // guards all below
-	open   map[net.Conn]struct{}
-	closed bool
-}
-
 // ServeFaultControl listens on an address (host:port) for commands that set a target's faults, one a line: "set slow 3",
 // "clear slow". Each is answered "ok" or "error: ...". The function returned stops it and waits for its end.
 func ServeFaultControl(addr string, target FaultTarget) (listening net.Addr, stop func(), err error) {
@@ -54,57 +42,16 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	c := &faultControl{target: target, listener: listener, open: map[net.Conn]struct{}{}}
-	c.goroutines.Go(c.accept)
-	return listener.Addr(), c.close, nil
-}
-
-func (c *faultControl) accept() {
-	for {
-		conn, err := c.listener.Accept()
-		if err != nil {
-			return
-		}
-		if !c.admit(conn) {
-			conn.Close()
-			continue
-		}
-		c.goroutines.Go(func() {
-			c.serve(conn)
-			c.mu.Lock()
-			delete(c.open, conn)
-			c.mu.Unlock()
-		})
-	}
-}
-
-func (c *faultControl) admit(conn net.Conn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed || len(c.open) >= maxFaultControlConns {
-		return false
-	}
-	c.open[conn] = struct{}{}
-	return true
+	connections := startConnServer(listener, maxFaultControlConns, func(conn net.Conn) { serveFaultCommands(conn, target) })
+	return listener.Addr(), connections.close, nil
 }
 
-func (c *faultControl) close() {
-	c.listener.Close()
-	c.mu.Lock()
-	c.closed = true
-	for conn := range c.open {
-		conn.Close()
-	}
-	c.mu.Unlock()
-	c.goroutines.Wait()
-}
-
-func (c *faultControl) serve(conn net.Conn) {
-	defer conn.Close()
+// serveFaultCommands answers the commands of a connection, one by one, until it ends.
+func serveFaultCommands(conn net.Conn, target FaultTarget) {
 	commands := bufio.NewScanner(conn)
 	commands.Buffer(make([]byte, maxFaultCommand), maxFaultCommand)
 	for commands.Scan() {
-		if err := runFaultCommand(commands.Text(), c.target); err != nil {
+		if err := runFaultCommand(commands.Text(), target); err != nil {
 			fmt.Fprintf(conn, "error: %v\n", err)
 		} else {
 			fmt.Fprintln(conn, "ok")
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -26,7 +26,7 @@
 // Locks. Server.clientsMu comes before clientConn.mu, that before Server.queueMu and socket.mu; backendConn.mu comes before
 // socket.mu. The event loop holds no lock while it decides, and takes one connection's mu at a time while it carries out
 // an effect. Server.endpointsFileMu, held through the reading of a file, and adminServer.snapshotMu come before
-// Server.queueMu. Under recorder.mu, endpointWatch.mu, adminServer.mu and counterConn.mu no other lock is taken. None but
+// Server.queueMu. Under recorder.mu, endpointWatch.mu, connServer.mu and counterConn.mu no other lock is taken. None but
 // endpointsFileMu and snapshotMu is held while its holder waits for a peer, a file or the event loop.
 package server
 
