--- a/internal/server/socket.go
+++ b/internal/server/socket.go
@@ -36,7 +36,7 @@
 	unwritten     []byte
 	flushing      bool // a goroutine writes what is unwritten
 	failed        bool // closed, or a write has failed: nothing more is written
-	incomplete    bool // it failed, and not all that it was handed was written
+	incomplete    bool // it failed, and not all that it was given was handed to the kernel
 	tryWriteFunc  func(fd uintptr) bool
 	writeSource   []byte // of the write under way, with its result
 	writeCount    int
@@ -115,16 +115,16 @@
 	}
 }
 
-// nothingToRead reports that no byte and no end of the peer is there to be read. A byte that is there is lost: the
-// connection is of no use then. It does not wait.
-func (s *socket) nothingToRead() bool {
+// consumeUnexpectedByte reports whether a byte, the end of the peer's sending or an error is there to be read, while
+// nothing is expected. A byte that is there is consumed: the connection is of no use then. It does not wait.
+func (s *socket) consumeUnexpectedByte() bool {
 	nothing := false
 	err := s.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, err := syscall.Read(int(fd), b[:])
 		nothing = err == syscall.EAGAIN || err == syscall.EINTR
 	})
-	return err == nil && nothing
+	return err != nil || !nothing
 }
 
 // clearReadDeadline takes the read deadline back, unless it is there because writing has failed.
@@ -155,7 +155,7 @@
 }
 
 // write hands bytes to the kernel as far as it takes them and keeps the rest. It never blocks. incomplete reports that the
-// connection failed before all of b was written.
+// connection failed before all of b was handed to the kernel; a part of it may have been.
 func (s *socket) write(b []byte) (incomplete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,8 +224,8 @@
 	return len(s.unwritten)
 }
 
-// writeFailed reports whether a write has failed, or the socket was closed.
-func (s *socket) writeFailed() bool {
+// closedOrFailed reports whether a write has failed, or the socket was closed.
+func (s *socket) closedOrFailed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failed
--- a/proxy/backendconn.go
+++ b/proxy/backendconn.go
@@ -17,7 +17,8 @@
 	state          connState
 	exchange       *Exchange     // whose attempt it carries or is being made for; nil: none
 	attempt        int           // that attempt's number
-	lastUsedAt     time.Duration // when it last ended an attempt; before its first, when dialling began
+	dialStartedAt  time.Duration // when dialling began
+	idleSince      time.Duration // when it was last returned to the pool; 0 before
 	reportedLoad   []float64     // from the head of a response that is streamed, until its end
 	reportedUnits  float64       // likewise
 }
@@ -40,7 +41,7 @@
 		return
 	}
 	if conn.Addr == conn.backend.addr {
-		conn.backend.roundTrip.add(inst.now-conn.lastUsedAt, inst.now)
+		conn.backend.roundTrip.add(inst.now-conn.dialStartedAt, inst.now)
 	}
 	if ex := conn.exchange; ex == nil { // its attempt is over
 		inst.returnToPool(conn)
@@ -50,9 +51,10 @@
 	inst.drainEvents()
 }
 
-// BackendDisconnected reports that a connection could not be made or is lost. unsent says that nothing of a request had
-// been given to the network: then the attempt on it certainly did not run; else it may have.
-func (inst *Instance) BackendDisconnected(now time.Duration, conn *BackendConn, unsent bool) {
+// BackendDisconnected reports that a connection could not be made or is lost. requestIncomplete says that not all of the
+// request was written: the attempt on it is counted as not run, assuming that backends act only on complete requests. Else
+// it may have run.
+func (inst *Instance) BackendDisconnected(now time.Duration, conn *BackendConn, requestIncomplete bool) {
 	inst.advanceTo(now)
 	if conn.state == connClosed {
 		return
@@ -61,7 +63,7 @@
 	inst.removeConn(conn)
 	if ex != nil {
 		outcome := decision.ConnectionReset
-		if previous == connDialing || unsent {
+		if previous == connDialing || requestIncomplete {
 			outcome = decision.ConnectFailed
 		}
 		inst.failAttempt(ex, index, outcome)
@@ -97,8 +99,7 @@
 	case Malformed: // the request was written, and may have run
 		conn.exchange = nil
 		inst.closeConn(conn)
-		outcome := decision.ConnectionReset
-		inst.failAttempt(ex, index, outcome)
+		inst.failAttempt(ex, index, decision.ConnectionReset)
 	}
 	inst.drainEvents()
 }
@@ -131,6 +132,9 @@
 // The attempt of a streaming class lasts until the response's end. Any other ends here: the backend has done its part, and
 // what the rest takes is up to how fast the client reads. Counted as the backend's latency it would make a slow client
 // look like a slow backend, and other requests would be rejected.
+//
+// Health checks are not told apart: a successful response to one that is larger than limits.hold-answer gives StreamResponse
+// with an Exchange whose Owner is nil, which internal/server does not survive.
 func (inst *Instance) startResponse(conn *BackendConn, response *Response) {
 	ex, index, outcome := conn.exchange, conn.attempt, response.Outcome
 	if outcome != decision.OK || !ex.apply(eventResponseStarted) {
--- a/proxy/clientrequest.go
+++ b/proxy/clientrequest.go
@@ -72,7 +72,8 @@
 // bodyRead takes a piece of a body in, which is kept or skipped.
 func (c *ClientConn) bodyRead(now time.Duration, b []byte) {
 	if c.phase == phaseSkipBody {
-		if c.bytesToSkip -= int64(len(b)); c.bytesToSkip < 0 {
+		c.bytesToSkip -= int64(len(b))
+		if c.bytesToSkip < 0 {
 			c.exchange.CloseAfterResponse = true
 			c.sendLocalResponse(now)
 		}
@@ -129,7 +130,7 @@
 	ex.reservedBytes = size
 	ex.RenderedRequest, ex.attemptFieldsAt = c.shared.Protocol.RenderRequest(make([]byte, 0, size), c.head, c.body, c.trailers, c.clientAddr)
 	c.releaseBody()
-	c.hadRequest = true
+	c.handedOutRequest = true
 	ex.Arrived = min(now, c.receivedAt) // the client waits since its bytes came, not since the response before it
 	c.phase, c.phaseSince = phaseAwaitResponse, now
 	return ex
