--- a/internal/bench/tools.go
+++ b/internal/bench/tools.go
@@ -134,7 +134,7 @@
 // wouldEvery is in queries: asking what the gateway would decide copies its state, at most four times a second.
 const wouldEvery = 25
 
-// lookUp queries the admin socket until it is stopped.
+// lookup queries the admin socket until it is stopped.
 func (o ToolOptions) lookUp(socket string, stop chan struct{}, looks *atomic.Int64) error {
 	tick := time.NewTicker(time.Second / time.Duration(max(1, o.Lookups)))
 	defer tick.Stop()
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -21,13 +21,13 @@
 		return nil, ErrSettingsNoObject
 	}
 	return func(path string) string {
-		text, _ := lookUp(root, path)
+		text, _ := lookup(root, path)
 		return text
 	}, nil
 }
 
-// lookUp finds the text at a path below a value. Keys that have dots themselves are found, too.
-func lookUp(v any, path string) (string, bool) {
+// lookup finds the text at a path below a value. Keys that have dots themselves are found, too.
+func lookup(v any, path string) (string, bool) {
 	if path == "" {
 		return valueText(v)
 	}
@@ -38,7 +38,7 @@
 				continue
 			}
 			if child, ok := v[path[:end]]; ok {
-				if text, ok := lookUp(child, strings.TrimPrefix(path[end:], ".")); ok {
+				if text, ok := lookup(child, strings.TrimPrefix(path[end:], ".")); ok {
 					return text, true
 				}
 			}
@@ -52,7 +52,7 @@
 		}
 		index, rest, _ := strings.Cut(path, ".")
 		if i, err := strconv.Atoi(index); err == nil && i >= 0 && i < len(v) {
-			return lookUp(v[i], rest)
+			return lookup(v[i], rest)
 		}
 	}
 	return "", false
--- a/trace/recorded_test.go
+++ b/trace/recorded_test.go
@@ -14,8 +14,8 @@
 var recordGolden = flag.Bool("record-golden", false, "write what is told of the recorded trace anew, for a change of behaviour that is meant")
 
 const (
-	recordedTrace = "testdata/recorded-before-renaming.trace"
-	recordedTold  = "testdata/recorded-before-renaming.golden"
+	recordedTrace     = "testdata/recorded-before-renaming.trace"
+	recordedHistories = "testdata/recorded-before-renaming.golden"
 )
 
 // each calls f with the items of the recorded trace, and checks that it is read whole.
@@ -31,10 +31,10 @@
 	}
 }
 
-// TestRecordedTraceIsToldAlike: a trace of core 4a62adf9f07493b3 (commit 0a5d9aa, 68 s of a front door on sockets with slow,
+// TestRecordedTraceGivesTheSameHistories: a trace of core 4a62adf9f07493b3 (commit 0a5d9aa, 68 s of a front door on sockets with slow,
 // silent, failing, cold and draining servers, changes of the list, and a counter that was silent and late) is read whole, and
 // what is told of its requests is what it was: the counts, every 40th request with its explanation, and a digest of all.
-func TestRecordedTraceIsToldAlike(t *testing.T) {
+func TestRecordedTraceGivesTheSameHistories(t *testing.T) {
 	var head Header
 	s, states := NewHistories(), 0
 	kinds := map[string]int{}
@@ -60,10 +60,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		told := fmt.Sprintf("%s\n%s\n", b, s.Explain(head, st))
-		all.Write([]byte(told))
+		history := fmt.Sprintf("%s\n%s\n", b, s.Explain(head, st))
+		all.Write([]byte(history))
 		if i%40 == 0 {
-			some.WriteString(told)
+			some.WriteString(history)
 		}
 		outcomes[st.Outcome]++
 		attempts[len(st.Attempts)]++
@@ -77,12 +77,12 @@
 	}
 	got := fmt.Sprintf("%s\nsha256 of all: %x\n%s", counts, all.Sum(nil), &some)
 	if *recordGolden {
-		if err := os.WriteFile(recordedTold, []byte(got), 0o644); err != nil {
+		if err := os.WriteFile(recordedHistories, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
-	b, err := os.ReadFile(recordedTold)
+	b, err := os.ReadFile(recordedHistories)
 	if err != nil {
 		t.Fatal(err)
 	}
