--- a/internal/platform/counter.go
+++ b/internal/platform/counter.go
@@ -10,51 +10,71 @@
 	"sandyard/internal/protocol"
 )
 
-// maxReplyLine bounds a reply of the counter in bytes: "ok" and a number take less than 40.
+// maxReplyLine bounds a reply of the counter in bytes, line end included: "ok" and a number take less than 40, so that more
+// is no reply, and must not fill the memory.
 const maxReplyLine = 256
 
-// counterCodec speaks the counter's lines on one connection: "add NAME AMOUNT MILLISECONDS", answered "ok TOTAL", "busy"
-// or "error". It belongs to one goroutine.
+// Words of the counter's protocol (see counterCodec).
+const (
+	addVerb    = "add "
+	okPrefix   = "ok "
+	busyReply  = "busy"
+	errorReply = "error"
+)
+
+// counterCodec is the codec of one connection to the platform's counter. A call is a line, and so is its reply; replies come
+// in the order of the calls:
+//
+//	add NAME AMOUNT MILLISECONDS    adds AMOUNT, in units, to the total of NAME, whose lifetime is set at its first use
+//	ok TOTAL                        it was added; TOTAL, in units, is the sum after it
+//	busy, error                     it was not added; the connection stays
+//
+// A call ends in CRLF, a reply in LF or CRLF. Any other reply, a TOTAL that is no finite number, and a line of more than
+// maxReplyLine bytes are protocol.ErrMalformedReply. The codec belongs to one goroutine at a time.
 type counterCodec struct {
-	line []byte // what has come of a reply so far
+	line []byte // what has come of the unfinished reply
 }
 
-// NewCounterCodec begins a connection to the counter.
+// NewCounterCodec returns the codec of a new connection to the counter.
 func (n *Node) NewCounterCodec() protocol.CounterCodec { return &counterCodec{} }
 
-// AppendCall appends the line of a call. The time to live is at least a millisecond.
+// AppendCall implements protocol.CounterCodec. The lifetime is cut to whole milliseconds, and is at least one.
 func (c *counterCodec) AppendCall(b []byte, name string, amount float64, ttl time.Duration) []byte {
-	b = append(append(append(b, "add "...), name...), ' ')
+	b = append(b, addVerb...)
+	b = append(b, name...)
+	b = append(b, ' ')
 	b = strconv.AppendFloat(b, amount, 'f', -1, 64)
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, max(1, ttl.Milliseconds()), 10)
 	return append(b, '\r', '\n')
 }
 
-// Feed takes bytes up to the end of one reply and tells how many it took. After protocol.ErrMalformedReply the
+// Feed implements protocol.CounterCodec. It takes bytes up to the end of one reply. After protocol.ErrMalformedReply the
 // connection can't be used any more: which call a later reply answers is not known.
 func (c *counterCodec) Feed(b []byte) (int, protocol.CounterReply, error) {
-	n := bytes.IndexByte(b, '\n') + 1
-	if n == 0 {
-		n = len(b)
+	used := bytes.IndexByte(b, '\n') + 1
+	complete := used > 0
+	if !complete {
+		used = len(b)
 	}
-	if len(c.line)+n > maxReplyLine {
-		return n, protocol.CounterReply{}, protocol.ErrMalformedReply
+	if len(c.line)+used > maxReplyLine {
+		return used, protocol.CounterReply{}, protocol.ErrMalformedReply
 	}
-	c.line = append(c.line, b[:n]...)
-	if len(c.line) == 0 || c.line[len(c.line)-1] != '\n' {
-		return n, protocol.CounterReply{}, nil
+	c.line = append(c.line, b[:used]...)
+	if !complete {
+		return used, protocol.CounterReply{}, nil
 	}
 	reply, err := parseCounterReply(string(bytes.TrimRight(c.line, "\r\n")))
 	c.line = c.line[:0]
-	return n, reply, err
+	return used, reply, err
 }
 
+// parseCounterReply reads a reply without its line end. The error is protocol.ErrMalformedReply.
 func parseCounterReply(line string) (protocol.CounterReply, error) {
-	if line == "busy" || line == "error" {
+	if line == busyReply || line == errorReply {
 		return protocol.CounterReply{Complete: true}, nil
 	}
-	text, ok := strings.CutPrefix(line, "ok ")
+	text, ok := strings.CutPrefix(line, okPrefix)
 	total, err := strconv.ParseFloat(text, 64)
 	if !ok || err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
 		return protocol.CounterReply{}, protocol.ErrMalformedReply
