--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -197,6 +197,17 @@
 	}
 }
 
+// A connection ended within a message, before or behind its head. The caller can tell this from a malformed message.
+func TestEndWithinMessageIsErrTruncated(t *testing.T) {
+	for _, text := range []string{"GET / HT", "\r\n", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nab"} {
+		r := NewRequests(Limits{})
+		partsOf(r, []byte(text), nil, false)
+		if _, err := r.EOF(); !errors.Is(err, ErrTruncated) {
+			t.Errorf("%q: %v", text, err)
+		}
+	}
+}
+
 // The bytes of a stream arrive cut at any place, as the network and the sender have it. The parts are the same.
 func TestPartsDoNotDependOnSplits(t *testing.T) {
 	pieces := []string{"GET / HTTP/1.1\r\n", "POST /a?b=c HTTP/1.1\r\n", "Host: h\r\n", "Content-Length: 5\r\n", "hello",
