--- a/decision/admission.go
+++ b/decision/admission.go
@@ -134,8 +134,8 @@
 type quotaDecision int
 
 const (
-	// beyondQuota: the quota does not allow it. If the shared counter had added its units, they have been taken back
-	// or are left there (recordOverQuota).
+	// beyondQuota: the quota does not allow it. If the shared counter had added its units, they have been taken back,
+	// or stay there because the counter may not be called (decideByTotal).
 	beyondQuota quotaDecision = iota
 	// insideUncounted: the quota allows it as far as is known here, or is not checked because load cuts the request
 	// anyway; the shared counter is not known to hold its units.
--- a/decision/countersync.go
+++ b/decision/countersync.go
@@ -271,6 +271,9 @@
 	g.counter.insideShare[customer.plan].add(indicator(inside), g.now)
 	if !inside {
 		g.recordOverQuota(request, before)
+		if g.mayCallCounter(1) { // else its units stay in the total until they fade
+			g.takeBackUnits(request)
+		}
 		g.admitOrShed(request, beyondQuota)
 		return
 	}
@@ -287,8 +290,8 @@
 }
 
 // recordOverQuota notes that a customer is beyond its quota, until the total without the request has faded so far that
-// half of the request's units fit (at most maxOverQuotaWait). It takes the request's units back at the counter, with an
-// action, unless the counter may not be called; then they stay in the total until they fade.
+// half of the request's units fit (at most maxOverQuotaWait). Where attempts in flight are counted, only the total is
+// noted.
 func (g *Gateway) recordOverQuota(request *requestRecord, total float64) {
 	customer := request.customer
 	customer.counterTotal = total
@@ -297,7 +300,4 @@
 		wait := min(maxOverQuotaWait, customer.quota.fadeTime*math.Log(max(1, total/room)))
 		customer.overQuotaUntil = g.now + seconds(wait)
 	}
-	if g.mayCallCounter(1) {
-		g.takeBackUnits(request)
-	}
 }
