--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -20,8 +20,8 @@
 type serve struct {
 	Config       string        `required:"" type:"path" help:"The gateway.yaml to serve." placeholder:"FILE"`
 	Listen       string        `help:"Address to listen on, instead of the configured one." placeholder:"ADDR"`
-	WithStandIns bool          `help:"Start stand-ins for the keeper and the listed boxes in this process."`
-	StandInWork  time.Duration `default:"20ms" help:"Mean work of a request at a stand-in box."`
+	Emulate      bool          `name:"with-stand-ins" help:"Start stand-ins for the keeper and the listed boxes in this process."`
+	EmulatedWork time.Duration `name:"stand-in-work" default:"20ms" help:"Mean work of a request at a stand-in box."`
 	Seed         uint64        `help:"Seed of the decisions; drawn if absent."`
 }
 
@@ -39,8 +39,8 @@
 	if s.Listen != "" {
 		cfg.Listen = s.Listen
 	}
-	if s.WithStandIns {
-		addresses, stop, err := startEmulators(cfg, s.StandInWork, log)
+	if s.Emulate {
+		addresses, stop, err := startEmulators(cfg, s.EmulatedWork, log)
 		if err != nil {
 			return err
 		}
@@ -57,7 +57,7 @@
 	return instance.Serve(ctx)
 }
 
-// logger writes at the configured level and in the configured format.
+// logger returns a logger that writes to w at the configured level and in the configured format: text, or else JSON.
 func logger(w io.Writer, cfg *config.Config) *slog.Logger {
 	var level slog.Level
 	level.UnmarshalText([]byte(cfg.Log.Level)) // checked with the configuration
@@ -68,12 +68,12 @@
 	return slog.New(slog.NewJSONHandler(w, opt))
 }
 
-// anyAddress is a free port of this machine.
+// anyAddress makes a listener take a free port of this machine.
 const anyAddress = "127.0.0.1:0"
 
 // startEmulators starts an emulated counter and the listed backends at the addresses that the configuration gives them, or
 // at others of this machine where those are taken; the configuration gets the counter's. It returns the addresses of the
-// backends by name, and what stops all.
+// backends by name, and a function that stops all.
 func startEmulators(cfg *config.Config, work time.Duration, log *slog.Logger) (map[string]string, func(), error) {
 	var running []interface{ Close() }
 	stop := func() {
@@ -105,6 +105,7 @@
 	return addresses, stop, nil
 }
 
+// startEmulatedCounter starts an emulated counter at an address (host:port), or at anyAddress where that is taken.
 func startEmulatedCounter(addr string) (*server.EmulatedCounter, error) {
 	counter, err := server.StartCounter(addr)
 	if errors.Is(err, syscall.EADDRINUSE) {
@@ -113,6 +114,7 @@
 	return counter, err
 }
 
+// startEmulatedBackend starts an emulated backend at an address (host:port), or at anyAddress where that is taken.
 func startEmulatedBackend(addr string, cfg emulator.BackendConfig) (*server.EmulatedBackend, error) {
 	backend, err := server.StartBackend(addr, cfg, nil)
 	if errors.Is(err, syscall.EADDRINUSE) {
