--- a/internal/cli/quotatotal.go
+++ b/internal/cli/quotatotal.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"net"
 	"net/url"
 	"text/tabwriter"
@@ -53,13 +54,17 @@
 		}
 		v.Held, v.Units = true, x/n.Weight
 	}
-	if got[1].Type == resp.Int && got[1].Int >= 0 {
+	if got[1].Type == resp.Integer && got[1].Int >= 0 {
 		v.ExpiresIn = float64(got[1].Int) / 1000
 	}
 	if q.json() {
 		return json.NewEncoder(c.Out).Encode(v)
 	}
-	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
+	return v.print(c.Out)
+}
+
+func (v totalView) print(out io.Writer) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "studio\t%q\nkeeper\t%s\nname\t%q\n", v.Customer, v.CounterAddr, v.Name)
 	if !v.Held {
 		fmt.Fprintf(w, "held\tnothing: not counted yet, forgotten, or another keeper\n")
@@ -103,7 +108,7 @@
 			if in = in[used:]; !whole {
 				break
 			}
-			if v.Type == resp.Failed {
+			if v.Type == resp.SimpleError {
 				return nil, fmt.Errorf("it says %.80q", v.Str)
 			}
 			if got = append(got, v); len(got) == len(commands) {
