--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -251,8 +251,7 @@
 func (cc *clientConn) respond(now time.Duration, exchange *proxy.Exchange, response []byte, closes bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	const more = false
-	cc.client.Respond(now, exchange, response, more, closes)
+	cc.client.Respond(now, exchange, response, closes)
 	cc.advance(now, nil)
 }
 
@@ -261,32 +260,33 @@
 func (cc *clientConn) startStream(now time.Duration, exchange *proxy.Exchange, beginning []byte, closes bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	const more = true
-	cc.client.Respond(now, exchange, beginning, more, closes)
+	cc.client.BeginResponse(exchange, beginning, closes)
 	cc.advance(now, nil)
 }
 
 // continueStream writes more of a streamed response, and blocks while the client has maxUnwrittenClientBytes or more to
 // take: the backend's connection is not read meanwhile. The reader of that connection calls it.
 func (cc *clientConn) continueStream(now time.Duration, exchange *proxy.Exchange, part []byte) {
-	cc.relay(now, exchange, part, false, false)
+	cc.mu.Lock()
+	cc.client.ContinueResponse(exchange, part)
+	cc.advance(now, nil)
+	cc.mu.Unlock()
 	cc.socket.waitUnwrittenBelow(maxUnwrittenClientBytes)
 }
 
 // endStream writes the end of a streamed response. It does not block.
 func (cc *clientConn) endStream(now time.Duration, exchange *proxy.Exchange, end []byte) {
-	cc.relay(now, exchange, end, true, false)
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	cc.client.EndResponse(now, exchange, end)
+	cc.advance(now, nil)
 }
 
 // abortStream ends the connection of a streamed response that broke off. It does not block.
 func (cc *clientConn) abortStream(now time.Duration, exchange *proxy.Exchange) {
-	cc.relay(now, exchange, nil, false, true)
-}
-
-func (cc *clientConn) relay(now time.Duration, exchange *proxy.Exchange, part []byte, end, broken bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	cc.client.ContinueResponse(now, exchange, part, end, broken)
+	cc.client.AbortResponse(exchange)
 	cc.advance(now, nil)
 }
 
--- a/internal/simulation/instanceclient.go
+++ b/internal/simulation/instanceclient.go
@@ -180,7 +180,11 @@
 	if c.done {
 		return
 	}
-	c.machine.Respond(c.instance.now(), ex, b, more, closes)
+	if more {
+		c.machine.BeginResponse(ex, b, closes)
+	} else {
+		c.machine.Respond(c.instance.now(), ex, b, closes)
+	}
 	c.proceed(nil)
 	c.readable(nil)
 }
@@ -189,9 +193,14 @@
 	if c.done {
 		return
 	}
-	c.machine.ContinueResponse(c.instance.now(), ex, b, end, broken)
-	if broken {
+	switch {
+	case broken:
+		c.machine.AbortResponse(ex)
 		c.instance.sim.cover("answer cut off")
+	case end:
+		c.machine.EndResponse(c.instance.now(), ex, b)
+	default:
+		c.machine.ContinueResponse(ex, b)
 	}
 	c.proceed(nil)
 	c.readable(nil)
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -77,7 +77,7 @@
 		response := reader.Feed(r.response)
 		r.instance.ResponseReceived(r.now, effect.Conn, &response)
 	case Respond:
-		r.client.Respond(r.now, effect.Exchange, effect.Bytes, false, false)
+		r.client.Respond(r.now, effect.Exchange, effect.Bytes, false)
 		r.client.Outgoing = r.client.Outgoing[:0]
 	}
 }
--- a/proxy/clientconn_test.go
+++ b/proxy/clientconn_test.go
@@ -61,7 +61,7 @@
 		r.reply(conn, ex, ok200)
 		effect := r.want(Respond)
 		r.effects = nil
-		c.Respond(r.now, ex, effect.Bytes, false, false)
+		c.Respond(r.now, ex, effect.Bytes, false)
 		n++
 	}
 	got := statuses(c.Outgoing)
@@ -125,7 +125,7 @@
 	r.instance.RequestArrived(r.now, ex)
 	conn, _ := r.connect()
 	r.reply(conn, ex, ok200)
-	c.Respond(r.now, ex, r.wantResponse("200").Bytes, false, false)
+	c.Respond(r.now, ex, r.wantResponse("200").Bytes, false)
 	if c.Resume(r.now) != nil || strings.Join(statuses(c.Outgoing), " ") != "200 400" {
 		t.Errorf("%q", c.Outgoing)
 	}
@@ -213,11 +213,11 @@
 		}
 	}
 	c.Feed(r.now, requestText("GET", "/look?3", "ka", "")) // not read as what follows the second
-	c.Respond(r.now, ex, []byte("1"), false, false)
+	c.Respond(r.now, ex, []byte("1"), false)
 	if ex = c.Resume(r.now); ex == nil || !strings.HasPrefix(string(ex.RenderedRequest), "GET /look?2") {
 		t.Fatalf("after the first: %+v", ex)
 	}
-	c.Respond(r.now, ex, []byte("2"), false, false)
+	c.Respond(r.now, ex, []byte("2"), false)
 	if ex = c.Resume(r.now); ex != nil {
 		t.Fatalf("after the second: %q", ex.RenderedRequest)
 	}
@@ -272,10 +272,10 @@
 		conn, _ := r.connect()
 		r.reply(conn, ex, "HTTP/1.1 200 OK\r\n\r\nabc")
 		g := r.want(StreamResponse)
-		c.Respond(r.now, ex, g.Bytes, true, g.CloseAfterResponse)
+		c.BeginResponse(ex, g.Bytes, g.CloseAfterResponse)
 		r.instance.BackendDisconnected(r.now, conn, false)
 		r.want(AbortClient)
-		c.ContinueResponse(r.now, ex, nil, false, true)
+		c.AbortResponse(ex)
 		if closes, _ := c.Closing(); !closes || c.MustReset() != aborts || !strings.Contains(string(c.Outgoing), "abc") {
 			t.Errorf("%s: closes %v, aborts %v: %q", version, closes, c.MustReset(), c.Outgoing)
 		}
@@ -290,7 +290,7 @@
 	ex := c.Feed(r.now, requestText("GET", "/look", "ka", ""))
 	second := requestText("GET", "/look?2", "ka", "")
 	c.Feed(r.now, second[:20])
-	c.Respond(r.now, ex, []byte("1"), false, false)
+	c.Respond(r.now, ex, []byte("1"), false)
 	if ex = c.Feed(r.now, second[20:]); ex == nil || !strings.HasPrefix(string(ex.RenderedRequest), "GET /look?2 ") {
 		t.Fatalf("%+v %s", ex, c.Outgoing)
 	}
--- a/proxy/clientresponse.go
+++ b/proxy/clientresponse.go
@@ -11,18 +11,30 @@
 // queue or a start, is over within about that time; less would bring the load back at once.
 const localRetryAfter = time.Second
 
-// Respond appends the response to an exchange, or its beginning, as the effects Respond and StreamResponse give it. more says
-// that the rest follows by ContinueResponse; else the exchange is over, and the connection goes on, with Resume, or closes.
-// closeAfterResponse says that it is the connection's last. For an exchange that is not the one under way it does nothing.
-func (c *ClientConn) Respond(now time.Duration, ex *Exchange, b []byte, more, closeAfterResponse bool) {
+// Respond appends the complete response to an exchange, as the effect Respond gives it. The exchange is over then, and the
+// connection goes on, with Resume, or closes. closeAfterResponse says that the response is the connection's last.
+//
+// Respond, and the methods for streamed responses, do nothing for an exchange that is not the one under way.
+func (c *ClientConn) Respond(now time.Duration, ex *Exchange, b []byte, closeAfterResponse bool) {
+	if c.appendResponse(ex, b, closeAfterResponse) {
+		c.finishResponse(now)
+	}
+}
+
+// BeginResponse appends the beginning of a streamed response, as the effect StreamResponse gives it. The rest follows by
+// ContinueResponse, and then EndResponse or AbortResponse. closeAfterResponse is as in Respond.
+func (c *ClientConn) BeginResponse(ex *Exchange, b []byte, closeAfterResponse bool) {
+	c.appendResponse(ex, b, closeAfterResponse)
+}
+
+// appendResponse appends a response, or its beginning, and reports false for an exchange that is not the one under way.
+func (c *ClientConn) appendResponse(ex *Exchange, b []byte, closeAfterResponse bool) bool {
 	if c.exchange != ex || c.phase != phaseAwaitResponse {
-		return
+		return false
 	}
 	c.Outgoing = append(c.Outgoing, b...)
 	c.closeAfterResponse = c.closeAfterResponse || closeAfterResponse
-	if !more {
-		c.finishResponse(now)
-	}
+	return true
 }
 
 // RejectOverload answers 503 to an exchange that the instance's queue has no room for. It was not handed to the instance.
@@ -31,22 +43,30 @@
 	ex.reservedBytes = 0
 	closeAfterResponse := ex.CloseAfterResponse || c.shared.closesAfterResponse()
 	rendered := c.shared.appendLocalResponse(nil, &queueFull, ex.Method, ex.MinorVersion, closeAfterResponse, localRetryAfter)
-	c.Respond(now, ex, rendered, false, closeAfterResponse)
+	c.Respond(now, ex, rendered, closeAfterResponse)
 }
 
-// ContinueResponse appends more of a streamed response. end says that it is complete, broken that it broke off: the
-// connection is closed, so that the client sees that the response is not complete.
-func (c *ClientConn) ContinueResponse(now time.Duration, ex *Exchange, b []byte, end, broken bool) {
-	if c.exchange != ex || c.phase != phaseAwaitResponse {
-		return
+// ContinueResponse appends more of a streamed response.
+func (c *ClientConn) ContinueResponse(ex *Exchange, b []byte) {
+	if c.exchange == ex && c.phase == phaseAwaitResponse {
+		c.Outgoing = append(c.Outgoing, b...)
 	}
-	c.Outgoing = append(c.Outgoing, b...)
-	switch {
-	case broken:
+}
+
+// EndResponse appends the end of a streamed response. The exchange is over then, as with Respond.
+func (c *ClientConn) EndResponse(now time.Duration, ex *Exchange, b []byte) {
+	if c.exchange == ex && c.phase == phaseAwaitResponse {
+		c.Outgoing = append(c.Outgoing, b...)
+		c.finishResponse(now)
+	}
+}
+
+// AbortResponse closes the connection of a streamed response that broke off, so that the client sees that the response is
+// not complete.
+func (c *ClientConn) AbortResponse(ex *Exchange) {
+	if c.exchange == ex && c.phase == phaseAwaitResponse {
 		c.mustReset = c.closeAfterResponse // the end of the connection would look like the end of the response
 		c.close()
-	case end:
-		c.finishResponse(now)
 	}
 }
 
--- a/proxy/requests_test.go
+++ b/proxy/requests_test.go
@@ -27,7 +27,7 @@
 	if s := string(effect.Bytes); strings.Contains(s, "endpoint-load") || strings.Contains(s, "Keep-Alive") || !strings.HasSuffix(s, "\r\n\r\nhi") {
 		t.Errorf("%q", s)
 	}
-	c.Respond(r.now, ex, effect.Bytes, false, false)
+	c.Respond(r.now, ex, effect.Bytes, false)
 	if c.AwaitingResponse() {
 		t.Error("still waiting")
 	}
@@ -57,7 +57,7 @@
 	c, ex := r.request("GET", "/look", "ka", "")
 	conn, _ := r.connect()
 	r.reply(conn, ex, "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"+strings.Repeat("x", 2000))
-	c.Respond(r.now, ex, r.want(StreamResponse).Bytes, true, false)
+	c.BeginResponse(ex, r.want(StreamResponse).Bytes, false)
 	r.instance.ClientLeft(r.now, c.Disconnected())
 	if r.want(CloseBackend).Conn != conn {
 		t.Fatal("another connection is closed")
