--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -11,7 +11,7 @@
 	// minAcceptBackoff is the first wait after the machine had no descriptor or memory for a connection: a response
 	// sooner than that gives one back. The wait doubles up to the most.
 	minAcceptBackoff = 5 * time.Millisecond
-	// maxAcceptBackoff bounds that wait: a client in the backlog still gets its answer within its usual patience.
+	// maxAcceptBackoff bounds that wait: a client in the backlog still gets its answer within its usual timeout.
 	maxAcceptBackoff = time.Second
 	// backlogTime is how long accepting goes on after the deadline of the listener: a deadline that has passed ends an
 	// accept although connections lie in the backlog, and those would be reset.
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -29,7 +29,7 @@
 	firstRequestTime = 150 * time.Millisecond
 	// clientSlotTimeout is how long accepting waits for an eviction; others wait in the backlog meanwhile.
 	clientSlotTimeout = 300 * time.Millisecond
-	// clientSlotPoll is how often it looks: an evicted connection closes within a few milliseconds.
+	// clientSlotPoll is how often the number of connections is checked meanwhile: an evicted connection closes within a few milliseconds.
 	clientSlotPoll = 5 * time.Millisecond
 	// neverRequestedRank puts connections of which no request was handed to the instance before all others, in the order of
 	// eviction. Requests that got a local response don't count.
--- a/internal/server/message.go
+++ b/internal/server/message.go
@@ -122,7 +122,7 @@
 
 func (endpointPollFailed) apply(s *Server, now time.Duration) { s.instance.EndpointPollFailed(now) }
 
-// inspection looks at the instance between two messages. It must not change it.
+// inspection inspects the instance between two messages. It must not change it.
 type inspection func(instance *proxy.Instance, now time.Duration)
 
 func (inspect inspection) apply(s *Server, now time.Duration) { inspect(s.instance, now) }
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -25,7 +25,7 @@
 //	7     at once                         the admin socket
 //	8     at once                         the trace recorder, once it has written what it holds
 
-// drainPoll is how often clients are looked over during a shutdown: short beside a response, so that the last one is not
+// drainPoll is how often client connections are checked during a shutdown: short beside a response, so that the last one is not
 // what a shutdown waits for.
 const drainPoll = 10 * time.Millisecond
 
--- a/proxy/attempts.go
+++ b/proxy/attempts.go
@@ -8,12 +8,12 @@
 
 // usableKeyLife is the share of an idempotency key's lifetime, from an attempt's first byte, within which a retry with the
 // same key may begin. The decision gateway decides on retries within a smaller share, 0.9 (keyTTLShare), which leaves time
-// for a connection to be made. The rest, a twentieth, is for the retry's way to the backend: one that arrives after the key
+// for a connection to be made. The rest, a twentieth, is for the retry to reach the backend: one that arrives after the key
 // was forgotten would have its effect twice.
 const usableKeyLife = 0.95
 
 // drainGraceDivisor sets the part of a drain grace, from when the instance learnt that a backend is not up, within which a
-// decided attempt may still begin there: the first half. The other half is for the request's way to the backend.
+// decided attempt may still begin there: the first half. The other half is for the request to reach the backend.
 const drainGraceDivisor = 2
 
 // attempt is one sending of an exchange to a backend. It is decided on by the decision gateway, begins with its first
@@ -143,7 +143,7 @@
 }
 
 // abandonAttempt ends an attempt from the instance's side. Where it was written its connection is closed, which is the
-// only way to take a request back in HTTP/1.1; one that is still being made may serve another attempt.
+// only means to cancel a request in HTTP/1.1; one that is still being made may serve another attempt.
 func (inst *Instance) abandonAttempt(ex *Exchange, index int, outcome decision.Outcome) {
 	conn := ex.attempts[index].conn
 	if conn != nil && conn.state == connDialing {
--- a/proxy/clientconn.go
+++ b/proxy/clientconn.go
@@ -24,7 +24,7 @@
 // It parses one request at a time. Bytes that come while a response is awaited are kept, up to a bound, and parsed after
 // it, so that responses go out in the order of the requests.
 //
-// A client that closes its side counts as gone, as with most servers: a half-closed connection can't be told from a
+// A client that closes its side counts as gone, as with most servers: a half-closed connection can't be distinguished from a
 // closed one until something is written to it.
 type ClientConn struct {
 	Outgoing      []byte // bytes for the client; the owner writes and removes them
@@ -163,7 +163,7 @@
 }
 
 // Disconnected reports that the client closed the connection, or that it is lost. It returns the exchange that waits for
-// its response, if any, for Instance.ClientLeft. From here on no attempt of that begins, however late the instance hears.
+// its response, if any, for Instance.ClientLeft. From here on no attempt of that begins, however late the instance gets that report.
 func (c *ClientConn) Disconnected() *Exchange {
 	ex := c.exchange
 	if c.phase != phaseAwaitResponse {
--- a/proxy/clientrequest.go
+++ b/proxy/clientrequest.go
@@ -48,7 +48,7 @@
 }
 
 // headRead takes a complete head in: the request is identified, and gets a local response where that fails. Its body is
-// skipped then, or the connection closed where the body is large or the client waits to be told to send it.
+// skipped then, or the connection closed where the body is large or the client waits for 100 (Continue) before it sends it.
 func (c *ClientConn) headRead(now time.Duration, h *http1.Head) {
 	c.phase, c.phaseSince, c.head = phaseBody, now, h
 	c.exchange = &Exchange{Owner: c.owner, Method: h.Method, MinorVersion: h.Minor, CloseAfterResponse: h.Close}
--- a/proxy/configured.go
+++ b/proxy/configured.go
@@ -160,7 +160,7 @@
 	return append(b, '\r', '\n')
 }
 
-// RenderAttempt implements protocol.Protocol: every attempt sends the request as it was rendered. Backends are not told how
+// RenderAttempt implements protocol.Protocol: every attempt sends the request as it was rendered. Backends do not learn how
 // long the instance waits.
 func (p *configuredProtocol) RenderAttempt(wire []byte, _ int, _ time.Duration) []byte { return wire }
 
--- a/proxy/counterclient.go
+++ b/proxy/counterclient.go
@@ -26,7 +26,7 @@
 type counterCall struct {
 	name     string
 	sentAt   time.Duration
-	reported bool // the decision gateway was told that it timed out; its reply will be dropped
+	reported bool // reported to the decision gateway as timed out; its reply will be dropped
 }
 
 // counterClient is the connection to the shared counter: one pipeline of calls, answered in their order.
@@ -144,8 +144,8 @@
 	inst.drainEvents()
 }
 
-// counterLost ends all calls, each of which may have been added, and sets the timer of the next dial. Instances that lose
-// the counter together must not come back together: each waits a random share, from a half to the whole, of a backoff that
+// counterLost ends all calls, each of which may have been added, and sets the timer of the next dial. Instances that are
+// disconnected together must not dial together: each waits a random share, from a half to the whole, of a backoff that
 // doubles.
 func (inst *Instance) counterLost() {
 	counter := &inst.counter
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -119,7 +119,7 @@
 	streamingConn    *BackendConn       // and its connection
 	isProbe          bool               // a health check of the instance's own, which has no client
 	probedBackend    decision.BackendID // where isProbe
-	clientLeft       atomic.Bool        // set by ClientConn.Disconnected, before the instance hears of it
+	clientLeft       atomic.Bool        // set by ClientConn.Disconnected, before Instance.ClientLeft
 	attemptFieldsAt  int                // offset in RenderedRequest at which an attempt adds header fields; 0: none are added
 	reservedBytes    int                // reserved in Shared.ReservedBytes until the exchange is released
 }
--- a/proxy/requests.go
+++ b/proxy/requests.go
@@ -9,7 +9,7 @@
 // RequestArrived takes an exchange in, for which a client waits. It gets its final answer within its timeout, less
 // limits.answer-margin.
 //
-// One with the unique name of another that is open is answered 409 at once, and the decision gateway does not hear of it:
+// One with the unique name of another that is open is answered 409 at once, and the decision gateway gets no event for it:
 // backends know requests by that name.
 func (inst *Instance) RequestArrived(now time.Duration, ex *Exchange) {
 	inst.advanceTo(now)
@@ -47,13 +47,13 @@
 	ex.reservedBytes = 0
 }
 
-// answerDeadline is when an exchange must be answered: the margin is for the answer's way to the client.
+// answerDeadline is when an exchange must be answered: the margin is for the answer to reach the client.
 func (inst *Instance) answerDeadline(ex *Exchange) time.Duration {
 	return ex.Arrived + ex.Timeout - time.Duration(inst.shared.Config.Limits.ResponseMargin)
 }
 
-// ClientLeft reports that an exchange's client is gone. It gets no answer; the decision gateway is told and may cancel
-// attempts that are open. A backend connection whose response was being streamed is closed.
+// ClientLeft reports that an exchange's client is gone. It gets no answer; the decision gateway gets the event and may
+// cancel attempts that are open. A backend connection whose response was being streamed is closed.
 func (inst *Instance) ClientLeft(now time.Duration, ex *Exchange) {
 	inst.advanceTo(now)
 	if inst.requests[ex.ID] != ex {
