--- a/internal/bench/tools.go
+++ b/internal/bench/tools.go
@@ -72,21 +72,21 @@
 			return err
 		}
 	}
-	looks := &atomic.Int64{}
+	queries := &atomic.Int64{}
 	for _, conns := range o.Conns {
 		for _, v := range all {
 			v.throughput, v.p50, v.p99, v.cpu = nil, nil, nil, nil
 		}
 		for round := range o.Rounds {
 			for i := range all {
-				if err := o.round(all[(round+i)%len(all)], conns, looks); err != nil {
+				if err := o.round(all[(round+i)%len(all)], conns, queries); err != nil {
 					return err
 				}
 			}
 		}
 		o.print(all, conns)
 	}
-	fmt.Fprintf(o.Out, "\n%d looks were answered\n", looks.Load())
+	fmt.Fprintf(o.Out, "\n%d looks were answered\n", queries.Load())
 	rec := all[2]
 	if err := rec.target.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -98,13 +98,13 @@
 }
 
 // round loads one gateway in a closed loop and then in an open one.
-func (o ToolOptions) round(v *variant, conns int, looks *atomic.Int64) error {
+func (o ToolOptions) round(v *variant, conns int, queries *atomic.Int64) error {
 	d := time.Duration(o.Seconds * float64(time.Second))
 	var wg sync.WaitGroup
-	var lookErr error
+	var queryErr error
 	stop := make(chan struct{})
 	if v.queried {
-		wg.Go(func() { lookErr = o.lookUp(v.adminSocket, stop, looks) })
+		wg.Go(func() { queryErr = o.queryAdmin(v.adminSocket, stop, queries) })
 	}
 	most, err := Load(v.target.addr, benchRequest, conns, 0, d)
 	var open Result
@@ -120,7 +120,7 @@
 	}
 	close(stop)
 	wg.Wait()
-	if err = errors.Join(err, lookErr); err != nil {
+	if err = errors.Join(err, queryErr); err != nil {
 		return fmt.Errorf("%s: %w", v.name, err)
 	}
 	if n := most.NotOK + open.NotOK; n > 0 {
@@ -134,8 +134,8 @@
 // wouldEvery is in queries: asking what the gateway would decide copies its state, at most four times a second.
 const wouldEvery = 25
 
-// lookup queries the admin socket until it is stopped.
-func (o ToolOptions) lookUp(socket string, stop chan struct{}, looks *atomic.Int64) error {
+// queryAdmin queries the admin socket until it is stopped.
+func (o ToolOptions) queryAdmin(socket string, stop chan struct{}, queries *atomic.Int64) error {
 	tick := time.NewTicker(time.Second / time.Duration(max(1, o.Lookups)))
 	defer tick.Stop()
 	for n := 0; ; n++ {
@@ -151,7 +151,7 @@
 		if err := o.Query(socket, path); err != nil {
 			return err
 		}
-		looks.Add(1)
+		queries.Add(1)
 	}
 }
 
--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -19,10 +19,10 @@
 // Emulator runs the sandyard-emulator program.
 func Emulator(args []string, out, errs io.Writer) int {
 	var g struct {
-		Box    emulateBackendCommand `cmd:"" help:"Run a stand-in box."`
-		Keeper emulateCounterCommand `cmd:"" help:"Run a stand-in tally keeper."`
-		Set    setFaultCommand       `cmd:"" help:"Set a fault of a running stand-in: slow 3, hang, reset 20, lose, fault 0.5, refuse, lie 0, stall, delay 200; of the keeper: silent, empty, refuse, stall, delay."`
-		Clear  clearFaultCommand     `cmd:"" help:"End a fault of a running stand-in."`
+		Backend emulateBackendCommand `cmd:"" name:"box" help:"Run a stand-in box."`
+		Counter emulateCounterCommand `cmd:"" name:"keeper" help:"Run a stand-in tally keeper."`
+		Set     setFaultCommand       `cmd:"" help:"Set a fault of a running stand-in: slow 3, hang, reset 20, lose, fault 0.5, refuse, lie 0, stall, delay 200; of the keeper: silent, empty, refuse, stall, delay."`
+		Clear   clearFaultCommand     `cmd:"" help:"End a fault of a running stand-in."`
 	}
 	return program("sandyard-emulator", "Peers to try a front door against: boxes and a tally keeper.", &g, args, out, errs,
 		&Console{out, errs})
@@ -118,28 +118,28 @@
 			rec.write(BackendFact{time.Now().UnixNano(), f.Backend, f.Kind, f.ID, f.Key})
 		}
 	}
-	box, err := server.StartBackend(b.Listen, emulator.BackendConfig{Name: b.Name, Cores: b.Cores, Queue: b.Queue, Work: b.Work, WorkVariation: b.Spread,
+	backend, err := server.StartBackend(b.Listen, emulator.BackendConfig{Name: b.Name, Cores: b.Cores, Queue: b.Queue, Work: b.Work, WorkVariation: b.Spread,
 		SlowStartShare: b.SlowStartShare, SlowStartTime: b.SlowStartTime, OverloadFactor: b.OverloadFactor, OverloadTime: b.OverloadTime, KeyTTL: b.KeyTTL,
 		BodySize: b.Body, Seed: b.Seed}, facts)
 	if err != nil {
 		return err
 	}
-	defer box.Close()
-	return serveUntilSignal(rec, box.Addr(), b.Control, box)
+	defer backend.Close()
+	return serveUntilSignal(rec, backend.Addr(), b.Control, backend)
 }
 
 // serveUntilSignal prints where an emulator listens, and waits for SIGTERM or SIGINT.
 func serveUntilSignal(rec *lineWriter, addr, control string, f server.FaultTarget) error {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
-	defer signal.Stop(told)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	defer signal.Stop(signals)
 	at, stop, err := server.ServeFaultControl(control, f)
 	if err != nil {
 		return err
 	}
 	defer stop()
 	rec.write(Ready{"listening", addr, at.String()})
-	<-told
+	<-signals
 	return nil
 }
 
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -35,8 +35,8 @@
 }
 
 // match queries a running gateway, or runs the gateway's own code with the configuration's files.
-func (m routesMatch) match(cfg *config.Config, method, target, studio string) (proxy.InspectionResult, error) {
-	l := proxy.Inspection{Method: method, Target: target, Fields: m.Header, Key: m.Key, Customer: studio}
+func (m routesMatch) match(cfg *config.Config, method, target, customer string) (proxy.InspectionResult, error) {
+	l := proxy.Inspection{Method: method, Target: target, Fields: m.Header, Key: m.Key, Customer: customer}
 	if cfg != nil {
 		return l.Run(cfg), nil
 	}
--- a/internal/cli/routesdiff.go
+++ b/internal/cli/routesdiff.go
@@ -153,7 +153,7 @@
 }
 
 // compareUnits returns how many customers there are in the traces, and those whose traffic would have drawn other units.
-func (d routesDiff) compareUnits(c *Console, cost map[string][2]float64) (studios int, otherwise []customerUnits, err error) {
+func (d routesDiff) compareUnits(c *Console, cost map[string][2]float64) (customers int, otherwise []customerUnits, err error) {
 	by := map[string]*customerUnits{}
 	err = traceFiles{d.Trace}.eachRecord(c, nil, func(h trace.Header, it trace.Record) error {
 		a := it.Event.Arrived
--- a/internal/cli/traceshow.go
+++ b/internal/cli/traceshow.go
@@ -95,9 +95,9 @@
 		float64((request.Ended-request.At).Microseconds())/1000)
 }
 
-func hasAttemptAt(s *trace.Histories, st *trace.RequestHistory, box string) bool {
+func hasAttemptAt(s *trace.Histories, st *trace.RequestHistory, backend string) bool {
 	for _, a := range st.Attempts {
-		if s.BackendNames[a.Backend] == box {
+		if s.BackendNames[a.Backend] == backend {
 			return true
 		}
 	}
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -109,11 +109,11 @@
 // recordFact hands a line of a backend's record to the auditor.
 func (d *Drill) recordFact(line []byte) {
 	var f struct {
-		At   int64             `json:"at"`
-		Box  string            `json:"box"`
-		Kind emulator.FactKind `json:"kind"`
-		ID   string            `json:"id"`
-		Key  string            `json:"key"`
+		At      int64             `json:"at"`
+		Backend string            `json:"box"`
+		Kind    emulator.FactKind `json:"kind"`
+		ID      string            `json:"id"`
+		Key     string            `json:"key"`
 	}
 	if json.Unmarshal(line, &f) != nil || f.Kind == "" {
 		return
@@ -123,11 +123,11 @@
 	defer d.mu.Unlock()
 	switch f.Kind {
 	case emulator.RequestReceived:
-		d.auditor.RequestReceived(invariant.Receipt{ID: f.ID, Backend: f.Box, At: at})
+		d.auditor.RequestReceived(invariant.Receipt{ID: f.ID, Backend: f.Backend, At: at})
 	case emulator.RequestExecuted:
-		d.auditor.RequestExecuted(invariant.Execution{ID: f.ID, Key: f.Key, Backend: f.Box, At: at})
+		d.auditor.RequestExecuted(invariant.Execution{ID: f.ID, Key: f.Key, Backend: f.Backend, At: at})
 	case emulator.BackendCollapsed:
-		d.auditor.BackendCollapsed(f.Box, at)
+		d.auditor.BackendCollapsed(f.Backend, at)
 	}
 }
 
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -30,10 +30,10 @@
 `)
 	n := 0
 	for _, p := range []struct {
-		plan    string
-		studios int
+		plan      string
+		customers int
 	}{{"hobby", 5}, {"studio", 3}, {"school", 2}} {
-		for i := range p.studios {
+		for i := range p.customers {
 			fmt.Fprintf(&s, "  - {name: %s-%d, plan: %s, keys: [key-%d], doors: {first: %d, spread: 2}}\n", p.plan, i, p.plan, n, n)
 			n++
 		}
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -17,13 +17,13 @@
 func (s *Sim) cellOf(b *simBackend) int { return b.number % max(1, s.script.Backends.Cells) }
 
 // cellOfName returns what finds a backend's cell, within which repeats of a key are discarded; nil: there is one cell.
-func (s *Sim) cellOfName() func(box string) string {
+func (s *Sim) cellOfName() func(backend string) string {
 	if s.script.Backends.Cells < 2 {
 		return nil
 	}
-	return func(box string) string {
+	return func(backend string) string {
 		for _, b := range s.backends {
-			if b.name == box {
+			if b.name == backend {
 				return strconv.Itoa(s.cellOf(b))
 			}
 		}
