--- a/decision/admission.go
+++ b/decision/admission.go
@@ -11,26 +11,28 @@
 // This file decides which requests are admitted and which are shed. Each priority has a PI controller that moves the
 // admitted fraction of its customers so that the backends' utilization (load.go) stays at the set point. A request's
 // priority is its class's weight times its plan's; a higher priority is cut last. Requests beyond a quota that their
-// plan pays for share one more controller, below all others. The mechanism is section 5 of the paper that docs/design.md
-// names: a controller's set point is what those above it leave.
+// plan pays for share one more controller, below all others. The mechanism is that of T. Abdelzaher, K. Shin and
+// N. Bhatti, "Performance Guarantees for Web Server End-Systems: A Control-Theoretical Approach" (2002), sections 4 (the
+// control loop) and 5 (priorities): a controller's set point is what those above it leave.
 //
-// A customer is admitted while its hash is below the fraction, so that all instances shed the same customers, and a
-// customer that is admitted gets all of its requests through.
+// A customer is admitted while its hash is below the fraction, so that all instances shed the same customers, and the
+// requests of one priority of a customer that is admitted are not cut.
 
 const (
 	// controlPeriod is the time between two steps of the controllers: several service times, so that a step shows
 	// before the next one, and few per fault.
 	controlPeriod = 300 * time.Millisecond
-	// controlGainMargin is G of the paper, by which the gain stays below the critical one: a queue integrates, so a
+	// controlGainMargin is G of the paper (section 4), by which the gain stays below the critical one: a queue integrates, so a
 	// larger gain makes the fraction swing.
 	controlGainMargin = 20.0
 	// workAverageTime is the time over which offered and admitted work fade: long against controlPeriod, short
 	// against a change of traffic.
 	workAverageTime = 2 * time.Second
-	// utilizationSetPoint is the utilization to hold; 1 is where backends reject.
+	// utilizationSetPoint is the utilization to hold; 1 is full load (load.go), at half the expected latency from which
+	// an attempt is refused (maxLatencyRatio).
 	utilizationSetPoint = 0.95
-	// maxUtilization bounds the utilization handed to the controllers: a jam is not more urgent for being long, and
-	// an unbounded error would shed everybody after it.
+	// maxUtilization bounds the utilization handed to the controllers: a longer queue must not cause a larger step, and
+	// an unbounded error would shed everybody after an overload.
 	maxUtilization = 1.3
 	// offeredWorkDivisor: a controller that was offered less than the whole admitted work over this counts as offered
 	// that much, or its gain would have no bound.
@@ -55,6 +57,7 @@
 	// The utilization if all that was offered were admitted, p_max of the paper.
 	peakUtilization := utilizationSetPoint * max(c.offeredWork, totalWork/offeredWorkDivisor) / max(totalWork, leastDivisor)
 	proportionalGain := math.Sqrt(3) / (2 * controlGainMargin * peakUtilization)
+	// The gain is per second: it is divided by the time here and multiplied by it below, which cancels but for rounding.
 	integralGain := 5 * math.Pi / (3 * elapsed) / math.Sqrt(3)
 	c.admitRatio = min(1, max(0, c.admitRatio+proportionalGain*(controlError-c.lastError+integralGain*elapsed*controlError)))
 	c.lastError = controlError
@@ -128,46 +131,90 @@
 }
 
 // quotaDecision is how a request stands with its customer's quota by the time that load shedding decides on it.
-type quotaDecision struct {
-	inside  bool // the quota allows it
-	counted bool // the shared counter has added its units, and said so
+type quotaDecision int
+
+const (
+	// beyondQuota: the quota does not allow it. If the shared counter had added its units, they have been taken back,
+	// or stay there because the counter may not be called (decideByTotal).
+	beyondQuota quotaDecision = iota
+	// insideUncounted: the quota allows it as far as is known here, or is not checked because load cuts the request
+	// anyway; the shared counter is not known to hold its units.
+	insideUncounted
+	// insideCounted: the quota allows it by the counter's total, which includes its units.
+	insideCounted
+)
+
+// uncountedDecision is the decision on a request whose units the shared counter is not known to hold.
+func uncountedDecision(inside bool) quotaDecision {
+	if inside {
+		return insideUncounted
+	}
+	return beyondQuota
+}
+
+// cuts tells whether the fraction of a controller leaves a customer out.
+func (c *piController) cuts(customer *customerRecord) bool {
+	return customer.admissionHash >= c.admitRatio
 }
 
 // admitOrShed sends the first attempt of a request or rejects it. A request is shed when the fraction of its priority
 // leaves its customer out, when it would pass the ceiling of its plan, when it is beyond a quota that its plan does not
-// pay for, or when no backend could answer it in time (sendAttempt).
+// pay for, or when no backend could answer it in time (sendAttempt). It is called once for each request that has not
+// ended.
 func (g *Gateway) admitOrShed(request *requestRecord, quota quotaDecision) {
-	customer := request.customer
-	plan := &g.settings.Plans[customer.plan]
-	controller := g.admission.controller(request.class, customer.plan)
-	if !quota.inside {
+	controller := g.admission.controller(request.class, request.customer.plan)
+	if quota == beyondQuota {
 		controller = g.admission.overQuotaController()
 		request.rejectReason = OverQuota
+		plan := &g.settings.Plans[request.customer.plan]
 		if plan.OverQuotaValue <= plan.OverQuotaCost {
-			g.finish(request, answerOwed)
+			g.finishWithAnswer(request)
 			return
 		}
 	}
 	work := g.classLatency[request.class].mean
 	controller.offeredWork += work
-	confirmed := quota.counted && quota.inside
-	ceilingExceeded := !confirmed && !customer.ceilingAllows(plan, request.units)
-	if ceilingExceeded {
-		request.rejectReason = OverQuota
+	if reason, shed := g.shedReason(request, quota, controller); shed {
+		request.rejectReason = reason
+		g.takeBackIfCounted(request, quota)
+		g.finishWithAnswer(request)
+		return
 	}
-	if customer.admissionHash >= controller.admitRatio || ceilingExceeded || !g.sendAttempt(request) {
-		if confirmed {
-			g.takeBackUnits(request)
-		}
-		if !request.ended {
-			g.finish(request, answerOwed)
-		}
+	if !g.sendAttempt(request) { // which has ended the request
+		g.takeBackIfCounted(request, quota)
 		return
 	}
 	controller.admittedWork += work
-	if confirmed {
+	g.spendUnits(request, quota)
+}
+
+// shedReason tells whether a request is rejected before any attempt, and why. It changes nothing.
+func (g *Gateway) shedReason(request *requestRecord, quota quotaDecision, controller *piController) (reason RejectReason, shed bool) {
+	customer := request.customer
+	plan := &g.settings.Plans[customer.plan]
+	ceilingExceeded := quota != insideCounted && !customer.ceilingAllows(plan, request.units)
+	switch {
+	case ceilingExceeded:
+		return OverQuota, true
+	case controller.cuts(customer):
+		return request.rejectReason, true
+	default:
+		return request.rejectReason, false
+	}
+}
+
+// takeBackIfCounted takes the units of a request that was not admitted back at the shared counter, if it holds them.
+func (g *Gateway) takeBackIfCounted(request *requestRecord, quota quotaDecision) {
+	if quota == insideCounted {
+		g.takeBackUnits(request)
+	}
+}
+
+// spendUnits takes an admitted request's units off this instance's split.
+func (g *Gateway) spendUnits(request *requestRecord, quota quotaDecision) {
+	if quota == insideCounted {
 		g.spendCountedUnits(request)
-	} else {
-		g.spendUncountedUnits(customer, request.units)
+		return
 	}
+	g.spendUncountedUnits(request.customer, request.units)
 }
--- a/decision/countersync.go
+++ b/decision/countersync.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 	"strconv"
 	"time"
 )
@@ -47,7 +46,8 @@
 	recoveryCallFactor = 1.25
 	// counterRecoveryTime is long enough for the counter to have recovered from an overload.
 	counterRecoveryTime = 4 * time.Second
-	// minCallProbability is the least chance of a call, which finds out that the counter has recovered.
+	// minCallProbability is the least callProbability, at which calls still find out that the counter has recovered.
+	// The chance of one request's call is this times its callPriority, which may be near 0.
 	minCallProbability = 0.15
 )
 
@@ -67,8 +67,8 @@
 	insideShare      []movingAverage          // share of the requests asked about that were inside their quota, by plan
 	reportedUseShare movingAverage            // share of the use that reached the counter
 	maxPlanWeight    float64                  // highest WeightFactor of all plans
-	callProbability  float64
-	overloadedAt     time.Duration // when it last was slow or rejected a call
+	callProbability  float64                  // chance of a call of the highest priority, minCallProbability to 1
+	overloadedAt     time.Duration            // when it last was slow or rejected a call
 }
 
 func newCounterSync(plans []Plan, now time.Duration) counterSync {
@@ -116,10 +116,10 @@
 	}
 }
 
-// mayCallCounter decides by chance whether the counter may be called. priority, 0 to 1, lowers the chance of calls that
-// are worth less, but only while the counter is overloaded.
-func (g *Gateway) mayCallCounter(priority float64) bool {
-	return g.counter.callProbability == 1 || g.rng.Float64() < g.counter.callProbability*priority
+// mayCallCounter decides by chance whether the counter may be called; while the counter is overloaded it draws a random
+// number. callPriority, 0 to 1, lowers the chance of calls that are worth less, but only in that time.
+func (g *Gateway) mayCallCounter(callPriority float64) bool {
+	return g.counter.callProbability == 1 || g.rng.Float64() < g.counter.callProbability*callPriority
 }
 
 // counterNameOf is the name to which a customer's use is added now, and what a unit counts in it. Names change before
@@ -127,12 +127,12 @@
 // all totals are unknown at once.
 func (g *Gateway) counterNameOf(customer *customerRecord) (name string, unitWeight float64) {
 	period := min(maxCounterNamePeriod.Seconds(), maxCounterNameFades*customer.quota.fadeTime)
-	epoch, age := math.Modf(g.now.Seconds()/period + customer.admissionHash)
+	epoch, elapsedShare := math.Modf(g.now.Seconds()/period + customer.admissionHash)
 	name = customer.id
 	if len(name) > maxCustomerInName {
 		name = strconv.FormatUint(math.Float64bits(customer.admissionHash), 36)
 	}
-	return name + "." + strconv.FormatInt(int64(epoch), 36), math.Exp(age * period / customer.quota.fadeTime)
+	return name + "." + strconv.FormatInt(int64(epoch), 36), math.Exp(elapsedShare * period / customer.quota.fadeTime)
 }
 
 // callCounter adds units to a customer's total, with its pending use; request, if any, waits for the answer.
@@ -170,11 +170,20 @@
 
 // flushPendingUse tells the counter what was spent without asking and is due.
 func (g *Gateway) flushPendingUse() {
-	g.counter.pendingUseQueue = slices.DeleteFunc(g.counter.pendingUseQueue, g.flushCustomer)
+	queue := g.counter.pendingUseQueue
+	waiting := queue[:0]
+	for _, customer := range queue {
+		if !g.flushCustomer(customer) {
+			waiting = append(waiting, customer)
+		}
+	}
+	clear(queue[len(waiting):])
+	g.counter.pendingUseQueue = waiting
 }
 
-// flushCustomer tells the counter of a customer's pending use if it is due, and returns false if it has to wait on.
-// Where the counter may not be called, use that matters is kept, and fades as it would there; the rest is dropped.
+// flushCustomer adds a customer's pending use to the counter, with an action, if it is due, and returns false if it has
+// to wait on. Where the counter may not be called, use that matters is kept, and fades as it would there; the rest is
+// dropped.
 func (g *Gateway) flushCustomer(customer *customerRecord) (done bool) {
 	if g.now < customer.pendingUseDueAt {
 		return false
@@ -205,10 +214,10 @@
 		return
 	}
 	total := max(0, event.Total) // what was taken back may leave a rounding error below nothing
-	ok := event.Outcome == OK && !anyInvalid(total)
+	ok := event.Outcome == OK && !anyNegativeOrNotFinite(total)
 	slow := event.Outcome == TimedOut || g.now-call.sentAt > g.settings.CounterTimeout/2
 	g.counter.recordCall(slow, ok, g.now)
-	if call.request != nil && call.request.ended && ok { // its client is gone
+	if call.request != nil && call.request.ended && ok { // the client left, or the deadline passed
 		g.takeBackUnits(call.request)
 	}
 	g.refillTokens(call.customer)
@@ -228,12 +237,14 @@
 	}
 }
 
-// recordTotal takes in a customer's total. One far below what it must be says that the counter has forgotten; it would
-// let in too much until the use before that has faded.
+// recordTotal takes in a customer's total. One far below the expected one means that the counter may have forgotten; it
+// would let in too much until the use before that has faded, so the counter is distrusted for that long. A change of
+// the counter's name (counterNameOf) looks the same: the new name's total starts from nothing, the counter is distrusted
+// too, and the customer may spend up to one more burst.
 func (g *Gateway) recordTotal(customer *customerRecord, total float64) {
 	expected := customer.counterTotal * customer.quota.fade(g.now-customer.counterTotalAt)
 	if customer.counterTotalAt > 0 && total < counterResetRatio*expected {
-		customer.counterDistrustedUntil = g.now + time.Duration(customer.quota.fadeTime*float64(time.Second))
+		customer.counterDistrustedUntil = g.now + seconds(customer.quota.fadeTime)
 	}
 	customer.counterTotal = total
 	customer.counterTotalAt = g.now
@@ -246,11 +257,12 @@
 	if outcome == TimedOut && !inside {
 		g.takeBackUnits(request)
 	}
-	g.admitOrShed(request, quotaDecision{inside: inside})
+	g.admitOrShed(request, uncountedDecision(inside))
 }
 
-// decideByTotal decides on a request by its customer's total, which holds it. Half a request above the quota is let in
-// as often as below.
+// decideByTotal decides on a request by its customer's total, which includes the request's units. A request is inside
+// if at least half of its units fit; recordOverQuota inverts the same rule. Beyond this instance's split of a ceiling it
+// is let in only from the part that is not split, while the counter is trusted.
 func (g *Gateway) decideByTotal(request *requestRecord) {
 	customer := request.customer
 	units := request.units
@@ -259,28 +271,33 @@
 	g.counter.insideShare[customer.plan].add(indicator(inside), g.now)
 	if !inside {
 		g.recordOverQuota(request, before)
+		if g.mayCallCounter(1) { // else its units stay in the total until they fade
+			g.takeBackUnits(request)
+		}
+		g.admitOrShed(request, beyondQuota)
+		return
 	}
 	plan := &g.settings.Plans[customer.plan]
-	if inside && !customer.ceilingAllows(plan, units) && (g.now < customer.counterDistrustedUntil || before+units > ceilingCounterShare*plan.CeilingBurst) {
+	beyondSplit := !customer.ceilingAllows(plan, units)
+	sharedPartUsedUp := g.now < customer.counterDistrustedUntil || before+units > ceilingCounterShare*plan.CeilingBurst
+	if beyondSplit && sharedPartUsedUp {
 		request.rejectReason = OverQuota
 		g.takeBackUnits(request)
-		g.finish(request, answerOwed)
+		g.finishWithAnswer(request)
 		return
 	}
-	g.admitOrShed(request, quotaDecision{inside: inside, counted: true})
+	g.admitOrShed(request, insideCounted)
 }
 
-// recordOverQuota notes that a customer is beyond its quota, until the total without the request can have faded
-// enough, and takes the request's units back.
+// recordOverQuota notes that a customer is beyond its quota, until the total without the request has faded so far that
+// half of the request's units fit (at most maxOverQuotaWait). Where attempts in flight are counted, only the total is
+// noted.
 func (g *Gateway) recordOverQuota(request *requestRecord, total float64) {
 	customer := request.customer
 	customer.counterTotal = total
-	if customer.quota.rate > 0 {
+	if !customer.quota.countsInFlight() {
 		room := max(customer.quota.maxTotal-request.units/2, request.units/2) * g.counter.reportedUseShare.value
 		wait := min(maxOverQuotaWait, customer.quota.fadeTime*math.Log(max(1, total/room)))
-		customer.overQuotaUntil = g.now + time.Duration(wait*float64(time.Second))
-	}
-	if g.mayCallCounter(1) {
-		g.takeBackUnits(request)
+		customer.overQuotaUntil = g.now + seconds(wait)
 	}
 }
--- a/decision/ewma.go
+++ b/decision/ewma.go
@@ -9,8 +9,8 @@
 // window is a time, stretched where values come so seldom that the time alone would hold too few of them.
 
 const (
-	// averageWindow is the time over which the weight of a value falls to 1/e: a change of load shows within one
-	// latency objective.
+	// averageWindow is the time over which the weight of a value falls to 1/e: a change of load shows
+	// within about 1 s.
 	averageWindow = time.Second
 	// averageFadeTime is the time over which a mean without new values falls to 1/e, see movingAverage.current.
 	averageFadeTime = time.Second
@@ -55,6 +55,9 @@
 	return a.value * math.Exp(-(now-a.updatedAt).Seconds()/max(a.fadeTime, a.minSamples*a.gap))
 }
 
+// seconds is the duration of so many seconds.
+func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+
 // indicator is 1 for true and 0 for false, to average how often something holds.
 func indicator(b bool) float64 {
 	if b {
--- /dev/null
+++ b/internal/drill/client.go
@@ -0,0 +1,167 @@
+package drill
+
+import (
+	"errors"
+	"net"
+	"strings"
+	"sync"
+	"time"
+
+	"sandyard/internal/http1"
+	"sandyard/invariant"
+)
+
+// client is a client's side of connections to one instance. It is not net/http's, which retries some requests by itself and
+// would hide what the auditor looks for. It may be used by several goroutines.
+type client struct {
+	address string
+	mu      sync.Mutex
+	idle    []*clientConn
+}
+
+// clientConn is a connection, used for one request at a time.
+type clientConn struct {
+	net.Conn
+	reader   *http1.Reader
+	lastUsed time.Time
+}
+
+const (
+	maxIdleTime  = 5 * time.Second // after which a connection is not used again: the instance may be about to close it
+	maxIdleConns = 128             // of an instance; more than are in flight at the default rate
+)
+
+// get returns an idle connection, or makes one.
+func (c *client) get(deadline time.Time) (*clientConn, error) {
+	c.mu.Lock()
+	for len(c.idle) > 0 {
+		last := c.idle[len(c.idle)-1]
+		c.idle = c.idle[:len(c.idle)-1]
+		if time.Since(last.lastUsed) < maxIdleTime {
+			c.mu.Unlock()
+			return last, nil
+		}
+		last.Close()
+	}
+	c.mu.Unlock()
+	nc, err := net.DialTimeout("tcp", c.address, time.Until(deadline))
+	if err != nil {
+		return nil, err
+	}
+	return &clientConn{Conn: nc, reader: http1.NewResponses(http1.Limits{})}, nil
+}
+
+// put keeps a connection for further requests.
+func (c *client) put(cn *clientConn) {
+	cn.lastUsed = time.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.idle) >= maxIdleConns {
+		cn.Close()
+		return
+	}
+	c.idle = append(c.idle, cn)
+}
+
+func (c *client) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, cn := range c.idle {
+		cn.Close()
+	}
+	c.idle = nil
+}
+
+// readBuffer is in bytes: most responses fit.
+const readBuffer = 8 << 10
+
+// call sends one request and returns how it ended, with the number of complete responses.
+func (c *client) call(request []byte, method string, deadline time.Time) (e invariant.Ending, responses int) {
+	conn, err := c.get(deadline)
+	if err != nil {
+		return invariant.NotAccepted, 0
+	}
+	conn.SetDeadline(deadline)
+	if _, err := conn.Write(request); err != nil {
+		conn.Close()
+		return endingOf(err), 0
+	}
+	conn.reader.Expect(method)
+	var r response
+	b := make([]byte, readBuffer)
+	for {
+		n, err := conn.Read(b)
+		if err != nil {
+			conn.Close()
+			if e := endingOf(err); e != invariant.ConnectionBroken || r.head == nil {
+				return e, 0
+			}
+			return invariant.Failed, 1 // the client sees that its response broke off
+		}
+		complete, extra, err := r.feed(conn.reader, b[:n])
+		switch {
+		case err != nil:
+			conn.Close()
+			return invariant.ConnectionBroken, 0
+		case complete && extra:
+			conn.Close()
+			return endingOfResponse(r.head, r.body), 2
+		case complete && r.head.Close:
+			conn.Close()
+			return endingOfResponse(r.head, r.body), 1
+		case complete:
+			c.put(conn)
+			return endingOfResponse(r.head, r.body), 1
+		}
+	}
+}
+
+// response is a response as far as it was read.
+type response struct {
+	head *http1.Head // nil: not yet
+	body []byte
+}
+
+// feed reads bytes, and reports whether the response is complete and whether there are more bytes behind it: a second
+// response that nobody asked for.
+func (r *response) feed(reader *http1.Reader, in []byte) (complete, extra bool, err error) {
+	for {
+		used, part, err := reader.Feed(in)
+		in = in[used:]
+		if err != nil {
+			return false, false, err
+		}
+		switch part.Kind {
+		case http1.More:
+			return false, false, nil
+		case http1.HeadEnd:
+			if part.Head.Status >= 200 {
+				r.head = part.Head
+			}
+		case http1.Data:
+			r.body = append(r.body, part.Data...)
+		case http1.End:
+			return true, len(in) > 0, nil
+		}
+	}
+}
+
+// endingOf returns how a request ended whose connection failed.
+func endingOf(err error) invariant.Ending {
+	var ne net.Error
+	if errors.As(err, &ne) && ne.Timeout() {
+		return invariant.ClientTimedOut
+	}
+	return invariant.ConnectionBroken
+}
+
+// endingOfResponse returns how a request ended with a response.
+func endingOfResponse(h *http1.Head, body []byte) invariant.Ending {
+	switch {
+	case h.Status < 400:
+		return invariant.Served
+	case strings.Contains(string(body), `"retry":"harmless"`):
+		return invariant.Rejected
+	}
+	return invariant.Failed
+}
--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -11,7 +11,7 @@
 	// minAcceptBackoff is the first wait after the machine had no descriptor or memory for a connection: a response
 	// sooner than that gives one back. The wait doubles up to the most.
 	minAcceptBackoff = 5 * time.Millisecond
-	// maxAcceptBackoff bounds that wait: a client in the backlog still gets its answer within its usual patience.
+	// maxAcceptBackoff bounds that wait: a client in the backlog still gets its answer within its usual timeout.
 	maxAcceptBackoff = time.Second
 	// backlogTime is how long accepting goes on after the deadline of the listener: a deadline that has passed ends an
 	// accept although connections lie in the backlog, and those would be reset.
@@ -20,6 +20,9 @@
 
 // accept takes connections until the listener ends. It stops while the queue of the event loop is half full, so that
 // clients wait in the backlog before any is rejected. Only Serve calls it.
+//
+// Its waits do not see a shutdown: connectionsCtx ends, at step 4, only after accept has returned. Each is bounded: the
+// backoff by maxAcceptBackoff, waitForClientSlot by clientSlotTimeout, waitForQueueSpace by how soon the event loop takes its queue.
 func (s *Server) accept() error {
 	backoff, deadlinePassed := minAcceptBackoff, false
 	for {
@@ -47,7 +50,8 @@
 	}
 }
 
-// waitForQueueSpace returns when less than half of limits.queue messages wait for the event loop, or it has ended.
+// waitForQueueSpace returns when less than half of limits.queue messages wait for the event loop. That the loop, or
+// connectionsCtx, has ended would also end the wait, but both end only after accept, its one caller, has returned.
 func (s *Server) waitForQueueSpace() {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -38,10 +38,10 @@
 	readable       sync.Cond // on mu: signalled when reading may go on
 	client         *proxy.ClientConn
 	readDeadline   time.Duration // that is set at the socket; 0: none
-	closed         bool          // the last bytes are written: the reader is to close
-	lingers        bool          // and to read on a while before
-	closeRequested bool          // the reader is to close it if no part of a request has been read
-	evicted        bool          // and without lingering: its last response arrived long ago, and another needs the place
+	closed         bool          // the last bytes are written, or the client has left: the reader is to close the socket
+	lingers        bool          // with closed: the reader first reads and drops what comes, for lingeringCloseTimeout
+	closeRequested bool          // the reader is to close the connection if no part of a request has been read
+	evicted        bool          // the reader closes it without lingering, to make room for a new client
 }
 
 // newClientConn sets up an accepted connection; its run has not begun.
@@ -63,7 +63,7 @@
 	defer cc.socket.releaseBuffer()
 	defer cc.socket.close()
 	for {
-		if cc.waitReadable() {
+		if cc.prepareRead() {
 			cc.closeGracefully()
 			return
 		}
@@ -74,12 +74,12 @@
 	}
 }
 
-// waitReadable waits while the client has too much to take, sets the read deadline, and reports whether the last bytes are
-// written.
-func (cc *clientConn) waitReadable() (closed bool) {
+// prepareRead waits while more than maxUnwrittenClientBytes are kept for the client, sets the read deadline, and reports
+// whether the connection is to be closed instead of read.
+func (cc *clientConn) prepareRead() (closed bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	for cc.socket.unwrittenBytes() > maxUnwrittenClientBytes && !cc.closed && !cc.socket.writeFailed() {
+	for cc.socket.unwrittenBytes() > maxUnwrittenClientBytes && !cc.closed && !cc.socket.closedOrFailed() {
 		cc.readable.Wait()
 	}
 	cc.setReadDeadline()
@@ -94,9 +94,9 @@
 	switch {
 	case err == nil:
 		cc.advance(now, cc.client.Feed(now, b))
-	case isTimeout(err) && !cc.socket.writeFailed() && cc.closeRequested && !cc.closed:
+	case isTimeout(err) && !cc.socket.closedOrFailed() && cc.closeRequested && !cc.closed:
 		cc.closeIfIdle(now)
-	case isTimeout(err) && !cc.socket.writeFailed():
+	case isTimeout(err) && !cc.socket.closedOrFailed():
 		cc.readDeadline = 0
 		cc.server.expiredReads.Add(1)
 		cc.socket.clearReadDeadline() // a deadline that has passed would end every read from now on at once
@@ -145,7 +145,7 @@
 		return
 	}
 	cc.socket.conn.CloseWrite()
-	if !lingers || cc.socket.writeFailed() {
+	if !lingers || cc.socket.closedOrFailed() {
 		return
 	}
 	cc.socket.conn.SetReadDeadline(time.Now().Add(lingeringCloseTimeout))
@@ -183,12 +183,12 @@
 		if cc.socket.unwrittenBytes() > 0 { // flushed goes on
 			break
 		}
-		if cc.markClosedIfFinished() {
+		if cc.beginCloseIfFinished() {
 			return
 		}
 		request = cc.client.Resume(now)
 		if request == nil && len(cc.client.Outgoing) == 0 {
-			if cc.markClosedIfFinished() {
+			if cc.beginCloseIfFinished() {
 				return
 			}
 			break
@@ -220,9 +220,9 @@
 	}
 }
 
-// markClosedIfFinished reports whether the connection is over, and wakes its reader to close it. mu is held, and nothing is
-// unwritten.
-func (cc *clientConn) markClosedIfFinished() bool {
+// beginCloseIfFinished reports whether the connection is over, and then ends the read under way, or prepareRead's wait, so
+// that the reader closes it. mu is held, and nothing is unwritten.
+func (cc *clientConn) beginCloseIfFinished() bool {
 	closes, lingers := cc.client.Closing()
 	if !closes || len(cc.client.Outgoing) > 0 {
 		return false
@@ -239,7 +239,7 @@
 func (cc *clientConn) flushed() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	if cc.socket.writeFailed() {
+	if cc.socket.closedOrFailed() {
 		cc.server.log.Debug("client took too long, or went", "client", cc.socket.conn.RemoteAddr().String())
 		cc.readable.Signal()
 		return
@@ -251,8 +251,7 @@
 func (cc *clientConn) respond(now time.Duration, exchange *proxy.Exchange, response []byte, closes bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	const more = false
-	cc.client.Respond(now, exchange, response, more, closes)
+	cc.client.Respond(now, exchange, response, closes)
 	cc.advance(now, nil)
 }
 
@@ -261,32 +260,33 @@
 func (cc *clientConn) startStream(now time.Duration, exchange *proxy.Exchange, beginning []byte, closes bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	const more = true
-	cc.client.Respond(now, exchange, beginning, more, closes)
+	cc.client.BeginResponse(exchange, beginning, closes)
 	cc.advance(now, nil)
 }
 
 // continueStream writes more of a streamed response, and blocks while the client has maxUnwrittenClientBytes or more to
 // take: the backend's connection is not read meanwhile. The reader of that connection calls it.
 func (cc *clientConn) continueStream(now time.Duration, exchange *proxy.Exchange, part []byte) {
-	cc.relay(now, exchange, part, false, false)
+	cc.mu.Lock()
+	cc.client.ContinueResponse(exchange, part)
+	cc.advance(now, nil)
+	cc.mu.Unlock()
 	cc.socket.waitUnwrittenBelow(maxUnwrittenClientBytes)
 }
 
 // endStream writes the end of a streamed response. It does not block.
 func (cc *clientConn) endStream(now time.Duration, exchange *proxy.Exchange, end []byte) {
-	cc.relay(now, exchange, end, true, false)
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	cc.client.EndResponse(now, exchange, end)
+	cc.advance(now, nil)
 }
 
 // abortStream ends the connection of a streamed response that broke off. It does not block.
 func (cc *clientConn) abortStream(now time.Duration, exchange *proxy.Exchange) {
-	cc.relay(now, exchange, nil, false, true)
-}
-
-func (cc *clientConn) relay(now time.Duration, exchange *proxy.Exchange, part []byte, end, broken bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	cc.client.ContinueResponse(now, exchange, part, end, broken)
+	cc.client.AbortResponse(exchange)
 	cc.advance(now, nil)
 }
 
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -18,18 +18,19 @@
 //	4     at once                         dials, backend connections that wait for a stream's permit, inspections by the
 //	                                      admin socket
 //	5     at once                         the client connections that are left
-//	6     at once                         nothing: it waits for the goroutines of connections, and logs "stopped". A backend
-//	                                      connection with an attempt under way is not closed before: where step 3 began by
-//	                                      the timeout, this waits for its backend
+//	6     at once                         nothing: it waits, without limit, for every backend connection that is not idle,
+//	                                      and for the other goroutines of connections; then it logs "stopped". An answer
+//	                                      does not end the wait: the event loop, which would close the connection, is
+//	                                      over, so that the backend has to. A second SIGTERM does not end it either
 //	7     at once                         the admin socket
 //	8     at once                         the trace recorder, once it has written what it holds
 
-// drainPoll is how often clients are looked over during a shutdown: short beside a response, so that the last one is not
+// drainPoll is how often client connections are checked during a shutdown: short beside a response, so that the last one is not
 // what a shutdown waits for.
 const drainPoll = 10 * time.Millisecond
 
 // stopAccepting is step 1, but for the endpoint watch, which sees the end of its context itself. signalled reports that the
-// instance was asked to stop, rather than that its accept loop or its watch has failed.
+// instance was asked to stop, rather than that its accept loop has failed.
 func (s *Server) stopAccepting(signalled bool) {
 	if delay := time.Duration(s.cfg.Limits.StopDelay); delay > 0 && signalled {
 		s.shared.CloseAfterResponses()
@@ -38,7 +39,7 @@
 	}
 	s.listener.Close()
 	s.queueMu.Lock()
-	s.queueSpace.Broadcast()
+	s.queueSpace.Broadcast() // a waiter goes on waiting: its condition has not changed
 	s.queueMu.Unlock()
 }
 
