--- a/cmd/sandyard-bench/main.go
+++ b/cmd/sandyard-bench/main.go
@@ -1,4 +1,4 @@
-// Command sandyard-bench measures a front door beside proxies without decisions, in one run.
+// Command sandyard-bench measures a proxy instance beside proxies that decide nothing, in one run.
 package main
 
 import (
--- a/cmd/sandyard-quota/main.go
+++ b/cmd/sandyard-quota/main.go
@@ -1,4 +1,4 @@
-// Command sandyard-quota tells how a studio stands with its quota, from a running front door or from a trace.
+// Command sandyard-quota prints what is used and left of a customer's quota, from a running instance or from a trace.
 package main
 
 import (
--- a/cmd/sandyard-routes/main.go
+++ b/cmd/sandyard-routes/main.go
@@ -1,4 +1,4 @@
-// Command sandyard-routes tells what a front door makes of requests.
+// Command sandyard-routes prints the operation, class and cost that an instance finds for a request.
 package main
 
 import (
--- a/cmd/sandyard-trace/main.go
+++ b/cmd/sandyard-trace/main.go
@@ -1,4 +1,4 @@
-// Command sandyard-trace reads what front doors recorded of their decisions.
+// Command sandyard-trace reads, explains and replays the decisions that proxy instances recorded.
 package main
 
 import (
--- a/cmd/sandyard/main.go
+++ b/cmd/sandyard/main.go
@@ -1,4 +1,4 @@
-// Command sandyard is the gateway: one front door, the check of its configuration, and its version.
+// Command sandyard is the gateway: it runs one proxy instance, checks its configuration and prints its version.
 package main
 
 import (
--- a/decision/countersync.go
+++ b/decision/countersync.go
@@ -238,7 +238,7 @@
 }
 
 // recordTotal takes in a customer's total. One far below the expected one means that the counter may have forgotten; it
-// would let in too much until the use before that has faded, so the counter is distrusted for that long. A change of
+// would admit too much until the use before that has faded, so the counter is distrusted for that long. A change of
 // the counter's name (counterNameOf) looks the same: the new name's total starts from nothing, the counter is distrusted
 // too, and the customer may spend up to one more burst.
 func (g *Gateway) recordTotal(customer *customerRecord, total float64) {
@@ -262,7 +262,7 @@
 
 // decideByTotal decides on a request by its customer's total, which includes the request's units. A request is inside
 // if at least half of its units fit; recordOverQuota inverts the same rule. Beyond this instance's split of a ceiling it
-// is let in only from the part that is not split, while the counter is trusted.
+// is admitted only from the part that is not split, while the counter is trusted.
 func (g *Gateway) decideByTotal(request *requestRecord) {
 	customer := request.customer
 	units := request.units
--- a/proxy/requests_test.go
+++ b/proxy/requests_test.go
@@ -72,7 +72,7 @@
 func TestDuplicateRequestNameIsRejected(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	_, first := r.request("GET", "/look", "ka", "")
-	first.UniqueName = "n" // as a dialect sets it; the rig's sets none
+	first.UniqueName = "n" // as a protocol sets it; the harness's sets none
 	r.instance.exchangesByName["n"] = first
 	conn, _ := r.connect()
 	c := NewClientConn(r.shared, nil, "192.0.2.1", r.now)
--- a/trace/recorded_test.go
+++ b/trace/recorded_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestRecordedTraceGivesTheSameHistories: a trace of core 4a62adf9f07493b3 (commit 0a5d9aa, 68 s of a front door on sockets with slow,
+// TestRecordedTraceGivesTheSameHistories: a trace of core 4a62adf9f07493b3 (commit 0a5d9aa, 68 s of a proxy instance on sockets with slow,
 // silent, failing, cold and draining servers, changes of the list, and a counter that was silent and late) is read whole, and
 // what is told of its requests is what it was: the counts, every 40th request with its explanation, and a digest of all.
 func TestRecordedTraceGivesTheSameHistories(t *testing.T) {
