--- a/config/endpoints.go
+++ b/config/endpoints.go
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// Timestamp is a time of day on the calendar, written as in RFC 3339.
+// Timestamp is a date and time, written as in RFC 3339.
 type Timestamp time.Time
 
 // FromText reads a time. The error is ErrTimestamp.
--- a/config/settings.go
+++ b/config/settings.go
@@ -4,9 +4,9 @@
 	"sandyard/internal/strictyaml"
 )
 
-// File is gateway.yaml as it is written. Its tags map the keys that operators write to the field's terms; nothing else
-// knows those keys, but for the messages of validate.go. Times are written 600ms or 2.5s, rates 12/s, 30/min or 900/h,
-// sizes 64KiB; an absent key has the value of defaults.go. Unknown keys are problems.
+// File is gateway.yaml as it is written. Its tags map the keys that operators write to the field's terms; of the rest
+// of the package only messages about problems name those keys. Times are written 600ms or 2.5s, rates 12/s, 30/min or 900/h,
+// sizes 64KiB; an absent key has the value of defaults.go, and plans[].price is 1. Unknown keys are problems.
 type File struct {
 	// Listen is the host:port where clients connect; 127.0.0.1:8080 by default, port 0 lets the system choose.
 	Listen string `yaml:"listen"`
--- a/emulator/backend.go
+++ b/emulator/backend.go
@@ -29,7 +29,7 @@
 // Conn returns the connection that the job came on.
 func (j *Job) Conn() *BackendConn { return j.conn }
 
-// Backend is a backend: cores that work on a queue, in slow start at first, with faults to be set while it runs. Work in
+// Backend is a backend: cores that work on a queue, in slow start at first if SlowStartTime is set, with faults to be set while it runs. Work in
 // progress keeps the end that it was given when the speed changes.
 type Backend struct {
 	Facts func(Fact) // called with everything that happens; may be nil
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -59,11 +59,12 @@
 const (
 	// Kill ends the process at once and restarts it after the duration; a backend is in slow start then.
 	Kill Verb = "kill"
-	// Drain lists a backend as draining, and removes it after the duration.
+	// Drain lists a backend as draining, and removes it after the duration, but not before the drain grace is over; its
+	// process ends some time later.
 	Drain Verb = "drain"
 	// Replace does the same, and lists a replacement in slow start when the backend is removed.
 	Replace Verb = "replace"
-	// Vanish removes the target from the list without notice.
+	// Vanish removes the target from the list without notice; its process ends some time later.
 	Vanish Verb = "leave"
 	// Pause suspends the process while the network goes on; in the simulator only.
 	Pause Verb = "pause"
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -17,7 +17,9 @@
 const (
 	Fine    = 0
 	Failure = 1 // the work was done and its outcome is bad, or it could not be done
-	Usage   = 2 // the command line or a file is wrong
+	Usage   = 2 // the command line is wrong, or a file that is checked with its places
+	// OtherCore: the tool's core is not that of what it was given.
+	OtherCore = 3
 )
 
 // program parses a command line by a kong grammar, runs the command, and turns what comes of it into an exit status. What is
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -10,9 +10,6 @@
 	"sandyard/trace"
 )
 
-// OtherCore is the exit status of a tool whose core is not that of what it was given.
-const OtherCore = 3
-
 // Trace runs the sandyard-trace program.
 func Trace(args []string, out, errs io.Writer) int {
 	var g struct {
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -69,7 +69,7 @@
 // Is reports whether the target is ErrStaleEdit.
 func (e *StaleEditError) Is(target error) bool { return target == ErrStaleEdit }
 
-// List returns all mutations, each with the edits of those that are made together with it. The error, if any, is a
+// List returns all mutations, each with the edits of those that it names in With, which stand before it in the list. The error, if any, is a
 // diagnostic.Problems or ErrList.
 func List() ([]Mutation, error) {
 	var file struct {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -47,7 +47,7 @@
 
 // Limits are what an instance's processes may take.
 type Limits struct {
-	Cores    float64 `json:"cores"`     // of one core
+	Cores    float64 `json:"cores"`     // processor cores, fractions allowed; 0: not limited
 	MemoryMB int     `json:"memory_mb"` // MiB; 0: not limited
 	Sockets  int     `json:"sockets"`   // descriptors; 0: not limited
 }
--- a/internal/platform/counter.go
+++ b/internal/platform/counter.go
@@ -25,8 +25,8 @@
 // counterCodec is the codec of one connection to the platform's counter. A call is a line, and so is its reply; replies come
 // in the order of the calls:
 //
-//	add NAME AMOUNT MILLISECONDS    adds AMOUNT, in units, to the total of NAME, whose lifetime is set at its first use
-//	ok TOTAL                        it was added; TOTAL, in units, is the sum after it
+//	add NAME AMOUNT MILLISECONDS    adds AMOUNT, in weighted units, to the total of NAME, whose lifetime is set at its first use
+//	ok TOTAL                        it was added; TOTAL, in weighted units, is the sum after it
 //	busy, error                     it was not added; the connection stays
 //
 // A call ends in CRLF, a reply in LF or CRLF. Any other reply, a TOTAL that is no finite number, and a line of more than
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	maxBody             = 64 << 10               // bytes of a request's or response's body, as the protocol says
-	maxHead             = 16 << 10               // bytes of a head: the protocol's fields take less than one KiB
-	maxFields           = 64                     // of a head: the protocol has seven
-	eventQueue          = 2048                   // events: at half of it accepting stops, more than all connections can have
-	defaultDescriptors  = 4096                   // where the configuration has no limit
-	clientShare         = 0.5                    // of the descriptors, for clients: they hold a third, others come besides
-	backendShare        = 0.3                    // of the descriptors, for backend connections; the rest is for all else
-	memoryFraction      = 4                      // a quarter of the memory may hold bodies; the rest is the process's own
-	idleShare           = 0.6                    // of the time after which a backend closes an idle connection, so that we are first
-	requestTimeout      = 2 * time.Second        // for a request to be complete; bad senders are owed an end within 3 s
-	writeTimeout        = 3 * time.Second        // for 64 KiB, which no client that reads takes longer for
-	clientIdleTimeout   = 30 * time.Second       // a client's connection without a request
-	streamIdleTimeout   = 30 * time.Second       // a response that flows without a byte; none does here
-	shutdownTimeout     = time.Minute            // longer than any request has
-	responseMargin      = 12 * time.Millisecond  // kept off a client's deadline for the response to reach it
-	reuseDelay          = 20 * time.Millisecond  // between requests on a backend connection, so that bytes behind a response are seen
-	defaultCounterLimit = 50 * time.Millisecond  // of a call to the counter, where the settings have no time
-	counterMaxPending   = 1024                   // calls to the counter in flight
-	stopDelay           = 600 * time.Millisecond // more than new connections keep coming after SIGTERM
+	maxBody               = 64 << 10               // bytes of a request's or response's body, as the protocol says
+	maxHead               = 16 << 10               // bytes of a head: the protocol's fields take less than one KiB
+	maxFields             = 64                     // of a head: the protocol has seven
+	eventQueue            = 2048                   // messages of the event loop: at half of it accepting pauses, beyond it requests get 503
+	defaultDescriptors    = 4096                   // where the configuration has no limit
+	clientShare           = 0.5                    // of the descriptors, for clients' connections
+	backendShare          = 0.3                    // of the descriptors, for backend connections; the rest is for all else
+	bodyMemoryDivisor     = 4                      // a quarter of the memory may hold bodies; the rest is the process's own
+	idleShare             = 0.6                    // of the time after which a backend closes an idle connection, so that we are first
+	requestTimeout        = 2 * time.Second        // for a request to be complete; the platform wants slow senders to get an end within 3 s
+	writeTimeout          = 3 * time.Second        // for 64 KiB, which no client that reads takes longer for
+	clientIdleTimeout     = 30 * time.Second       // a client's connection without a request
+	streamIdleTimeout     = 30 * time.Second       // a response that flows without a byte; none does here
+	shutdownTimeout       = time.Minute            // until what is outstanding is cut off; requests have seconds by the classes' deadlines
+	responseMargin        = 12 * time.Millisecond  // kept off a client's deadline for the response to reach it
+	reuseDelay            = 20 * time.Millisecond  // between requests on a backend connection, so that bytes behind a response are seen
+	defaultCounterTimeout = 50 * time.Millisecond  // of a call to the counter, where the settings have no time
+	counterMaxPending     = 1024                   // calls to the counter in flight
+	stopDelay             = 600 * time.Millisecond // after SIGTERM, for which the platform still sends new connections
 )
 
 // newConfig is the configuration of the instance in the form that the runtime has.
@@ -49,7 +49,7 @@
 	c.Counter.MaxPending = counterMaxPending
 	c.Counter.Timeout = strictyaml.Duration(s.Counter.Timeout)
 	if s.Counter.Timeout <= 0 {
-		c.Counter.Timeout = strictyaml.Duration(defaultCounterLimit)
+		c.Counter.Timeout = strictyaml.Duration(defaultCounterTimeout)
 	}
 	c.Limits = n.Limits.runtime(s.ConnectTimeout, s.IdleTimeout)
 	return c
@@ -98,7 +98,7 @@
 // bodyMemory is how many bytes of bodies may be held.
 func (l Limits) bodyMemory() strictyaml.Size {
 	if l.MemoryMB == 0 {
-		return math.MaxInt32
+		return math.MaxInt32 // bytes; no limit is set, and this is more than an instance holds
 	}
-	return strictyaml.Size(int64(l.MemoryMB) << 20 / memoryFraction)
+	return strictyaml.Size(int64(l.MemoryMB) << 20 / bodyMemoryDivisor)
 }
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	apiPath        = "/api"   // of every request that clients make
-	readyPath      = "/ready" // answered by the instance itself
-	requestIDBytes = 16       // hex digits of X-Request-Id
-	customerBytes  = 16       // hex digits of a customer's number
-	maxCustomer    = 1 << 33  // customers have numbers below it
+	apiPath         = "/api"   // of every request that clients make
+	readyPath       = "/ready" // answered by the instance itself
+	requestIDDigits = 16       // hex digits of X-Request-Id
+	customerDigits  = 16       // hex digits of a customer's number
+	maxCustomer     = 1 << 33  // customers have numbers below it
 )
 
 // Responses that the instance gives by itself. Their kinds and texts are part of the protocol.
 var (
 	ready       = protocol.LocalResponse{Status: 200, Kind: "ready"}
-	noRoute     = rejection(404, "no-route", "No such path", "Requests go to "+apiPath+".")
-	noMethod    = rejection(405, "no-method", "No such method", "The class of the request has another method.")
-	badID       = rejection(400, "id", "Bad X-Request-Id", "Expected 16 hex digits.")
-	badClass    = rejection(400, "class", "Bad X-Class", "There is no such class.")
-	badPlan     = rejection(400, "plan", "Bad X-Tier", "There is no such plan.")
-	badCustomer = rejection(400, "client", "Bad client", "Expected one number below 2^33 in 16 hex digits.")
-	badDeadline = rejection(400, "deadline", "Bad X-Deadline-Ms", "Expected whole milliseconds above 0.")
-	badTerms    = rejection(400, "terms", "Bad X-Call-Terms", "Expected units, spread and first within their bounds.")
-	badKey      = rejection(400, "idempotency-key", "Bad Idempotency-Key", "Keyed classes need one, others have none.")
-	badBody     = rejection(400, "body", "Unexpected body", "A GET has none.")
+	noRoute     = clientError(404, "no-route", "No such path", "Requests go to "+apiPath+".")
+	noMethod    = clientError(405, "no-method", "No such method", "The class of the request has another method.")
+	badID       = clientError(400, "id", "Bad X-Request-Id", "Expected 16 hex digits.")
+	badClass    = clientError(400, "class", "Bad X-Class", "There is no such class.")
+	badPlan     = clientError(400, "plan", "Bad X-Tier", "There is no such plan.")
+	badCustomer = clientError(400, "client", "Bad client", "Expected one number below 2^33 in 16 hex digits.")
+	badDeadline = clientError(400, "deadline", "Bad X-Deadline-Ms", "Expected whole milliseconds above 0.")
+	badTerms    = clientError(400, "terms", "Bad X-Call-Terms", "Expected units, spread and first within their bounds.")
+	badKey      = clientError(400, "idempotency-key", "Bad Idempotency-Key", "Keyed classes need one, others have none.")
+	badBody     = clientError(400, "body", "Unexpected body", "A GET has none.")
 )
 
-func rejection(status int, kind, title, detail string) protocol.LocalResponse {
+func clientError(status int, kind, title, detail string) protocol.LocalResponse {
 	return protocol.LocalResponse{Status: status, Kind: kind, Title: title, Detail: detail, RetryIsSafe: true}
 }
 
@@ -115,7 +115,7 @@
 // info as it was if one of them can't be read.
 func (n *Node) parseIdentity(h *http1.Head, fields *requestFields, info *protocol.RequestInfo) *protocol.LocalResponse {
 	id := fields[fieldRequestID]
-	if len(id) != requestIDBytes || !isHex(id) {
+	if len(id) != requestIDDigits || !isHex(id) {
 		return &badID
 	}
 	operation := n.operations[wireName.Replace(fields[fieldClass])] // settings have names in that form
@@ -187,7 +187,7 @@
 		}
 		found = value
 	}
-	if len(found) != customerBytes || !isHex(found) {
+	if len(found) != customerDigits || !isHex(found) {
 		return "", false
 	}
 	number, err := strconv.ParseUint(found, 16, 64)
--- a/internal/simulation/backendconn.go
+++ b/internal/simulation/backendconn.go
@@ -16,7 +16,8 @@
 	lastUsed time.Duration // when bytes last came or went
 }
 
-// closeIfIdle closes a connection on which nothing has happened for a while, as servers do, though a request may be in flight.
+// closeIfIdle closes a connection that has been idle at the backend for a while, as servers do; a request may still be on the
+// network.
 func (c *simBackendConn) closeIfIdle(after time.Duration) {
 	if c.done || c.conn.closed { // closed by a kill of the process
 		return
--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -41,7 +41,7 @@
 	Reached      map[string]int      `json:"reached"`
 	Scenarios    map[string]int      `json:"shapes"`
 	Exemptions   map[string]int      `json:"excuses"`  // cases that a check exempted, by reason
-	Nearness     [][nearnessBins]int `json:"nearness"` // runs by rule and twentieth of its limit, the last beyond it
+	Nearness     [][nearnessBins]int `json:"nearness"` // runs by rule and twentieth of its limit, the last at or beyond it
 	ValueServed  []float64           `json:"worth"`    // by seed
 	CounterCalls []uint64            `json:"calls"`    // by seed
 	FaultPairs   map[[2]string]int   `json:"-"`        // runs by two verbs that met in them
--- a/internal/sitesettings/decode.go
+++ b/internal/sitesettings/decode.go
@@ -47,7 +47,8 @@
 type Lookup func(path string) string
 
 // Decode reads the settings that a lookup has. Settings that nobody asks for are ignored. The error is a
-// *diagnostic.FieldError that names the first setting with a value that can't be read, in the order below.
+// *diagnostic.FieldError that names the first setting with a value that can't be read, in the order below. Times of
+// connections that can't be read have their defaults, and words for how load is reported are taken as they are.
 func Decode(lookup Lookup) (*Settings, error) {
 	d := &decoder{lookup: lookup}
 	s := &Settings{
--- a/trace/event.go
+++ b/trace/event.go
@@ -49,8 +49,8 @@
 	return d
 }
 
-// Decision is the event itself; nil if there is none.
-func (d Event) Decision() decision.Event {
+// Unwrap is the event itself; nil if there is none.
+func (d Event) Unwrap() decision.Event {
 	switch {
 	case d.Arrived != nil:
 		return *d.Arrived
@@ -98,8 +98,8 @@
 	return out
 }
 
-// Decision is the action itself.
-func (d Action) Decision() decision.Action {
+// Unwrap is the action itself.
+func (d Action) Unwrap() decision.Action {
 	switch {
 	case d.Send != nil:
 		return *d.Send
--- a/trace/format.go
+++ b/trace/format.go
@@ -17,7 +17,7 @@
 const Format = "sandyard-trace 1\n"
 
 const (
-	maxFrameBytes    = 16 << 20 // of a payload, compressed or not; a longer one is taken for damage
+	maxFrameBytes    = 16 << 20 // of a compressed payload; a longer one is taken for damage
 	frameHeaderBytes = 8        // length and checksum
 )
 
@@ -33,7 +33,7 @@
 	Classes    []string          `cbor:"8,keyasint"`
 	Plans      []string          `cbor:"9,keyasint"`
 	Operations []string          `cbor:"10,keyasint"` // operation ids
-	Part       int               `cbor:"11,keyasint"` // number of the file in its series; only part 0 begins at Began
+	Part       int               `cbor:"11,keyasint"` // number of the file in its series; only part 0 begins at StartedAt
 	Share      float64           `cbor:"12,keyasint"` // of the requests that are recorded; 1: everything
 }
 
--- a/trace/history.go
+++ b/trace/history.go
@@ -19,7 +19,7 @@
 	Name      string           `json:"name"`
 	Amount    float64          `json:"amount"`
 	SentAt    time.Duration    `json:"asked_ns"`
-	RepliedAt time.Duration    `json:"heard_ns"` // 0: not before the request's decision
+	RepliedAt time.Duration    `json:"heard_ns"` // 0: there was no reply within the trace
 	Outcome   decision.Outcome `json:"how"`
 	Total     float64          `json:"total"`
 }
@@ -83,7 +83,7 @@
 	if r.Backend != nil {
 		s.BackendNames[r.Backend.Backend] = r.Backend.Name
 	}
-	if r.Initial || r.Event.Decision() != nil {
+	if r.Initial || r.Event.Unwrap() != nil {
 		s.Steps++
 	}
 	arrived := s.addEvent(r)
--- a/trace/reader.go
+++ b/trace/reader.go
@@ -24,7 +24,7 @@
 	zip    *zstd.Decoder
 }
 
-// NewReader reads the start of a file. The error is ErrFormat, ErrTruncated or ErrCorrupt, wrapped.
+// NewReader reads the start of a file. The error is ErrFormat, ErrTruncated or ErrCorrupt, wrapped, or that of the decoder.
 func NewReader(file []byte) (*Reader, error) {
 	if len(file) < len(Format) || string(file[:len(Format)]) != Format {
 		first := file[:min(len(file), 24)]
--- a/trace/recorded_test.go
+++ b/trace/recorded_test.go
@@ -44,7 +44,7 @@
 		if it.Snapshot != nil {
 			states++
 		}
-		if e := it.Event.Decision(); e != nil {
+		if e := it.Event.Unwrap(); e != nil {
 			kinds["event"]++
 		}
 		kinds["action"] += len(it.Actions)
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -59,7 +59,7 @@
 		r.compareStep(record, first)
 		return nil
 	}
-	event := record.Event.Decision()
+	event := record.Event.Unwrap()
 	switch {
 	case event == nil:
 		return nil
@@ -83,7 +83,7 @@
 	if r.afterGap {
 		r.Uncertain++
 	}
-	r.addDifference(fmt.Sprintf("%T: %s", record.Event.Decision(), difference), record.At)
+	r.addDifference(fmt.Sprintf("%T: %s", record.Event.Unwrap(), difference), record.At)
 }
 
 func (r *Replay) addDifference(text string, at time.Duration) {
@@ -130,10 +130,10 @@
 		case i >= len(recorded):
 			return fmt.Sprintf("action %d: now %T%+v, recorded none", i+1, got[i], got[i]), false
 		case i >= len(got):
-			was := recorded[i].Decision()
+			was := recorded[i].Unwrap()
 			return fmt.Sprintf("action %d: recorded %T%+v, now none", i+1, was, was), false
 		}
-		if was := recorded[i].Decision(); !equal(was, got[i]) {
+		if was := recorded[i].Unwrap(); !equal(was, got[i]) {
 			return fmt.Sprintf("action %d: recorded %T%+v, now %T%+v", i+1, was, was, got[i], got[i]), false
 		}
 	}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -68,15 +68,15 @@
 		t.Fatalf("%d items, %v", len(got), err)
 	}
 	for i, want := range sampleRecords() {
-		if g := got[i].Event.Decision(); !reflect.DeepEqual(g, want.Event.Decision()) {
-			t.Errorf("item %d: %+v, want %+v", i, g, want.Event.Decision())
+		if g := got[i].Event.Unwrap(); !reflect.DeepEqual(g, want.Event.Unwrap()) {
+			t.Errorf("item %d: %+v, want %+v", i, g, want.Event.Unwrap())
 		}
 		if len(got[i].Actions) != len(want.Actions) {
 			t.Errorf("item %d: %d actions", i, len(got[i].Actions))
 			continue
 		}
 		for k := range want.Actions {
-			if g := got[i].Actions[k].Decision(); g == nil || !reflect.DeepEqual(g, want.Actions[k].Decision()) {
+			if g := got[i].Actions[k].Unwrap(); g == nil || !reflect.DeepEqual(g, want.Actions[k].Unwrap()) {
 				t.Errorf("item %d, action %d: %+v", i, k, g)
 			}
 		}
