--- a/decision/text.go
+++ b/decision/text.go
@@ -2,7 +2,8 @@
 
 import (
 	"embed"
-	"strings"
+
+	"sandyard/internal/sourcetext"
 )
 
 //go:embed *.go
@@ -13,21 +14,4 @@
 // Text is the package's own source without its tests, file by file in the order of their names: two builds with the
 // same text decide alike. Any edit changes the text and so the digest, even one of a comment. Files that are added are
 // taken in by themselves.
-func Text() string {
-	var text strings.Builder
-	files, err := source.ReadDir(".")
-	if err != nil {
-		panic(err) // the files are part of the program
-	}
-	for _, f := range files {
-		if strings.HasSuffix(f.Name(), "_test.go") {
-			continue
-		}
-		b, err := source.ReadFile(f.Name())
-		if err != nil {
-			panic(err)
-		}
-		text.Write(b)
-	}
-	return text.String()
-}
+func Text() string { return sourcetext.Join(source) }
