--- a/internal/cli/hunt.go
+++ b/internal/cli/hunt.go
@@ -28,11 +28,11 @@
 
 // huntResult is what a hunt prints.
 type huntResult struct {
-	Runs     int              `json:"runs"`
-	Seconds  float64          `json:"seconds"`
-	Nearness float64          `json:"nearness"` // share of the limit
-	Find     *simulation.Find `json:"find,omitempty"`
-	Script   string           `json:"script"`
+	Runs     int                    `json:"runs"`
+	Seconds  float64                `json:"seconds"`
+	Nearness float64                `json:"nearness"` // share of the limit
+	Find     *simulation.FailedSeed `json:"find,omitempty"`
+	Script   string                 `json:"script"`
 }
 
 // rule finds a rule by its name or a part of it.
@@ -104,7 +104,7 @@
 	result := huntResult{Runs: runs, Seconds: took.Seconds(), Nearness: o.Nearness(rule), Script: best.Text()}
 	if len(o.Findings) > 0 {
 		f := o.Findings[0]
-		result.Find = &simulation.Find{Seed: best.Seed, Rule: f.Rule, At: f.At, What: f.What}
+		result.Find = &simulation.FailedSeed{Seed: best.Seed, Rule: f.Rule, At: f.At, What: f.What}
 	}
 	return result
 }
@@ -117,7 +117,7 @@
 	}
 	if len(o.Findings) > 0 {
 		f := o.Findings[0]
-		what, holds = fmt.Sprintf("Breaks \"%s\": %s", f.Rule, f.What), simulation.Breaks(f.Rule)
+		what, holds = fmt.Sprintf("Breaks \"%s\": %s", f.Rule, f.What), simulation.Violates(f.Rule)
 		fmt.Fprintln(c.Out, what)
 	}
 	if r.Shrink > 0 {
--- a/internal/cli/mutantscripts.go
+++ b/internal/cli/mutantscripts.go
@@ -35,8 +35,8 @@
 				return err
 			}
 		}
-		if len(o[0].Finds) > 0 {
-			return fmt.Errorf("%s breaks a rule with the defence, seed %d: %s", m.CostScript, o[0].Finds[0].Seed, o[0].Finds[0].What)
+		if len(o[0].FailedSeeds) > 0 {
+			return fmt.Errorf("%s breaks a rule with the defence, seed %d: %s", m.CostScript, o[0].FailedSeeds[0].Seed, o[0].FailedSeeds[0].What)
 		}
 		s := searchResult{Name: m.Name, Rule: m.Rule}
 		s.compare(o[0], o[1])
--- a/internal/cli/mutantsearch.go
+++ b/internal/cli/mutantsearch.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	s.Found, s.Seeds, s.Seconds = o.Finds, []uint64{o.Seeds}, []float64{o.Took.Seconds()}
+	s.Found, s.Seeds, s.Seconds = o.FailedSeeds, []uint64{o.Seeds}, []float64{o.Elapsed.Seconds()}
 	if len(s.Found) > 1 {
 		s.Found = s.Found[:1]
 	}
@@ -93,9 +93,9 @@
 		if err != nil {
 			return err
 		}
-		runs, took := o.Seeds, o.Took.Seconds()
-		if len(o.Finds) > 0 {
-			s.Found = append(s.Found, o.Finds[0])
+		runs, took := o.Seeds, o.Elapsed.Seconds()
+		if len(o.FailedSeeds) > 0 {
+			s.Found = append(s.Found, o.FailedSeeds[0])
 		} else if r.EvolveRuns > 0 && slices.Contains(simulation.RuleNames(), s.Rule) {
 			h, err := r.hunt(program, s.Rule, first)
 			if err != nil {
@@ -113,19 +113,19 @@
 
 // searchResult is what became of one mutation.
 type searchResult struct {
-	Name            string            `json:"name"`
-	Guards          string            `json:"guards"`
-	Rule            string            `json:"rule"`
-	Because         string            `json:"because,omitempty"`
-	Found           []simulation.Find `json:"found"`                 // one for each search that found it
-	Seeds           []uint64          `json:"seeds"`                 // runs that it took, evolved scripts included, by search; what was spent where nothing was found
-	Evolved         int               `json:"bred"`                  // searches that found it by evolved scripts only
-	Seconds         []float64         `json:"seconds"`               // of one core
-	ValueChange     float64           `json:"worth,omitempty"`       // of the value served, as a share
-	ValueDeviations float64           `json:"worth_noise,omitempty"` // the same in standard errors
-	CallsChange     float64           `json:"calls,omitempty"`       // of the calls to the counter, as a share
-	CallsDeviations float64           `json:"calls_noise,omitempty"` // the same in standard errors
-	Failure         string            `json:"failure,omitempty"`
+	Name            string                  `json:"name"`
+	Guards          string                  `json:"guards"`
+	Rule            string                  `json:"rule"`
+	Because         string                  `json:"because,omitempty"`
+	Found           []simulation.FailedSeed `json:"found"`                 // one for each search that found it
+	Seeds           []uint64                `json:"seeds"`                 // runs that it took, evolved scripts included, by search; what was spent where nothing was found
+	Evolved         int                     `json:"bred"`                  // searches that found it by evolved scripts only
+	Seconds         []float64               `json:"seconds"`               // of one core
+	ValueChange     float64                 `json:"worth,omitempty"`       // of the value served, as a share
+	ValueDeviations float64                 `json:"worth_noise,omitempty"` // the same in standard errors
+	CallsChange     float64                 `json:"calls,omitempty"`       // of the calls to the counter, as a share
+	CallsDeviations float64                 `json:"calls_noise,omitempty"` // the same in standard errors
+	Failure         string                  `json:"failure,omitempty"`
 }
 
 // compare sets what a mutation costs in runs of the same seeds.
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -37,7 +37,7 @@
 }
 
 func (c simCommon) profile() simulation.Profile {
-	p := simulation.Usual()
+	p := simulation.DefaultProfile()
 	p.Seconds, p.Rate, p.MaxInstances, p.Config, p.ScenarioShare = c.Seconds, c.Rate, c.MaxInstances, c.Config, c.ScenarioShare
 	return p
 }
@@ -156,7 +156,7 @@
 	}
 	rule := o.Findings[0].Rule
 	n := 0
-	small := simulation.Shrink(s, opt, simulation.Breaks(rule), r.Runs, func(kept bool, s *simulation.Script) {
+	small := simulation.Shrink(s, opt, simulation.Violates(rule), r.Runs, func(kept bool, s *simulation.Script) {
 		if n++; kept {
 			fmt.Fprintf(c.Errs, "run %d: %d troubles, %d doors, %d boxes, %g s, %g a second\n", n, len(s.Events), s.Instances, s.Backends.Count, s.Seconds, s.Rate)
 		}
--- a/internal/cli/simrun.go
+++ b/internal/cli/simrun.go
@@ -87,7 +87,7 @@
 func (r simRun) reportTo(c *Console, w *simulation.Sweep) {
 	begun, total, violating := time.Now(), w.Last-w.First+1, 0
 	if !r.json() {
-		w.OnFind = func(f simulation.Find) {
+		w.OnFailedSeed = func(f simulation.FailedSeed) {
 			violating++
 			fmt.Fprintf(c.Out, "seed %d: %s, at %v: %s\n  again: %s\n", f.Seed, f.Rule, f.At, f.What, r.replayCommand(f.Seed))
 		}
@@ -108,7 +108,7 @@
 	if r.json() {
 		return json.NewEncoder(c.Out).Encode(o)
 	}
-	took := o.Took.Seconds()
+	took := o.Elapsed.Seconds()
 	fmt.Fprintf(c.Out, "%d seeds, %d broken; %d workers, %.1f s: %.0f virtual seconds, %.0f requests and %.0f events a second\n", o.Seeds, o.Violating,
 		r.Workers, took, o.Virtual.Seconds()/took, float64(o.Requests)/took, float64(o.Events)/took)
 	if r.Coverage {
@@ -157,7 +157,7 @@
 	}
 	w.Flush()
 	var missed []string
-	for _, k := range simulation.Reachable() {
+	for _, k := range simulation.CoverageGoals() {
 		if reached[k] == 0 {
 			missed = append(missed, k)
 		}
--- a/internal/simulation/coverage.go
+++ b/internal/simulation/coverage.go
@@ -15,9 +15,9 @@
 	return names
 }
 
-// Reachable returns what a search should reach, in the words of Outcome.Reached: faults, effects of the core, endings of
+// CoverageGoals returns what a search should reach, in the words of Outcome.Reached: faults, effects of the core, endings of
 // requests and error paths.
-func Reachable() []string {
+func CoverageGoals() []string {
 	names := []string{"answer broken", "answer cut off", "answer flows", "client drips", "client left", "client makes noise", "client quits",
 		"client reset", "client too slow", "dial refused", "line reset", "list broken", "stream silent", "status 200", "status 400", "status 408",
 		"status 413", "status 429", "status 502", "status 503", "status 504", "try served", "try refused", "try failed", "try cut", "try no door", "try left"}
--- a/internal/simulation/generate.go
+++ b/internal/simulation/generate.go
@@ -19,8 +19,8 @@
 	Config                    string  // file of the configuration, recorded in the script
 }
 
-// Usual returns the profile of a search.
-func Usual() Profile {
+// DefaultProfile returns the profile of a search.
+func DefaultProfile() Profile {
 	return Profile{MaxInstances: 40, MaxBackends: 12, Seconds: 16, Rate: 60, MaxFaults: 8, ScenarioShare: 0.5}
 }
 
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -72,7 +72,7 @@
 	return names
 }
 
-// Breaks returns what reports whether the first rule that an outcome broke is this one.
-func Breaks(rule string) func(Outcome) bool {
+// Violates returns what reports whether the first rule that an outcome broke is this one.
+func Violates(rule string) func(Outcome) bool {
 	return func(o Outcome) bool { return len(o.Findings) > 0 && o.Findings[0].Rule == rule }
 }
--- a/internal/simulation/recorded_test.go
+++ b/internal/simulation/recorded_test.go
@@ -32,7 +32,7 @@
 	for i := range lines {
 		g.Go(func() error {
 			seed := uint64(1000 + i)
-			o, err := Run(Generate(seed, Usual()), Options{})
+			o, err := Run(Generate(seed, DefaultProfile()), Options{})
 			lines[i] = fmt.Sprintf("%d %016x %d %d %d", seed, o.Digest, o.Events, o.Requests, o.Virtual)
 			return err
 		})
--- a/internal/simulation/replay_test.go
+++ b/internal/simulation/replay_test.go
@@ -20,7 +20,7 @@
 			items []trace.Record
 		}
 		var processes []*process
-		_, err := Run(Generate(seed, Usual()), Options{ContinueAfterViolation: true, Record: func(n int, cfg *config.Config, seed uint64) func(proxy.DecisionStep) {
+		_, err := Run(Generate(seed, DefaultProfile()), Options{ContinueAfterViolation: true, Record: func(n int, cfg *config.Config, seed uint64) func(proxy.DecisionStep) {
 			l := &process{head: trace.Header{Instance: n, Seed: seed, StartedAt: proxy.Start, Settings: cfg.Settings, Share: 1}}
 			processes = append(processes, l)
 			return func(s proxy.DecisionStep) {
@@ -97,7 +97,7 @@
 			set  decision.Settings
 		}
 		var pairs []*pair
-		_, err := Run(Generate(seed, Usual()), Options{ContinueAfterViolation: true, Record: func(n int, cfg *config.Config, gwSeed uint64) func(proxy.DecisionStep) {
+		_, err := Run(Generate(seed, DefaultProfile()), Options{ContinueAfterViolation: true, Record: func(n int, cfg *config.Config, gwSeed uint64) func(proxy.DecisionStep) {
 			p := &pair{set: cfg.Settings}
 			pairs = append(pairs, p)
 			return func(s proxy.DecisionStep) {
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -18,7 +18,7 @@
 	}{{"replacement", invariant.SlowStart, 0.3}, {"ceilings", invariant.Ceilings, 0.5}, {"keys", invariant.NoDuplicate, 0.5}} {
 		best, n := 0.0, 0
 		for seed := uint64(5000); n < 14 && seed < 6000; seed++ {
-			s := Generate(seed, Usual())
+			s := Generate(seed, DefaultProfile())
 			if s.Scenario != c.scenario {
 				continue
 			}
@@ -41,7 +41,7 @@
 // A find that can't be had again can't be understood. With one worker a hunt must be the same each time, must come no less near
 // than its first scripts, and the script that it ends with must read back and replay.
 func TestHuntIsReproducibleAndImproves(t *testing.T) {
-	p := Usual()
+	p := DefaultProfile()
 	p.Seconds, p.Rate, p.ScenarioShare = 6, 30, 0
 	hunt := func() (*Script, Outcome, float64) {
 		runs, first := 0, 0.0
@@ -79,8 +79,8 @@
 func TestEvolvedScriptsStayWithinBounds(t *testing.T) {
 	rng := stream(1, "test")
 	for seed := uint64(1); seed < 60; seed++ {
-		s := Generate(seed, Usual())
-		o := Generate(seed+1000, Usual())
+		s := Generate(seed, DefaultProfile())
+		o := Generate(seed+1000, DefaultProfile())
 		s.crossover(o, rng)
 		for range 60 {
 			s.mutate(rng)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -42,7 +42,7 @@
 func TestSweepBreaksNoRuleAndReachesErrorPaths(t *testing.T) {
 	reached := map[string]int{}
 	for seed := uint64(1); seed <= 120; seed++ {
-		o, err := Run(Generate(seed, Usual()), Options{})
+		o, err := Run(Generate(seed, DefaultProfile()), Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,7 +68,7 @@
 		var sums [3]uint64
 		for i := range logs {
 			was := runtime.GOMAXPROCS([]int{1, 4, 2}[i])
-			o, err := Run(Generate(seed, Usual()), Options{ContinueAfterViolation: true, Log: func(at time.Duration, what string) { fmt.Fprintln(&logs[i], at, what) }})
+			o, err := Run(Generate(seed, DefaultProfile()), Options{ContinueAfterViolation: true, Log: func(at time.Duration, what string) { fmt.Fprintln(&logs[i], at, what) }})
 			runtime.GOMAXPROCS(was)
 			if err != nil {
 				t.Fatal(err)
@@ -84,7 +84,7 @@
 // A script that leaves something out replays as another run. Written and read back it must give the same digest and text.
 func TestScriptReadBackGivesSameRun(t *testing.T) {
 	for seed := uint64(300); seed < 320; seed++ {
-		s := Generate(seed, Usual())
+		s := Generate(seed, DefaultProfile())
 		back, err := ReadScript("x", []byte(s.Text()))
 		if err != nil {
 			t.Fatal(err)
@@ -156,7 +156,7 @@
 	}
 	served := 0
 	for seed := uint64(1); seed < 20; seed++ {
-		o, err := Run(Generate(seed, Usual()), Options{Config: cfg})
+		o, err := Run(Generate(seed, DefaultProfile()), Options{Config: cfg})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -18,11 +18,11 @@
 	Workers                int
 	ContinueAfterViolation bool              // instead of ending the sweep
 	Progress               func(done uint64) // called after each run, one at a time; may be nil
-	OnFind                 func(Find)        // called with each find, one at a time; may be nil
+	OnFailedSeed           func(FailedSeed)  // called with each find, one at a time; may be nil
 }
 
-// Find is a seed whose run broke a rule.
-type Find struct {
+// FailedSeed is a seed whose run broke a rule.
+type FailedSeed struct {
 	Seed uint64        `json:"seed"`
 	Rule string        `json:"rule"`
 	At   time.Duration `json:"at_ns"`
@@ -32,12 +32,12 @@
 // SweepResult is the result of a sweep. Slices by seed have an entry for each seed of the range, zero where it was not run.
 type SweepResult struct {
 	Seeds        uint64              `json:"seeds"` // that were run
-	Finds        []Find              `json:"finds"` // in the order of seeds, at most maxFinds
+	FailedSeeds  []FailedSeed        `json:"finds"` // in the order of seeds, at most maxFinds
 	Violating    uint64              `json:"broken"`
 	Events       uint64              `json:"events"`
 	Requests     uint64              `json:"tries"`
 	Virtual      time.Duration       `json:"virtual_ns"`
-	Took         time.Duration       `json:"took_ns"`
+	Elapsed      time.Duration       `json:"took_ns"`
 	Reached      map[string]int      `json:"reached"`
 	Scenarios    map[string]int      `json:"shapes"`
 	Exemptions   map[string]int      `json:"excuses"`  // cases that a check exempted, by reason
@@ -48,8 +48,8 @@
 }
 
 const (
-	nearnessBins = 22   // one for runs without a case, twenty of a twentieth each, one beyond the limit
-	maxFinds     = 1000 // kept, so that a sweep in which every seed fails stays within memory
+	nearnessBins   = 22   // one for runs without a case, twenty of a twentieth each, one beyond the limit
+	maxFailedSeeds = 1000 // kept, so that a sweep in which every seed fails stays within memory
 )
 
 // Run runs the scripts. The error is that of a run that could not begin.
@@ -63,8 +63,8 @@
 	}
 	workers.Wait()
 	r := p.result
-	slices.SortFunc(r.Finds, func(a, b Find) int { return int(int64(a.Seed - b.Seed)) })
-	r.Took = time.Since(begun)
+	slices.SortFunc(r.FailedSeeds, func(a, b FailedSeed) int { return int(int64(a.Seed - b.Seed)) })
+	r.Elapsed = time.Since(begun)
 	return r, p.err
 }
 
@@ -102,9 +102,9 @@
 	}
 	p.result.add(seed, seed-p.First, s, o)
 	if len(o.Findings) > 0 {
-		if p.OnFind != nil {
+		if p.OnFailedSeed != nil {
 			f := o.Findings[0]
-			p.OnFind(Find{seed, f.Rule, f.At, f.What})
+			p.OnFailedSeed(FailedSeed{seed, f.Rule, f.At, f.What})
 		}
 		if !p.ContinueAfterViolation {
 			p.stop.Store(true)
@@ -150,8 +150,8 @@
 	}
 	if len(o.Findings) > 0 {
 		r.Violating++
-		if f := o.Findings[0]; len(r.Finds) < maxFinds {
-			r.Finds = append(r.Finds, Find{seed, f.Rule, f.At, f.What})
+		if f := o.Findings[0]; len(r.FailedSeeds) < maxFailedSeeds {
+			r.FailedSeeds = append(r.FailedSeeds, FailedSeed{seed, f.Rule, f.At, f.What})
 		}
 	}
 }
