--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -8,11 +8,11 @@
 	"sandyard/invariant"
 )
 
-// The states of a backend in the endpoint list.
+// States of a backend in the endpoint list.
 const (
 	listedUp       = "up"
 	listedDraining = "draining"
-	listedGone     = "gone" // not listed
+	listedRemoved  = "gone" // not listed
 )
 
 // simBackend is an emulated backend in the simulation.
@@ -22,7 +22,7 @@
 	name           string
 	number         int
 	address        string
-	listedState    string // in the endpoint list: up, draining or gone
+	listedState    string // state in the endpoint list: up, draining or gone
 	startedAt      time.Duration
 	startedCold    bool
 	model          *emulator.Backend
@@ -32,7 +32,7 @@
 	extraResponses bool
 }
 
-// start begins a process; one that starts while the run goes on is in slow start.
+// start starts a process. cold puts it into slow start, as for every process that starts during the run.
 func (b *simBackend) start(cold bool) {
 	s := b.sim
 	b.incarnation++
@@ -53,7 +53,7 @@
 	b.host.accept = b.acceptConn
 }
 
-// kill ends the backend's process.
+// kill terminates the backend's process.
 func (b *simBackend) kill() {
 	b.incarnation++
 	b.conns = nil
@@ -74,7 +74,7 @@
 	}
 }
 
-// acceptConn accepts a connection.
+// acceptConn handles a connection that the network has accepted for the backend.
 func (b *simBackend) acceptConn(conn *netConn) {
 	c := &simBackendConn{backend: b, conn: conn, model: b.model.NewConn(), instance: b.sim.instanceOf(conn.peer.host), lastUsed: b.sim.now}
 	conn.handler = c
@@ -110,20 +110,20 @@
 	b.host.accept = b.acceptConn
 }
 
-// scheduleWork schedules the backend's next end of work.
+// scheduleWork schedules the next time at which the backend finishes some work.
 func (b *simBackend) scheduleWork() {
 	t := b.model.Next()
 	if t == 0 || b.nextWake != 0 && b.nextWake <= t && b.nextWake > b.sim.now {
 		return
 	}
 	b.nextWake = t
-	life := b.incarnation
+	incarnation := b.incarnation
 	b.sim.schedule(t, func() {
-		if b.incarnation != life || !b.host.alive {
+		if b.incarnation != incarnation || !b.host.alive {
 			return
 		}
 		b.host.run(func() {
-			if b.incarnation != life {
+			if b.incarnation != incarnation {
 				return
 			}
 			b.nextWake = 0
@@ -139,7 +139,7 @@
 	for _, j := range done {
 		for _, c := range b.conns {
 			if c.model == j.Conn() {
-				b.sim.sendingInstance, b.sim.sentAt = c.instance, c.conn.peer.messageBegan
+				b.sim.sendingInstance, b.sim.sentAt = c.instance, c.conn.peer.messageStartedAt
 				c.model.Done(now, j)
 				c.flush()
 				break
--- a/internal/simulation/backendconn.go
+++ b/internal/simulation/backendconn.go
@@ -6,6 +6,7 @@
 	"sandyard/emulator"
 )
 
+// simBackendConn is the backend's side of a connection.
 type simBackendConn struct {
 	backend  *simBackend
 	conn     *netConn
@@ -13,13 +14,13 @@
 	unsent   []byte
 	done     bool
 	instance int
-	lastUsed time.Duration // when bytes last came or went
+	lastUsed time.Duration // when bytes were last read or written
 }
 
-// closeIfIdle closes a connection that has been idle at the backend for a while, as servers do; a request may still be on the
-// network.
+// closeIfIdle closes a connection that has been idle for the given time, as servers do. A request may be in flight on the
+// network at that moment.
 func (c *simBackendConn) closeIfIdle(after time.Duration) {
-	if c.done || c.conn.closed { // closed by a kill of the process
+	if c.done || c.conn.closed { // the process was killed
 		return
 	}
 	if left := c.lastUsed + after - c.backend.sim.now; left > 0 || c.model.Busy() {
@@ -39,7 +40,7 @@
 		return
 	}
 	c.lastUsed = c.backend.sim.now
-	c.backend.sim.sendingInstance, c.backend.sim.sentAt = c.instance, c.conn.peer.messageBegan
+	c.backend.sim.sendingInstance, c.backend.sim.sentAt = c.instance, c.conn.peer.messageStartedAt
 	c.model.Feed(c.backend.sim.now, c.conn.read())
 	if !c.done {
 		c.flush()
@@ -53,14 +54,14 @@
 	if c.done {
 		return
 	}
-	// HTTP/1.1 lets a client recognize an extra response only if it comes before the next request is sent, and so it is
-	// delivered together with the response that it follows.
+	// An HTTP/1.1 client can recognize an extra response only if it arrives before the next request is sent. Therefore an
+	// extra response is delivered together with the response that it follows.
 	c.conn.unsplit, c.lastUsed = c.backend.extraResponses, c.backend.sim.now
 	c.unsent = c.conn.writeBuffered(c.unsent, c.model.Out)
 	c.model.Out = c.model.Out[:0]
 	if c.model.Close && len(c.unsent) == 0 {
 		abort := c.model.Abort
-		if abort { // the reset comes after what was written
+		if abort { // the reset must arrive after the written bytes
 			c.backend.sim.scheduleAfter(2*c.backend.sim.network.latency, func() { c.close(true) })
 			return
 		}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -10,14 +10,14 @@
 	"sandyard/invariant"
 )
 
-// clientPool holds the connections of the clients of one instance, kept alive for further requests.
+// clientPool holds the idle keep-alive connections from clients to one instance.
 type clientPool struct {
 	sim      *Sim
 	instance int
 	idle     []*clientConn
 }
 
-// get returns an idle connection, or begins one.
+// get returns an idle connection, or dials a new one.
 func (p *clientPool) get(rng *rand.Rand) *clientConn {
 	if rng.Float64() >= p.sim.script.Clients.NewConnShare {
 		for len(p.idle) > 0 {
@@ -51,18 +51,18 @@
 
 // clientConn is a client's connection. Several pipelined requests may be in flight on it; responses come in their order.
 type clientConn struct {
-	pool          *clientPool
-	dialing       *dialing
-	conn          *netConn
-	reader        *http1.Reader
-	unsent        []byte
-	awaiting      []*clientRequest
-	head          *http1.Head
-	responseBegan bool // of the first in awaiting
-	done          bool
-	misbehaving   bool
-	acceptedAt    time.Duration // by the instance
-	lastUsed      time.Duration
+	pool            *clientPool
+	dialing         *dialing
+	conn            *netConn
+	reader          *http1.Reader
+	unsent          []byte
+	awaiting        []*clientRequest
+	head            *http1.Head
+	responseStarted bool // for the first request in awaiting
+	done            bool
+	misbehaving     bool
+	acceptedAt      time.Duration // when the connection was established
+	lastUsed        time.Duration
 }
 
 func (c *clientConn) flush() {
@@ -75,28 +75,28 @@
 func (c *clientConn) writable(*netConn) { c.flush() }
 
 func (c *clientConn) closed(conn *netConn, reset bool) {
-	if c.conn == nil { // it ended before its client knew that it was established
+	if c.conn == nil { // closed before its client knew that it was established
 		c.conn = conn
 	}
 	c.fail(invariant.ConnectionBroken)
 }
 
-// fail ends the connection and what was in flight on it.
+// fail closes the connection and ends the requests in flight on it.
 func (c *clientConn) fail(e invariant.Ending) {
 	out := c.awaiting
 	c.awaiting = nil
-	if e == invariant.ConnectionBroken && c.conn != nil && c.conn.tooManyConns { // the reset may overtake the response that says so
+	if e == invariant.ConnectionBroken && c.conn != nil && c.conn.tooManyConns { // the reset may arrive before the response that gives this reason
 		c.pool.sim.cover("excuse: no answer: turned away")
 		e = invariant.NotAccepted
 	}
 	c.close(true)
 	for i, r := range out {
-		if i == 0 && c.responseBegan && e == invariant.ConnectionBroken { // the client sees that its response broke off
+		if i == 0 && c.responseStarted && e == invariant.ConnectionBroken { // the client sees a truncated response
 			c.pool.sim.cover("excuse: broken off: an answer that flowed")
 			c.pool.sim.finish(r, invariant.Failed, 1)
 			continue
 		}
-		if i > 0 && e == invariant.ConnectionBroken { // an instance takes one request at a time: those behind were not accepted
+		if i > 0 && e == invariant.ConnectionBroken { // an instance accepts one request at a time, so those behind it were not accepted
 			c.pool.sim.cover("excuse: no answer: behind one that was cut")
 			e = invariant.ClientLeft
 		}
@@ -115,7 +115,7 @@
 	} else if c.dialing != nil {
 		c.dialing.ended = true
 	}
-	if out := c.awaiting; len(out) > 0 { // a client that gives up on one request gives up on those pipelined behind it
+	if out := c.awaiting; len(out) > 0 { // a client that abandons a request abandons those pipelined behind it, too
 		c.awaiting = nil
 		for _, r := range out {
 			c.pool.sim.finish(r, invariant.ClientLeft, 0)
@@ -145,29 +145,29 @@
 	}
 }
 
-// statusBegin and statusEnd say where a response has its status.
-const statusBegin, statusEnd = len("HTTP/1.1 "), len("HTTP/1.1 200")
+// statusStart and statusEnd are the bounds of the status code in a response.
+const statusStart, statusEnd = len("HTTP/1.1 "), len("HTTP/1.1 200")
 
-// unexpected handles bytes for a client that awaits nothing: a violation, unless the client sent no request either.
+// unexpected handles bytes for a client without a pending request. They are a violation, except for a misbehaving client.
 func (c *clientConn) unexpected(in []byte) {
 	s := c.pool.sim
 	if c.misbehaving && len(in) > statusEnd {
-		s.cover("status " + string(in[statusBegin:statusEnd]))
+		s.cover("status " + string(in[statusStart:statusEnd]))
 	}
 	if !c.misbehaving {
-		s.report(RuleOwnResponse, fmt.Sprintf("door %d sends %.40q to a client that awaits nothing", c.pool.instance, in))
+		s.report(RuleOwnResponse, fmt.Sprintf("door %d sent %.40q to a client without a pending request", c.pool.instance, in))
 	}
 	c.close(true)
 }
 
-// feed reads a part of the response to the first request that awaits one. It returns how many bytes were used, and whether
-// there may be more to read.
+// feed parses a part of the response to the first awaiting request. It returns the number of bytes that it consumed, and
+// whether the rest may contain more.
 func (c *clientConn) feed(in []byte) (n int, more bool) {
 	s, r := c.pool.sim, c.awaiting[0]
 	c.reader.Expect(s.config.Routes.Operations[r.operation].Method)
 	n, part, err := c.reader.Feed(in)
 	if err != nil {
-		s.report(RuleOwnResponse, fmt.Sprintf("door %d answers %s with what is no answer: %v", c.pool.instance, r.ID, err))
+		s.report(RuleOwnResponse, fmt.Sprintf("door %d sent an invalid response to %s: %v", c.pool.instance, r.ID, err))
 		return n, false
 	}
 	switch part.Kind {
@@ -175,26 +175,26 @@
 		return n, false
 	case http1.HeadEnd:
 		if part.Head.Status >= 200 {
-			c.head, c.responseBegan = part.Head, true
+			c.head, c.responseStarted = part.Head, true
 		}
 	case http1.End:
-		c.responseBegan = false
+		c.responseStarted = false
 		c.awaiting = c.awaiting[1:]
-		c.responseComplete(r)
+		c.finishResponse(r)
 		if c.head.Close {
-			c.fail(invariant.NotAccepted) // pipelined requests behind it were never accepted
+			c.fail(invariant.NotAccepted) // the instance never accepted the requests pipelined behind it
 			return n, false
 		}
 	}
 	return n, true
 }
 
-// responseComplete handles a complete response.
-func (c *clientConn) responseComplete(r *clientRequest) {
+// finishResponse handles a complete response.
+func (c *clientConn) finishResponse(r *clientRequest) {
 	s, h := c.pool.sim, c.head
 	s.cover("status " + strconv.Itoa(h.Status))
 	if id, ok := h.Get("X-Answers"); ok && id != r.ID {
-		s.report(RuleOwnResponse, fmt.Sprintf("%s got the answer to %s", r.ID, id))
+		s.report(RuleOwnResponse, fmt.Sprintf("%s received the response to %s", r.ID, id))
 	}
 	r.status = h.Status
 	e := invariant.Failed
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// event is something that happens at a time. Events that share one run in the order of a drawn tie-break and then of their
-// scheduling: which comes first depends on the seed, so that a sweep meets both orders.
+// event is a callback at a virtual time. Events at the same time run in the order of a random tie-break and then of their
+// scheduling. The seed decides which runs first, so that a sweep covers both outcomes of a race.
 type event struct {
 	at  time.Duration
 	tie uint32
@@ -26,44 +26,46 @@
 	return a.seq < b.seq
 }
 
-// clock is the queue of events, a binary heap.
+// clock is the virtual clock and its queue of events, a binary heap.
 type clock struct {
-	now             time.Duration
-	heap            []event
-	seq             uint64
-	events          uint64
-	tieBreaks       *rand.Rand
-	answerTieBreaks *rand.Rand // of scheduleAnswer
-	digestState     hash.Hash64
-	log             func(at time.Duration, what string) // nil: no log
+	now               time.Duration
+	heap              []event
+	seq               uint64
+	events            uint64
+	tieBreaks         *rand.Rand
+	responseTieBreaks *rand.Rand // for scheduleResponseDeadline
+	digestState       hash.Hash64
+	log               func(at time.Duration, what string) // nil: no log
 }
 
 func newClock(seed uint64) *clock {
-	return &clock{tieBreaks: stream(seed, "ties"), answerTieBreaks: stream(seed, "answer ties"), digestState: fnv.New64a()}
+	return &clock{tieBreaks: stream(seed, "ties"), responseTieBreaks: stream(seed, "answer ties"), digestState: fnv.New64a()}
 }
 
-// stream returns the random source of one purpose, so that more draws for one purpose don't change those of others.
+// stream returns the random source for one purpose. Separate sources keep the draws for one purpose independent of those
+// for others.
 func stream(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// schedule runs something at a time.
+// schedule runs do at time t.
 func (c *clock) schedule(t time.Duration, do func()) {
 	c.push(t, uint32(c.tieBreaks.Uint32()>>24), do)
 }
 
-// scheduleAnswer is schedule for the times at which connections answer in place of their instance. Its tie-breaks are draws of their
-// own: with those of schedule, each request would change the order of all events after it.
-func (c *clock) scheduleAnswer(t time.Duration, do func()) {
-	c.push(t, uint32(c.answerTieBreaks.Uint32()>>24), do)
+// scheduleResponseDeadline is schedule for the deadlines at which client connections send a local response because their
+// instance has not responded. Its tie-breaks come from a separate source. If they came from that of schedule, each request
+// would change the order of all events after it.
+func (c *clock) scheduleResponseDeadline(t time.Duration, do func()) {
+	c.push(t, uint32(c.responseTieBreaks.Uint32()>>24), do)
 }
 
-// scheduleAfter runs something a while from now.
+// scheduleAfter runs do after d.
 func (c *clock) scheduleAfter(d time.Duration, do func()) { c.schedule(c.now+max(0, d), do) }
 
-// scheduleLast runs something after all other events of its time.
+// scheduleLast runs do at time t, after all other events of that time.
 func (c *clock) scheduleLast(t time.Duration, do func()) { c.push(t, 1<<31, do) }
 
 func (c *clock) push(t time.Duration, tie uint32, do func()) {
@@ -80,7 +82,7 @@
 	}
 }
 
-// step runs the next event; false: there is none until then.
+// step runs the next event. It returns false if there is none up to the time until.
 func (c *clock) step(until time.Duration) bool {
 	h := c.heap
 	if len(h) == 0 || h[0].at > until {
@@ -109,7 +111,7 @@
 	return true
 }
 
-// logEvent hands what happened to the log, if there is one.
+// logEvent writes an event to the log, if there is one.
 func (c *clock) logEvent(what string) {
 	if c.log != nil {
 		c.log(c.now, what)
--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// connHandler is called with what happens on a connection.
+// connHandler is notified of events on a connection.
 type connHandler interface {
 	readable(*netConn)
-	closed(conn *netConn, reset bool) // no more bytes come
+	closed(conn *netConn, reset bool) // the peer sends no more bytes
 	writable(*netConn)
 }
 
@@ -18,17 +18,18 @@
 	peer              *netConn
 	handler           connHandler
 	received          []byte
-	inFlight          []segment     // in the order of their arrival
-	unacknowledged    int           // bytes, sent and not yet read by the peer
+	inFlight          []segment     // in order of arrival
+	unacknowledged    int           // bytes that were sent and that the peer has not read yet
 	deliveryScheduled bool          // an event for inFlight is scheduled
-	writeBlocked      bool          // the window was full at the last write
+	writeBlocked      bool          // the last write filled the window
 	closed            bool          // by this side
-	peerClosed        bool          // the handler knows, or is about to
+	peerClosed        bool          // the handler was notified of the close, or is about to be
 	unsplit           bool          // writes are not split into segments
-	tooManyConns      bool          // the peer rejected it for having too many
-	messageBegan      time.Duration // when the last message on it began to be sent
+	tooManyConns      bool          // the peer rejected this connection because it had too many
+	messageStartedAt  time.Duration // when this side began to send its last message
 }
 
+// segment is a part of the byte stream in flight, or its end.
 type segment struct {
 	arrivesAt time.Duration
 	data      []byte
@@ -36,17 +37,17 @@
 	rst       bool
 }
 
-// write sends as many bytes as the window has room for, and returns how many. The handler's writable is called later if that
-// was not all.
+// write sends as many bytes as the window permits, and returns their number. If that is not all, the handler's writable is
+// called later.
 func (c *netConn) write(b []byte) int {
 	if c.closed || c.peerClosed && len(c.inFlight) == 0 && c.peer.closed {
-		return len(b) // dropped: the handler is about to be called with the close
+		return len(b) // dropped: the handler is about to be notified of the close
 	}
-	took := min(len(b), windowBytes-c.unacknowledged)
-	c.writeBlocked = took < len(b)
-	c.unacknowledged += took
+	sent := min(len(b), windowBytes-c.unacknowledged)
+	c.writeBlocked = sent < len(b)
+	c.unacknowledged += sent
 	n := c.network
-	for rest := b[:took]; len(rest) > 0; {
+	for rest := b[:sent]; len(rest) > 0; {
 		size := len(rest)
 		for size > 1 && n.splitProbability > 0 && !c.unsplit && n.rng.Float64() < n.splitProbability {
 			size = 1 + n.rng.IntN(size-1)
@@ -54,20 +55,20 @@
 		c.send(segment{data: append([]byte(nil), rest[:size]...)})
 		rest = rest[size:]
 	}
-	return took
+	return sent
 }
 
-// writeBuffered writes what was held back and then what is new, and returns what is held back now.
-func (c *netConn) writeBuffered(held, fresh []byte) []byte {
-	if len(held) == 0 { // the usual case: nothing is copied twice
-		n := c.write(fresh)
-		return append(held, fresh[n:]...)
+// writeBuffered writes the unsent bytes and then data. It returns the bytes that are still unsent.
+func (c *netConn) writeBuffered(unsent, data []byte) []byte {
+	if len(unsent) == 0 { // the usual case; avoids a second copy
+		n := c.write(data)
+		return append(unsent, data[n:]...)
 	}
-	held = append(held, fresh...)
-	if n := c.write(held); n < len(held) {
-		return held[n:]
+	unsent = append(unsent, data...)
+	if n := c.write(unsent); n < len(unsent) {
+		return unsent[n:]
 	}
-	return held[:0]
+	return unsent[:0]
 }
 
 func (c *netConn) send(s segment) {
@@ -104,7 +105,7 @@
 		if c.inFlight[0] = (segment{}); len(c.inFlight) > 1 {
 			c.inFlight = c.inFlight[1:]
 		} else {
-			c.inFlight = c.inFlight[:0] // its memory is used again
+			c.inFlight = c.inFlight[:0] // reuses its memory
 		}
 		switch {
 		case to.closed: // a closed socket's kernel replies with a reset
@@ -131,7 +132,7 @@
 	c.scheduleDelivery()
 }
 
-// notifyClosed calls the handler with the peer's close, once.
+// notifyClosed notifies the handler of the peer's close, once.
 func (c *netConn) notifyClosed(reset bool) {
 	if c.peerClosed {
 		return
@@ -147,7 +148,7 @@
 	})
 }
 
-// read returns what has arrived, and opens the window for as much.
+// read returns the received bytes, and opens the peer's window by their number.
 func (c *netConn) read() []byte {
 	b := c.received
 	c.received = nil
@@ -166,14 +167,16 @@
 	return b
 }
 
-// closeWrite shuts the sending side, behind all that was written; what the peer still sends can be read.
+// closeWrite closes the sending side after all written bytes. On the half-closed connection the peer's bytes can still be
+// read.
 func (c *netConn) closeWrite() {
 	if !c.closed && c.host.alive {
 		c.send(segment{fin: true})
 	}
 }
 
-// close closes the connection, behind all that was written. With unread bytes, or if asked for, it is a reset.
+// close closes the connection after all written bytes. If reset is set or received bytes are unread, it resets the
+// connection and discards the bytes in flight.
 func (c *netConn) close(reset bool) {
 	if c.closed {
 		return
--- a/internal/simulation/counter.go
+++ b/internal/simulation/counter.go
@@ -13,7 +13,7 @@
 	host              *host
 	model             *emulator.Counter
 	invalidReplies    bool
-	earlierIncrements uint64 // by its earlier processes
+	earlierIncrements uint64 // that its earlier processes counted
 	conns             []*simCounterConn
 }
 
@@ -27,7 +27,7 @@
 	}
 }
 
-// kill ends the counter's process. A new one starts empty.
+// kill terminates the counter's process. The next one starts empty.
 func (c *simCounter) kill() {
 	c.sim.network.kill(c.host)
 	c.conns = nil
@@ -62,12 +62,14 @@
 	}
 }
 
-// spreadPosition is a position in [0,1) for each number, such that neighbours lie apart (multiples of the golden ratio).
+// spreadPosition returns a position in [0,1) for each number. Positions of consecutive numbers lie far apart (multiples of
+// the golden ratio).
 func spreadPosition(number int) float64 {
 	_, x := math.Modf(float64(number+1) * (math.Sqrt(5) - 1) / 2)
 	return x
 }
 
+// simCounterConn is the counter's side of a connection.
 type simCounterConn struct {
 	counter *simCounter
 	conn    *netConn
@@ -79,7 +81,7 @@
 func (c *simCounterConn) readable(*netConn) {
 	counter := c.counter
 	if c.done || counter.model.Stalled() {
-		return // the bytes stay in the connection
+		return // the bytes stay unread
 	}
 	c.model.Feed(counter.sim.now, c.conn.read())
 	b := append([]byte(nil), c.model.Out...)
--- a/internal/simulation/coverage.go
+++ b/internal/simulation/coverage.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// Verbs returns the verbs of the faults that a generator draws, sorted.
+// Verbs returns the sorted verbs of the faults that a generator can draw.
 func Verbs() (names []string) {
 	for _, k := range faultKinds {
 		if !slices.Contains(names, string(k.verb)) {
@@ -15,7 +15,7 @@
 	return names
 }
 
-// CoverageGoals returns what a search should reach, in the words of Outcome.Reached: faults, effects of the core, endings of
+// CoverageGoals returns the keys of Outcome.Reached that a search should cover: faults, effects of the core, endings of
 // requests and error paths.
 func CoverageGoals() []string {
 	names := []string{"answer broken", "answer cut off", "answer flows", "client drips", "client left", "client makes noise", "client quits",
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -8,11 +8,11 @@
 	"sandyard/config"
 )
 
-// builtInDeployment parses Deployment once; concurrent runs share it.
+// builtInDeployment returns the result of the first call of Deployment; concurrent runs share it.
 var builtInDeployment = sync.OnceValues(Deployment)
 
-// Deployment returns the configuration for scripts that name none: two instances a customer, three plans with a ceiling in
-// the highest, and a class for each kind of idempotency.
+// Deployment returns the configuration for scripts that name none: two instances for each customer, three plans of which
+// the highest has a ceiling, and a class for each kind of idempotency.
 func Deployment() (*config.Config, error) {
 	var s strings.Builder
 	s.WriteString(`openapi: openapi.yaml
--- a/internal/simulation/dial.go
+++ b/internal/simulation/dial.go
@@ -1,6 +1,6 @@
 package simulation
 
-// dialing is a connection under way.
+// dialing is a connection that is being established.
 type dialing struct {
 	from, to  *host
 	handler   connHandler
@@ -8,9 +8,10 @@
 	ended     bool // established, refused or given up
 }
 
-// dial begins a connection. done is called with its client side, or with nil if it was refused; never, if nobody replies.
-func (n *network) dial(from *host, addr string, o connHandler, done func(*netConn, bool)) *dialing {
-	p := &dialing{from: from, to: n.byAddr[addr], handler: o, connected: done}
+// dial begins to establish a connection. done is called with the client's side of it, or with nil if it was refused. If the
+// target does not reply, done is not called.
+func (n *network) dial(from *host, addr string, handler connHandler, done func(*netConn, bool)) *dialing {
+	p := &dialing{from: from, to: n.byAddr[addr], handler: handler, connected: done}
 	if from.descriptors == 0 {
 		n.scheduleAfter(0, func() { p.refuse(n) })
 		return p
@@ -26,7 +27,7 @@
 	}
 }
 
-// connect handles the first segment of a connection at its target.
+// connect handles the first segment of a connection (SYN) at its target.
 func (n *network) connect(p *dialing) {
 	switch {
 	case p.ended || !p.from.alive:
@@ -40,7 +41,7 @@
 	}
 }
 
-// acceptPending accepts connections of the backlog, as far as the host can.
+// acceptPending accepts connections from the backlog as long as the host can.
 func (n *network) acceptPending(h *host) {
 	for len(h.backlog) > 0 && h.alive && !h.notAccepting && !h.paused && h.descriptors != 0 {
 		p := h.backlog[0]
@@ -48,7 +49,7 @@
 		if p.ended || !p.from.alive {
 			continue
 		}
-		if h.accept == nil { // it no longer listens
+		if h.accept == nil { // no longer listening
 			n.scheduleAfter(n.latency, func() { p.refuse(n) })
 			continue
 		}
--- a/internal/simulation/digest.go
+++ b/internal/simulation/digest.go
@@ -4,13 +4,12 @@
 	"encoding/binary"
 )
 
-// eventKind numbers what goes into the digest. The numbers are part of every digest that is written down: new kinds
-// follow the last one.
+// eventKind is the kind of an event in the digest. Recorded digests depend on these numbers: new kinds follow the last one.
 type eventKind byte
 
 const (
-	requestSent   eventKind = iota + 1 // its id
-	requestEnded                       // its id and ending
+	requestSent   eventKind = iota + 1 // the request's id
+	requestEnded                       // the request's id and ending
 	backendFact                        // the kind of fact, the request's id and the backend's name
 	faultBegun                         // verb, target and value
 	faultOver                          // verb and target
@@ -18,8 +17,8 @@
 	instanceStats                      // an instance's counts at the end
 )
 
-// digest adds an event to the run's digest: the time, the kind, numbers, and texts that scripts, clients or peers chose. Log
-// texts are left out, so that they can be worded anew without another digest.
+// digest adds an event to the run's digest: the time, the kind, numbers, and texts that scripts, clients or peers chose. It
+// leaves out log texts, so that rewording them does not change the digest.
 func (c *clock) digest(kind eventKind, numbers []uint64, texts ...string) {
 	b := binary.LittleEndian.AppendUint64(make([]byte, 0, 64), uint64(c.now))
 	b = append(b, byte(kind))
--- a/internal/simulation/endpoints.go
+++ b/internal/simulation/endpoints.go
@@ -10,13 +10,14 @@
 	"sandyard/decision"
 )
 
-// epoch is the calendar time at which simulated time is zero.
+// epoch is the wall-clock time at virtual time zero.
 var epoch = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-// cellOf returns a backend's cell.
+// cellOf returns the number of a backend's cell.
 func (s *Sim) cellOf(b *simBackend) int { return b.number % max(1, s.script.Backends.Cells) }
 
-// cellOfName returns what finds a backend's cell, within which repeats of a key are discarded; nil: there is one cell.
+// cellOfName returns a function from a backend's name to its cell. Repeats of an idempotency key are discarded within a
+// cell only. It returns nil if there is one cell.
 func (s *Sim) cellOfName() func(backend string) string {
 	if s.script.Backends.Cells < 2 {
 		return nil
@@ -31,13 +32,13 @@
 	}
 }
 
-// endpointFileText returns the endpoint file as it is to be written.
+// endpointFileText returns the current content for the endpoint file.
 func (s *Sim) endpointFileText() string {
 	var t strings.Builder
 	t.WriteString("boxes:\n")
 	n := 0
 	for _, b := range s.backends {
-		if b.listedState == listedGone {
+		if b.listedState == listedRemoved {
 			continue
 		}
 		n++
@@ -53,13 +54,13 @@
 	return t.String()
 }
 
-// writeEndpoints replaces the endpoint file, and notifies the instances.
+// writeEndpoints replaces the endpoint file and notifies the instances.
 func (s *Sim) writeEndpoints() {
 	s.endpointFile = s.endpointFileText()
 	s.notifyInstances()
 }
 
-// parseEndpoints parses the endpoint file as it is now, once for all instances that read the same text.
+// parseEndpoints parses the current endpoint file. Instances that read the same text share the result.
 func (s *Sim) parseEndpoints() ([]config.Endpoint, error) {
 	parsed := &s.parsedFile
 	if parsed.endpoints == nil && parsed.err == nil || parsed.text != s.endpointFile {
@@ -69,14 +70,15 @@
 	return slices.Clone(parsed.endpoints), parsed.err
 }
 
+// notifyInstances has every instance read the endpoint file after a short random delay.
 func (s *Sim) notifyInstances() {
 	rng := s.network.rng
 	for _, inst := range s.instances {
-		s.scheduleAfter(time.Duration(rng.Int64N(int64(20*time.Millisecond))), inst.thisIncarnation(inst.pollEndpoints))
+		s.scheduleAfter(time.Duration(rng.Int64N(int64(20*time.Millisecond))), inst.forThisIncarnation(inst.pollEndpoints))
 	}
 }
 
-// recordEndpointView notes which backends an instance was notified of.
+// recordEndpointView reports to the checker which backends are up in the list that an instance has read.
 func (s *Sim) recordEndpointView(inst *simInstance, endpoints []config.Endpoint) {
 	for _, b := range s.backends {
 		i := slices.IndexFunc(endpoints, func(c config.Endpoint) bool { return c.Name == b.name })
--- a/internal/simulation/evolve.go
+++ b/internal/simulation/evolve.go
@@ -11,10 +11,10 @@
 	"sandyard/internal/strictyaml"
 )
 
-// maxEvolvedFaults bounds the faults of an evolved script, which would grow with each crossover.
+// maxEvolvedFaults limits the faults of an evolved script. Without a limit each crossover would add more.
 const maxEvolvedFaults = 120
 
-// crossover takes over half of another script's faults.
+// crossover adds each fault of another script with a probability of one half.
 func (s *Script) crossover(o *Script, rng *rand.Rand) {
 	for _, e := range o.Events {
 		if len(s.Events) < maxEvolvedFaults && rng.IntN(2) == 0 {
@@ -23,7 +23,7 @@
 	}
 }
 
-// mutation is a change that mutate can make. The order is part of what a seed of a hunt gives.
+// mutation is a change that mutate can make. What a seed of a hunt produces depends on the order of the mutations.
 type mutation int
 
 const (
@@ -44,7 +44,7 @@
 	mutationCount
 )
 
-// mutate makes one change to a script. One that does not apply adds a fault instead.
+// mutate makes one random change to a script. If the change is not applicable, it adds a fault instead.
 func (s *Script) mutate(rng *rand.Rand) {
 	n := len(s.Events)
 	switch m := mutation(rng.IntN(int(mutationCount))); {
@@ -57,7 +57,7 @@
 	}
 }
 
-// drawFactor draws a factor about 1.
+// drawFactor draws a random factor around 1 (log-normal).
 func drawFactor(rng *rand.Rand) float64 { return math.Exp(rng.NormFloat64() * 0.4) }
 
 // mutateFleet changes the seed, the processes, the network or the clients.
@@ -82,7 +82,7 @@
 	}
 }
 
-// mutateFault changes one of the faults, of which there must be some.
+// mutateFault changes one of the faults. There must be at least one.
 func (s *Script) mutateFault(m mutation, rng *rand.Rand) {
 	i := rng.IntN(len(s.Events))
 	e := &s.Events[i]
@@ -90,9 +90,9 @@
 	case dropFault:
 		s.Events = slices.Delete(s.Events, i, i+1)
 	case copyFault:
-		again := *e
-		again.At += time.Duration(rng.NormFloat64() * float64(time.Second)).Truncate(time.Millisecond)
-		s.Events = append(s.Events, again)
+		duplicate := *e
+		duplicate.At += time.Duration(rng.NormFloat64() * float64(time.Second)).Truncate(time.Millisecond)
+		s.Events = append(s.Events, duplicate)
 	case shiftFault:
 		e.At += time.Duration(rng.NormFloat64() * float64(700*time.Millisecond)).Truncate(time.Millisecond)
 	case scaleDuration:
@@ -109,7 +109,7 @@
 	}
 }
 
-// clamp keeps a mutated script within the bounds of generated ones.
+// clamp limits a mutated script to the bounds of generated ones.
 func (s *Script) clamp() {
 	s.Backends.Count, s.Instances = min(75, max(1, s.Backends.Count)), min(40, max(1, s.Instances))
 	s.Rate = min(maxRate, max(2, s.Rate))
@@ -117,13 +117,13 @@
 	s.boundWork()
 	for i := range s.Events {
 		e := &s.Events[i]
-		most := 10 * time.Second
-		for _, k := range faultKinds { // as long as is generated, at most
+		maxDuration := 10 * time.Second
+		for _, k := range faultKinds { // at most as long as a generated fault
 			if k.verb == e.Verb && k.maxDuration > 0 {
-				most = k.maxDuration
+				maxDuration = k.maxDuration
 			}
 		}
-		e.Duration = min(most, max(0, e.Duration))
+		e.Duration = min(maxDuration, max(0, e.Duration))
 		switch e.Verb {
 		case fault.Surge:
 			e.Value = min(e.Value, max(3, maxRate*3/s.Rate))
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -9,11 +9,11 @@
 	"sandyard/fault"
 )
 
-// What the simulator does without being told by the script.
+// Parameters of faults that a script does not set.
 const (
-	tornFileTime = time.Second      // until a torn endpoint file is repaired, if the fault has no duration
-	removalTime  = 10 * time.Second // that a removed backend still runs, as long as its responses may take
-	minLinkRate  = 100.0            // bytes a second of a throttled link: nothing ends below
+	tornFileDuration = time.Second      // after which a torn endpoint file is repaired, if the fault has no duration
+	removalDelay     = 10 * time.Second // for which a removed backend keeps running, so that its responses can end
+	minLinkRate      = 100.0            // lowest rate of a throttled link (bytes/s); below it no response would complete
 )
 
 // beginFault begins a fault of the script, and schedules its end.
@@ -41,7 +41,7 @@
 	}
 }
 
-// atEnd runs something at the end of a fault; never, if the fault has no duration.
+// atEnd runs do at the end of a fault. It does not run do if the fault has no duration.
 func (s *Sim) atEnd(e fault.Event, do func()) {
 	if e.Duration <= 0 {
 		return
@@ -76,13 +76,13 @@
 	}
 }
 
-// tearEndpointFile leaves half of the endpoint file, until the fault's end.
+// tearEndpointFile truncates the endpoint file to half until the fault's end.
 func (s *Sim) tearEndpointFile(e fault.Event) {
 	s.endpointFile = s.endpointFile[:len(s.endpointFile)/2]
 	s.notifyInstances()
 	s.atEnd(e, s.writeEndpoints)
 	if e.Duration == 0 {
-		s.scheduleAfter(tornFileTime, s.writeEndpoints)
+		s.scheduleAfter(tornFileDuration, s.writeEndpoints)
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 }
 
-// targets finds processes by name; * stands for all backends and instances.
+// targets returns the processes with a name; * stands for all backends and instances.
 func (s *Sim) targets(name string) (hs []*host) {
 	for _, inst := range s.instances {
 		if name == fault.TargetAll || name == fault.TargetInstances || name == inst.host.name {
@@ -143,9 +143,9 @@
 
 // beginLinkFault begins a fault of the links between two processes, or of all links of one.
 func (s *Sim) beginLinkFault(e fault.Event) {
-	a, b, two := strings.Cut(e.Target, "/")
+	a, b, isPair := strings.Cut(e.Target, "/")
 	from, to := s.targets(a), s.targets(b)
-	if !two {
+	if !isPair {
 		to = append(s.targets(fault.TargetAll), s.targets(fault.TargetCounter)...)
 	}
 	for _, x := range from {
@@ -175,7 +175,7 @@
 	}
 }
 
-// killProcesses ends processes at once; they are restarted after the fault's duration.
+// killProcesses terminates processes at once. They are restarted after the fault's duration.
 func (s *Sim) killProcesses(e fault.Event) {
 	for _, inst := range s.instances {
 		if e.Target != inst.host.name && e.Target != fault.TargetInstances || !inst.host.alive {
@@ -185,7 +185,7 @@
 		inst.kill()
 		s.atEnd(e, func() {
 			s.checker.InstanceUp(inst.number, s.now)
-			// a client of the old process may not have seen the end of its connection yet
+			// A client of the old process may not have seen the end of its connection yet.
 			s.checker.InstancePaused(inst.number, s.now+s.roundTripAllowance(), false)
 			inst.start(s.instanceSeed(inst))
 		})
@@ -206,7 +206,8 @@
 	}
 }
 
-// drainBackend lists a backend as draining and then removes it, with a replacement in slow start if asked for.
+// drainBackend lists a backend as draining and then removes it. Vanish removes it at once, and Replace adds a replacement
+// in slow start.
 func (s *Sim) drainBackend(e fault.Event) {
 	for _, b := range s.backends {
 		if b.name != e.Target || b.listedState != listedUp || !b.host.alive {
@@ -214,17 +215,17 @@
 		}
 		b.listedState = listedDraining
 		if e.Verb == fault.Vanish {
-			b.listedState = listedGone
+			b.listedState = listedRemoved
 		}
 		s.writeEndpoints()
 		s.scheduleAfter(max(e.Duration, s.config.Settings.DrainGrace), func() {
-			b.listedState = listedGone
+			b.listedState = listedRemoved
 			if e.Verb == fault.Replace {
 				s.replacements++
 				s.addBackend(fmt.Sprintf("%s-r%d", e.Target, s.replacements)).start(true)
 			}
 			s.writeEndpoints()
-			s.scheduleAfter(removalTime, b.kill)
+			s.scheduleAfter(removalDelay, b.kill)
 		})
 		return
 	}
--- a/internal/simulation/faultkinds.go
+++ b/internal/simulation/faultkinds.go
@@ -9,14 +9,15 @@
 	"sandyard/fault"
 )
 
-// faultKind is a fault that a generator can draw.
+// faultKind is a kind of fault that a generator can draw.
 type faultKind struct {
 	verb        fault.Verb
-	target      string // kind of target, as drawTarget knows it
+	target      string // kind of target, for drawTarget
 	value       func(*rand.Rand) float64
-	maxDuration time.Duration // 0: it has none
+	maxDuration time.Duration // 0: the fault has no duration
 }
 
+// uniform returns a function that draws between a and b, to two decimal places.
 func uniform(a, b float64) func(*rand.Rand) float64 {
 	return func(r *rand.Rand) float64 { return math.Round((a+(b-a)*r.Float64())*100) / 100 }
 }
@@ -68,7 +69,7 @@
 	{fault.DescriptorLimit, "door", func(r *rand.Rand) float64 { return float64(2 + r.IntN(20)) }, 3 * time.Second},
 }
 
-// faultPeriodShare is the share of a run in which single faults begin; the rest shows whether service recovers.
+// faultPeriodShare is the share of a run in which single faults begin. The rest of the run shows whether service recovers.
 const faultPeriodShare = 0.6
 
 // drawFault draws a fault of a kind.
@@ -85,10 +86,11 @@
 	return e
 }
 
-func (s *Script) drawTarget(rng *rand.Rand, what string) string {
+// drawTarget draws a target of a kind of faultKind.target.
+func (s *Script) drawTarget(rng *rand.Rand, kind string) string {
 	backend := func() string { return fmt.Sprintf("box-%d", rng.IntN(s.Backends.Count)) }
 	instance := func() string { return fmt.Sprintf("door-%d", rng.IntN(s.Instances)) }
-	switch what {
+	switch kind {
 	case "box":
 		return backend()
 	case "door":
@@ -106,7 +108,7 @@
 	case fault.TargetBackends:
 		return fault.TargetBackends
 	case fault.TargetCounter, "list":
-		return what
+		return kind
 	}
 	return fault.TargetAll
 }
--- a/internal/simulation/generate.go
+++ b/internal/simulation/generate.go
@@ -9,23 +9,23 @@
 	"sandyard/internal/strictyaml"
 )
 
-// Profile bounds what a generator draws.
+// Profile sets the limits of what a generator draws.
 type Profile struct {
 	MaxInstances, MaxBackends int
-	Seconds                   float64 // of traffic, at most
-	Rate                      float64 // requests a second, at most
+	Seconds                   float64 // longest traffic (seconds)
+	Rate                      float64 // highest rate (requests/s)
 	MaxFaults                 int
-	ScenarioShare             float64 // share of the scripts that are drawn as a scenario
-	Config                    string  // file of the configuration, recorded in the script
+	ScenarioShare             float64 // share of scripts that are drawn from a scenario
+	Config                    string  // configuration file, recorded in the script
 }
 
-// DefaultProfile returns the profile of a search.
+// DefaultProfile returns the default profile of a search.
 func DefaultProfile() Profile {
 	return Profile{MaxInstances: 40, MaxBackends: 12, Seconds: 16, Rate: 60, MaxFaults: 8, ScenarioShare: 0.5}
 }
 
-// Generate draws a script from a seed. Each seed enables a part of the kinds only (swarm testing: Groce et al., ISSTA
-// 2012), since kinds that are always about hide what others would show.
+// Generate draws a script from a seed. Each seed enables only a subset of the fault kinds (swarm testing: Groce et al.,
+// ISSTA 2012), since a kind that is always present can hide what others would show.
 func Generate(seed uint64, p Profile) *Script {
 	rng := stream(seed, "generate")
 	s := defaults()
@@ -47,33 +47,33 @@
 	s.Drift = pick(0, 0, 0.0002, 0.002)
 	s.Clients = Clients{Retries: rng.IntN(4), PipelineShare: pick(0, 0.03, 0.2), NewConnShare: pick(0.02, 0.2, 0.8), MaxBody: int(pick(0, 40, 40, 2000))}
 	n := rng.IntN(p.MaxFaults + 1)
-	if own := stream(seed, "shape"); p.Config == "" && own.Float64() < p.ScenarioShare {
-		s.Scenario = drawScenario(&s, own)
-		if n = 0; own.IntN(2) == 0 {
-			n = own.IntN(p.MaxFaults/2 + 1)
+	if scenarioRNG := stream(seed, "shape"); p.Config == "" && scenarioRNG.Float64() < p.ScenarioShare {
+		s.Scenario = drawScenario(&s, scenarioRNG)
+		if n = 0; scenarioRNG.IntN(2) == 0 {
+			n = scenarioRNG.IntN(p.MaxFaults/2 + 1)
 		}
 	}
-	if own := stream(seed, "idle"); own.IntN(4) == 0 { // many servers close idle connections sooner than a gateway does
-		s.Backends.IdleTimeout = strictyaml.Duration(time.Duration([]int{1200, 2000, 4000}[own.IntN(3)]) * time.Millisecond)
+	if idleRNG := stream(seed, "idle"); idleRNG.IntN(4) == 0 { // many servers close idle connections sooner than a gateway does
+		s.Backends.IdleTimeout = strictyaml.Duration(time.Duration([]int{1200, 2000, 4000}[idleRNG.IntN(3)]) * time.Millisecond)
 	}
-	var on []faultKind
-	for len(on) == 0 {
+	var enabled []faultKind
+	for len(enabled) == 0 {
 		share := rng.Float64()
 		for _, k := range faultKinds {
 			if rng.Float64() < share {
-				on = append(on, k)
+				enabled = append(enabled, k)
 			}
 		}
 	}
 	for range n {
-		k := on[rng.IntN(len(on))]
+		k := enabled[rng.IntN(len(enabled))]
 		s.Events = append(s.Events, s.drawFault(rng, k))
 	}
 	s.sortEvents()
 	return &s
 }
 
-// sortEvents puts faults in the order of their times, and within the time of the traffic.
+// sortEvents sorts the faults by time, after it limits their times to those of the traffic.
 func (s *Script) sortEvents() {
 	end := s.trafficTime()
 	for i := range s.Events {
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -6,24 +6,24 @@
 	"sync"
 )
 
-// The parameters of a hunt.
+// Parameters of a hunt.
 const (
-	populationSize = 32   // best scripts kept
-	newScriptShare = 0.15 // share of the runs with a newly generated script
-	crossoverShare = 0.3  // share of the others that take faults of a second parent
+	populationSize = 32   // number of best scripts that are kept
+	newScriptShare = 0.15 // share of runs with a newly generated script
+	crossoverShare = 0.3  // share of the other runs whose script takes faults of a second parent
 )
 
-// Hunt searches for scripts that come near to breaking a rule by an evolutionary algorithm: those that come nearest are kept,
-// mutated and crossed. With several workers the order in which scripts are met differs between hunts; each replays from
-// its own text.
+// Hunt uses an evolutionary algorithm to search for scripts that come near to breaking a rule. It keeps those that come
+// nearest, mutates them and crosses them. With several workers, hunts from the same seed differ in the order of their
+// scripts, but each script can be replayed from its text.
 type Hunt struct {
-	Rule       int // a position in RuleNames
+	Rule       int // index into RuleNames
 	Profile    Profile
 	Options    Options
 	Workers    int
 	Seed       uint64
-	Stop       func() bool                       // called before each run; true ends the hunt
-	Improved   func(s *Script, o Outcome, n int) // called with each script that comes nearer than all before; n counts runs
+	Stop       func() bool                       // called before each run; ends the hunt if it returns true
+	Improved   func(s *Script, o Outcome, n int) // called with each script that comes nearer than all before it; n is the number of runs
 	mu         sync.Mutex
 	population []candidate
 	runs       int
@@ -34,7 +34,7 @@
 	outcome Outcome
 }
 
-// Run hunts until Stop says so, or a rule is broken. It returns the nearest script and the number of runs.
+// Run searches until Stop returns true or a rule is broken. It returns the nearest script and the number of runs.
 func (h *Hunt) Run() (best *Script, o Outcome, runs int, err error) {
 	var wg sync.WaitGroup
 	var broken bool
@@ -69,13 +69,14 @@
 	return h.population[0].script, h.population[0].outcome, h.runs, err
 }
 
-// nextScript returns the script to run: a generated one at first and now and then, else one evolved from the population.
+// nextScript returns the script of run n. It generates scripts until the population is half full, and with probability
+// newScriptShare after that. Otherwise it evolves one from the population.
 func (h *Hunt) nextScript(n int) *Script {
 	rng := stream(h.Seed+uint64(n), "breed")
 	if len(h.population) < populationSize/2 || rng.Float64() < newScriptShare {
 		return Generate(h.Seed+uint64(n), h.Profile)
 	}
-	parent := func() *Script { // the better of two, so that the nearest have most offspring
+	parent := func() *Script { // the better of two random ones, so that the nearest have the most offspring
 		return h.population[min(rng.IntN(len(h.population)), rng.IntN(len(h.population)))].script
 	}
 	c := *parent()
@@ -90,10 +91,10 @@
 	return &c
 }
 
-// insert puts a script into the population, unless it is worse than all of a full one.
+// insert adds a script to the population, unless the population is full of better ones.
 func (h *Hunt) insert(s *Script, o Outcome, n int) {
 	value := func(o Outcome) float64 {
-		if len(o.Findings) > 0 { // whichever rule was broken
+		if len(o.Findings) > 0 { // any broken rule counts
 			return math.Inf(1)
 		}
 		return o.Nearness(h.Rule)
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -8,15 +8,15 @@
 	"sandyard/proxy"
 )
 
-// What surrounds the machines, as internal/server has it.
+// Parameters of the environment of the state machines, as in internal/server.
 const (
-	maxUnsentBytes = 64 << 10              // bytes that a client has not taken, at which a streamed response pauses
-	lingerTime     = time.Second           // that an ended client connection is still read
-	maxLoopDelay   = 30 * time.Microsecond // at most, that a message waits for the event loop
+	maxUnsentBytes = 64 << 10              // unsent bytes for a client, above which a streamed response pauses
+	lingerTime     = time.Second           // for which a client connection is read after its end
+	maxLoopDelay   = 30 * time.Microsecond // longest time that a message waits for the event loop
 )
 
-// simInstance is a proxy instance in the simulation: the state machines of package proxy, with what package server does
-// around them done inline.
+// simInstance is a proxy instance in the simulation. It runs the state machines of package proxy, and does the work of
+// package server inline.
 type simInstance struct {
 	sim           *Sim
 	host          *host
@@ -24,33 +24,35 @@
 	config        *config.Config
 	shared        *proxy.Shared
 	core          *proxy.Instance
-	incarnation   int // counts its processes; what was scheduled for an earlier one does nothing
+	incarnation   int // number of its process; events that were scheduled for an earlier one do nothing
 	startedAt     time.Duration
-	clockRate     float64 // clock seconds a simulated second
+	clockRate     float64 // seconds of the instance's clock for each virtual second
 	mailbox       []func()
 	wakeScheduled bool
-	timerAt       time.Duration // of the scheduled timer event
+	timerAt       time.Duration // time of the scheduled timer event; 0: none
 	clients       []*instanceClientConn
 	backendConns  []*instanceBackendConn
 	counterConn   *instanceCounterConn
 }
 
+// now returns the time of the instance's clock.
 func (inst *simInstance) now() time.Duration {
 	return proxy.Start + time.Duration(float64(inst.sim.now-inst.startedAt)*inst.clockRate)
 }
 
-// simTime converts a time of the instance's clock into one of the simulation.
+// simTime converts a time of the instance's clock to virtual time.
 func (inst *simInstance) simTime(t time.Duration) time.Duration {
 	return inst.startedAt + time.Duration(float64(t-proxy.Start)/inst.clockRate) + 1
 }
 
-// thisIncarnation returns an event that runs in this process only: not while it is paused, nor in one started later.
-func (inst *simInstance) thisIncarnation(do func()) func() {
-	life := inst.incarnation
+// forThisIncarnation returns a callback that runs do in the current process only. While the process is paused it defers do;
+// once the process was killed it does nothing.
+func (inst *simInstance) forThisIncarnation(do func()) func() {
+	incarnation := inst.incarnation
 	return func() {
-		if inst.incarnation == life && inst.host.alive {
+		if inst.incarnation == incarnation && inst.host.alive {
 			inst.host.run(func() {
-				if inst.incarnation == life && inst.host.alive {
+				if inst.incarnation == incarnation && inst.host.alive {
 					do()
 				}
 			})
@@ -58,7 +60,7 @@
 	}
 }
 
-// start begins a process.
+// start starts a process.
 func (inst *simInstance) start(seed uint64) {
 	inst.incarnation++
 	inst.startedAt = inst.sim.now
@@ -66,7 +68,7 @@
 	inst.mailbox, inst.wakeScheduled, inst.timerAt, inst.clients, inst.backendConns, inst.counterConn = nil, false, 0, nil, nil, nil
 	core, err := proxy.NewInstance(inst.shared, seed, inst.now())
 	if err != nil {
-		panic(err) // the configuration was checked
+		panic(err) // cannot happen: the configuration was validated
 	}
 	inst.core = core
 	if r := inst.sim.options.Record; r != nil {
@@ -85,12 +87,12 @@
 	inst.clients, inst.backendConns, inst.counterConn = nil, nil, nil
 }
 
-// post hands a message to the event loop, a moment later, as a queue between goroutines does.
+// post sends a message to the event loop. Like a queue between goroutines, it delivers the message after a short delay.
 func (inst *simInstance) post(do func()) {
 	inst.mailbox = append(inst.mailbox, do)
 	if !inst.wakeScheduled {
 		inst.wakeScheduled = true
-		inst.sim.scheduleAfter(time.Duration(inst.sim.network.rng.Int64N(int64(maxLoopDelay))), inst.thisIncarnation(func() {
+		inst.sim.scheduleAfter(time.Duration(inst.sim.network.rng.Int64N(int64(maxLoopDelay))), inst.forThisIncarnation(func() {
 			inst.wakeScheduled = false
 			q := inst.mailbox
 			inst.mailbox = nil
@@ -106,7 +108,7 @@
 	}
 }
 
-// applyEffects carries out what the core asks for, and schedules its next timer.
+// applyEffects carries out the core's effects, and schedules its next timer.
 func (inst *simInstance) applyEffects() {
 	for more := true; more; {
 		more = false
@@ -132,7 +134,7 @@
 		e.Exchange.Owner.(*instanceClientConn).respond(e.Exchange, e.Bytes, false, e.CloseAfterResponse)
 	case proxy.StreamResponse:
 		e.Exchange.Owner.(*instanceClientConn).respond(e.Exchange, e.Bytes, true, e.CloseAfterResponse)
-		e.Conn.Owner.(*instanceBackendConn).grantStream()
+		e.Conn.Owner.(*instanceBackendConn).startStreaming()
 	case proxy.AbortClient:
 		e.Exchange.Owner.(*instanceClientConn).relay(e.Exchange, nil, false, true)
 	case proxy.DialCounter:
@@ -147,14 +149,14 @@
 	}
 }
 
-// scheduleTimer schedules the core's next timer, unless an earlier one is scheduled.
+// scheduleTimer schedules the core's next timer, unless one is scheduled that is not later.
 func (inst *simInstance) scheduleTimer() {
 	next := inst.core.NextTimer()
 	if inst.timerAt != 0 && next >= inst.timerAt {
 		return
 	}
 	inst.timerAt = next
-	inst.sim.schedule(inst.simTime(next), inst.thisIncarnation(func() {
+	inst.sim.schedule(inst.simTime(next), inst.forThisIncarnation(func() {
 		inst.timerAt = 0
 		if inst.core.NextTimer() <= inst.now() {
 			inst.core.Tick(inst.now())
@@ -163,7 +165,7 @@
 	}))
 }
 
-// effectNames are the words under which Outcome.Reached counts effects, by their kinds.
+// effectNames are the keys of Outcome.Reached for effects, by kind.
 var effectNames = func() (names []string) {
 	for k := proxy.DialBackend; k <= proxy.PollEndpoints; k++ {
 		names = append(names, "wish "+k.String())
@@ -171,7 +173,7 @@
 	return names
 }()
 
-// pollEndpoints reads the endpoint file as it is now. A file that can't be parsed leaves the list as it was.
+// pollEndpoints reads the current endpoint file. If it can't be parsed, the endpoint list stays unchanged.
 func (inst *simInstance) pollEndpoints() {
 	endpoints, err := inst.sim.parseEndpoints()
 	inst.post(func() {
--- a/internal/simulation/instancebackend.go
+++ b/internal/simulation/instancebackend.go
@@ -8,31 +8,32 @@
 
 // instanceBackendConn is an instance's connection to a backend.
 type instanceBackendConn struct {
-	instance    *simInstance
-	backendConn *proxy.BackendConn
-	reader      *proxy.ResponseReader
-	dialing     *dialing
-	conn        *netConn
-	exchange    *proxy.Exchange
-	unsent      []byte
-	done        bool
-	awaitsGrant bool // a response has begun and the core has not let it stream yet
-	streaming   bool
-	lastDataAt  time.Duration
+	instance        *simInstance
+	backendConn     *proxy.BackendConn
+	reader          *proxy.ResponseReader
+	dialing         *dialing
+	conn            *netConn
+	exchange        *proxy.Exchange
+	unsent          []byte
+	done            bool
+	awaitsStreaming bool // a response has started, and the core has not permitted streaming yet
+	streaming       bool
+	lastDataAt      time.Duration
 }
 
-func (inst *simInstance) dialBackend(l *proxy.BackendConn) {
-	b := &instanceBackendConn{instance: inst, backendConn: l, reader: proxy.NewResponseReader(inst.shared)}
-	l.Owner = b
+func (inst *simInstance) dialBackend(conn *proxy.BackendConn) {
+	b := &instanceBackendConn{instance: inst, backendConn: conn, reader: proxy.NewResponseReader(inst.shared)}
+	conn.Owner = b
 	inst.backendConns = append(inst.backendConns, b)
-	b.dialing = inst.sim.network.dial(inst.host, l.Addr, b, inst.backendDialed(b))
+	b.dialing = inst.sim.network.dial(inst.host, conn.Addr, b, inst.backendDialed(b))
 }
 
+// backendDialed returns the callback for the end of a dial to a backend.
 func (inst *simInstance) backendDialed(b *instanceBackendConn) func(*netConn, bool) {
-	life := inst.incarnation
+	incarnation := inst.incarnation
 	return func(conn *netConn, ok bool) {
 		switch {
-		case life != inst.incarnation || b.done:
+		case incarnation != inst.incarnation || b.done:
 			if conn != nil {
 				conn.close(true)
 			}
@@ -53,6 +54,7 @@
 	}
 }
 
+// fail handles the loss of the connection. unsent says that no request was written to it.
 func (b *instanceBackendConn) fail(unsent bool) {
 	if b.done {
 		return
@@ -73,7 +75,7 @@
 	}
 	b.reader.Expect(ex)
 	b.exchange = ex
-	b.conn.messageBegan = b.instance.sim.now
+	b.conn.messageStartedAt = b.instance.sim.now
 	b.unsent = append(b.unsent, wire...)
 	b.writable(nil)
 }
@@ -82,6 +84,7 @@
 	b.unsent = b.conn.writeBuffered(b.unsent, nil)
 }
 
+// abandon closes the connection at the request of the core.
 func (b *instanceBackendConn) abandon() {
 	if b.done {
 		return
@@ -93,21 +96,23 @@
 	b.remove()
 }
 
-func (b *instanceBackendConn) grantStream() {
+// startStreaming begins to relay the response to the client, as the core has permitted.
+func (b *instanceBackendConn) startStreaming() {
 	if b.done {
 		return
 	}
-	b.awaitsGrant, b.streaming = false, true
+	b.awaitsStreaming, b.streaming = false, true
 	b.exchange.Owner.(*instanceClientConn).streamSource = b
-	b.watchSilence()
+	b.armStreamIdleTimer()
 	b.readable(nil)
 }
 
-// watchSilence ends a streamed response whose backend sends nothing for limits.stream-silence.
-func (b *instanceBackendConn) watchSilence() {
+// armStreamIdleTimer restarts the timer that ends a streamed response if the backend sends nothing for
+// limits.stream-silence.
+func (b *instanceBackendConn) armStreamIdleTimer() {
 	b.lastDataAt = b.instance.sim.now
 	since := b.lastDataAt
-	b.instance.sim.scheduleAfter(time.Duration(b.instance.config.Limits.StreamIdleTimeout), b.instance.thisIncarnation(func() {
+	b.instance.sim.scheduleAfter(time.Duration(b.instance.config.Limits.StreamIdleTimeout), b.instance.forThisIncarnation(func() {
 		if !b.done && b.streaming && b.lastDataAt == since && len(b.conn.received) == 0 {
 			b.instance.sim.cover("stream silent")
 			b.fail(false)
@@ -116,19 +121,20 @@
 }
 
 func (b *instanceBackendConn) readable(*netConn) {
-	for !b.done && !b.awaitsGrant && b.conn != nil && len(b.conn.received) > 0 {
+	for !b.done && !b.awaitsStreaming && b.conn != nil && len(b.conn.received) > 0 {
 		if b.streaming {
 			if c := b.exchange.Owner.(*instanceClientConn); len(c.unsent) > maxUnsentBytes && !c.done {
-				return // backpressure, until the client has taken some
+				return // backpressure until the client has read some bytes
 			}
 		}
 		b.handleResponse(b.reader.Feed(b.conn.read()))
 	}
-	if !b.done && !b.awaitsGrant && b.conn != nil && len(b.conn.received) == 0 && b.conn.peerClosed {
+	if !b.done && !b.awaitsStreaming && b.conn != nil && len(b.conn.received) == 0 && b.conn.peerClosed {
 		b.endOfStream()
 	}
 }
 
+// endOfStream handles the regular close by the backend after all bytes are read.
 func (b *instanceBackendConn) endOfStream() {
 	if b.exchange == nil {
 		b.fail(false)
@@ -152,30 +158,30 @@
 
 func (b *instanceBackendConn) handleResponse(a proxy.Response) {
 	ex := b.exchange
-	tell := func() {
+	notify := func() {
 		b.instance.post(func() { b.instance.core.ResponseReceived(b.instance.now(), b.backendConn, &a) })
 	}
 	switch a.Kind {
 	case proxy.Complete:
 		b.exchange = nil
-		tell()
+		notify()
 	case proxy.Started:
 		b.instance.sim.cover("answer flows")
-		b.awaitsGrant = true
-		tell()
+		b.awaitsStreaming = true
+		notify()
 	case proxy.Continued:
-		b.watchSilence()
+		b.armStreamIdleTimer()
 		ex.Owner.(*instanceClientConn).relay(ex, a.Bytes, false, false)
 	case proxy.Ended:
 		b.exchange, b.streaming = nil, false
 		c := ex.Owner.(*instanceClientConn)
 		c.streamSource = nil
 		c.relay(ex, a.Bytes, true, false)
-		tell()
+		notify()
 	case proxy.Malformed:
 		b.instance.sim.cover("answer broken")
 		b.exchange, b.done = nil, true
 		b.remove()
-		tell()
+		notify()
 	}
 }
--- a/internal/simulation/instanceclient.go
+++ b/internal/simulation/instanceclient.go
@@ -9,18 +9,19 @@
 
 // instanceClientConn is an instance's connection to a client.
 type instanceClientConn struct {
-	instance         *simInstance
-	conn             *netConn
-	machine          *proxy.ClientConn
-	unsent           []byte
-	done             bool
-	deadlineAt       time.Duration
-	answerDeadlineAt time.Duration
-	blockedSince     time.Duration        // since when the client has taken nothing of unsent
-	streamSource     *instanceBackendConn // whose response is being streamed
-	lingering        bool                 // all is written; what still arrives is read and dropped
+	instance           *simInstance
+	conn               *netConn
+	machine            *proxy.ClientConn
+	unsent             []byte
+	done               bool
+	deadlineAt         time.Duration
+	responseDeadlineAt time.Duration
+	blockedSince       time.Duration        // since when the client has read none of unsent
+	streamSource       *instanceBackendConn // connection whose response is being streamed; nil: none
+	lingering          bool                 // all is written; further input is read and discarded
 }
 
+// accept handles a connection from a client.
 func (inst *simInstance) accept(conn *netConn) {
 	if inst.shared.ClientConns.Add(1) > int64(inst.config.Limits.Connections) {
 		inst.shared.ClientConns.Add(-1)
@@ -37,17 +38,18 @@
 	c.armDeadline()
 }
 
+// armDeadline schedules the state machine's next deadline, unless one is scheduled that is not later.
 func (c *instanceClientConn) armDeadline() {
 	d := c.machine.Deadline()
 	if c.machine.AwaitingResponse() {
-		c.armAnswerDeadline(d)
+		c.armResponseDeadline(d)
 		return
 	}
 	if d == 0 || c.deadlineAt != 0 && c.deadlineAt <= d {
 		return
 	}
 	c.deadlineAt = d
-	c.instance.sim.schedule(c.instance.simTime(d), c.instance.thisIncarnation(func() {
+	c.instance.sim.schedule(c.instance.simTime(d), c.instance.forThisIncarnation(func() {
 		if c.done || c.deadlineAt != d {
 			return
 		}
@@ -57,14 +59,15 @@
 	}))
 }
 
-// armAnswerDeadline has the connection answer at a time, if the instance has not answered by then; 0: never.
-func (c *instanceClientConn) armAnswerDeadline(d time.Duration) {
-	if d == 0 || d == c.answerDeadlineAt {
+// armResponseDeadline schedules the deadline at which the connection sends a local response if the instance has not
+// responded; 0: there is no deadline.
+func (c *instanceClientConn) armResponseDeadline(d time.Duration) {
+	if d == 0 || d == c.responseDeadlineAt {
 		return
 	}
-	c.answerDeadlineAt = d
-	c.instance.sim.scheduleAnswer(c.instance.simTime(d), c.instance.thisIncarnation(func() {
-		if c.done || c.answerDeadlineAt != d || c.machine.Deadline() != d {
+	c.responseDeadlineAt = d
+	c.instance.sim.scheduleResponseDeadline(c.instance.simTime(d), c.instance.forThisIncarnation(func() {
+		if c.done || c.responseDeadlineAt != d || c.machine.Deadline() != d {
 			return
 		}
 		c.machine.DeadlinePassed(c.instance.now())
@@ -75,7 +78,7 @@
 func (c *instanceClientConn) readable(*netConn) {
 	for !c.done && len(c.conn.received) > 0 && len(c.unsent) <= maxUnsentBytes {
 		if closes, _ := c.machine.Closing(); closes {
-			c.conn.read() // what arrives after the last response is dropped
+			c.conn.read() // input after the last response is discarded
 			return
 		}
 		c.proceed(c.machine.Feed(c.instance.now(), c.conn.read()))
@@ -89,6 +92,7 @@
 	c.disconnect()
 }
 
+// disconnect handles the loss of the client.
 func (c *instanceClientConn) disconnect() {
 	if c.done {
 		return
@@ -116,16 +120,16 @@
 
 func (c *instanceClientConn) writable(*netConn) { c.proceed(nil); c.readable(nil) }
 
-// proceed carries out what the state machine asks for: it hands a request to the event loop, if there is one, writes, and
-// closes or takes the next request.
+// proceed carries out the output of the state machine: it sends ex, if not nil, to the event loop, writes, and closes the
+// connection or takes the next request.
 func (c *instanceClientConn) proceed(ex *proxy.Exchange) {
 	for !c.done {
 		if ex != nil {
-			c.hand(ex)
+			c.submit(ex)
 		}
 		c.flush()
 		if len(c.unsent) > 0 {
-			c.watchWrite()
+			c.armWriteTimer()
 			break
 		}
 		if c.streamSource != nil {
@@ -149,29 +153,30 @@
 	}
 }
 
-func (c *instanceClientConn) hand(ex *proxy.Exchange) {
+// submit sends a request to the event loop.
+func (c *instanceClientConn) submit(ex *proxy.Exchange) {
 	c.instance.post(func() { c.instance.core.RequestArrived(c.instance.now(), ex) })
 }
 
-// flush writes what the state machine has for the client.
+// flush writes the state machine's output to the client.
 func (c *instanceClientConn) flush() {
 	for _, status := range c.machine.LocalStatuses {
 		c.instance.sim.cover("own answer " + strconv.Itoa(status))
 	}
 	c.machine.LocalStatuses = c.machine.LocalStatuses[:0]
-	all := len(c.unsent) + len(c.machine.Outgoing)
-	if all == 0 {
+	pending := len(c.unsent) + len(c.machine.Outgoing)
+	if pending == 0 {
 		return
 	}
 	c.unsent = c.conn.writeBuffered(c.unsent, c.machine.Outgoing)
 	c.machine.Outgoing = c.machine.Outgoing[:0]
-	if len(c.unsent) < all {
+	if len(c.unsent) < pending {
 		c.blockedSince = c.instance.sim.now
 	}
 }
 
-// endConnection ends the connection after the last response. With linger it shuts the sending side, and reads and drops
-// what still arrives for lingerTime: closed at once, unread bytes would reset the connection and take the response along.
+// endConnection ends the connection after the last response. With linger it closes the sending side, and reads and discards
+// input for lingerTime. If it closed at once, unread bytes would reset the connection, and the response could be lost.
 func (c *instanceClientConn) endConnection(linger bool) {
 	if !linger {
 		c.close(c.machine.MustReset())
@@ -180,15 +185,15 @@
 	if !c.lingering {
 		c.lingering = true
 		c.conn.closeWrite()
-		c.instance.sim.scheduleAfter(lingerTime, c.instance.thisIncarnation(func() { c.close(false) }))
+		c.instance.sim.scheduleAfter(lingerTime, c.instance.forThisIncarnation(func() { c.close(false) }))
 	}
 	c.conn.read()
 }
 
-// watchWrite disconnects a client that takes nothing for limits.write-timeout.
-func (c *instanceClientConn) watchWrite() {
+// armWriteTimer starts a timer that disconnects a client if it reads nothing for limits.write-timeout.
+func (c *instanceClientConn) armWriteTimer() {
 	since := c.blockedSince
-	c.instance.sim.scheduleAfter(time.Duration(c.instance.config.Limits.WriteTimeout), c.instance.thisIncarnation(func() {
+	c.instance.sim.scheduleAfter(time.Duration(c.instance.config.Limits.WriteTimeout), c.instance.forThisIncarnation(func() {
 		if !c.done && len(c.unsent) > 0 && c.blockedSince == since {
 			c.instance.sim.cover("client too slow")
 			c.disconnect()
@@ -196,6 +201,7 @@
 	}))
 }
 
+// respond sends a response, or its beginning if more follows.
 func (c *instanceClientConn) respond(ex *proxy.Exchange, b []byte, more, closes bool) {
 	if c.done {
 		return
@@ -209,12 +215,13 @@
 	c.readable(nil)
 }
 
-func (c *instanceClientConn) relay(ex *proxy.Exchange, b []byte, end, broken bool) {
+// relay sends a part of a streamed response. aborted says that the response ends incomplete.
+func (c *instanceClientConn) relay(ex *proxy.Exchange, b []byte, end, aborted bool) {
 	if c.done {
 		return
 	}
 	switch {
-	case broken:
+	case aborted:
 		c.machine.AbortResponse(ex)
 		c.instance.sim.cover("answer cut off")
 	case end:
--- a/internal/simulation/instancecounter.go
+++ b/internal/simulation/instancecounter.go
@@ -16,10 +16,10 @@
 func (inst *simInstance) dialCounter(addr string) {
 	c := &instanceCounterConn{instance: inst}
 	inst.counterConn = c
-	life := inst.incarnation
+	incarnation := inst.incarnation
 	c.dialing = inst.sim.network.dial(inst.host, addr, c, func(conn *netConn, ok bool) {
 		switch {
-		case life != inst.incarnation || c.done:
+		case incarnation != inst.incarnation || c.done:
 			if conn != nil {
 				conn.close(true)
 			}
@@ -34,7 +34,7 @@
 			})
 		}
 	})
-	inst.sim.scheduleAfter(time.Second, inst.thisIncarnation(func() {
+	inst.sim.scheduleAfter(time.Second, inst.forThisIncarnation(func() {
 		if c.conn == nil && !c.done {
 			c.dialing.ended = true
 			c.fail()
@@ -50,11 +50,11 @@
 	if c.conn != nil {
 		c.conn.close(true)
 	}
-	d := c.instance
-	d.post(func() {
-		if d.counterConn == c {
-			d.counterConn = nil
-			d.core.CounterDisconnected(d.now())
+	inst := c.instance
+	inst.post(func() {
+		if inst.counterConn == c {
+			inst.counterConn = nil
+			inst.core.CounterDisconnected(inst.now())
 		}
 	})
 }
@@ -67,6 +67,7 @@
 	c.writable(nil)
 }
 
+// abandon closes the connection at the request of the core.
 func (c *instanceCounterConn) abandon() {
 	c.done = true
 	if c.conn != nil {
@@ -85,10 +86,10 @@
 		return
 	}
 	b := c.conn.read()
-	d := c.instance
-	d.post(func() {
-		if d.counterConn == c {
-			d.core.CounterReceived(d.now(), b)
+	inst := c.instance
+	inst.post(func() {
+		if inst.counterConn == c {
+			inst.core.CounterReceived(inst.now(), b)
 		}
 	})
 }
--- a/internal/simulation/misbehave.go
+++ b/internal/simulation/misbehave.go
@@ -9,10 +9,11 @@
 	"sandyard/internal/http1"
 )
 
-// misbehaveTime is how long a misbehaving client stays: longer than the instance's timeouts for heads and bodies.
+// misbehaveTime is how long a misbehaving client stays connected. It exceeds the instance's timeouts for heads and bodies.
 const misbehaveTime = 12 * time.Second
 
-// misbehave is a client that sends what is no request, or sends one so slowly that the instance times out.
+// misbehave simulates a client that sends an invalid request. With slow set, the client instead sends a request so slowly
+// that the instance times out, or reads no response.
 func (s *Sim) misbehave(rng *rand.Rand, slow bool) {
 	pool := s.clientPools[rng.IntN(len(s.clientPools))]
 	c := &clientConn{pool: pool, reader: http1.NewResponses(http1.Limits{}), misbehaving: true}
@@ -32,7 +33,7 @@
 		switch {
 		case ok && !c.done:
 			c.conn = conn
-			s.feed(c, text, gap)
+			s.writeText(c, text, gap)
 		case conn != nil:
 			conn.close(true)
 		}
@@ -40,7 +41,7 @@
 	s.scheduleAfter(misbehaveTime, func() { c.close(true) })
 }
 
-// withKey puts the first customer's key field into a text.
+// withKey formats a text with the name of the key header and the first customer's key.
 func (s *Sim) withKey(format string) string {
 	return fmt.Sprintf(format, s.config.Headers.Key, s.config.Customers[0].Keys[0])
 }
@@ -50,15 +51,15 @@
 	return [...]string{
 		"GET / HTTP/1.1\n\n",
 		"POST /payments HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"\x16\x03\x01\x00\xa5\x01\x00\x00", // the beginning of a TLS handshake
+		"\x16\x03\x01\x00\xa5\x01\x00\x00", // beginning of a TLS handshake
 		"GET /bookings HTTP/1.1\r\nHost: h\r\nX-Api-Key: nobody\r\n\r\nGET",
 		s.withKey("POST /payments HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 999999999\r\n\r\nx"),
 		strings.Repeat("a", 9000),
 	}[number]
 }
 
-// feed writes a text at once, or with a gap byte by byte.
-func (s *Sim) feed(c *clientConn, text string, gap time.Duration) {
+// writeText writes a text at once or, with a gap, byte by byte.
+func (s *Sim) writeText(c *clientConn, text string, gap time.Duration) {
 	if c.done || len(text) == 0 {
 		return
 	}
@@ -68,10 +69,10 @@
 	}
 	c.unsent = append(c.unsent, text[:n]...)
 	c.flush()
-	s.scheduleAfter(gap, func() { s.feed(c, text[n:], gap) })
+	s.scheduleAfter(gap, func() { s.writeText(c, text[n:], gap) })
 }
 
-// requestWithoutReading is a client that sends many requests and reads nothing.
+// requestWithoutReading simulates a client that sends several pipelined requests and reads no response.
 func (s *Sim) requestWithoutReading(pool *clientPool, c *clientConn) {
 	s.cover("client reads nothing")
 	text := strings.Repeat(s.withKey("GET /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n"), 8)
@@ -84,7 +85,7 @@
 	s.scheduleAfter(misbehaveTime, func() { c.close(true) })
 }
 
-// nonReader handles the connection of a client that does not read.
+// nonReader is the connHandler of a client that does not read.
 type nonReader struct{ c *clientConn }
 
 func (nonReader) readable(*netConn) {}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// The network's figures. Retries come sooner than TCP's, so that a run of seconds meets them.
+// Parameters of the network. Retries are sooner than TCP's, so that they occur in a run of seconds.
 const (
-	windowBytes    = 64 << 10               // bytes in flight or unread, at which a sender waits
-	partitionRetry = 100 * time.Millisecond // until a blocked link is tried again
-	connectRetry   = 300 * time.Millisecond // until a connection without a reply is tried again
-	maxBacklog     = 128                    // connections that wait to be accepted
+	windowBytes    = 64 << 10               // unread bytes, in flight or received, at which a sender waits
+	partitionRetry = 100 * time.Millisecond // until a segment is sent again over a blocked link
+	connectRetry   = 300 * time.Millisecond // until a dial without a reply is retried
+	maxBacklog     = 128                    // largest number of connections that wait to be accepted
 )
 
-// network carries bytes between hosts.
+// network transports bytes between hosts.
 type network struct {
 	*clock
 	rng              *rand.Rand
 	latency          time.Duration
 	jitter           float64
-	splitProbability float64 // that a write is split in two, again and again
+	splitProbability float64 // probability that a write is split in two, applied repeatedly
 	byAddr           map[string]*host
 	links            map[[2]*host]*link
 }
@@ -32,19 +32,20 @@
 	bytesPerSecond float64 // 0: no limit
 }
 
-// host is a process as the network sees it.
+// host is a process in the network.
 type host struct {
 	name         string
 	alive        bool
 	paused       bool
 	notAccepting bool
-	descriptors  int // left for connections; -1: no limit
+	descriptors  int // number left for connections; -1: no limit
 	conns        []*netConn
 	backlog      []*dialing     // connections that wait to be accepted
-	deferred     []func()       // what runs once a pause is over
-	accept       func(*netConn) // nil: nobody listens
+	deferred     []func()       // callbacks that run after the pause
+	accept       func(*netConn) // nil: no listener
 }
 
+// link returns the faults of the direction from a to b.
 func (n *network) link(a, b *host) *link {
 	k := [2]*host{a, b}
 	l := n.links[k]
@@ -55,7 +56,7 @@
 	return l
 }
 
-// without removes an element from a list in place, if it is there.
+// without removes an element from a list in place, if present.
 func without[T comparable](list []T, element T) []T {
 	if i := slices.Index(list, element); i >= 0 {
 		return append(list[:i], list[i+1:]...)
@@ -63,7 +64,7 @@
 	return list
 }
 
-// transitTime draws how long a segment takes from one host to another.
+// transitTime draws the time that a segment of a size takes from a to b.
 func (n *network) transitTime(a, b *host, size int) time.Duration {
 	d := float64(n.latency) * (1 + n.jitter*n.rng.ExpFloat64())
 	if l := n.links[[2]*host{a, b}]; l != nil {
@@ -80,7 +81,7 @@
 	return l != nil && l.blocked > 0
 }
 
-// run runs something on the host, once it is not paused.
+// run runs do on the host: at once, or after a pause.
 func (h *host) run(do func()) {
 	if h.paused {
 		h.deferred = append(h.deferred, do)
@@ -98,7 +99,7 @@
 	}
 }
 
-// kill ends a host's process: its peers get resets, as from a kernel whose process is gone.
+// kill terminates a host's process. Its peers receive resets, as from the kernel of a terminated process.
 func (n *network) kill(h *host) {
 	for len(h.conns) > 0 {
 		h.conns[0].close(true)
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -7,7 +7,7 @@
 	"sandyard/invariant"
 )
 
-// The rules that a run is held to beside the five of package invariant, by their printed names.
+// Printed names of the rules that a run is checked against in addition to the five of package invariant.
 const (
 	RuleLeak        = "nothing is left over"
 	RuleRecovery    = "service is back"
@@ -15,7 +15,7 @@
 	RuleCrash       = "nothing crashes"
 )
 
-// ruleNumber returns a rule's position among the five and then those above; it goes into digests.
+// ruleNumber returns a rule's position among the five rules followed by those above. It is part of digests.
 func ruleNumber(rule string) int {
 	return slices.Index(append(RuleNames(), RuleLeak, RuleRecovery, RuleOwnResponse, RuleCrash), rule)
 }
@@ -36,13 +36,15 @@
 	Verdict      invariant.Verdict
 	Reached      map[string]int
 	Requests     int     `json:"Tries"`
-	ValueServed  float64 `json:"Worth"` // late responses by their share
-	ValueOffered float64 `json:"Asked"` // of all operations that clients wanted
-	CounterCalls uint64  `json:"Calls"` // increments that the counter carried out
+	ValueServed  float64 `json:"Worth"` // late responses count with their share
+	ValueOffered float64 `json:"Asked"` // value of all operations that clients requested
+	CounterCalls uint64  `json:"Calls"` // increments that the counter executed
 }
 
+// maxFindings is the number of findings that a run keeps.
 const maxFindings = 20
 
+// report records a violation, and ends the run unless Options.ContinueAfterViolation is set.
 func (s *Sim) report(rule, what string) {
 	s.logEvent("BROKEN " + rule + ": " + what)
 	s.digest(ruleBroken, []uint64{uint64(ruleNumber(rule))})
@@ -52,7 +54,8 @@
 	s.stopped = s.stopped || !s.options.ContinueAfterViolation
 }
 
-// Nearness returns how near a run came to breaking one of the five rules, as a share of the rule's limit.
+// Nearness returns how near a run came to breaking one of the five rules, as a share of the rule's limit. It is at least 1 if
+// the rule was broken.
 func (o Outcome) Nearness(rule int) float64 {
 	if rule < 0 || rule >= len(o.Verdict.Rules) {
 		return 0
@@ -72,7 +75,7 @@
 	return names
 }
 
-// Violates returns what reports whether the first rule that an outcome broke is this one.
+// Violates returns a function that reports whether the first rule that an outcome broke is the given one.
 func Violates(rule string) func(Outcome) bool {
 	return func(o Outcome) bool { return len(o.Findings) > 0 && o.Findings[0].Rule == rule }
 }
--- a/internal/simulation/quiescence.go
+++ b/internal/simulation/quiescence.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// When service must have recovered, and when nothing may be left.
+// Parameters of the checks of RuleRecovery and RuleLeak.
 const (
-	recoveryTime        = 8 * time.Second  // after the last fault: slow start and backoff are over
-	minRecoveredShare   = 0.75             // of the requests sent after that must be served
-	minRecoveryRequests = 12               // fewer requests say nothing about a share
-	maxRecoveryLoad     = 0.5              // share of the backends' capacity, above which load may be shed rightly
-	settleTime          = 25 * time.Second // after the traffic and the longest timeout, until all idle connections are closed
+	recoveryTime        = 8 * time.Second  // after the last fault, when slow start and backoff have ended
+	minRecoveredShare   = 0.75             // share of the requests sent after that time that must be served
+	minRecoveryRequests = 12               // with fewer requests a share says nothing
+	maxRecoveryLoad     = 0.5              // share of the backends' capacity above which load may rightly be shed
+	settleTime          = 25 * time.Second // after the traffic and the longest timeout, until all idle connections must be closed
 )
 
-// checkQuiescent checks that nothing is left once all is quiet, and that service had recovered.
+// checkQuiescent checks at the end of a run that no resources are left over, and that service had recovered.
 func (s *Sim) checkQuiescent() {
 	s.checker.Overdue(s.now)
 	for _, inst := range s.instances {
@@ -23,16 +23,16 @@
 		}
 		requests, _, conns := inst.core.Sizes()
 		if !inst.core.Quiescent() || inst.core.Unanswered() != 0 {
-			s.report(RuleLeak, fmt.Sprintf("door %d holds %d exchanges, %d owed", inst.number, requests, inst.core.Unanswered()))
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d exchanges, %d unanswered", inst.number, requests, inst.core.Unanswered()))
 		}
 		if n := inst.shared.ReservedBytes.Load(); n != 0 {
-			s.report(RuleLeak, fmt.Sprintf("door %d holds %d bytes of bodies", inst.number, n))
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d reserved bytes of bodies", inst.number, n))
 		}
 		if len(inst.clients) > 0 || inst.shared.ClientConns.Load() != 0 {
-			s.report(RuleLeak, fmt.Sprintf("door %d holds %d connections of clients, counts %d", inst.number, len(inst.clients), inst.shared.ClientConns.Load()))
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d client connections, its count is %d", inst.number, len(inst.clients), inst.shared.ClientConns.Load()))
 		}
 		if conns != len(inst.backendConns) || conns > 0 {
-			s.report(RuleLeak, fmt.Sprintf("door %d holds %d lines to boxes, its runtime %d", inst.number, conns, len(inst.backendConns)))
+			s.report(RuleLeak, fmt.Sprintf("door %d holds %d backend connections in its core, %d in its runtime", inst.number, conns, len(inst.backendConns)))
 		}
 	}
 	cores := 0.0
@@ -43,6 +43,6 @@
 	}
 	load := s.script.Rate * time.Duration(s.script.Backends.Work).Seconds() / max(cores, 1e-9)
 	if load < maxRecoveryLoad && s.sentAfterFaults >= minRecoveryRequests && float64(s.servedAfterFaults) < minRecoveredShare*float64(s.sentAfterFaults) {
-		s.report(RuleRecovery, fmt.Sprintf("%d of %d tries were served later than %v after the last trouble", s.servedAfterFaults, s.sentAfterFaults, recoveryTime))
+		s.report(RuleRecovery, fmt.Sprintf("%d of %d requests that were sent later than %v after the last fault were served", s.servedAfterFaults, s.sentAfterFaults, recoveryTime))
 	}
 }
--- a/internal/simulation/readscript.go
+++ b/internal/simulation/readscript.go
@@ -9,7 +9,7 @@
 	"sandyard/internal/strictyaml"
 )
 
-// Bounds of a script, far beyond what is generated.
+// Bounds of the values in a script, far beyond those of generated scripts.
 const (
 	maxInstances  = 128
 	maxBackends   = 256
@@ -17,13 +17,13 @@
 	maxScriptRate = 20000
 )
 
-// ReadScript parses a script; the error is a diagnostic.Problems.
+// ReadScript parses a script. The error is a diagnostic.Problems.
 func ReadScript(file string, text []byte) (*Script, error) {
 	s := defaults()
 	s.Version = 0
 	d := strictyaml.Read(file, text, &s)
 	if d.Readable() && s.Version != Version {
-		d.Reportf("version", "%d: this program reads scripts of version %d; write the script anew from its seed, or with the program that wrote it", s.Version, Version)
+		d.Reportf("version", "%d: this program reads scripts of version %d; generate the script again from its seed, or with the program that wrote it", s.Version, Version)
 	}
 	s.Seed = uint64(s.WrittenSeed)
 	s.checkBounds(d)
@@ -34,11 +34,11 @@
 	return &s, nil
 }
 
-// checkBounds reports figures that are out of bounds.
+// checkBounds reports values that are out of bounds.
 func (s *Script) checkBounds(d *strictyaml.Document) {
-	check := func(field string, x, least, most float64) {
-		if !(x >= least) || x > most {
-			d.Reportf(field, "%g: expected %g to %g", x, least, most)
+	check := func(field string, x, low, high float64) {
+		if !(x >= low) || x > high {
+			d.Reportf(field, "%g: expected %g to %g", x, low, high)
 		}
 	}
 	check("seed", float64(s.WrittenSeed), 0, 1<<53)
@@ -67,7 +67,7 @@
 	}
 }
 
-// parseFaults turns the faults as written into events.
+// parseFaults converts the written faults to events.
 func (s *Script) parseFaults(d *strictyaml.Document) {
 	for i, t := range s.Faults {
 		at := fmt.Sprintf("troubles[%d]", i)
--- a/internal/simulation/recorded_test.go
+++ b/internal/simulation/recorded_test.go
@@ -12,18 +12,18 @@
 )
 
 var (
-	recordedSeeds = flag.Int("recorded-seeds", 60, "how many of the recorded seeds 1000 to 1999 are played again")
-	recordSeeds   = flag.Bool("record-seeds", false, "write the record anew, for a change of behaviour that is meant")
+	recordedSeedCount = flag.Int("recorded-seeds", 60, "number of the recorded seeds 1000 to 1999 to run again")
+	updateRecord      = flag.Bool("record-seeds", false, "rewrite the record, after an intended change of behaviour")
 )
 
 const recordFile = "testdata/seeds-1000-1999.txt"
 
-// TestSeedsGiveWhatIsRecorded: a change that is to leave behaviour alone (a rename, a split) could still move a draw from
-// the random source, the order of a sum or of two events. It would show as a run that ends otherwise: each recorded seed
-// must give the same digest, events, requests and virtual time as when the record was made.
-func TestSeedsGiveWhatIsRecorded(t *testing.T) {
-	n := *recordedSeeds
-	if *recordSeeds {
+// TestRecordedSeedsGiveSameRuns guards against unintended changes of behaviour. A refactoring (a rename, a split) can still
+// move a draw from the random source, or change the order of a sum or of two events. Each recorded seed must give the same
+// digest, events, requests and virtual time as in the record.
+func TestRecordedSeedsGiveSameRuns(t *testing.T) {
+	n := *recordedSeedCount
+	if *updateRecord {
 		n = 1000
 	}
 	lines := make([]string, n)
@@ -40,7 +40,7 @@
 	if err := g.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	if *recordSeeds {
+	if *updateRecord {
 		head := "# seed, digest, events, requests, virtual nanoseconds\n"
 		if err := os.WriteFile(recordFile, []byte(head+strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
 			t.Fatal(err)
@@ -54,7 +54,7 @@
 	recorded := strings.Split(string(text), "\n")[1:]
 	for i, line := range lines {
 		if line != recorded[i] {
-			t.Errorf("seed %d: now %q, recorded %q", 1000+i, line, recorded[i])
+			t.Errorf("seed %d: got %q, recorded %q", 1000+i, line, recorded[i])
 		}
 	}
 }
--- a/internal/simulation/replay_test.go
+++ b/internal/simulation/replay_test.go
@@ -10,25 +10,25 @@
 	"sandyard/trace"
 )
 
-// A trace from production is of use only if its replay decides the same. What instances decided in simulated runs, written to
-// the trace's format and read back, must be decided again by the decision package, step by step.
+// A trace from production is useless if its replay decides differently. This test writes the decisions of instances in
+// simulated runs in the trace format and reads them back. The decision package must repeat them step by step.
 func TestTracesOfRunsReplayWithoutDifference(t *testing.T) {
 	steps, differ, bytes := uint64(0), uint64(0), 0
 	for seed := uint64(1); seed <= 40; seed++ {
 		type process struct {
-			head  trace.Header
-			items []trace.Record
+			header  trace.Header
+			records []trace.Record
 		}
 		var processes []*process
 		_, err := Run(Generate(seed, DefaultProfile()), Options{ContinueAfterViolation: true, Record: func(n int, cfg *config.Config, seed uint64) func(proxy.DecisionStep) {
-			l := &process{head: trace.Header{Instance: n, Seed: seed, StartedAt: proxy.Start, Settings: cfg.Settings, Share: 1}}
-			processes = append(processes, l)
+			p := &process{header: trace.Header{Instance: n, Seed: seed, StartedAt: proxy.Start, Settings: cfg.Settings, Share: 1}}
+			processes = append(processes, p)
 			return func(s proxy.DecisionStep) {
 				if s.Snapshot != nil {
-					l.items = append(l.items, trace.Record{At: s.At, Snapshot: s.Snapshot})
+					p.records = append(p.records, trace.Record{At: s.At, Snapshot: s.Snapshot})
 					return
 				}
-				l.items = append(l.items, trace.Record{At: s.At, Event: trace.NewEvent(s.Event), Actions: trace.NewActions(s.Actions), Operation: s.OperationNumber, Initial: s.Event == nil})
+				p.records = append(p.records, trace.Record{At: s.At, Event: trace.NewEvent(s.Event), Actions: trace.NewActions(s.Actions), Operation: s.OperationNumber, Initial: s.Event == nil})
 			}
 		}})
 		if err != nil {
@@ -38,13 +38,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, l := range processes {
-			file, err := w.Begin(l.head)
+		for _, p := range processes {
+			file, err := w.Begin(p.header)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for at := 0; at < len(l.items); at += 500 {
-				b, err := w.Frame(l.items[at:min(len(l.items), at+500)])
+			for at := 0; at < len(p.records); at += 500 {
+				b, err := w.Frame(p.records[at:min(len(p.records), at+500)])
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -60,25 +60,25 @@
 				t.Fatal(err)
 			}
 			for {
-				items, err := r.Next()
+				records, err := r.Next()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if items == nil {
+				if records == nil {
 					break
 				}
-				for _, it := range items {
-					if err := replay.Step(r.Header, it); err != nil {
+				for _, record := range records {
+					if err := replay.Step(r.Header, record); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 			r.Close()
-			if replay.Steps+replay.States != uint64(len(l.items)) {
-				t.Errorf("seed %d: %d of %d steps came back", seed, replay.Steps, len(l.items))
+			if replay.Steps+replay.States != uint64(len(p.records)) {
+				t.Errorf("seed %d: %d of %d steps replayed", seed, replay.Steps, len(p.records))
 			}
 			if replay.Differences > 0 {
-				t.Errorf("seed %d, instance %d: %s", seed, l.head.Instance, replay.FirstDifference)
+				t.Errorf("seed %d, instance %d: %s", seed, p.header.Instance, replay.FirstDifference)
 			}
 			steps, differ = steps+replay.Steps, differ+replay.Differences
 		}
@@ -86,15 +86,15 @@
 	t.Logf("%d steps, %d differ, %.1f bytes a step", steps, differ, float64(bytes)/float64(steps))
 }
 
-// A replay that begins at a snapshot must not drift. A gateway restored from a snapshot in the middle of a run, by way of the
-// trace's format, must take the same actions from there on.
+// A replay that begins at a snapshot must not diverge. A gateway that is restored from a snapshot in the middle of a run, by
+// way of the trace format, must take the same actions as the original from there on.
 func TestRestoredGatewayTakesSameActions(t *testing.T) {
 	compared := 0
 	for seed := uint64(100); seed < 130; seed++ {
 		type pair struct {
-			a, b *decision.Gateway
-			n    int
-			set  decision.Settings
+			original, restored *decision.Gateway
+			n                  int
+			set                decision.Settings
 		}
 		var pairs []*pair
 		_, err := Run(Generate(seed, DefaultProfile()), Options{ContinueAfterViolation: true, Record: func(n int, cfg *config.Config, gwSeed uint64) func(proxy.DecisionStep) {
@@ -105,11 +105,11 @@
 					return
 				}
 				if s.Event == nil {
-					p.a, _, _ = decision.New(cfg.Settings, gwSeed, proxy.Start)
+					p.original, _, _ = decision.New(cfg.Settings, gwSeed, proxy.Start)
 					return
 				}
-				if p.n++; p.n%97 == 0 { // again and again: what is restored is restored anew
-					st, err := p.a.Snapshot()
+				if p.n++; p.n%97 == 0 { // repeatedly, to restore from snapshots of several ages
+					st, err := p.original.Snapshot()
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -128,16 +128,16 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					if p.b, err = decision.Restore(p.set, *items[0].Snapshot); err != nil {
+					if p.restored, err = decision.Restore(p.set, *items[0].Snapshot); err != nil {
 						t.Fatal(err)
 					}
 				}
-				x := p.a.Handle(s.Event, s.At)
-				if p.b == nil {
+				x := p.original.Handle(s.Event, s.At)
+				if p.restored == nil {
 					return
 				}
 				compared++
-				if y := p.b.Handle(s.Event, s.At); !reflect.DeepEqual(x, y) {
+				if y := p.restored.Handle(s.Event, s.At); !reflect.DeepEqual(x, y) {
 					t.Fatalf("seed %d, step %d, %T: %+v, restored %+v", seed, p.n, s.Event, x, y)
 				}
 			}
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -11,14 +11,14 @@
 	"sandyard/invariant"
 )
 
-// How clients behave.
+// Parameters of client behaviour.
 const (
-	maxAbortShare  = 0.2                    // of its timeout, after which a client that leaves has left
-	minChunkedBody = 21                     // bytes, from which on a body is sent chunked
-	firstBackoff   = 100 * time.Millisecond // mean time until the first retry; doubled for each further one
+	maxAbortShare  = 0.2                    // share of its timeout within which an aborting client leaves
+	minChunkedBody = 21                     // smallest body that is sent chunked (bytes)
+	firstBackoff   = 100 * time.Millisecond // mean backoff before the first retry; doubles with each further one
 )
 
-// clientRequest is one request of a client.
+// clientRequest is a request of a client.
 type clientRequest struct {
 	invariant.Request
 	conn        *clientConn
@@ -30,10 +30,11 @@
 	work        time.Duration
 	ended       bool
 	status      int
-	afterFaults bool
+	afterFaults bool // counts for RuleRecovery
 }
 
-// send sends a request. position is its place in a pipeline: responses come in order, so that a later one has more time.
+// send sends a request. position is its place in a pipeline: responses arrive in order, so that later requests have more
+// time.
 func (s *Sim) send(r *clientRequest, c *clientConn, instance, position int) {
 	r.conn, r.Instance, r.SentAt = c, instance, s.now
 	r.ID = fmt.Sprintf("%s.%d", r.Operation, r.attempt)
@@ -43,7 +44,7 @@
 	s.checker.RequestSent(r.Request)
 	s.logEvent("ask " + r.ID)
 	s.digest(requestSent, nil, r.ID)
-	r.afterFaults = s.now >= s.faultsOverAt+recoveryTime && s.now < s.script.trafficTime()
+	r.afterFaults = s.now >= s.faultsEndAt+recoveryTime && s.now < s.script.trafficTime()
 	c.awaiting = append(c.awaiting, r)
 	c.unsent = append(c.unsent, text...)
 	c.flush()
@@ -59,19 +60,20 @@
 	}
 }
 
-// expire ends a request at its timeout. Where the instance could not have responded in time it is exempted.
+// expire ends a request at its timeout. A request to which the instance could not have responded in time is exempted from
+// the check.
 func (s *Sim) expire(r *clientRequest, c *clientConn) {
 	switch {
 	case r.ended:
 	case c.conn == nil: // the connection was not accepted, let alone the request
 		c.fail(invariant.NotAccepted)
-	case c.responseBegan && c.awaiting[0] == r && s.classOf(r).Stream:
-		// a stream that has begun is the response, however long it lasts
+	case c.responseStarted && c.awaiting[0] == r && s.classOf(r).Stream:
+		// A stream that has started is the response, however long it lasts.
 		s.cover("excuse: no end: a stream that has begun")
 		c.awaiting = c.awaiting[1:]
 		s.finish(r, invariant.Served, 1)
 		c.fail(invariant.ClientLeft)
-	case c.acceptedAt > r.SentAt+s.roundTripAllowance()/2: // the client had already waited when it was accepted
+	case c.acceptedAt > r.SentAt+s.roundTripAllowance()/2: // the client had already waited for the connection
 		s.cover("excuse: no answer: accepted late")
 		s.finish(r, invariant.ClientLeft, 0)
 	default:
@@ -79,11 +81,12 @@
 	}
 }
 
+// classOf returns the request class of a request.
 func (s *Sim) classOf(r *clientRequest) *decision.Class {
 	return &s.config.Settings.Classes[s.config.ClassByOperation[r.operation]]
 }
 
-// renderRequest draws the request's units and returns its text.
+// renderRequest draws the request's units and returns the request as HTTP text.
 func (s *Sim) renderRequest(r *clientRequest) string {
 	operation := s.config.Routes.Operations[r.operation]
 	path := operation.Template
@@ -120,13 +123,13 @@
 	return b.String()
 }
 
-// roundTripAllowance is what a client takes off its timeout for the round trip: generous, since a message that is split into
-// many segments is as late as the latest of them.
+// roundTripAllowance returns the time that a client subtracts from its timeout for the round trip. It is generous, since a
+// message that is split into many segments is as late as the latest of them.
 func (s *Sim) roundTripAllowance() time.Duration {
 	return time.Duration(2 * float64(s.network.latency) * (1 + 12*s.network.jitter))
 }
 
-// endingNames are the words under which Outcome.Reached counts endings.
+// endingNames are the keys of Outcome.Reached for the endings of requests.
 var endingNames = [...]string{
 	invariant.Served:           "try served",
 	invariant.Rejected:         "try refused",
@@ -137,7 +140,7 @@
 	invariant.ClientLeft:       "try left",
 }
 
-// finish ends a request, and retries it where a client would.
+// finish ends a request, and retries it if a client would.
 func (s *Sim) finish(r *clientRequest, e invariant.Ending, responses int) {
 	if r.ended {
 		return
@@ -158,13 +161,14 @@
 	if e == invariant.ClientTimedOut || e == invariant.ClientLeft {
 		r.conn.close(true)
 	}
-	if s.retries(r, e) {
+	if s.shouldRetry(r, e) {
 		s.retry(r)
 	}
 }
 
-// retries reports whether the client retries a request that ended: where that is harmless, and not too late for its key.
-func (s *Sim) retries(r *clientRequest, e invariant.Ending) bool {
+// shouldRetry reports whether the client retries a request that ended: only if that is harmless and its idempotency key is
+// not too old.
+func (s *Sim) shouldRetry(r *clientRequest, e invariant.Ending) bool {
 	harmless := e == invariant.Rejected || e == invariant.NotAccepted || r.Idempotency != invariant.NotIdempotent && e != invariant.Served
 	if !harmless || e == invariant.ClientLeft || r.attempt >= s.script.Clients.Retries || s.stopped {
 		return false
@@ -172,7 +176,7 @@
 	return r.Idempotency != invariant.IdempotentByKey || s.now-r.SentAt <= s.keyTTL/2
 }
 
-// retry sends a request again after an exponential backoff with jitter.
+// retry repeats a request after an exponential backoff with jitter.
 func (s *Sim) retry(r *clientRequest) {
 	next := *r
 	next.attempt++
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -9,9 +9,9 @@
 	"sandyard/internal/strictyaml"
 )
 
-// overload: the fleet gets 0.6 to 3 times its capacity, at times in surges.
+// overload sends the fleet 0.6 to 3 times its capacity, in some scripts with a surge or slow backends.
 func (b *scenarioBuilder) overload() {
-	b.fleet()
+	b.drawFleet()
 	b.setLoad(b.between(0.6, 3))
 	if b.chance(0.5) {
 		b.addFault(b.milliseconds(2000, 4000), fault.Event{Duration: b.milliseconds(2000, 6000), Verb: fault.Surge, Target: fault.TargetAll, Value: b.between(1.5, 3)})
@@ -21,13 +21,13 @@
 	}
 }
 
-// replacement: a tenth, half or all of the backends are replaced under load by ones in slow start, at once or one by one, with
-// or without notice.
+// replacement replaces a tenth, half or all of the backends under load by ones in slow start, at once or one by one, with or
+// without notice.
 func (b *scenarioBuilder) replacement() {
-	b.fleet()
+	b.drawFleet()
 	b.drawSlowStart()
 	b.setLoad(b.between(0.6, 2.5))
-	at, n := b.milliseconds(2000, 5000), b.portion()
+	at, n := b.milliseconds(2000, 5000), b.affectedBackends()
 	gap := time.Duration(0)
 	if b.chance(0.5) {
 		gap = b.milliseconds(100, 1500)
@@ -36,23 +36,23 @@
 	if b.chance(0.5) {
 		verb = fault.Kill
 	}
-	if b.chance(0.3) { // many instances meet few backends, all of them in slow start
+	if b.chance(0.3) { // many instances and few backends, all of them in slow start
 		b.Instances, b.Backends.Count = 20+b.rng.IntN(21), 1+b.rng.IntN(3)
 		n, gap = b.Backends.Count, 0
 		b.setLoad(b.between(1.5, 3))
 	}
 	order := b.rng.Perm(b.Backends.Count)
 	for i := range n {
-		when := at + time.Duration(i)*gap
-		if when > time.Duration(b.Seconds*0.8*float64(time.Second)) {
+		start := at + time.Duration(i)*gap
+		if start > time.Duration(b.Seconds*0.8*float64(time.Second)) {
 			break
 		}
-		b.addFault(when, fault.Event{Duration: b.milliseconds(100, 1500), Verb: verb, Target: b.backendName(order[i])})
+		b.addFault(start, fault.Event{Duration: b.milliseconds(100, 1500), Verb: verb, Target: b.backendName(order[i])})
 	}
 	if b.chance(0.4) { // a surge during slow start
 		b.addFault(at+b.milliseconds(0, 3000), fault.Event{Duration: b.milliseconds(1000, 5000), Verb: fault.Surge, Target: fault.TargetAll, Value: b.between(1.5, 4)})
 	}
-	if b.chance(0.3) { // warm backends fail meanwhile
+	if b.chance(0.3) { // backends that are not in slow start fail meanwhile
 		for i := n; i < b.Backends.Count; i++ {
 			b.addFault(at+gap*time.Duration(n)+b.milliseconds(200, 800), fault.Event{Duration: b.milliseconds(1000, 4000), Verb: fault.Verb([]fault.Verb{fault.Hang, fault.Refuse,
 				fault.ServerErrors, fault.Slow}[b.rng.IntN(4)]), Target: b.backendName(order[i]), Value: b.oneOf(1, 3)})
@@ -63,29 +63,29 @@
 	}
 }
 
-// ceilings: customers ask for 2 to 20 times their ceiling, through some or all instances, with a counter that is up, silent,
-// slow, empty, down, or out of some instances' reach.
+// ceilings has customers request 2 to 20 times their ceiling, through some or all instances, with a counter that is up,
+// silent, slow, empty, down, or unreachable for some instances.
 func (b *scenarioBuilder) ceilings() {
 	b.Backends.Work = strictyaml.Duration(time.Duration(b.oneOf(2, 5, 15)) * time.Millisecond)
 	b.Backends.Cores, b.Backends.Queue, b.Backends.Count = 4, 64, 4+b.rng.IntN(8)
 	b.Instances = 1 + b.rng.IntN(int(b.oneOf(2, 4, 4, 12)))
 	b.PlanFactor, b.Rate = b.oneOf(0.3, 0.5, 1), 40
-	b.OverQuotaValue = b.oneOf(0, 1.5, 1.5, 1.5) // else their quota stops them before the ceiling does
+	b.OverQuotaValue = b.oneOf(0, 1.5, 1.5, 1.5) // otherwise the quota limits them before the ceiling does
 	for _, school := range []string{"school-0", "school-1", "school"}[b.rng.IntN(3):][:1] {
-		usual := b.Rate * 24 / 92 // of all schools, by plan rates
-		times := b.between(2, 8)
+		baseRate := b.Rate * 24 / 92 // rate of all customers of plan school, in proportion to plan rates
+		multiple := b.between(2, 8)
 		if b.chance(0.2) {
-			times = b.between(8, 20)
+			multiple = b.between(8, 20)
 		}
 		b.Seconds = 10
-		long := min(6000, 1000*1200/(times*40*b.PlanFactor))
-		b.addFault(b.milliseconds(500, 3000), fault.Event{Duration: b.milliseconds(long/2, long), Verb: fault.Surge, Target: school, Value: math.Round(10*times*40*b.PlanFactor/usual) / 10})
+		maxDuration := min(6000, 1000*1200/(multiple*40*b.PlanFactor))
+		b.addFault(b.milliseconds(500, 3000), fault.Event{Duration: b.milliseconds(maxDuration/2, maxDuration), Verb: fault.Surge, Target: school, Value: math.Round(10*multiple*40*b.PlanFactor/baseRate) / 10})
 	}
 	for range b.rng.IntN(4) {
 		e := b.counterFault()
 		b.addFault(b.milliseconds(500, 7000), e)
 	}
-	if b.chance(0.3) { // a counter that loses its totals again and again
+	if b.chance(0.3) { // a counter that loses its totals repeatedly
 		for at := b.milliseconds(500, 2500); at < 9*time.Second; at += b.milliseconds(200, 1500) {
 			e := fault.Event{Verb: fault.ResetTotals, Target: fault.TargetCounter}
 			if b.chance(0.3) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// counterFault draws a fault of the counter, or of its link to one instance.
+// counterFault draws a fault of the counter, or a partition between it and one instance.
 func (b *scenarioBuilder) counterFault() fault.Event {
 	e := fault.Event{Duration: b.milliseconds(200, 4000), Target: fault.TargetCounter, Verb: []fault.Verb{fault.NoReply, fault.ResetTotals, fault.Refuse, fault.Delay, fault.Stall,
 		fault.Kill, fault.Rollback, fault.PartialOutage, fault.Split}[b.rng.IntN(9)]}
@@ -125,7 +125,7 @@
 	return e
 }
 
-// keyExpiry: what a backend has run is retried at another around the end of its key's lifetime.
+// keyExpiry has clients retry requests that one backend has executed at another, around the expiry of the idempotency key.
 func (b *scenarioBuilder) keyExpiry() {
 	b.Backends.Count = 2 + b.rng.IntN(6)
 	b.Backends.Work = strictyaml.Duration(time.Duration(b.oneOf(15, 40, 80)) * time.Millisecond)
@@ -133,29 +133,29 @@
 	b.KeyTTL = strictyaml.Duration(b.milliseconds(200, 1500))
 	b.setLoad(b.between(0.1, 0.5))
 	for range 2 + b.rng.IntN(4) {
-		at, target, long := b.milliseconds(1000, 9000), b.backendName(b.rng.IntN(b.Backends.Count)), b.milliseconds(500, 3000)
-		// slow first, so that the work ends late, and then without a response
-		how := fault.Event{Duration: long, Verb: fault.Slow, Target: target, Value: b.between(5, 40)}
+		at, target, duration := b.milliseconds(1000, 9000), b.backendName(b.rng.IntN(b.Backends.Count)), b.milliseconds(500, 3000)
+		// The backend is slow first, so that the work ends late, and then fails without a response.
+		slowdown := fault.Event{Duration: duration, Verb: fault.Slow, Target: target, Value: b.between(5, 40)}
 		if b.chance(0.5) {
-			how = fault.Event{Duration: long, Verb: fault.Delay, Target: target, Value: b.between(200, 2000)}
+			slowdown = fault.Event{Duration: duration, Verb: fault.Delay, Target: target, Value: b.between(200, 2000)}
 		}
-		b.addFault(at, how)
-		end := fault.Event{Duration: b.milliseconds(200, 1500), Target: target, Verb: []fault.Verb{fault.DropResponse, fault.ResetResponse, fault.Kill, fault.Refuse, fault.Hang}[b.rng.IntN(5)]}
-		ends := at + b.milliseconds(100, 2500)
-		b.addFault(ends, end)
-		if b.chance(0.5) { // connections to the others are closed, and new ones take long
-			gone := ends + b.milliseconds(0, 400)
+		b.addFault(at, slowdown)
+		failure := fault.Event{Duration: b.milliseconds(200, 1500), Target: target, Verb: []fault.Verb{fault.DropResponse, fault.ResetResponse, fault.Kill, fault.Refuse, fault.Hang}[b.rng.IntN(5)]}
+		failsAt := at + b.milliseconds(100, 2500)
+		b.addFault(failsAt, failure)
+		if b.chance(0.5) { // connections to the other backends are closed, and new ones are established slowly
+			closedAt := failsAt + b.milliseconds(0, 400)
 			for i := range b.Backends.Count {
 				if o := b.backendName(i); o != target {
-					b.addFault(gone, fault.Event{Duration: 20 * time.Millisecond, Verb: fault.Refuse, Target: o})
-					b.addFault(gone+20*time.Millisecond, fault.Event{Duration: b.milliseconds(100, 700), Verb: fault.NotAccepting, Target: o})
+					b.addFault(closedAt, fault.Event{Duration: 20 * time.Millisecond, Verb: fault.Refuse, Target: o})
+					b.addFault(closedAt+20*time.Millisecond, fault.Event{Duration: b.milliseconds(100, 700), Verb: fault.NotAccepting, Target: o})
 				}
 			}
 		}
 	}
 }
 
-// streaming: responses too large to be buffered are streamed through slow links and to slow clients, and break off.
+// streaming streams responses that are too large to be buffered over throttled links or to slow clients, or has them reset.
 func (b *scenarioBuilder) streaming() {
 	b.Backends.Count, b.Instances = 1+b.rng.IntN(4), 1+b.rng.IntN(3)
 	b.Backends.Work, b.Backends.Body = strictyaml.Duration(time.Duration(b.oneOf(5, 15, 40))*time.Millisecond), int(b.oneOf(5000, 20000, 40000))
@@ -173,21 +173,21 @@
 	}
 }
 
-// draining: backends are removed in waves, with and without notice, while their queues are full and connections to them are
-// being made.
+// draining removes backends in waves, with or without notice, while their queues are full and connections to them are being
+// established.
 func (b *scenarioBuilder) draining() {
-	b.fleet()
+	b.drawFleet()
 	b.Backends.Count = max(2, b.Backends.Count)
 	b.setLoad(b.between(0.8, 2.5))
 	b.Clients.NewConnShare = b.oneOf(0.02, 0.2, 0.8)
 	order := b.rng.Perm(b.Backends.Count)
 	at := b.milliseconds(1000, 3000)
-	for i := range max(1, min(b.portion(), b.Backends.Count-1)) {
+	for i := range max(1, min(b.affectedBackends(), b.Backends.Count-1)) {
 		if b.chance(0.3) {
 			at += b.milliseconds(200, 1500)
 		}
 		target := b.backendName(order[i])
-		if b.chance(0.5) { // the notice comes while a connection is being made
+		if b.chance(0.5) { // the notice arrives while a connection is being established
 			b.addFault(at-b.milliseconds(0, 500), fault.Event{Duration: b.milliseconds(300, 2500), Verb: []fault.Verb{fault.AddedLatency, fault.NotAccepting, fault.Pause}[b.rng.IntN(3)], Target: target,
 				Value: b.between(50, 400)})
 		}
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -8,8 +8,8 @@
 )
 
 // Single faults at sixty requests a second never came near the load that makes a backend in slow start collapse, so that
-// thousands of clean runs said nothing about its guards. Scenarios are drawn to reach a rule's limit; of each one that is for
-// a rule, some run must come near that rule's limit, and none may break a rule.
+// thousands of clean runs did not exercise its guards. Scenarios are drawn to reach a rule's limit. For each scenario here,
+// some run must come near the limit of its rule, and no run may break a rule.
 func TestScenariosComeNearTheirRuleLimits(t *testing.T) {
 	for _, c := range []struct {
 		scenario string
@@ -33,13 +33,13 @@
 			best = max(best, o.Nearness(c.rule))
 		}
 		if n == 0 || best < c.near {
-			t.Errorf("%s: %d runs came to %.2f of the limit, %.2f expected", c.scenario, n, best, c.near)
+			t.Errorf("%s: %d runs reached %.2f of the limit, expected %.2f", c.scenario, n, best, c.near)
 		}
 	}
 }
 
-// A find that can't be had again can't be understood. With one worker a hunt must be the same each time, must come no less near
-// than its first scripts, and the script that it ends with must read back and replay.
+// A violation that can't be reproduced can't be debugged. With one worker a hunt must be reproducible, must come at least as
+// near as its first scripts, and must end with a script that can be read back and replayed.
 func TestHuntIsReproducibleAndImproves(t *testing.T) {
 	p := DefaultProfile()
 	p.Seconds, p.Rate, p.ScenarioShare = 6, 30, 0
@@ -63,19 +63,19 @@
 		t.Errorf("two hunts from one seed differ:\n%s%s", a.Text(), b.Text())
 	}
 	if x.Nearness(invariant.Draining) < first {
-		t.Errorf("came to %.3f, the first scripts to %.3f", x.Nearness(invariant.Draining), first)
+		t.Errorf("reached %.3f, the first scripts %.3f", x.Nearness(invariant.Draining), first)
 	}
 	back, err := ReadScript("x", []byte(a.Text()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if z, _ := Run(back, Options{}); z.Digest != x.Digest {
-		t.Error("the script that a hunt ends with is another when it is read back")
+		t.Error("the final script of a hunt gives another run when it is read back")
 	}
 }
 
-// A mutated script that ReadScript refuses would be a find that nobody can replay. Whatever is mutated or crossed, a script must
-// be written and read back, and must take enough requests to make a backend collapse.
+// A violation by a mutated script that ReadScript rejects could not be replayed. After any mutations and crossovers a script
+// must be readable, and it must take enough requests to make a backend collapse.
 func TestEvolvedScriptsStayWithinBounds(t *testing.T) {
 	rng := stream(1, "test")
 	for seed := uint64(1); seed < 60; seed++ {
@@ -97,8 +97,8 @@
 	}
 }
 
-// Backends that close idle connections while a request is in flight, and a counter whose sides do not see each other, must break
-// no rule; a script that has them must say so in its text.
+// Backends that close idle connections while a request is in flight, and a counter that is split in two parts, must break no
+// rule. The text of a script must contain these settings.
 func TestIdleConnectionsAndSplitCounterBreakNoRule(t *testing.T) {
 	text := `version: 1
 seed: 1
@@ -135,8 +135,8 @@
 	}
 }
 
-// The idle timer of a connection outlived the backend's process, and closed the connection again in the process after it. It
-// must do nothing once the process is gone.
+// The idle timer of a connection once outlived the backend's process, and closed the connection again during the next
+// process. It must do nothing after its process has ended.
 func TestIdleTimerEndsWithItsBackendProcess(t *testing.T) {
 	s, err := ReadScript("killed.yaml", []byte(`version: 1
 seed: 1
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -13,10 +13,10 @@
 	"sandyard/internal/strictyaml"
 )
 
-// Version is the version of the script format. Scripts of other versions are refused.
+// Version is the version of the script format. ReadScript rejects scripts of other versions.
 const Version = 1
 
-// Script states all that a run of the simulator needs. Its keys and their order are a stored format.
+// Script is the complete input of a simulation. Its keys and their order are a stored format.
 //
 //	version: 1
 //	seed: 42
@@ -30,20 +30,20 @@
 	Version        int                 `yaml:"version"`
 	Seed           uint64              `yaml:"-"`
 	WrittenSeed    int                 `yaml:"seed"`
-	Seconds        float64             `yaml:"seconds"` // of traffic
+	Seconds        float64             `yaml:"seconds"` // duration of the traffic
 	Instances      int                 `yaml:"doors"`
-	Rate           float64             `yaml:"rate"` // requests a second, from all clients
+	Rate           float64             `yaml:"rate"` // requests/s of all clients together
 	Config         string              `yaml:"config"`
 	Backends       Backends            `yaml:"boxes"`
 	SlowStart      SlowStart           `yaml:"cold"`
 	PlanFactor     float64             `yaml:"plans"`   // factor on the rates, bursts and ceilings of all plans
-	OverQuotaValue float64             `yaml:"soft"`    // value of what plans with a ceiling get beyond their quota, as a share; 0: as configured
-	LateShare      float64             `yaml:"late"`    // share of its value that a late response has, in all classes but streams; 0: as configured
-	KeyTTL         strictyaml.Duration `yaml:"key-ttl"` // of all classes with idempotency keys; 0: as configured
+	OverQuotaValue float64             `yaml:"soft"`    // share of its value that a response beyond the quota has, in plans with a ceiling; 0: as configured
+	LateShare      float64             `yaml:"late"`    // share of its value that a late response has, in all classes except streams; 0: as configured
+	KeyTTL         strictyaml.Duration `yaml:"key-ttl"` // for all classes with idempotency keys; 0: as configured
 	Net            Net                 `yaml:"net"`
-	Drift          float64             `yaml:"drift"` // instances' clocks run fast or slow by up to this share
+	Drift          float64             `yaml:"drift"` // largest share by which instances' clocks run fast or slow
 	Clients        Clients             `yaml:"clients"`
-	Scenario       string              `yaml:"-"` // name of the one that a generator drew, if any
+	Scenario       string              `yaml:"-"` // name of the scenario that a generator drew, if any
 	Events         []fault.Event       `yaml:"-"`
 	Faults         []ScriptFault       `yaml:"troubles"`
 }
@@ -53,36 +53,36 @@
 	Count       int                 `yaml:"count"`
 	Cores       int                 `yaml:"cores"`
 	Queue       int                 `yaml:"queue"`
-	Cells       int                 `yaml:"cells"` // 2 or more: repeats of a key are discarded within one of so many cells only
-	IdleTimeout strictyaml.Duration `yaml:"idle"`  // after which they close a connection; 0: never
+	Cells       int                 `yaml:"cells"` // number of cells; from 2 on, repeats of a key are discarded within a cell only
+	IdleTimeout strictyaml.Duration `yaml:"idle"`  // after which a backend closes an idle connection; 0: never
 	Work        strictyaml.Duration `yaml:"work"`  // mean work of a request
-	Body        int                 `yaml:"body"`  // bytes of a response's
+	Body        int                 `yaml:"body"`  // body of a response (bytes)
 }
 
-// SlowStart describes how a script's backends start; what is 0 is as configured.
+// SlowStart describes the slow start of a script's backends. A value of 0 means as configured.
 type SlowStart struct {
 	Share          float64             `yaml:"share"`
 	Duration       strictyaml.Duration `yaml:"time"`
-	OverloadFactor float64             `yaml:"factor"` // sent this multiple of its capacity
-	OverloadTime   strictyaml.Duration `yaml:"over"`   // for so long, a backend in slow start collapses
+	OverloadFactor float64             `yaml:"factor"` // multiple of its capacity at which a backend in slow start collapses
+	OverloadTime   strictyaml.Duration `yaml:"over"`   // for which it must get that load to collapse
 }
 
 // Net describes a script's network.
 type Net struct {
 	Latency          strictyaml.Duration `yaml:"latency"`
-	Jitter           float64             `yaml:"jitter"` // mean of what is added, as a share of the latency
-	SplitProbability float64             `yaml:"split"`  // that a write is split in two, again and again
+	Jitter           float64             `yaml:"jitter"` // mean of the added random latency, as a share of the latency
+	SplitProbability float64             `yaml:"split"`  // probability that a write is split in two, applied repeatedly
 }
 
 // Clients describes how a script's clients behave.
 type Clients struct {
 	Retries       int     `yaml:"retries"`
-	PipelineShare float64 `yaml:"pipeline"` // of the operations, that pipeline several requests
-	NewConnShare  float64 `yaml:"fresh"`    // of the requests, that use a new connection
-	MaxBody       int     `yaml:"body"`     // bytes of a request's body, at most
+	PipelineShare float64 `yaml:"pipeline"` // share of operations that pipeline several requests
+	NewConnShare  float64 `yaml:"fresh"`    // share of requests that use a new connection
+	MaxBody       int     `yaml:"body"`     // largest body of a request (bytes)
 }
 
-// ScriptFault is a fault as it is written; Script.Events has the parsed ones.
+// ScriptFault is a fault as written in a script. Script.Events holds the parsed faults.
 type ScriptFault struct {
 	At       strictyaml.Duration `yaml:"at"`
 	Duration strictyaml.Duration `yaml:"for"`
@@ -91,6 +91,7 @@
 	Value    float64             `yaml:"value"`
 }
 
+// defaults returns a script with the default values.
 func defaults() Script {
 	return Script{Version: Version, Seconds: 15, Instances: 3, Rate: 40, PlanFactor: 1,
 		Backends: Backends{Count: 4, Cores: 2, Queue: 24, Work: strictyaml.Duration(30 * time.Millisecond), Body: 64},
@@ -98,10 +99,10 @@
 		Clients:  Clients{Retries: 2, PipelineShare: 0.03, NewConnShare: 0.2, MaxBody: 40}}
 }
 
-// trafficTime returns how long the traffic lasts.
+// trafficTime returns the duration of the traffic.
 func (s *Script) trafficTime() time.Duration { return time.Duration(s.Seconds * float64(time.Second)) }
 
-// Text renders a script; ReadScript parses it.
+// Text formats a script. ReadScript parses the result.
 func (s *Script) Text() string {
 	var b strings.Builder
 	f := func(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -8,25 +8,25 @@
 	"sandyard/internal/strictyaml"
 )
 
-// Shrink makes a script smaller while something still holds of its outcome: fewer faults, shorter ones, fewer processes,
-// less traffic, a plainer network. It spends at most budget runs. tried, if not nil, is called with each attempt.
-func Shrink(s *Script, opt Options, holds func(Outcome) bool, budget int, tried func(kept bool, s *Script)) *Script {
-	sh := &shrinker{best: *s, options: opt, holds: holds, budget: budget, tried: tried}
-	for again := true; again && sh.budget > 0; {
-		again = sh.dropFaults()
+// Shrink simplifies a script as long as holds returns true for its outcome: fewer faults, shorter ones, fewer processes, less
+// traffic, a simpler network. It does at most budget runs. onTry, if not nil, is called after each attempt.
+func Shrink(s *Script, opt Options, holds func(Outcome) bool, budget int, onTry func(kept bool, s *Script)) *Script {
+	sh := &shrinker{best: *s, options: opt, holds: holds, budget: budget, onTry: onTry}
+	for progress := true; progress && sh.budget > 0; {
+		progress = sh.dropFaults()
 		for _, simplify := range simplifications {
-			again = sh.try(simplify) || again
+			progress = sh.try(simplify) || progress
 		}
 		for i := range sh.best.Events {
-			again = sh.try(func(c *Script) { c.Events[i].Duration = (c.Events[i].Duration / 2).Truncate(time.Millisecond) }) || again
-			again = sh.try(func(c *Script) { c.Events[i].At = c.Events[i].At.Truncate(time.Second) }) || again
-			again = sh.try(func(c *Script) { c.Events[i].Value = math.Round(c.Events[i].Value) }) || again
+			progress = sh.try(func(c *Script) { c.Events[i].Duration = (c.Events[i].Duration / 2).Truncate(time.Millisecond) }) || progress
+			progress = sh.try(func(c *Script) { c.Events[i].At = c.Events[i].At.Truncate(time.Second) }) || progress
+			progress = sh.try(func(c *Script) { c.Events[i].Value = math.Round(c.Events[i].Value) }) || progress
 		}
 	}
 	return &sh.best
 }
 
-// simplifications are changes that leave less to look at.
+// simplifications are changes that may make a script simpler.
 var simplifications = []func(c *Script){
 	func(c *Script) { c.Seconds = math.Ceil(c.Seconds / 2) },
 	func(c *Script) { c.Seconds = math.Max(1, c.Seconds-1) },
@@ -50,16 +50,17 @@
 	func(c *Script) { c.Clients.MaxBody = 0 },
 }
 
-// shrinker holds the smallest script so far.
+// shrinker is the state of Shrink.
 type shrinker struct {
-	best    Script
+	best    Script // the simplest so far
 	options Options
 	holds   func(Outcome) bool
-	budget  int // runs that are left
-	tried   func(kept bool, s *Script)
+	budget  int // remaining runs
+	onTry   func(kept bool, s *Script)
 }
 
-// try changes the best script, and keeps the change if the outcome still holds. A change without effect costs no run.
+// try applies a change to the best script, and keeps it if holds returns true for the outcome. A change without effect costs
+// no run.
 func (sh *shrinker) try(change func(c *Script)) bool {
 	c := sh.best
 	c.Events = slices.Clone(sh.best.Events)
@@ -74,13 +75,13 @@
 	if kept {
 		sh.best = c
 	}
-	if sh.tried != nil {
-		sh.tried(kept, &c)
+	if sh.onTry != nil {
+		sh.onTry(kept, &c)
 	}
 	return kept
 }
 
-// dropFaults drops faults, in halves first, and reports whether any could be dropped.
+// dropFaults removes faults in groups, all at first and then ever smaller groups, and reports whether it could remove any.
 func (sh *shrinker) dropFaults() (dropped bool) {
 	for size := len(sh.best.Events); size > 0; size /= 2 {
 		for at := 0; at < len(sh.best.Events); {
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -1,8 +1,9 @@
-// Package simulation runs whole deployments in one process and in virtual time: proxy instances made of the same state
-// machines that package server runs, emulated backends and counters, clients, and a network that carries bytes. One queue of events and
-// one seed decide everything that happens: the same script gives the same events, byte for byte, on any machine.
+// Package simulation runs whole deployments in one process and in virtual time: proxy instances that consist of the same
+// state machines as in package server, emulated backends and counters, clients, and a network that transports bytes. One
+// event queue and one seed determine everything that happens: the same script gives the same events, byte for byte, on any
+// machine.
 //
-// A run starts no goroutine and reads no clock. A Sim has one owner; Sweep and Hunt run many side by side.
+// A run starts no goroutine and reads no clock. A Sim must be used by one goroutine; Sweep and Hunt run many concurrently.
 package simulation
 
 import (
@@ -19,16 +20,17 @@
 	"sandyard/proxy"
 )
 
-// maxKeyTTL bounds the time for which clients rely on an idempotency key, whatever classes say.
+// maxKeyTTL limits the time for which clients rely on an idempotency key, whatever the classes configure.
 const maxKeyTTL = 10 * time.Second
 
-// Options says how to run a script.
+// Options are the options of a run.
 type Options struct {
-	Log                    func(at time.Duration, what string) // called with every event, in order; nil for none
-	Until                  time.Duration                       // stop at this time; 0: at the end
-	ContinueAfterViolation bool                                // instead of ending the run
-	Config                 *config.Config                      // nil: that of Deployment
-	// Record, if set, is called with each instance's start and returns what is called with its steps.
+	Log                    func(at time.Duration, what string) // called with every event, in order; nil: no log
+	Until                  time.Duration                       // stops the run at this time; 0: at its end
+	ContinueAfterViolation bool                                // does not end the run at a violation
+	Config                 *config.Config                      // nil: the configuration of Deployment
+	// Record, if set, is called at each start of an instance. It returns the function that is called with the instance's
+	// decision steps.
 	Record func(number int, cfg *config.Config, seed uint64) func(proxy.DecisionStep)
 }
 
@@ -47,14 +49,14 @@
 	findings     []Finding
 	reached      map[string]int
 	endpointFile string
-	parsedFile   struct { // the endpoint file when it was last parsed
+	parsedFile   struct { // the result of the last parse of the endpoint file
 		text      string
 		endpoints []config.Endpoint
 		err       error
 	}
 	keyTTL            time.Duration
-	sendingInstance   int           // whose connection a backend reads,
-	sentAt            time.Duration // and when the request on it was sent
+	sendingInstance   int           // instance whose connection a backend is reading
+	sentAt            time.Duration // when the request on that connection was sent
 	replacements      int
 	traffic           *rand.Rand
 	surges            map[string]float64
@@ -66,13 +68,13 @@
 	requests          []*invariant.Request
 	outcomes          map[string]invariant.Outcome
 	operations        int
-	faultsOverAt      time.Duration // the end of the last fault
+	faultsEndAt       time.Duration // end of the last fault
 	stopped           bool
-	servedAfterFaults int // requests sent recoveryTime after the last fault
-	sentAfterFaults   int
+	servedAfterFaults int // of sentAfterFaults
+	sentAfterFaults   int // requests that were sent recoveryTime or more after the last fault
 }
 
-// Run runs a script to its end, or to the first violation. The error is one of the configuration.
+// Run runs a script to its end, or to the first violation. It returns an error if the configuration is invalid.
 func Run(script *Script, opt Options) (Outcome, error) {
 	cfg := opt.Config
 	if cfg == nil {
@@ -116,12 +118,12 @@
 	return s
 }
 
-// limits returns what the rules compare with. Ceilings are those of a configuration, times the script's factor.
+// limits returns the limits for the checker. Ceilings are those of cfg multiplied by the script's PlanFactor.
 func (s *Sim) limits(cfg *config.Config) invariant.Limits {
 	ceilings := map[string]invariant.Ceiling{}
 	for _, p := range cfg.Plans {
 		if p.Ceiling.Rate > 0 {
-			// An instance that starts takes its share of the slack for granted, so that a restart costs that much more.
+			// A starting instance grants its share of the slack at once, so that each restart costs that much more.
 			x := s.script.PlanFactor
 			ceilings[p.Name] = invariant.Ceiling{Rate: x * float64(p.Ceiling.Rate), Burst: x * p.Ceiling.Burst, Slack: x * p.Ceiling.Slack}
 		}
@@ -141,7 +143,7 @@
 	}
 }
 
-// outcome returns the result of the run. What the state machines counted is part of the digest.
+// outcome returns the result of the run. The state machines' counts are part of the digest.
 func (s *Sim) outcome() Outcome {
 	o := Outcome{Findings: s.findings, Events: s.events, Virtual: s.now, Reached: s.reached, Requests: len(s.requests)}
 	for _, inst := range s.instances {
@@ -160,7 +162,7 @@
 	return o
 }
 
-// runEvents runs events until a time. A panic is a violation like any other.
+// runEvents runs the events up to limit. A panic is reported as a violation.
 func (s *Sim) runEvents(limit time.Duration) {
 	defer func() {
 		if x := recover(); x != nil {
@@ -172,6 +174,7 @@
 	}
 }
 
+// cover counts an entry of Outcome.Reached.
 func (s *Sim) cover(what string) { s.reached[what]++ }
 
 func (s *Sim) addHost(name, addr string) *host {
@@ -182,9 +185,10 @@
 	return h
 }
 
-// noInstance is the number of hosts that are no instance; invariant.AllInstances is another.
+// noInstance is the instance number of hosts that are not instances. It must differ from invariant.AllInstances.
 const noInstance = -2
 
+// instanceOf returns the number of the instance that runs on a host, or noInstance.
 func (s *Sim) instanceOf(h *host) int {
 	for _, inst := range s.instances {
 		if inst.host == h {
@@ -214,9 +218,9 @@
 		inst.start(s.instanceSeed(inst))
 	}
 	for _, e := range sc.Events {
-		s.faultsOverAt = max(s.faultsOverAt, e.At+e.Duration)
+		s.faultsEndAt = max(s.faultsEndAt, e.At+e.Duration)
 		if e.Verb == fault.Replace || e.Verb == fault.Drain {
-			s.faultsOverAt = max(s.faultsOverAt, e.At+e.Duration+s.config.Settings.SlowStartTime)
+			s.faultsEndAt = max(s.faultsEndAt, e.At+e.Duration+s.config.Settings.SlowStartTime)
 		}
 		s.schedule(e.At, func() { s.beginFault(e) })
 	}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -12,8 +12,8 @@
 	"sandyard/config"
 )
 
-// Each script in testdata once broke a rule; none may break one again.
-func TestScriptsThatBrokeARuleBreakNone(t *testing.T) {
+// Each script in testdata once broke a rule. None may break one again.
+func TestRegressionScriptsBreakNoRule(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.yaml")
 	if len(files) == 0 {
 		t.Fatal("no scripts")
@@ -37,8 +37,8 @@
 	}
 }
 
-// A sweep that is clean because it reaches nothing proves nothing. No seed may break a rule, and together they must reach the
-// error paths that matter.
+// A clean sweep proves nothing if it does not reach the code in question. No seed may break a rule, and together the seeds
+// must reach the important error paths.
 func TestSweepBreaksNoRuleAndReachesErrorPaths(t *testing.T) {
 	reached := map[string]int{}
 	for seed := uint64(1); seed <= 120; seed++ {
@@ -60,16 +60,16 @@
 	}
 }
 
-// A run that depends on the machine can't be replayed. A script's events must be the same on every run, whatever else runs and
-// however many processors there are.
+// A run that depends on the machine can't be replayed. The events of a script must be the same in every run, for any number
+// of processors and any other load.
 func TestRunIsSameOnAnyNumberOfProcessors(t *testing.T) {
 	for seed := uint64(200); seed < 206; seed++ {
 		var logs [3]strings.Builder
 		var sums [3]uint64
 		for i := range logs {
-			was := runtime.GOMAXPROCS([]int{1, 4, 2}[i])
+			previous := runtime.GOMAXPROCS([]int{1, 4, 2}[i])
 			o, err := Run(Generate(seed, DefaultProfile()), Options{ContinueAfterViolation: true, Log: func(at time.Duration, what string) { fmt.Fprintln(&logs[i], at, what) }})
-			runtime.GOMAXPROCS(was)
+			runtime.GOMAXPROCS(previous)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -81,7 +81,8 @@
 	}
 }
 
-// A script that leaves something out replays as another run. Written and read back it must give the same digest and text.
+// A script whose text omits a setting would replay as a different run. After it was written and read back, a script must
+// give the same digest and text.
 func TestScriptReadBackGivesSameRun(t *testing.T) {
 	for seed := uint64(300); seed < 320; seed++ {
 		s := Generate(seed, DefaultProfile())
@@ -92,13 +93,13 @@
 		a, _ := Run(s, Options{ContinueAfterViolation: true})
 		b, _ := Run(back, Options{ContinueAfterViolation: true})
 		if a.Digest != b.Digest || back.Text() != s.Text() {
-			t.Errorf("seed %d reads back as another script:\n%s%s", seed, s.Text(), back.Text())
+			t.Errorf("seed %d reads back as a different script:\n%s%s", seed, s.Text(), back.Text())
 		}
 	}
 }
 
-// If faults drew from the stream of the traffic, a script without one of its faults would have other requests, and the shrinker
-// would compare unlike runs. Another fault must not shift the traffic.
+// If faults drew from the random source of the traffic, a script without one of its faults would have different requests, and
+// the shrinker would compare unrelated runs. An additional fault must not change the traffic.
 func TestFaultsDoNotShiftTraffic(t *testing.T) {
 	requests := func(faults string) string {
 		s, err := ReadScript("x", []byte("version: 1\nseed: 9\nseconds: 5\nclients: {retries: 0}\ntroubles: "+faults))
@@ -114,12 +115,12 @@
 		return out.String()
 	}
 	if a, b := requests("[]"), requests("[{at: 1s, for: 2s, verb: hang, target: box-0}, {at: 2s, verb: empty, target: keeper}]"); a != b || a == "" {
-		t.Error("the traffic is another")
+		t.Error("the traffic differs")
 	}
 }
 
-// Each mistake in a script must be reported with the file and the field.
-func TestScriptMistakesNameFileAndField(t *testing.T) {
+// Each error in a script must be reported with the file and the field.
+func TestScriptErrorsNameFileAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"version: 0\n":                  "reads scripts of version 1",
 		"version: 2\n":                  "reads scripts of version 1",
@@ -136,7 +137,7 @@
 	}
 }
 
-// Hours of virtual time must be no different: timers far apart, and faults at the end.
+// A run of hours of virtual time must break no rule: its timers are far apart, and its faults are at the end.
 func TestRunOfHoursBreaksNoRule(t *testing.T) {
 	s, err := ReadScript("x", []byte("version: 1\nseed: 3\nseconds: 14400\nrate: 0.2\ndoors: 2\ntroubles: [{at: 3h, for: 10s, verb: silent, target: keeper}, {at: 3h1m, for: 2s, verb: kill, target: door-1}]\n"))
 	if err != nil {
@@ -148,7 +149,7 @@
 	}
 }
 
-// Users run the simulator on their own configuration; it must serve, and break no rule.
+// Users run the simulator with their own configuration. Requests must be served, and no rule may be broken.
 func TestUserConfigurationRuns(t *testing.T) {
 	cfg, err := config.Load("../../examples/kilns/gateway.yaml")
 	if err != nil {
@@ -166,6 +167,6 @@
 		served += o.Reached["try served"]
 	}
 	if served == 0 {
-		t.Error("nothing is served")
+		t.Error("no request was served")
 	}
 }
--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Sweep runs the scripts of a range of seeds on several workers.
+// Sweep runs the scripts of a range of seeds with several workers.
 type Sweep struct {
 	First, Last            uint64
 	Profile                Profile
-	Script                 *Script // run with each seed; nil: each seed generates its own
+	Script                 *Script // script to run with each seed; nil: each seed generates one
 	Options                Options
 	Workers                int
-	ContinueAfterViolation bool              // instead of ending the sweep
-	Progress               func(done uint64) // called after each run, one at a time; may be nil
-	OnFailedSeed           func(FailedSeed)  // called with each find, one at a time; may be nil
+	ContinueAfterViolation bool              // does not end the sweep at a violation
+	Progress               func(done uint64) // called after each run, without concurrency; may be nil
+	OnFailedSeed           func(FailedSeed)  // called with each failed seed, without concurrency; may be nil
 }
 
 // FailedSeed is a seed whose run broke a rule.
@@ -29,10 +29,11 @@
 	What string        `json:"what"`
 }
 
-// SweepResult is the result of a sweep. Slices by seed have an entry for each seed of the range, zero where it was not run.
+// SweepResult is the result of a sweep. Slices by seed have an entry for each seed of the range, which
+// is zero if the seed was not run.
 type SweepResult struct {
-	Seeds        uint64              `json:"seeds"` // that were run
-	FailedSeeds  []FailedSeed        `json:"finds"` // in the order of seeds, at most maxFinds
+	Seeds        uint64              `json:"seeds"` // number of seeds that were run
+	FailedSeeds  []FailedSeed        `json:"finds"` // in the order of seeds, at most maxFailedSeeds
 	Violating    uint64              `json:"broken"`
 	Events       uint64              `json:"events"`
 	Requests     uint64              `json:"tries"`
@@ -40,21 +41,21 @@
 	Elapsed      time.Duration       `json:"took_ns"`
 	Reached      map[string]int      `json:"reached"`
 	Scenarios    map[string]int      `json:"shapes"`
-	Exemptions   map[string]int      `json:"excuses"`  // cases that a check exempted, by reason
-	Nearness     [][nearnessBins]int `json:"nearness"` // runs by rule and twentieth of its limit, the last at or beyond it
+	Exemptions   map[string]int      `json:"excuses"`  // number of cases that a check exempted, by reason
+	Nearness     [][nearnessBins]int `json:"nearness"` // number of runs by rule and by twentieth of its limit; the last bin is at or beyond the limit
 	ValueServed  []float64           `json:"worth"`    // by seed
 	CounterCalls []uint64            `json:"calls"`    // by seed
-	FaultPairs   map[[2]string]int   `json:"-"`        // runs by two verbs that met in them
+	FaultPairs   map[[2]string]int   `json:"-"`        // number of runs by pair of verbs that occurred in them
 }
 
 const (
-	nearnessBins   = 22   // one for runs without a case, twenty of a twentieth each, one beyond the limit
-	maxFailedSeeds = 1000 // kept, so that a sweep in which every seed fails stays within memory
+	nearnessBins   = 22   // one for runs without a case, twenty of a twentieth each, and one at or beyond the limit
+	maxFailedSeeds = 1000 // limits the memory of a sweep in which every seed fails
 )
 
-// Run runs the scripts. The error is that of a run that could not begin.
+// Run runs the scripts. It returns an error if a run could not start.
 func (w Sweep) Run() (SweepResult, error) {
-	begun := time.Now()
+	startedAt := time.Now()
 	p := &sweepProgress{Sweep: w, result: newSweepResult(w.Last - w.First + 1)}
 	p.next.Store(w.First)
 	var workers sync.WaitGroup
@@ -64,11 +65,11 @@
 	workers.Wait()
 	r := p.result
 	slices.SortFunc(r.FailedSeeds, func(a, b FailedSeed) int { return int(int64(a.Seed - b.Seed)) })
-	r.Elapsed = time.Since(begun)
+	r.Elapsed = time.Since(startedAt)
 	return r, p.err
 }
 
-// sweepProgress is a sweep that is running. Workers take seeds from next and share the rest under mu.
+// sweepProgress is a running sweep. Workers take seeds from next. mu guards result and err.
 type sweepProgress struct {
 	Sweep
 	next atomic.Uint64
@@ -79,7 +80,7 @@
 	err    error
 }
 
-// work runs seeds until there is none, or the sweep stops.
+// work runs seeds until none is left or the sweep stops.
 func (p *sweepProgress) work() {
 	for !p.stop.Load() {
 		seed := p.next.Add(1) - 1
@@ -130,7 +131,7 @@
 	return &s
 }
 
-// add adds the run of a seed, whose place in the slices by seed is i.
+// add adds the run of a seed. i is its index in the slices by seed.
 func (r *SweepResult) add(seed, i uint64, s *Script, o Outcome) {
 	r.Seeds++
 	r.Events, r.Requests, r.Virtual = r.Events+o.Events, r.Requests+uint64(o.Requests), r.Virtual+o.Virtual
@@ -156,7 +157,7 @@
 	}
 }
 
-// addCoverage adds what a run reached, the cases that it exempted, and the pairs of faults that met in it.
+// addCoverage adds what a run reached, the cases that were exempted, and the pairs of faults that occurred in it.
 func (r *SweepResult) addCoverage(o Outcome) {
 	var verbs []string
 	for k, n := range o.Reached {
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -10,25 +10,25 @@
 	"sandyard/invariant"
 )
 
-// The mix of the traffic.
+// Parameters of the traffic.
 const (
-	maxWorkFactor      = 6    // of the mean work of a request: more would outlast deadlines by itself
-	otherInstanceShare = 0.25 // of a customer's requests, that come through the next of its instances
+	maxWorkFactor      = 6    // largest work of a request, as a multiple of the mean: more would exceed deadlines by itself
+	otherInstanceShare = 0.25 // share of a customer's requests that go to the next of its instances
 )
 
-// generateRequest draws the next operation, and schedules the one after it.
+// generateRequest starts a random operation, and schedules the next one.
 func (s *Sim) generateRequest() {
 	if s.now > s.script.trafficTime() {
 		s.closeIdleClients()
 		return
 	}
 	rng := s.traffic
-	weights, sum, usual := s.customerWeights()
+	weights, sum, baseSum := s.customerWeights()
 	rate := s.script.Rate
 	if f, ok := s.surges[fault.TargetAll]; ok {
 		rate *= f
 	}
-	rate *= sum / usual
+	rate *= sum / baseSum
 	pick, customer := rng.Float64()*sum, 0
 	for ; customer < len(weights)-1 && pick >= weights[customer]; customer++ {
 		pick -= weights[customer]
@@ -39,7 +39,7 @@
 	s.scheduleAfter(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), s.generateRequest)
 }
 
-// closeIdleClients closes the connections without a request, once the traffic is over.
+// closeIdleClients closes the idle client connections after the traffic has ended.
 func (s *Sim) closeIdleClients() {
 	for _, pool := range s.clientPools {
 		for _, c := range append([]*clientConn(nil), pool.idle...) {
@@ -48,9 +48,9 @@
 	}
 }
 
-// customerWeights returns each customer's weight in the traffic, its plan's rate times its surges, their sum, and the sum
-// without surges.
-func (s *Sim) customerWeights() (weights []float64, sum, usual float64) {
+// customerWeights returns each customer's weight in the traffic, which is its plan's rate times its surges. It also returns
+// the sum of the weights, and that sum without surges.
+func (s *Sim) customerWeights() (weights []float64, sum, baseSum float64) {
 	weights = make([]float64, len(s.config.Customers))
 	for i, customer := range s.config.Customers {
 		weight := 1.0
@@ -58,7 +58,7 @@
 		if rate := float64(s.config.Plans[plan].Rate); rate > 0 {
 			weight = rate
 		}
-		usual += weight
+		baseSum += weight
 		for _, name := range [2]string{customer.Name, customer.Plan} {
 			if f, ok := s.surges[name]; ok {
 				weight *= f
@@ -67,10 +67,10 @@
 		weights[i] = weight
 		sum += weight
 	}
-	return weights, sum, usual
+	return weights, sum, baseSum
 }
 
-// startOperation sends the request, or pipelined requests, of one operation of a client.
+// startOperation sends the request or the pipelined requests of one operation of a client, or has a client misbehave.
 func (s *Sim) startOperation(customer, number int, rng *rand.Rand) {
 	switch x := rng.Float64(); {
 	case x < s.invalidShare:
@@ -118,10 +118,10 @@
 
 // instanceFor draws the instance that a customer's request is sent to.
 func (s *Sim) instanceFor(customer int, rng *rand.Rand) int {
-	cu := s.config.CustomerByName(s.config.Customers[customer].Name)
-	turn := s.trafficMoves[cu.Name]
+	c := s.config.CustomerByName(s.config.Customers[customer].Name)
+	offset := s.trafficMoves[c.Name]
 	if rng.Float64() < otherInstanceShare {
-		turn++
+		offset++
 	}
-	return (cu.First + turn%max(1, cu.Spread)) % len(s.instances)
+	return (c.First + offset%max(1, c.Spread)) % len(s.instances)
 }
--- a/internal/sourcetext/sourcetext.go
+++ b/internal/sourcetext/sourcetext.go
@@ -1,4 +1,4 @@
-// Package sourcetext joins the source of a package that embeds its own files, for digests of what the package does.
+// Package sourcetext concatenates the source of a package that embeds its own files, as the input of a digest of its code.
 package sourcetext
 
 import (
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Join returns the Go files of a package's folder without its tests, in the order of their names. It panics if a file
-// can't be read, which can't happen to files that are part of the program.
+// Join returns the concatenated Go files of folder without its tests, in the order of their names. It panics if a file
+// can't be read, which does not happen for embedded files.
 func Join(folder embed.FS) string {
 	files, err := folder.ReadDir(".")
 	if err != nil {
