--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -223,7 +223,7 @@
 func (s *Server) noteLateness(now, late time.Duration) {
 	s.maxLateness = max(s.maxLateness, late)
 	s.recentLateness.note(now, late)
-	s.shared.ExpectLateness(s.recentLateness.at(now))
+	s.shared.SetExpectedTimerDelay(s.recentLateness.at(now))
 	if s.debug && late >= notableLateness {
 		s.log.Debug("event loop late", "ms", late.Milliseconds())
 	}
--- a/proxy/attempts.go
+++ b/proxy/attempts.go
@@ -6,30 +6,31 @@
 	"sandyard/decision"
 )
 
-// usableKeyLife is the share of an idempotency key's lifetime, from an attempt's first byte, within which a retry with the
-// same key may begin. The decision gateway decides on retries within a smaller share, 0.9 (keyTTLShare), which leaves time
-// for a connection to be made. The rest, a twentieth, is for the retry to reach the backend: one that arrives after the key
-// was forgotten would have its effect twice.
-const usableKeyLife = 0.95
-
-// unhandledGraceDivisor sets the part of a drain grace for which a message of the endpoint list may wait while attempts
-// begin: the first half. The other half is for the request to reach the backend.
+// usableKeyTTLShare is the share of an idempotency key's lifetime, counted from an attempt's first byte, within which a
+// retry with the same key may start. The decision gateway decides on retries within a smaller share, 0.9 (keyTTLShare),
+// which leaves time to connect. The remaining twentieth is for the retry to reach the backend: a retry that arrives after
+// the key has expired would take effect twice.
+const usableKeyTTLShare = 0.95
+
+// unhandledGraceDivisor sets the fraction of the drain grace for which an endpoint list message may wait while attempts are
+// still started: half of it. The other half is for the request to reach the backend.
 const unhandledGraceDivisor = 2
 
-// minUnhandledTime is for a message that has just come to be read and handed over, where a deployment has no drain grace.
+// minUnhandledTime is the time allowed for reading and handling a new endpoint list message if the drain grace is zero or
+// very short.
 const minUnhandledTime = 20 * time.Millisecond
 
-// attempt is one sending of an exchange to a backend. It is decided on by the decision gateway, begins with its first
-// byte, and ends exactly once, with endAttempt.
+// attempt is one attempt to send an exchange to a backend. It is created by a decision of the decision gateway, starts with
+// its first byte, and ends exactly once, with endAttempt.
 type attempt struct {
-	conn        *BackendConn  // nil until it has one, and after its end
-	decidedAt   time.Duration // when the decision gateway chose it
-	deadline    time.Duration // when it is given up
-	firstByteAt time.Duration // when it was written; 0: it has not been
+	conn        *BackendConn  // nil before a connection is assigned and after the attempt's end
+	decidedAt   time.Duration // when the decision gateway decided to send it
+	deadline    time.Duration // when it times out
+	firstByteAt time.Duration // when it was written; 0: not yet
 	open        bool          // it has not ended
 }
 
-// sendAttempt carries out the decision gateway's action: it opens an attempt and assigns it a connection.
+// sendAttempt executes the decision gateway's action: it opens an attempt and assigns it a connection.
 func (inst *Instance) sendAttempt(action decision.SendAttempt) {
 	ex := inst.requests[action.Request]
 	if ex == nil {
@@ -49,8 +50,8 @@
 	inst.assignConn(ex, index, inst.backends[action.Backend])
 }
 
-// startProbe carries out the decision gateway's action: it sends a health check as an exchange without a client, whose
-// only attempt is its whole life.
+// startProbe executes the decision gateway's action: it sends a health check as an exchange that has no client and a single
+// attempt, and that ends with the attempt.
 func (inst *Instance) startProbe(action decision.Probe) {
 	backend := inst.backends[action.Backend]
 	if backend == nil {
@@ -76,8 +77,8 @@
 	inst.assignConn(ex, 0, backend)
 }
 
-// writeAttempt begins an attempt on a connected connection that carries no other: it is the only place where the first
-// byte of an attempt goes out, and checks just before it what may have changed since the attempt was decided on.
+// writeAttempt starts an attempt on an established connection that carries no other attempt. It is the only place where the
+// first byte of an attempt is sent, and first checks whether the decision to send the attempt is still valid.
 func (inst *Instance) writeAttempt(conn *BackendConn, ex *Exchange, index int) {
 	if inst.isObsolete(conn, ex, index) {
 		inst.returnToPool(conn)
@@ -92,30 +93,30 @@
 	inst.emit(Effect{Kind: WriteAttempt, Conn: conn, Exchange: ex, Bytes: rendered})
 }
 
-// isObsolete reports whether an attempt must not begin any more, although it was decided on: connecting took a while. In
-// each case its first byte would go to the wrong process or to a backend that is about to end, or serve nobody, or could
-// have an effect twice.
+// isObsolete reports whether an attempt must not start any more because circumstances changed since the decision, for
+// example while the connection was being established. The attempt would reach the wrong process or a backend that is about
+// to stop, would run for a client that no longer waits, or could take effect twice.
 func (inst *Instance) isObsolete(conn *BackendConn, ex *Exchange, index int) bool {
 	backend := conn.backend
 	switch {
-	case !backend.isSameProcess(conn): // another process has the address, and what was decided for the first does not hold for it
+	case !backend.isSameProcess(conn): // another process now has the address, and the decision was made for the old one
 		return true
-	case backend.endpoint.State != decision.Up: // it drains and wants nothing new, or is gone, also where it still answers
+	case backend.endpoint.State != decision.Up: // it drains and accepts no new requests, or is removed, even if it still responds
 		return true
-	case inst.endpointsOutdated(): // what waits to be read or handled may be that the backend drains
+	case inst.endpointsOutdated(): // the waiting message may say that the backend drains
 		return true
 	case ex.isProbe:
 		return false
-	case ex.state != Forwarding || ex.unawaited.Load(): // answered, or nobody waits for it; some deployments don't cancel attempts
+	case ex.state != Forwarding || ex.clientDone.Load(): // already answered, or the client left; some deployments don't cancel attempts
 		return true
-	case inst.now >= ex.attempts[index].deadline: // there is no time left for the backend
+	case inst.now >= ex.attempts[index].deadline: // no time is left for the backend
 		return true
 	}
 	return inst.keyMayHaveExpired(ex, index)
 }
 
-// endpointsOutdated reports whether a message of the endpoint list has waited for so long that a backend's drain grace may
-// end before a request is there.
+// endpointsOutdated reports whether an endpoint list message has been waiting for so long that a backend's drain grace may
+// end before a request reaches it.
 func (inst *Instance) endpointsOutdated() bool {
 	if inst.EndpointsUnhandledFor == nil {
 		return false
@@ -124,8 +125,8 @@
 	return inst.EndpointsUnhandledFor() >= max(allowed, minUnhandledTime)
 }
 
-// keyMayHaveExpired reports whether an attempt would repeat what an earlier one may have run, so late that backends may
-// have forgotten its idempotency key by the time it arrives. It shows as an effect that happens twice.
+// keyMayHaveExpired reports whether an attempt would repeat a request that an earlier attempt may have run, so late that
+// backends may have forgotten the idempotency key when the attempt arrives. The request would then take effect twice.
 func (inst *Instance) keyMayHaveExpired(ex *Exchange, index int) bool {
 	if ex.isProbe {
 		return false
@@ -134,7 +135,7 @@
 	if class.Idempotency != decision.IdempotentByKey {
 		return false
 	}
-	usable := time.Duration(usableKeyLife * float64(class.KeyTTL))
+	usable := time.Duration(usableKeyTTLShare * float64(class.KeyTTL))
 	for i := range ex.attempts[:index] {
 		firstByteAt := ex.attempts[i].firstByteAt
 		if firstByteAt > 0 && inst.now >= firstByteAt+usable {
@@ -144,7 +145,7 @@
 	return false
 }
 
-// cancelAttempt carries out the decision gateway's action.
+// cancelAttempt executes the decision gateway's action.
 func (inst *Instance) cancelAttempt(action decision.CancelAttempt) {
 	ex, index := inst.requests[action.Request], action.Attempt
 	if ex == nil || index < 0 || index >= len(ex.attempts) || !ex.attempts[index].open {
@@ -155,13 +156,14 @@
 	}
 }
 
-// abandonAttempt ends an attempt from the instance's side. Where it was written its connection is closed, which is the
-// only means to cancel a request in HTTP/1.1; one that is still being made may serve another attempt.
+// abandonAttempt ends an attempt that timed out or was cancelled. If the attempt was written, its connection is closed,
+// which is the only way to cancel a request in HTTP/1.1. A connection that is still being established is kept, and may
+// serve another attempt.
 func (inst *Instance) abandonAttempt(ex *Exchange, index int, outcome decision.Outcome) {
 	conn := ex.attempts[index].conn
 	if conn != nil && conn.state == connDialing {
 		conn.exchange = nil
-		if outcome == decision.Cancelled { // the backend has seen nothing of it
+		if outcome == decision.Cancelled { // nothing was sent to the backend
 			outcome = decision.NotSent
 		} else {
 			outcome = decision.ConnectFailed
@@ -174,8 +176,9 @@
 	inst.endAttemptWithOutcome(ex, index, outcome, ex.state != Forwarding)
 }
 
-// failAttempt ends an attempt that brought no complete response. A response that was being streamed is cut off at the
-// client, which sees that it is not complete; else the decision gateway chooses between a retry and an answer.
+// failAttempt ends an attempt that produced no complete response. If its response was being streamed, the client's
+// connection is aborted, so that the client sees that the response is incomplete. Otherwise the decision gateway decides
+// between a retry and an answer.
 func (inst *Instance) failAttempt(ex *Exchange, index int, outcome decision.Outcome) {
 	if ex.state == Streaming && ex.streamingAttempt == index && ex.apply(eventResponseEnded) {
 		inst.unanswered--
@@ -189,14 +192,14 @@
 	inst.endAttemptWithOutcome(ex, index, outcome, ex.state != Forwarding)
 }
 
-// endAttemptWithOutcome ends an attempt of which only the outcome is known. answered says that the client has its final
-// answer, or has left.
+// endAttemptWithOutcome ends an attempt of which only the outcome is known. answered reports whether the client has its
+// final answer or has left.
 func (inst *Instance) endAttemptWithOutcome(ex *Exchange, index int, outcome decision.Outcome, answered bool) {
 	inst.endAttempt(ex, index, decision.AttemptEnded{Outcome: outcome, Answered: answered})
 }
 
-// endAttempt ends an attempt and reports it to the decision gateway, once; for one that has ended it does nothing. The
-// caller fills what only it knows: Outcome, Answered, Load and Units.
+// endAttempt ends an attempt and reports its end to the decision gateway. It does nothing if the attempt has already ended.
+// The caller sets Outcome, Answered, Load and Units.
 func (inst *Instance) endAttempt(ex *Exchange, index int, ended decision.AttemptEnded) {
 	attempt := &ex.attempts[index]
 	if !attempt.open {
@@ -214,7 +217,7 @@
 		ended.Backend = attempt.conn.backend.endpoint.Backend
 		ended.RoundTrip = attempt.conn.backend.roundTrip.shortest()
 		if attempt.firstByteAt > attempt.decidedAt {
-			ended.RoundTrip *= 2 // it waited for its connection to be made, which takes a round trip of its own
+			ended.RoundTrip *= 2 // it waited for its connection, which takes another round trip to establish
 		}
 	}
 	attempt.conn = nil
--- a/proxy/attempts_test.go
+++ b/proxy/attempts_test.go
@@ -8,15 +8,14 @@
 	"sandyard/config"
 )
 
-// changeWhileConnecting is what happens between the decision to send an attempt and its first byte, and whether the attempt
-// is written all the same.
+// changeWhileConnecting is a change between the decision to send an attempt and its first byte.
 type changeWhileConnecting struct {
 	name   string
 	change func(r *harness, client *ClientConn, ex *Exchange)
-	writes bool
+	writes bool // the attempt must still be written
 }
 
-// changesWhileConnecting are the changes that TestAttemptIsCheckedBeforeFirstByte makes.
+// changesWhileConnecting returns the cases of TestAttemptIsCheckedBeforeFirstByte.
 func changesWhileConnecting() []changeWhileConnecting {
 	removed := endpointList(1, 0)
 	removed[0].State = config.EndpointState(2)
@@ -25,27 +24,27 @@
 		{"the client left", func(r *harness, client *ClientConn, ex *Exchange) {
 			r.instance.ClientLeft(r.now, client.Disconnected())
 		}, false},
-		{"the client left, and the instance does not know yet", func(r *harness, client *ClientConn, ex *Exchange) { client.Disconnected() }, false},
-		{"its time is up", func(r *harness, client *ClientConn, ex *Exchange) { r.now = r.instance.answerDeadline(ex) }, false},
-		{"a whole endpoint list leaves its backend out", func(r *harness, client *ClientConn, ex *Exchange) {
+		{"the client left, and the instance was not notified yet", func(r *harness, client *ClientConn, ex *Exchange) { client.Disconnected() }, false},
+		{"its deadline has passed", func(r *harness, client *ClientConn, ex *Exchange) { r.now = r.instance.answerDeadline(ex) }, false},
+		{"a full endpoint list does not contain its backend", func(r *harness, client *ClientConn, ex *Exchange) {
 			r.instance.ReplaceEndpoints(r.now, EndpointsUpdate{Endpoints: nil})
 		}, false},
 		{"its backend is removed", func(r *harness, client *ClientConn, ex *Exchange) {
 			r.instance.UpdateEndpoints(r.now, EndpointsUpdate{Endpoints: removed})
 		}, false},
-		{"its backend began to drain, and a whole endpoint list leaves it out", func(r *harness, client *ClientConn, ex *Exchange) {
+		{"its backend started to drain, and a full endpoint list does not contain it", func(r *harness, client *ClientConn, ex *Exchange) {
 			r.instance.UpdateEndpoints(r.now, EndpointsUpdate{Endpoints: endpointList(1, 1)})
 			r.instance.ReplaceEndpoints(r.now, EndpointsUpdate{Endpoints: nil})
 		}, false},
-		{"its backend has just begun to drain", func(r *harness, client *ClientConn, ex *Exchange) {
+		{"its backend has just started to drain", func(r *harness, client *ClientConn, ex *Exchange) {
 			r.instance.UpdateEndpoints(r.now, EndpointsUpdate{Endpoints: endpointList(1, 1)})
 		}, false},
 	}
 }
 
-// Connections take time to be made. Meanwhile a client leaves, a deadline passes, or the endpoint list removes the
-// backend; a request that is written all the same runs for nobody, or on a backend that is going away. Each case is one
-// change between the decision and the first byte, in a deployment that does not cancel attempts.
+// While a connection is being established, the client may leave, the deadline may pass, or the endpoint list may remove the
+// backend. A request that is written anyway runs for a client that no longer waits, or on a backend that is about to stop.
+// Each case makes one change between the decision and the first byte, in a deployment that does not cancel attempts.
 func TestAttemptIsCheckedBeforeFirstByte(t *testing.T) {
 	withoutCancel := strings.Replace(harnessConfig, "attempts: {most: 3}", "attempts: {most: 3, cancel: false}", 1)
 	for _, c := range changesWhileConnecting() {
@@ -56,13 +55,13 @@
 		r.collect()
 		r.instance.BackendConnected(r.now, dial.Conn)
 		if wrote := r.hasEffect(WriteAttempt); wrote != c.writes {
-			t.Errorf("%s: it is written: %v", c.name, wrote)
+			t.Errorf("%s: the attempt is written: %v", c.name, wrote)
 		}
 	}
 }
 
-// A whole endpoint list left a backend out while a connection to it was being made, and an update named it again. The
-// attempt begins: the backend is there.
+// While a connection is being established, a full endpoint list omits its backend, and an update lists it again. The attempt
+// must start, because the backend is listed.
 func TestRemovedEndpointReturnsWhileConnecting(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	r.request("GET", "/look", "ka", "")
@@ -74,12 +73,12 @@
 	r.want(WriteAttempt)
 }
 
-// The first attempt of a request with an idempotency key may have run; its retry waited long for a connection. Written
-// after the backend may have forgotten the key, it would have its effect twice, and so it does not go out.
+// The first attempt of a request with an idempotency key may have run, and its retry waits long for a connection. The retry
+// must not be written after the backend may have forgotten the key, because the request could take effect twice.
 func TestIdempotencyKeyExpiresWhileConnecting(t *testing.T) {
 	for _, c := range []struct {
-		late time.Duration
-		out  bool
+		delay  time.Duration
+		writes bool
 	}{{100 * time.Millisecond, true}, {200 * time.Millisecond, false}} {
 		r := newHarness(t, 2, 1, "")
 		r.shared.Config.Settings.Classes[1].KeyTTL = 150 * time.Millisecond
@@ -87,17 +86,17 @@
 		conn, _ := r.connect()
 		r.instance.BackendDisconnected(r.now, conn, false) // it may have run
 		second := r.want(DialBackend)
-		r.advance(c.late)
+		r.advance(c.delay)
 		r.instance.BackendConnected(r.now, second.Conn)
-		if out := r.hasEffect(WriteAttempt); out != c.out {
-			t.Errorf("%v after the first went out the repeat goes out: %v", c.late, out)
+		if wrote := r.hasEffect(WriteAttempt); wrote != c.writes {
+			t.Errorf("%v after the first attempt, the retry is written: %v", c.delay, wrote)
 		}
 	}
 }
 
-// A backend began to drain while a connection to it was being made. A request that is written late in the drain grace
-// is cut off with the process, so that it is not written; one that was written before is let finish, and its connection
-// is not kept.
+// A backend starts to drain while a connection to it is being established. A request that is written late in the drain grace
+// would be cut off when the process stops, so it must not be written. A request that was written before may finish, and its
+// connection is not reused.
 func TestBackendDrainsWhileConnecting(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	r.request("POST", "/pay", "ka", "Content-Length: 0\r\n")
@@ -107,7 +106,7 @@
 	r.instance.BackendConnected(r.now, dial.Conn)
 	r.wantNone(WriteAttempt)
 	r.want(CloseBackend)
-	r.wantResponse("503") // unsafe, but known not to have run: a refusal
+	r.wantResponse("503") // non-idempotent, but known not to have run: rejected
 
 	r = newHarness(t, 1, 1, "")
 	_, ex := r.request("POST", "/pay", "ka", "Content-Length: 0\r\n")
@@ -120,9 +119,9 @@
 	r.requireQuiescent()
 }
 
-// A backend's process was replaced by another at the same address while a connection was being made. What was decided
-// for the old one, which was warm, must not be written to the new one, which is cold. Nor is a connection kept that was
-// made to the process before.
+// A backend's process is replaced by another at the same address while a connection is being established. A request for the
+// old process, which was warm, must not be written to the new one, which is still cold. A connection to the old process must
+// not be reused.
 func TestBackendRestartsWhileConnecting(t *testing.T) {
 	restarted := endpointList(1, 0)
 	restarted[0].Started = config.Timestamp(time.Unix(100, 0))
@@ -135,9 +134,9 @@
 		t.Error("another connection was closed")
 	}
 	r.wantNone(WriteAttempt)
-	conn, ex := r.connect() // unsafe, but known not to have run: tried again
+	conn, ex := r.connect() // non-idempotent, but known not to have run: retried
 	if conn == dial.Conn {
-		t.Error("the same connection")
+		t.Error("the retry uses the same connection")
 	}
 	r.reply(conn, ex, ok200)
 	r.wantResponse("200")
@@ -152,8 +151,8 @@
 	r.requireQuiescent()
 }
 
-// A connection was made late. The time that the attempt tells the backend is what is left at the first byte, not at the
-// decision.
+// A connection is established late. The timeout that the attempt sends to the backend must be the time left at the first
+// byte, not at the decision.
 func TestAttemptCarriesRemainingTime(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	_, ex := r.request("GET", "/look", "ka", "")
@@ -164,11 +163,11 @@
 	r.instance.BackendConnected(r.now, dial.Conn)
 	r.want(WriteAttempt)
 	if want := ex.attempts[0].deadline - r.now; *reported.remaining != want || want <= 0 || r.now+want > r.instance.answerDeadline(ex) {
-		t.Errorf("the attempt carries %v, %v is left", *reported.remaining, want)
+		t.Errorf("the attempt carries %v, but %v is left", *reported.remaining, want)
 	}
 }
 
-// recordedTimeout keeps the time that the last attempt was told of.
+// recordedTimeout is a protocol that records the timeout of the last attempt.
 type recordedTimeout struct {
 	*configuredProtocol
 	remaining *time.Duration
--- a/proxy/backendconn.go
+++ b/proxy/backendconn.go
@@ -7,34 +7,35 @@
 	"sandyard/decision"
 )
 
-// BackendConn is a connection to a backend as the instance knows it. Except for Owner it belongs to the instance's owner.
+// BackendConn is the instance's view of a connection to a backend. Except for Owner, it belongs to the instance's owner.
 type BackendConn struct {
-	Owner any    // the runtime's connection, for the runtime's use; set when it carries out DialBackend
-	Addr  string // host:port that it is made to
+	Owner any    // the runtime's connection, for the runtime's use; set when the runtime executes DialBackend
+	Addr  string // host:port that it connects to
 
 	backend        *backendEntry
-	processStarted config.Timestamp // start of the backend's process that it is made to, as the endpoint list said then
+	processStarted config.Timestamp // start of the backend's process, as listed when the connection was dialled
 	state          connState
-	exchange       *Exchange     // whose attempt it carries or is being made for; nil: none
-	attempt        int           // that attempt's number
-	dialStartedAt  time.Duration // when dialling began
-	idleSince      time.Duration // when it was last returned to the pool; 0 before
-	reportedLoad   []float64     // from the head of a response that is streamed, until its end
-	reportedUnits  float64       // likewise
+	exchange       *Exchange     // whose attempt it carries or is dialled for; nil: none
+	attempt        int           // number of that attempt
+	dialStartedAt  time.Duration // when dialling started
+	idleSince      time.Duration // when it was last returned to the pool; 0: never
+	reportedLoad   []float64     // load report in the head of a streamed response, kept until the response ends
+	reportedUnits  float64       // units reported there
 }
 
-// connState is where a backend connection stands.
+// connState is the state of a backend connection.
 type connState uint8
 
 // The states of a backend connection.
 const (
 	connDialing connState = iota // counted, not yet connected
 	connIdle                     // in its backend's idleConns
-	connBusy                     // carries an attempt, or has just ended one
-	connClosed                   // no longer counted; what is reported of it is ignored
+	connBusy                     // carries an attempt, or its attempt has just ended
+	connClosed                   // no longer counted; reports about it are ignored
 )
 
-// BackendConnected reports that a connection is made. The attempt that waits for it begins, unless it is obsolete by now.
+// BackendConnected reports that a connection is established. The attempt that waits for it starts, unless it has become
+// obsolete.
 func (inst *Instance) BackendConnected(now time.Duration, conn *BackendConn) {
 	inst.advanceTo(now)
 	if conn.state != connDialing {
@@ -43,7 +44,7 @@
 	if conn.Addr == conn.backend.addr {
 		conn.backend.roundTrip.add(inst.now-conn.dialStartedAt, inst.now)
 	}
-	if ex := conn.exchange; ex == nil { // its attempt is over
+	if ex := conn.exchange; ex == nil { // its attempt has ended
 		inst.returnToPool(conn)
 	} else {
 		inst.writeAttempt(conn, ex, conn.attempt)
@@ -51,9 +52,9 @@
 	inst.drainEvents()
 }
 
-// BackendDisconnected reports that a connection could not be made or is lost. requestIncomplete says that not all of the
-// request was written: the attempt on it is counted as not run, assuming that backends act only on complete requests. Else
-// it may have run.
+// BackendDisconnected reports that a connection could not be established or was lost. requestIncomplete means that the
+// request was not written completely: its attempt counts as not run, because backends are assumed to act only on complete
+// requests. Otherwise the request may have run.
 func (inst *Instance) BackendDisconnected(now time.Duration, conn *BackendConn, requestIncomplete bool) {
 	inst.advanceTo(now)
 	if conn.state == connClosed {
@@ -72,20 +73,20 @@
 	inst.drainEvents()
 }
 
-// ResponseReceived reports what a ResponseReader made of a connection's bytes: Complete, Started, Ended or Malformed;
-// NeedMore and Continued don't concern the instance. After Started the runtime reads on only when it gets the effect
-// StreamResponse or CloseBackend for the connection.
+// ResponseReceived reports what a ResponseReader returned for a connection: Complete, Started, Ended or Malformed. NeedMore
+// and Continued are not reported. After Started, the runtime must not read from the connection until it gets the effect
+// StreamResponse or CloseBackend for it.
 func (inst *Instance) ResponseReceived(now time.Duration, conn *BackendConn, response *Response) {
 	inst.advanceTo(now)
 	ex, index := conn.exchange, conn.attempt
 	if conn.state != connBusy || ex == nil {
-		inst.closeConn(conn) // bytes that answer no request
+		inst.closeConn(conn) // the bytes belong to no request
 		inst.drainEvents()
 		return
 	}
 	kind := response.Kind
 	if ex.state == Streaming && ex.streamingAttempt == index && (kind == Complete || kind == Started) {
-		kind = Malformed // another response within the one that is streamed
+		kind = Malformed // a second response before the end of the streamed one
 	}
 	switch kind {
 	case Complete:
@@ -104,7 +105,7 @@
 	inst.drainEvents()
 }
 
-// reuseOrClose gives a connection whose response is complete back to the pool, or closes it.
+// reuseOrClose returns a connection whose response is complete to the pool, or closes it.
 func (inst *Instance) reuseOrClose(conn *BackendConn, reuse bool) {
 	conn.exchange = nil
 	if reuse {
@@ -114,7 +115,7 @@
 	}
 }
 
-// completeResponse passes a complete response on to the client, if that has no answer yet and the attempt succeeded.
+// completeResponse forwards a complete response to the client if the attempt succeeded and the client has no answer yet.
 func (inst *Instance) completeResponse(ex *Exchange, index int, response *Response) {
 	outcome := response.Outcome
 	answered := ex.state != Forwarding
@@ -127,13 +128,13 @@
 	inst.endAttempt(ex, index, decision.AttemptEnded{Outcome: outcome, Answered: answered, Load: response.Load, Units: response.Units})
 }
 
-// startResponse begins to stream a response to the client, if that has no answer yet and the attempt succeeded.
+// startResponse starts to stream a response to the client if the attempt succeeded and the client has no answer yet.
 //
-// The attempt of a streaming class lasts until the response's end. Any other ends here: the backend has done its part, and
-// what the rest takes is up to how fast the client reads. Counted as the backend's latency it would make a slow client
-// look like a slow backend, and other requests would be rejected.
+// The attempt of a streaming class lasts until the end of the response. Any other attempt ends here: how long the rest takes
+// depends on how fast the client reads. If that time counted as the backend's latency, a slow client would look like a slow
+// backend, and other requests would be rejected.
 //
-// A ResponseReader starts no response to a health check, which has no client.
+// A ResponseReader never returns Started for a health check, which has no client.
 func (inst *Instance) startResponse(conn *BackendConn, response *Response) {
 	ex, index, outcome := conn.exchange, conn.attempt, response.Outcome
 	if outcome != decision.OK || !ex.apply(eventResponseStarted) {
--- a/proxy/backendconn_test.go
+++ b/proxy/backendconn_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A backend reset its connection in the middle of a response. While the response was held nothing has reached the
-// client, and another backend is tried; once it is streamed the client's connection is aborted, so that it sees that
-// the response is not complete.
+// A backend resets its connection in the middle of a response. If the response was buffered, nothing has reached the client,
+// and another backend must be tried. If it was streamed, the client's connection must be aborted, so that the client sees
+// that the response is incomplete.
 func TestResetMidResponse(t *testing.T) {
 	r := newHarness(t, 2, 1, "")
 	_, ex := r.request("GET", "/look", "ka", "")
@@ -28,14 +28,14 @@
 	}
 	r.instance.BackendDisconnected(r.now, effect.Conn, false)
 	if r.want(AbortClient).Exchange != ex {
-		t.Error("another exchange is cut")
+		t.Error("the client of another exchange is aborted")
 	}
 	r.wantNone(Respond)
 	r.requireQuiescent()
 }
 
-// Clients that read large responses slowly made their backend look slow, and the next requests were rejected. How long
-// a client takes over a streamed response is not part of the attempt's latency; others are admitted as before.
+// Clients that read large responses slowly made their backend look slow, and the next requests were rejected. The time that
+// a client takes to read a streamed response must not be part of the attempt's latency.
 func TestSlowClientIsNotCountedAsSlowBackend(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	for range 30 {
@@ -46,7 +46,7 @@
 		r.advance(5 * time.Second)
 		a := b.Feed([]byte(strings.Repeat("x", 1000)))
 		r.instance.ResponseReceived(r.now, conn, &a)
-		r.instance.ReplaceEndpoints(r.now, EndpointsUpdate{Endpoints: nil}) // so that each has a connection of its own
+		r.instance.ReplaceEndpoints(r.now, EndpointsUpdate{Endpoints: nil}) // so that each request has its own connection
 		r.instance.ReplaceEndpoints(r.now, EndpointsUpdate{Endpoints: endpointList(1, 0)})
 		r.effects = nil
 	}
@@ -57,10 +57,10 @@
 	r.requireQuiescent()
 }
 
-// A streamed response is not complete when its client gives up waiting, which would take it for one that goes on. It is
-// aborted at the exchange's deadline; that of a streaming class goes on.
+// A streamed response that is incomplete at the exchange's deadline must be aborted, or the client would keep waiting for
+// the rest until it times out. A response of a streaming class continues.
 func TestStreamBeyondClientTimeoutIsAborted(t *testing.T) {
-	for path, cut := range map[string]bool{"/look": true, "/feed": false} {
+	for path, aborts := range map[string]bool{"/look": true, "/feed": false} {
 		r := newHarness(t, 1, 1, "")
 		_, ex := r.request("GET", path, "ka", "")
 		conn, _ := r.connect()
@@ -69,26 +69,26 @@
 		r.advance(2*time.Second - 21*time.Millisecond)
 		r.wantNone(AbortClient)
 		r.advance(2 * time.Millisecond)
-		if !cut {
+		if !aborts {
 			r.wantNone(AbortClient)
 			continue
 		}
 		if r.want(AbortClient).Exchange != ex || r.want(CloseBackend).Conn != conn {
-			t.Error("another one is cut")
+			t.Error("another client or connection is aborted")
 		}
 		r.requireQuiescent()
 	}
 }
 
-// A backend sent more than its response. The bytes behind it belong to no request and would be taken for the next one's
-// response, so that the connection is closed.
-func TestBytesBehindResponseCloseConnection(t *testing.T) {
+// A backend sends extra bytes after its response. They belong to no request and would be taken for the response to the next
+// one, so the connection must be closed.
+func TestBytesAfterResponseCloseConnection(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	_, ex := r.request("GET", "/look", "ka", "")
 	conn, _ := r.connect()
 	r.reply(conn, ex, ok200+"HTTP/1.1 200 OK\r\n")
 	r.wantResponse("200")
 	if r.want(CloseBackend).Conn != conn {
-		t.Error("the connection is kept")
+		t.Error("the connection is not closed")
 	}
 }
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -7,12 +7,12 @@
 	"sandyard/config"
 )
 
-// benchmarkResponse is what a backend sends in BenchmarkExchange, with its load in a field.
+// benchmarkResponse is a backend's response in BenchmarkExchange, with a load report.
 const benchmarkResponse = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n" +
 	"endpoint-load-metrics: TEXT cpu_utilization=0.1, named_metrics.in_flight=1\r\nContent-Length: 2\r\n\r\nhi"
 
-// benchmarkRuntime carries out the effects of an instance without sockets: connections are made at once, and every attempt
-// is answered at once.
+// benchmarkRuntime executes the effects of an instance without sockets: connections are established at once, and every
+// attempt is answered at once.
 type benchmarkRuntime struct {
 	shared    *Shared
 	instance  *Instance
@@ -22,8 +22,8 @@
 	now       time.Duration
 }
 
-// newBenchmarkRuntime returns a runtime of the example's configuration, without the counter and with a plan that rejects
-// nothing.
+// newBenchmarkRuntime returns a runtime with the example's configuration, without the counter and with a plan that rejects
+// no request.
 func newBenchmarkRuntime(b *testing.B) *benchmarkRuntime {
 	b.Helper()
 	cfg, err := config.Load("../examples/kilns/gateway.yaml")
@@ -47,7 +47,7 @@
 	return r
 }
 
-// exchange brings a request in, 50 us after the one before, and carries out effects until there are none.
+// exchange sends a request, 50 us after the previous one, and executes effects until there are none.
 func (r *benchmarkRuntime) exchange(request []byte) {
 	r.now += 50 * time.Microsecond
 	if r.instance.NextTimer() <= r.now {
@@ -61,12 +61,12 @@
 			return
 		}
 		for _, effect := range effects {
-			r.carryOut(effect)
+			r.execute(effect)
 		}
 	}
 }
 
-func (r *benchmarkRuntime) carryOut(effect Effect) {
+func (r *benchmarkRuntime) execute(effect Effect) {
 	switch effect.Kind {
 	case DialBackend:
 		r.responses[effect.Conn] = NewResponseReader(r.shared)
@@ -82,7 +82,7 @@
 	}
 }
 
-// BenchmarkExchange is one request through all parts, without sockets: parsed, decided, sent and answered.
+// BenchmarkExchange measures one request through all parts without sockets: parsed, decided, sent and answered.
 func BenchmarkExchange(b *testing.B) {
 	r := newBenchmarkRuntime(b)
 	request := requestText("GET", "/v1/slots", "key-hill-school", "User-Agent: bench\r\nAccept: */*\r\n")
--- a/proxy/clientconn.go
+++ b/proxy/clientconn.go
@@ -6,29 +6,29 @@
 	"sandyard/internal/http1"
 )
 
-// phase is where a client's connection stands.
+// phase is the state of a client's connection.
 type phase uint8
 
 // The phases of a client's connection.
 const (
 	phaseIdle          phase = iota // between requests
-	phaseHead                       // a request has begun, and its head is not complete
-	phaseBody                       // its head is complete
-	phaseSkipBody                   // it gets a local response; its body is read and dropped
-	phaseAwaitResponse              // it is complete, and its response is awaited or under way
+	phaseHead                       // reading the head of a request
+	phaseBody                       // reading the body of a request
+	phaseSkipBody                   // discarding the body of a request that gets a local response
+	phaseAwaitResponse              // the request is complete, and its response is awaited or being sent
 	phaseClosing                    // no more requests are read
 )
 
 // ClientConn is a client's connection. It belongs to one owner at a time, and no method blocks.
 //
-// It parses one request at a time. Bytes that come while a response is awaited are kept, up to a bound, and parsed after
-// it, so that responses go out in the order of the requests.
+// It parses one request at a time. Bytes that arrive while a response is awaited are buffered, up to a limit, and parsed
+// after the response, so that responses are sent in the order of the requests.
 //
-// A client that closes its side counts as gone, as with most servers: a half-closed connection can't be distinguished from a
-// closed one until something is written to it.
+// A client that closes its side is treated as disconnected, as by most servers: a half-closed connection can't be
+// distinguished from a closed one until something is written to it.
 type ClientConn struct {
 	Outgoing      []byte // bytes for the client; the owner writes and removes them
-	LocalStatuses []int  // statuses of local responses that no decision is behind; the owner reports and removes them
+	LocalStatuses []int  // statuses of local responses that were sent without a decision; the owner reports and removes them
 
 	shared     *Shared
 	owner      any
@@ -36,32 +36,32 @@
 	reader     *http1.Reader
 	openedAt   time.Duration
 	phase      phase
-	phaseSince time.Duration // when the phase began
+	phaseSince time.Duration // when the phase started
 
-	// The request under way.
+	// The current request.
 	receivedAt       time.Duration // when the bytes that are being parsed were received
-	exchange         *Exchange     // from the end of its head until its response is out
+	exchange         *Exchange     // from the end of its head until its response is complete
 	head             *http1.Head
 	body             []byte // its capacity is reserved in Shared.ReservedBytes
 	trailers         []http1.Field
-	bytesToSkip      int64          // of phaseSkipBody: how much of the body is still read
-	localResponse    *localResponse // that it gets without a decision; nil: none
-	answerDeadline   time.Duration  // of phaseAwaitResponse: when the connection answers in place of the instance; 0: it does not
-	handedOutRequest bool           // a request was handed out for the instance to decide; local responses don't count
+	bytesToSkip      int64          // in phaseSkipBody: how many more bytes of the body are read
+	localResponse    *localResponse // response without a decision; nil: none
+	answerDeadline   time.Duration  // in phaseAwaitResponse: when the connection answers in place of the instance; 0: never
+	handedOutRequest bool           // Feed or Resume has returned a request for the instance; local responses don't count
 
-	// What came while a response was awaited.
+	// Bytes received while a response was awaited.
 	readAhead           []byte        // reserved in Shared.ReservedBytes
 	readAheadSince      time.Duration // when its first byte was received
-	readAheadOverflowed bool          // more came than is kept; what is kept is answered, and then the connection ends
+	readAheadOverflowed bool          // bytes beyond the limit were dropped; the connection closes after the buffered requests
 
-	// The connection's end.
-	closeAfterResponse bool // the response under way is its last
+	// Closing the connection.
+	closeAfterResponse bool // the current response is the last one
 	linger             bool // see Closing
 	mustReset          bool // see MustReset
 }
 
-// NewClientConn returns the machine of a new connection. owner becomes the Owner of its exchanges; clientAddr is the client's
-// IP address without a port.
+// NewClientConn returns the state machine of a new connection. owner becomes the Owner of its exchanges. clientAddr is the
+// client's IP address without a port.
 func NewClientConn(shared *Shared, owner any, clientAddr string, now time.Duration) *ClientConn {
 	limits := &shared.Config.Limits
 	return &ClientConn{
@@ -74,15 +74,15 @@
 	}
 }
 
-// Closing reports whether the connection is to be closed once Outgoing is written. linger says that a response may still be
-// on its way: the owner then reads and drops what comes for a while before it closes, since closing over unread bytes
-// resets the connection and could take the response with it.
+// Closing reports whether the connection must be closed after Outgoing is written. linger means that a response may still
+// be in transit: the owner must then read and discard incoming bytes for a while before it closes, because closing a socket
+// with unread bytes resets the connection, and the client could lose the response.
 func (c *ClientConn) Closing() (closing, linger bool) {
 	return c.phase == phaseClosing, c.linger || c.handedOutRequest
 }
 
-// MustReset reports whether a connection that closes must be reset once Outgoing is written: its response broke off, and a
-// regular end would look like the end of the response.
+// MustReset reports whether a closing connection must be reset after Outgoing is written: its response was cut off, and a
+// regular close would look like the end of the response.
 func (c *ClientConn) MustReset() bool { return c.mustReset }
 
 // AwaitingResponse reports whether a request is complete and its response is not.
@@ -91,13 +91,14 @@
 // Idle reports whether nothing of a request was received since the last response.
 func (c *ClientConn) Idle() bool { return c.phase == phaseIdle && len(c.readAhead) == 0 }
 
-// IdleSince reports, with Idle, since when the phase lasts and whether a request was handed out before, by Feed or Resume.
+// IdleSince returns when the current phase started, whether Feed or Resume has returned a request before, and the result of
+// Idle.
 func (c *ClientConn) IdleSince() (since time.Duration, handedOutRequest, idle bool) {
 	return c.phaseSince, c.handedOutRequest, c.Idle()
 }
 
-// Deadline returns when DeadlinePassed should be called if nothing else happens; 0 is never. A new connection has
-// limits.first-timeout in all until its first request is handed out; one that gets a local response does not count.
+// Deadline returns when DeadlinePassed must be called if nothing else happens; 0: never. A new connection has
+// limits.first-timeout until Feed or Resume returns its first request; requests that get a local response don't count.
 func (c *ClientConn) Deadline() time.Duration {
 	limits := &c.shared.Config.Limits
 	deadline := time.Duration(0)
@@ -119,8 +120,8 @@
 	return deadline
 }
 
-// DeadlinePassed closes the connection if its deadline has passed. A client that was sending a request gets 408; one that
-// awaits a response gets 504, and its connection goes on.
+// DeadlinePassed closes the connection if its deadline has passed. A client that was sending a request gets 408. A client
+// that awaits a response gets 504, and its connection stays open.
 func (c *ClientConn) DeadlinePassed(now time.Duration) {
 	if deadline := c.Deadline(); deadline == 0 || now < deadline {
 		return
@@ -136,13 +137,13 @@
 	c.close()
 }
 
-// Feed takes all of b in, which has been received now. It returns an exchange when a request is complete and for the
-// instance to decide; until its response is out no other follows, and nil is returned.
+// Feed consumes all of b, which was received now. It returns an exchange when a request is complete and needs a decision by
+// the instance, and nil otherwise. It returns no further exchange until the response is complete.
 func (c *ClientConn) Feed(now time.Duration, b []byte) *Exchange {
 	return c.FeedReceived(now, now, b)
 }
 
-// FeedReceived is Feed for bytes that were received at a time before now: the client's time counts from then.
+// FeedReceived is Feed for bytes that were received before now, at receivedAt. The client's timeout counts from receivedAt.
 func (c *ClientConn) FeedReceived(now, receivedAt time.Duration, b []byte) *Exchange {
 	if c.phase == phaseAwaitResponse {
 		if len(c.readAhead) == 0 {
@@ -151,7 +152,7 @@
 		c.storeReadAhead(b)
 		return nil
 	}
-	if len(c.readAhead) > 0 { // the owner has not resumed yet, and what came before comes first
+	if len(c.readAhead) > 0 { // the owner has not called Resume yet, and earlier bytes must be parsed first
 		c.storeReadAhead(b)
 		return c.Resume(now)
 	}
@@ -159,7 +160,8 @@
 	return c.parse(now, b)
 }
 
-// Resume parses what was kept while a response was awaited. The owner calls it after each response until it returns nil.
+// Resume parses the bytes that were buffered while a response was awaited. The owner calls it after each response until it
+// returns nil.
 func (c *ClientConn) Resume(now time.Duration) *Exchange {
 	if c.phase == phaseAwaitResponse || len(c.readAhead) == 0 {
 		return nil
@@ -168,36 +170,37 @@
 	c.receivedAt = c.readAheadSince
 	c.dropReadAhead()
 	ex := c.parse(now, b)
-	if ex == nil && c.readAheadOverflowed { // the bytes that would come next were dropped
+	if ex == nil && c.readAheadOverflowed { // the bytes that follow were dropped
 		c.linger = true
 		c.close()
 	}
 	return ex
 }
 
-// Disconnected reports that the client closed the connection, or that it is lost. It returns the exchange that waits for
-// its response, if any, for Instance.ClientLeft. From here on no attempt of that begins, however late the instance gets that report.
+// Disconnected reports that the client closed the connection, or that it was lost. It returns the exchange that awaits its
+// response, if any, for Instance.ClientLeft. From then on no attempt of the exchange starts, even if ClientLeft is called
+// late.
 func (c *ClientConn) Disconnected() *Exchange {
 	ex := c.exchange
 	if c.phase != phaseAwaitResponse {
 		ex = nil
 	}
 	if ex != nil {
-		ex.unawaited.Store(true)
+		ex.clientDone.Store(true)
 	}
 	c.close()
 	return ex
 }
 
-// close ends the connection: nothing more is parsed, and the memory of what was is given back.
+// close ends the connection: nothing more is parsed, and reserved memory is released.
 func (c *ClientConn) close() {
 	c.phase, c.exchange = phaseClosing, nil
 	c.dropReadAhead()
 	c.releaseBody()
 }
 
-// storeReadAhead keeps bytes that come while a response is awaited: as many as one request may have, and as limits.memory
-// allows. Beyond that they are dropped rather than left unread, since a client that leaves is not seen behind unread bytes.
+// storeReadAhead buffers bytes that arrive while a response is awaited: up to the size of one request, and as far as
+// limits.memory allows. Further bytes are read and dropped, because a disconnect can't be detected behind unread bytes.
 func (c *ClientConn) storeReadAhead(b []byte) {
 	limits := &c.shared.Config.Limits
 	largest := int(limits.Head) + int(limits.Body)
@@ -208,13 +211,13 @@
 	c.readAhead = append(c.readAhead, b...)
 }
 
-// dropReadAhead forgets what was kept and gives its memory back.
+// dropReadAhead discards the buffered bytes and releases their memory.
 func (c *ClientConn) dropReadAhead() {
 	c.shared.release(len(c.readAhead))
 	c.readAhead = nil
 }
 
-// Drain closes an idle connection. Others end with their response, if Shared.CloseAfterResponses was called.
+// Drain closes an idle connection. Other connections close after their response if Shared.CloseAfterResponses was called.
 func (c *ClientConn) Drain() {
 	if c.Idle() {
 		c.close()
--- a/proxy/clientconn_test.go
+++ b/proxy/clientconn_test.go
@@ -9,17 +9,17 @@
 	"sandyard/internal/strictyaml"
 )
 
-// A connection that sends nothing, or half a request, ends at the time that its first request may take, whatever phase
-// it is in.
+// A connection that sends nothing, or an incomplete request, must be closed after limits.first-timeout, whatever phase it is
+// in.
 func TestFirstRequestTimeout(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	r.shared.Config.Limits.FirstTimeout = strictyaml.Duration(2 * time.Second)
-	for _, said := range []string{"", "GET /look HT", "POST /look HTTP/1.1\r\nHost: h\r\nX-Api-Key: ka\r\nContent-Length: 9\r\n\r\nabc"} {
+	for _, sent := range []string{"", "GET /look HT", "POST /look HTTP/1.1\r\nHost: h\r\nX-Api-Key: ka\r\nContent-Length: 9\r\n\r\nabc"} {
 		c := NewClientConn(r.shared, nil, "192.0.2.1", r.now)
-		c.Feed(r.now+1900*time.Millisecond, []byte(said))
+		c.Feed(r.now+1900*time.Millisecond, []byte(sent))
 		c.DeadlinePassed(r.now + 2*time.Second)
-		if closes, _ := c.Closing(); !closes || said != "" && !strings.HasPrefix(string(c.Outgoing), "HTTP/1.1 408") {
-			t.Errorf("%q: closes %v, %q", said, closes, c.Outgoing)
+		if closes, _ := c.Closing(); !closes || sent != "" && !strings.HasPrefix(string(c.Outgoing), "HTTP/1.1 408") {
+			t.Errorf("%q: closes %v, %q", sent, closes, c.Outgoing)
 		}
 	}
 }
@@ -37,7 +37,7 @@
 	return s
 }
 
-// A hundred requests in one write, one of which has an unknown key, are answered in their order.
+// A hundred requests in one write, one of which has an unknown key, must be answered in order.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	r := newHarness(t, 2, 1, "")
 	c := r.newClientConn()
@@ -71,8 +71,8 @@
 	r.requireQuiescent()
 }
 
-// TestLocalResponses sends requests that need no decision, at once and byte by byte: each gets its status, and no
-// memory is held afterwards.
+// TestLocalResponses sends requests that need no decision, in one piece and byte by byte. Each must get its status, and no
+// memory may stay reserved.
 func TestLocalResponses(t *testing.T) {
 	big := strings.Repeat("x", 2000)
 	for _, c := range []struct{ name, in, want string }{
@@ -96,7 +96,7 @@
 			client := r.newClientConn()
 			if !bytewise {
 				if ex := client.Feed(r.now, []byte(c.in)); ex != nil {
-					t.Errorf("%s: an exchange", c.name)
+					t.Errorf("%s: Feed returned an exchange", c.name)
 				}
 			} else {
 				for i := range len(c.in) {
@@ -107,14 +107,14 @@
 				t.Errorf("%s: %s, want %s", c.name, got, c.want)
 			}
 			if n := r.shared.ReservedBytes.Load(); n != 0 && c.want != "404 400" {
-				t.Errorf("%s: %d bytes kept", c.name, n)
+				t.Errorf("%s: %d bytes are still reserved", c.name, n)
 			}
 		}
 	}
 }
 
-// A request had more bytes behind it than its Content-Length. They are the next request, and malformed as such; nothing
-// of them is forwarded with the first.
+// More bytes follow a request than its Content-Length. They are parsed as the next request, which is malformed. None of them
+// may be forwarded with the first request.
 func TestBodyBeyondContentLength(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	c := r.newClientConn()
@@ -130,11 +130,11 @@
 		t.Errorf("%q", c.Outgoing)
 	}
 	if closes, _ := c.Closing(); !closes {
-		t.Error("the connection goes on")
+		t.Error("the connection is not closed")
 	}
 }
 
-// A client that expects 100 Continue gets it, and the field is not forwarded: the instance holds the body anyway.
+// A client that expects 100 Continue gets it. The field must not be forwarded, because the instance buffers the body anyway.
 func TestExpectContinue(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	c := r.newClientConn()
@@ -142,12 +142,12 @@
 		t.Fatalf("%q", c.Outgoing)
 	}
 	if ex := c.Feed(r.now, []byte("abc")); ex == nil || strings.Contains(string(ex.RenderedRequest), "Expect") {
-		t.Error("no exchange, or Expect passed on")
+		t.Error("no exchange, or Expect is forwarded")
 	}
 }
 
-// A client sent one byte a second to hold its connection open. It gets 408 at the time that a head, or a body, may
-// take.
+// A client sends one byte per second to keep its connection open. It must get 408 after limits.head-timeout or
+// limits.body-timeout.
 func TestSlowSenderTimesOut(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	for _, in := range []string{string(requestText("GET", "/look", "ka", "")), string(requestText("POST", "/look", "ka", "Content-Length: 100\r\n")) + strings.Repeat("x", 99)} {
@@ -171,8 +171,8 @@
 	}
 }
 
-// Bodies in all are bounded by limits.memory: requests beyond it get 503, and what clients that leave had sent is given
-// back.
+// limits.memory bounds the total size of bodies: requests beyond it get 503, and the memory of clients that leave must be
+// released.
 func TestBodyMemoryIsBounded(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	var cs []*ClientConn
@@ -184,23 +184,23 @@
 			over++
 		}
 		if r.shared.ReservedBytes.Load() > 16<<10 {
-			t.Fatalf("%d bytes held", r.shared.ReservedBytes.Load())
+			t.Fatalf("%d bytes are reserved", r.shared.ReservedBytes.Load())
 		}
 		cs = append(cs, c)
 	}
 	if over == 0 {
-		t.Error("none was refused")
+		t.Error("no request was rejected")
 	}
 	for _, c := range cs {
 		c.Disconnected()
 	}
 	if n := r.shared.ReservedBytes.Load(); n != 0 {
-		t.Errorf("%d bytes are never given back", n)
+		t.Errorf("%d bytes are never released", n)
 	}
 }
 
-// A client sent without end while it waited for its response. What is kept is bounded, by limits.head and limits.body.
-// Reading goes on beyond the bound; complete requests that were kept are answered in order, and then the connection ends.
+// A client keeps sending while it waits for its response. limits.head and limits.body bound the buffered bytes. Reading
+// continues beyond the bound. Complete buffered requests are answered in order, and then the connection is closed.
 func TestReadAheadIsBounded(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	c := r.newClientConn()
@@ -209,10 +209,10 @@
 	for range 100 {
 		c.Feed(r.now, make([]byte, 16<<10))
 		if most := 16<<10 + 1<<10; len(c.readAhead) > most || r.shared.ReservedBytes.Load() > int64(most)+4<<10 { // limits.head and limits.body
-			t.Fatalf("%d bytes are kept, %d held", len(c.readAhead), r.shared.ReservedBytes.Load())
+			t.Fatalf("%d bytes are buffered, %d reserved", len(c.readAhead), r.shared.ReservedBytes.Load())
 		}
 	}
-	c.Feed(r.now, requestText("GET", "/look?3", "ka", "")) // not read as what follows the second
+	c.Feed(r.now, requestText("GET", "/look?3", "ka", "")) // must not be parsed as the request after the second
 	c.Respond(r.now, ex, []byte("1"), false)
 	if ex = c.Resume(r.now); ex == nil || !strings.HasPrefix(string(ex.RenderedRequest), "GET /look?2") {
 		t.Fatalf("after the first: %+v", ex)
@@ -222,13 +222,13 @@
 		t.Fatalf("after the second: %q", ex.RenderedRequest)
 	}
 	if closes, linger := c.Closing(); !closes || !linger {
-		t.Error("the connection goes on after a gap")
+		t.Error("the connection stays open although bytes were dropped")
 	}
 }
 
-// A client sent more than is kept while it waited for its response, and then closed. Reading goes on beyond the bound, or
-// the close would not be seen, and its request would run for nobody.
-func TestDisconnectIsSeenBehindReadAhead(t *testing.T) {
+// A client sends more than the read-ahead buffer holds while it waits for its response, and then disconnects. Reading must
+// continue beyond the bound: otherwise the disconnect would go undetected, and the request would run for no client.
+func TestDisconnectIsDetectedBeyondReadAhead(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	c := r.newClientConn()
 	if c.Feed(r.now, requestText("GET", "/look", "ka", "")) == nil {
@@ -236,11 +236,11 @@
 	}
 	c.Feed(r.now, make([]byte, 64<<10))
 	if c.Disconnected() == nil {
-		t.Error("the client that went is not seen")
+		t.Error("the disconnect is not detected")
 	}
 }
 
-// Many clients sent ahead while they waited for their responses. limits.memory holds for all that is kept.
+// Many clients send further requests while they wait for their responses. limits.memory must bound all buffered bytes.
 func TestReadAheadOfAllClientsIsBounded(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	var all []*ClientConn
@@ -251,7 +251,7 @@
 		all = append(all, c)
 	}
 	if n := r.shared.ReservedBytes.Load(); n > 16<<10 {
-		t.Errorf("%d bytes are held", n)
+		t.Errorf("%d bytes are reserved", n)
 	}
 	for _, c := range all {
 		if ex := c.Disconnected(); ex != nil {
@@ -260,11 +260,10 @@
 	}
 }
 
-// A response whose end only the end of the connection tells broke off. For a client of HTTP/1.0 a regular end would
-// look like a complete response, so that its connection is reset; a client of HTTP/1.1 sees that the last chunk is
-// missing.
+// A response whose body is delimited by the end of the connection is cut off. For an HTTP/1.0 client a regular close would
+// look like a complete response, so its connection must be reset. An HTTP/1.1 client sees that the last chunk is missing.
 func TestTruncatedResponseWithoutLength(t *testing.T) {
-	for version, aborts := range map[string]bool{"1.0": true, "1.1": false} {
+	for version, resets := range map[string]bool{"1.0": true, "1.1": false} {
 		r := newHarness(t, 1, 1, "")
 		c := r.newClientConn()
 		ex := c.Feed(r.now, []byte("GET /feed HTTP/"+version+"\r\nHost: h\r\nX-Api-Key: ka\r\nConnection: keep-alive\r\n\r\n"))
@@ -276,15 +275,15 @@
 		r.instance.BackendDisconnected(r.now, conn, false)
 		r.want(AbortClient)
 		c.AbortResponse(ex)
-		if closes, _ := c.Closing(); !closes || c.MustReset() != aborts || !strings.Contains(string(c.Outgoing), "abc") {
-			t.Errorf("%s: closes %v, aborts %v: %q", version, closes, c.MustReset(), c.Outgoing)
+		if closes, _ := c.Closing(); !closes || c.MustReset() != resets || !strings.Contains(string(c.Outgoing), "abc") {
+			t.Errorf("%s: closes %v, resets %v: %q", version, closes, c.MustReset(), c.Outgoing)
 		}
 	}
 }
 
-// The second half of a request came after the response to the one before, when the first half was still kept. The
-// halves are parsed in their order.
-func TestReadAheadIsReadFirst(t *testing.T) {
+// The second half of a request arrives after the previous response, while the first half is still buffered. The halves must
+// be parsed in order.
+func TestReadAheadIsParsedFirst(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	c := r.newClientConn()
 	ex := c.Feed(r.now, requestText("GET", "/look", "ka", ""))
--- a/proxy/clientrequest.go
+++ b/proxy/clientrequest.go
@@ -6,17 +6,18 @@
 	"sandyard/internal/http1"
 )
 
-// maxSkippedBody is how much of a rejected request's body is read so that the connection can be kept, in bytes. Beyond it
-// closing the connection costs less than reading on.
+// maxSkippedBody is the largest part of a rejected request's body (bytes) that is read and discarded to keep the connection.
+// For a larger body, closing the connection is cheaper than reading on.
 const maxSkippedBody = 64 << 10
 
-// minBodySize is the least memory that is reserved for a body, in bytes, so that small bodies are not copied several times.
+// minBodySize is the smallest buffer that is allocated for a body (bytes), so that small bodies are not copied repeatedly.
 const minBodySize = 512
 
-// addedHeadSize is the room left in a rendered request for what the instance adds to its head, in bytes.
+// addedHeadSize is the space in a rendered request for the header fields that the instance adds (bytes).
 const addedHeadSize = 512
 
-// parse takes b in until a request is complete, whose exchange it returns, or all is used, or the connection ends.
+// parse parses b until a request is complete, all bytes are used or the connection closes. It returns the exchange of a
+// complete request.
 func (c *ClientConn) parse(now time.Duration, b []byte) *Exchange {
 	for c.phase != phaseClosing {
 		if c.phase == phaseIdle && len(b) > 0 {
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// headRead takes a complete head in: the request is identified, and gets a local response where that fails. Its body is
-// skipped then, or the connection closed where the body is large or the client waits for 100 (Continue) before it sends it.
+// headRead handles a complete head. It identifies the request, which gets a local response if that fails. The body is then
+// skipped, or the connection closed if the body is large or the client waits for 100 (Continue) before it sends the body.
 func (c *ClientConn) headRead(now time.Duration, h *http1.Head) {
 	c.phase, c.phaseSince, c.head = phaseBody, now, h
 	c.exchange = &Exchange{Owner: c.owner, Method: h.Method, MinorVersion: h.Minor, CloseAfterResponse: h.Close}
@@ -69,7 +70,7 @@
 	}
 }
 
-// bodyRead takes a piece of a body in, which is kept or skipped.
+// bodyRead buffers or skips a part of a body.
 func (c *ClientConn) bodyRead(now time.Duration, b []byte) {
 	if c.phase == phaseSkipBody {
 		c.bytesToSkip -= int64(len(b))
@@ -91,8 +92,9 @@
 	c.body = append(c.body, b...)
 }
 
-// growBody makes room for a body of need bytes, and reports false where limits.memory does not allow it. Room grows with what
-// was received, not with what the head claims: clients that claim much and send nothing must not use the memory up.
+// growBody grows the body's buffer to at least need bytes. It reports false if limits.memory does not allow it. The buffer
+// grows with the received bytes, not with the announced length: clients that announce large bodies and send nothing must not
+// exhaust the memory.
 func (c *ClientConn) growBody(need int) bool {
 	size := max(need, 2*cap(c.body), minBodySize)
 	if c.head.Length > 0 {
@@ -110,8 +112,8 @@
 	return true
 }
 
-// requestRead takes the end of a request in. It returns its exchange, ready for the instance, or nil where the request got
-// a local response.
+// requestRead handles the end of a request. It returns the exchange for the instance, or nil if the request got a local
+// response.
 func (c *ClientConn) requestRead(now time.Duration) *Exchange {
 	if c.localResponse != nil {
 		c.sendLocalResponse(now)
@@ -131,13 +133,13 @@
 	ex.RenderedRequest, ex.attemptFieldsAt = c.shared.Protocol.RenderRequest(make([]byte, 0, size), c.head, c.body, c.trailers, c.clientAddr)
 	c.releaseBody()
 	c.handedOutRequest = true
-	ex.Arrived = min(now, c.receivedAt) // the client waits since its bytes came, not since the response before it
+	ex.Arrived = min(now, c.receivedAt) // the client has been waiting since its bytes arrived, not since the previous response
 	c.phase, c.phaseSince = phaseAwaitResponse, now
 	c.setAnswerDeadline(now)
 	return ex
 }
 
-// identifyRequest fills the exchange's RequestInfo. It returns a local response where the request needs no decision.
+// identifyRequest sets the exchange's RequestInfo. It returns a local response if the request needs no decision.
 func (c *ClientConn) identifyRequest(h *http1.Head) *localResponse {
 	if c.shared.Draining() {
 		c.exchange.CloseAfterResponse = true
@@ -149,7 +151,7 @@
 	return c.shared.Protocol.ParseRequest(h, &c.exchange.RequestInfo)
 }
 
-// releaseBody forgets the request under way and gives its body's memory back.
+// releaseBody drops the current request's head, body and trailers, and releases the body's memory.
 func (c *ClientConn) releaseBody() {
 	if c.body != nil {
 		c.shared.release(cap(c.body))
--- a/proxy/clientresponse.go
+++ b/proxy/clientresponse.go
@@ -7,15 +7,15 @@
 	"sandyard/internal/http1"
 )
 
-// localRetryAfter is the Retry-After of local responses 503 that no decision is behind. What they are for, memory, a full
-// queue or a start, is over within about that time; less would bring the load back at once.
+// localRetryAfter is the Retry-After of local 503 responses that are sent without a decision. Their causes (exhausted
+// memory, a full queue, a start) usually pass within about that time; a shorter time would bring the load back at once.
 const localRetryAfter = time.Second
 
-// Respond appends the complete response to an exchange, as the effect Respond gives it. The exchange is over then, and the
-// connection goes on, with Resume, or closes. closeAfterResponse says that the response is the connection's last.
+// Respond appends the complete response of an exchange, as given by the effect Respond. The exchange then ends, and the
+// connection either closes or continues with Resume. closeAfterResponse means that the connection closes after the response.
 //
-// Respond, and the methods for streamed responses, do nothing for an exchange that is not the one under way: Respond reports
-// false then.
+// Respond and the methods for streamed responses do nothing for an exchange that is not the current one; Respond then
+// reports false.
 func (c *ClientConn) Respond(now time.Duration, ex *Exchange, b []byte, closeAfterResponse bool) bool {
 	if !c.appendResponse(ex, b, closeAfterResponse) {
 		return false
@@ -24,13 +24,13 @@
 	return true
 }
 
-// BeginResponse appends the beginning of a streamed response, as the effect StreamResponse gives it. The rest follows by
-// ContinueResponse, and then EndResponse or AbortResponse. closeAfterResponse is as in Respond.
+// BeginResponse appends the first part of a streamed response, as given by the effect StreamResponse. ContinueResponse, and
+// then EndResponse or AbortResponse, must follow. closeAfterResponse is as in Respond.
 func (c *ClientConn) BeginResponse(ex *Exchange, b []byte, closeAfterResponse bool) {
 	c.appendResponse(ex, b, closeAfterResponse)
 }
 
-// appendResponse appends a response, or its beginning, and reports false for an exchange that is not the one under way.
+// appendResponse appends a response or its first part. It reports false for an exchange that is not the current one.
 func (c *ClientConn) appendResponse(ex *Exchange, b []byte, closeAfterResponse bool) bool {
 	if c.exchange != ex || c.phase != phaseAwaitResponse {
 		return false
@@ -41,29 +41,29 @@
 	return true
 }
 
-// setAnswerDeadline sets when the connection answers the exchange under way in place of an instance that is late: halfway between
-// the time at which the instance is to answer and the end of the client's timeout. A request that comes with less time is
-// left to the instance.
+// setAnswerDeadline sets when the connection answers the current exchange if the instance has not: half of
+// limits.answer-margin after the instance's own deadline. A request with too little time left is left to the instance.
 func (c *ClientConn) setAnswerDeadline(now time.Duration) {
 	margin := time.Duration(c.shared.Config.Limits.ResponseMargin) / 2
-	c.answerDeadline = c.exchange.Arrived + c.exchange.Timeout - margin - c.shared.latenessMargin(c.exchange.Timeout)
+	c.answerDeadline = c.exchange.Arrived + c.exchange.Timeout - margin - c.shared.timerDelayMargin(c.exchange.Timeout)
 	if c.answerDeadline < now+margin {
 		c.answerDeadline = 0
 	}
 }
 
-// answerInPlaceOfInstance answers 504 to the exchange under way, whose answer by the instance is late. What the instance answers
-// after that is dropped, and no attempt begins any more.
+// answerInPlaceOfInstance answers the current exchange with 504 because the instance's answer is late. A later answer by the
+// instance is dropped, and no further attempt starts.
 func (c *ClientConn) answerInPlaceOfInstance(now time.Duration) {
 	ex := c.exchange
-	ex.unawaited.Store(true)
+	ex.clientDone.Store(true)
 	closeAfterResponse := ex.CloseAfterResponse || c.shared.closesAfterResponse()
 	rendered := c.shared.appendLocalResponse(nil, &deadlineExceeded, ex.Method, ex.MinorVersion, closeAfterResponse, 0)
 	c.LocalStatuses = append(c.LocalStatuses, deadlineExceeded.Status)
 	c.Respond(now, ex, rendered, closeAfterResponse)
 }
 
-// RejectOverload answers 503 to an exchange that the instance's queue has no room for. It was not handed to the instance.
+// RejectOverload answers an exchange with 503 because the instance's queue is full. The exchange must not have been passed
+// to the instance.
 func (c *ClientConn) RejectOverload(now time.Duration, ex *Exchange) {
 	c.shared.release(ex.reservedBytes)
 	ex.reservedBytes = 0
@@ -79,7 +79,7 @@
 	}
 }
 
-// EndResponse appends the end of a streamed response. The exchange is over then, as with Respond.
+// EndResponse appends the end of a streamed response. The exchange then ends, as with Respond.
 func (c *ClientConn) EndResponse(now time.Duration, ex *Exchange, b []byte) {
 	if c.exchange == ex && c.phase == phaseAwaitResponse {
 		c.Outgoing = append(c.Outgoing, b...)
@@ -87,8 +87,8 @@
 	}
 }
 
-// AbortResponse closes the connection of a streamed response that broke off, so that the client sees that the response is
-// not complete.
+// AbortResponse closes the connection of a streamed response that was cut off, so that the client sees that the response is
+// incomplete.
 func (c *ClientConn) AbortResponse(ex *Exchange) {
 	if c.exchange == ex && c.phase == phaseAwaitResponse {
 		c.mustReset = c.closeAfterResponse // the end of the connection would look like the end of the response
@@ -96,7 +96,7 @@
 	}
 }
 
-// finishResponse ends the exchange: the connection goes on with the next request, or closes.
+// finishResponse ends the exchange. The connection continues with the next request or closes.
 func (c *ClientConn) finishResponse(now time.Duration) {
 	ex := c.exchange
 	c.exchange, c.phase, c.phaseSince = nil, phaseIdle, now
@@ -106,7 +106,8 @@
 	}
 }
 
-// rejectMalformed answers bytes that are no request, and closes: it can't be known where the next request begins.
+// rejectMalformed answers bytes that are not a request and closes the connection, because the start of the next request is
+// unknown.
 func (c *ClientConn) rejectMalformed(now time.Duration, err error) {
 	response := malformedRequest
 	var e *http1.Error
@@ -125,9 +126,9 @@
 	c.sendLocalResponse(now)
 }
 
-// setLocalResponse notes that the request under way gets a local response, unless it has one; sendLocalResponse sends it.
-// Where no head was read, there is no exchange yet: one for an HTTP/1.1 GET, which no instance gets to see, carries the
-// response.
+// setLocalResponse sets the local response of the current request, unless one is set already; sendLocalResponse sends it. If
+// no head was read, there is no exchange yet: a placeholder for an HTTP/1.1 GET, which is never passed to the instance,
+// carries the response.
 func (c *ClientConn) setLocalResponse(response localResponse, closeAfterResponse bool) {
 	if c.localResponse == nil {
 		c.localResponse = &response
@@ -138,7 +139,7 @@
 	c.exchange.CloseAfterResponse = c.exchange.CloseAfterResponse || closeAfterResponse
 }
 
-// sendLocalResponse sends the local response that was set, and ends the request.
+// sendLocalResponse sends the local response and ends the current request.
 func (c *ClientConn) sendLocalResponse(now time.Duration) {
 	ex, response := c.exchange, c.localResponse
 	closeAfterResponse := ex.CloseAfterResponse || c.shared.closesAfterResponse()
--- a/proxy/configured.go
+++ b/proxy/configured.go
@@ -14,18 +14,17 @@
 	"sandyard/routes"
 )
 
-// loadReportField is the response header field that carries a backend's load report, as ORCA names it.
+// loadReportField is the response header field that carries a backend's load report, as defined by ORCA.
 const loadReportField = "endpoint-load-metrics"
 
-// configuredProtocol is the protocol of the configuration file: operations and costs come from the OpenAPI description,
-// customers have keys, load reports are ORCA's, and the counter speaks RESP.
+// configuredProtocol implements the protocol of the configuration file: operations and costs come from the OpenAPI
+// description, customers have keys, load reports use the ORCA format, and the counter speaks RESP.
 type configuredProtocol struct {
 	cfg *config.Config
-	via string // how this instance names itself in Via (RFC 9110 section 7.6.3)
+	via string // name of this instance in Via (RFC 9110 section 7.6.3)
 }
 
-// NewConfiguredProtocol returns the protocol that a configuration file describes. via is how the instance names itself to
-// others in Via.
+// NewConfiguredProtocol returns the protocol that a configuration file describes. via is the instance's name in Via.
 func NewConfiguredProtocol(cfg *config.Config, via string) protocol.Protocol {
 	return &configuredProtocol{cfg, via}
 }
@@ -35,7 +34,7 @@
 	return identifyCustomer(p.cfg, h, info)
 }
 
-// identifyCustomer finds the customer by the request's key, and then its operation.
+// identifyCustomer sets info's customer, found by the request's key, and then the rest of info with matchRoute.
 func identifyCustomer(cfg *config.Config, h *http1.Head, info *protocol.RequestInfo) *localResponse {
 	key, ok := h.Get(cfg.Headers.Key)
 	if !ok {
@@ -50,7 +49,7 @@
 	return matchRoute(cfg, h, info)
 }
 
-// matchRoute finds the operation of a request whose customer is known, and what its fields and query say.
+// matchRoute sets info's operation and the values that depend on it, for a request whose customer is known.
 func matchRoute(cfg *config.Config, h *http1.Head, info *protocol.RequestInfo) *localResponse {
 	operation, result := cfg.Routes.Match(h.Method, h.Path)
 	switch result {
@@ -82,8 +81,8 @@
 	return nil
 }
 
-// clientTimeout returns how long the client waits in all: what it says in milliseconds, at most the deadline of the class.
-// It reports false where the client says no number of milliseconds.
+// clientTimeout returns how long the client waits: the time that it sent in milliseconds, or the deadline of the class if
+// that is shorter or the client sent none. It reports false if the client's value is not a valid number of milliseconds.
 func clientTimeout(cfg *config.Config, h *http1.Head, deadline time.Duration) (time.Duration, bool) {
 	field, ok := h.Get(cfg.Headers.Timeout)
 	if !ok {
@@ -99,7 +98,7 @@
 	return deadline, true
 }
 
-// bearerToken returns the token of an Authorization field with the Bearer scheme, and "" where there is none.
+// bearerToken returns the token of an Authorization field with the Bearer scheme, or "" if there is none.
 func bearerToken(h *http1.Head) string {
 	v, _ := h.Get("Authorization")
 	if len(v) > 7 && strings.EqualFold(v[:7], "Bearer ") {
@@ -108,8 +107,8 @@
 	return ""
 }
 
-// RenderRequest implements protocol.Protocol: hop-by-hop fields and the customer's key are removed, the client's address and
-// this instance are added. Attempts add nothing.
+// RenderRequest implements protocol.Protocol. It removes hop-by-hop fields and the customer's key, and adds the client's
+// address and the instance's name. Attempts add nothing.
 func (p *configuredProtocol) RenderRequest(b []byte, h *http1.Head, body []byte, trailers []http1.Field, clientAddr string) ([]byte, int) {
 	b = append(b, h.Method...)
 	b = append(b, ' ')
@@ -137,7 +136,8 @@
 	return append(b, body...), 0
 }
 
-// appendForwardedFields appends the client's fields that backends get, and X-Forwarded-For with the client's address.
+// appendForwardedFields appends the client's fields that are forwarded to backends, and X-Forwarded-For with the client's
+// address.
 func (p *configuredProtocol) appendForwardedFields(b []byte, h *http1.Head, clientAddr string) []byte {
 	forwarded := ""
 	b = http1.AppendFields(b, h, func(name string) bool {
@@ -160,7 +160,7 @@
 	return append(b, '\r', '\n')
 }
 
-// RenderAttempt implements protocol.Protocol: every attempt sends the request as it was rendered. Backends do not learn how
+// RenderAttempt implements protocol.Protocol. Every attempt sends the request as rendered. Backends are not informed of how
 // long the instance waits.
 func (p *configuredProtocol) RenderAttempt(wire []byte, _ int, _ time.Duration) []byte { return wire }
 
@@ -176,7 +176,7 @@
 	return strconv.AppendInt(b, int64((after+time.Second-1)/time.Second), 10)
 }
 
-// RenderResponseHead implements protocol.Protocol. The backend's load report is left out: it is for this instance alone.
+// RenderResponseHead implements protocol.Protocol. It omits the backend's load report, which is only for this instance.
 func (p *configuredProtocol) RenderResponseHead(b []byte, h *http1.Head) []byte {
 	b = http1.AppendStatus(b, h.Status, h.Reason)
 	b = http1.AppendFields(b, h, func(name string) bool {
@@ -187,8 +187,8 @@
 	return append(b, '\r', '\n')
 }
 
-// ParseResponse implements protocol.Protocol. Only statuses that the configuration lists mean that the backend rejected the
-// request without running it.
+// ParseResponse implements protocol.Protocol. Only the statuses listed in the configuration mean that the backend rejected
+// the request without running it.
 func (p *configuredProtocol) ParseResponse(h *http1.Head, _ []byte, _ bool) protocol.ResponseReport {
 	var report protocol.ResponseReport
 	switch {
@@ -212,9 +212,9 @@
 	return report
 }
 
-// parseLoad reads a report in the TEXT form of ORCA's endpoint-load-metrics: "TEXT cpu_utilization=0.3,
-// named_metrics.in_flight=4". It returns a value for each of names, NaN for one that is missing or no number, which the
-// decision gateway passes over; and nil for a report in another form.
+// parseLoad parses a report in the TEXT format of ORCA's endpoint-load-metrics, for example "TEXT cpu_utilization=0.3,
+// named_metrics.in_flight=4". It returns a value for each of names: NaN, which the decision gateway ignores, if a value is
+// missing or not a number. It returns nil for a report in another format.
 func parseLoad(v string, names []string) []float64 {
 	rest, ok := strings.CutPrefix(v, "TEXT ")
 	if !ok {
--- a/proxy/configured_test.go
+++ b/proxy/configured_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A 503 means that the backend rejected the request without running it only where the configuration says so. Else a
-// request that must not run twice may have run, and is not sent again.
+// A 503 means that the backend rejected the request without running it only if the configuration says so. Otherwise the
+// request may have run, and a non-idempotent request must not be retried.
 func TestRejectedStatuses(t *testing.T) {
 	const answer = "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"
 	r := newHarness(t, 1, 1, "")
@@ -21,17 +21,17 @@
 	r.connect()
 }
 
-// TestParseLoadReport reads the TEXT form of a load report; values that are missing or no numbers are NaN, and other
-// forms no report.
+// TestParseLoadReport parses load reports in the TEXT format. Values that are missing or not numbers are NaN. Other formats
+// are no report.
 func TestParseLoadReport(t *testing.T) {
 	names := []string{"a", "b"}
 	if load := parseLoad("TEXT a=1.5,b=2, c=3", names); load[0] != 1.5 || load[1] != 2 {
 		t.Error(load)
 	}
 	if load := parseLoad("TEXT b=x", names); load[0] == load[0] || load[1] == load[1] {
-		t.Error("figures that are none must read as NaN", load)
+		t.Error("missing or malformed values must be NaN", load)
 	}
 	if parseLoad("JSON {}", names) != nil {
-		t.Error("JSON is taken for TEXT")
+		t.Error("a JSON report is parsed as TEXT")
 	}
 }
--- a/proxy/counterclient.go
+++ b/proxy/counterclient.go
@@ -7,62 +7,63 @@
 	"sandyard/internal/protocol"
 )
 
-// counterSilenceLimit is how long the oldest call may be without a reply, in counter timeouts, before the connection is
-// given up. It is long enough for a counter that is merely slow to catch up, and a connection that is dead without a sign
-// is replaced after a second at the default timeout of 50 ms.
+// counterSilenceLimit is how long the oldest call may stay without a reply, in counter timeouts, before the connection is
+// closed. It is long enough for a slow counter to catch up. A connection that is lost without any notice is replaced after a
+// second at the default timeout of 50 ms.
 const counterSilenceLimit = 20
 
-// Backoff between dials to a counter that can't be reached. The least spares a counter that restarts a storm of dials;
-// the most bounds how long an instance goes without the counter once that is back.
+// Backoff between dials to an unreachable counter. The minimum protects a restarting counter from too many dials. The
+// maximum limits how long an instance stays without the counter after it becomes reachable again.
 const (
 	minCounterBackoff = 50 * time.Millisecond
 	maxCounterBackoff = 2 * time.Second
 )
 
-// compactCalls is the number of unused places in the list of calls from which it is compacted.
-const compactCalls = 1024
+// compactionThreshold is the number of unused entries above which the list of calls may be compacted.
+const compactionThreshold = 1024
 
-// counterCall is a call to the counter whose reply has not come.
+// counterCall is a call to the counter without a reply yet.
 type counterCall struct {
 	name     string
 	sentAt   time.Duration
 	reported bool // reported to the decision gateway as timed out; its reply will be dropped
 }
 
-// counterClient is the connection to the shared counter: one pipeline of calls, answered in their order.
+// counterClient is the connection to the shared counter: one pipeline of calls, answered in order.
 //
-// It holds at most Config.Counter.MaxPending calls; those beyond are reported as rejected, not added. When the counter is
-// silent each call is reported as timed out, some of them late (see armCounterTimer), and after counterSilenceLimit the
-// connection is closed and made anew.
+// It holds at most Config.Counter.MaxPending calls. Further calls are reported as rejected (not added). If the counter does
+// not reply, each call is reported as timed out, some of them late (see armCounterTimer). After counterSilenceLimit the
+// connection is closed and the counter is dialled again.
 type counterClient struct {
 	connected  bool
 	dialing    bool
 	addr       string                // host:port; empty: there is no counter
-	codec      protocol.CounterCodec // of the connection
-	calls      []counterCall         // pending ones from oldest on, in the order in which they were sent
+	codec      protocol.CounterCodec // of the current connection
+	calls      []counterCall         // pending calls start at index oldest, in the order in which they were sent
 	oldest     int                   // index in calls
-	outgoing   []byte                // calls that were not handed to the runtime yet
-	backoff    time.Duration         // before the next dial; 0: the last one succeeded
+	outgoing   []byte                // calls not yet passed to the runtime
+	backoff    time.Duration         // before the next dial; 0: the last dial succeeded
 	timerArmed bool                  // a counterTimer is set
 }
 
-// pending returns how many calls wait for a reply.
+// pending returns the number of calls without a reply.
 func (counter *counterClient) pending() int { return len(counter.calls) - counter.oldest }
 
-// dropOldest removes the oldest call. Its place is reused once the list is empty, or when more than compactCalls places and
-// half of the list are unused, so that a pipeline that never runs empty takes bounded memory and time.
+// dropOldest removes the oldest call. Its entry is reused when the list is empty, or when more than compactionThreshold
+// entries and more than half of the list are unused. A pipeline that is never empty thus needs only bounded memory and
+// time.
 func (counter *counterClient) dropOldest() {
 	counter.calls[counter.oldest] = counterCall{}
 	counter.oldest++
 	if counter.oldest == len(counter.calls) {
 		counter.calls, counter.oldest = counter.calls[:0], 0
-	} else if counter.oldest > compactCalls && counter.oldest > len(counter.calls)/2 {
+	} else if counter.oldest > compactionThreshold && counter.oldest > len(counter.calls)/2 {
 		counter.calls = append(counter.calls[:0], counter.calls[counter.oldest:]...)
 		counter.oldest = 0
 	}
 }
 
-// addToCounter carries out the decision gateway's action: it sends a call, or reports at once that it can't be sent.
+// addToCounter executes the decision gateway's action: it sends a call, or reports at once that the call can't be sent.
 func (inst *Instance) addToCounter(action decision.AddToCounter) {
 	counter, cfg := &inst.counter, inst.shared.Config
 	switch {
@@ -77,12 +78,12 @@
 	}
 }
 
-// armCounterTimer sets the timer for what happens next without a reply: the timeout of the oldest call that is not reported,
-// or, where all are, the end of the counter's silence.
+// armCounterTimer sets the timer for the next event if no reply arrives: the timeout of the oldest call that is not yet
+// reported as timed out, or, if all are reported, the time at which the connection is closed (see counterSilenceLimit).
 //
-// There is at most one timer, and one that is set is not brought forward. So a call that is sent while the timer stands for
-// the end of the silence is reported as timed out only then: up to counterSilenceLimit-2 timeouts after its own, which is
-// 900 ms at the default timeout of 50 ms.
+// There is at most one timer, and a timer that is set is not moved forward. A call that is sent while the timer is set for
+// the closing of the connection is therefore reported as timed out only then: up to counterSilenceLimit-2 timeouts after its
+// own timeout, which is 900 ms at the default timeout of 50 ms.
 func (inst *Instance) armCounterTimer() {
 	counter := &inst.counter
 	if counter.timerArmed {
@@ -101,9 +102,9 @@
 	}
 }
 
-// reportLateCounterCalls reports the calls whose time is up, oldest first, so that the outcomes for one name keep their
-// order, and gives up the connection to a counter that is silent for too long.
-func (inst *Instance) reportLateCounterCalls() {
+// reportTimedOutCounterCalls reports the calls that have timed out, oldest first, so that the outcomes for one name keep
+// their order. It closes the connection if the counter has not replied for too long.
+func (inst *Instance) reportTimedOutCounterCalls() {
 	counter := &inst.counter
 	counter.timerArmed = false
 	timeout := time.Duration(inst.shared.Config.Counter.Timeout)
@@ -114,7 +115,7 @@
 		}
 		if !call.reported {
 			call.reported = true
-			inst.Stats.CounterLate++
+			inst.Stats.CounterTimeouts++
 			inst.queueEvent(decision.CounterReplied{Name: call.name, Outcome: decision.TimedOut})
 		}
 	}
@@ -125,7 +126,7 @@
 	inst.armCounterTimer()
 }
 
-// CounterConnected reports that the connection to the counter is made.
+// CounterConnected reports that the connection to the counter is established.
 func (inst *Instance) CounterConnected(now time.Duration) {
 	inst.advanceTo(now)
 	counter := &inst.counter
@@ -135,7 +136,7 @@
 	}
 }
 
-// CounterDisconnected reports that the connection to the counter could not be made, or is lost.
+// CounterDisconnected reports that the connection to the counter could not be established or was lost.
 func (inst *Instance) CounterDisconnected(now time.Duration) {
 	inst.advanceTo(now)
 	if inst.counter.connected || inst.counter.dialing {
@@ -144,9 +145,9 @@
 	inst.drainEvents()
 }
 
-// counterLost ends all calls, each of which may have been added, and sets the timer of the next dial. Instances that are
-// disconnected together must not dial together: each waits a random share, from a half to the whole, of a backoff that
-// doubles.
+// counterLost ends all pending calls, each of which may have been added, and sets the timer of the next dial. Instances
+// that lose their connections at the same time must not dial at the same time: each waits for a random part, between half
+// and all, of a backoff that doubles.
 func (inst *Instance) counterLost() {
 	counter := &inst.counter
 	counter.connected, counter.dialing, counter.outgoing = false, false, nil
@@ -161,7 +162,8 @@
 	inst.timers.push(timer{at: inst.now + wait, kind: counterDialTimer})
 }
 
-// dialCounter asks for a connection to the counter, unless there is one, none is wanted or the instance is stopped.
+// dialCounter dials the counter unless it is connected or being dialled, no counter is configured or the instance is
+// stopped.
 func (inst *Instance) dialCounter() {
 	if counter := &inst.counter; !counter.connected && !counter.dialing && !inst.stopped && counter.addr != "" {
 		counter.dialing = true
@@ -169,7 +171,8 @@
 	}
 }
 
-// CounterReceived reports bytes of the counter. What is not its protocol, or answers no call, ends the connection.
+// CounterReceived reports bytes received from the counter. Malformed bytes, and replies that belong to no call, close the
+// connection.
 func (inst *Instance) CounterReceived(now time.Duration, b []byte) {
 	inst.advanceTo(now)
 	counter := &inst.counter
@@ -189,7 +192,7 @@
 	inst.drainEvents()
 }
 
-// handleCounterReply reports the end of the oldest call, unless it was reported as timed out.
+// handleCounterReply reports the outcome of the oldest call, unless it was already reported as timed out.
 func (inst *Instance) handleCounterReply(reply protocol.CounterReply) {
 	counter := &inst.counter
 	if call := &counter.calls[counter.oldest]; !call.reported {
@@ -202,8 +205,8 @@
 	counter.dropOldest()
 }
 
-// SetCounter moves to the counter at another address (host:port; empty: none). Calls under way at the old one are reported
-// as timed out, since they may have been added, and the connection is made anew.
+// SetCounter switches to the counter at another address (host:port; empty: none). Pending calls to the old counter are
+// reported as timed out, because they may have been added, and the new counter is dialled.
 func (inst *Instance) SetCounter(now time.Duration, addr string) {
 	inst.advanceTo(now)
 	counter := &inst.counter
--- a/proxy/counterclient_test.go
+++ b/proxy/counterclient_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// The counter's reply came after the client of the request that waited for it had left. It changes nothing: nothing is
-// sent and nobody is answered.
+// The counter's reply arrives after the client of the waiting request has left. Nothing may be sent and no client answered.
 func TestCounterReplyAfterRequestEnded(t *testing.T) {
 	r := newHarness(t, 1, 3, "")
 	r.want(DialCounter)
@@ -24,8 +23,8 @@
 	r.requireQuiescent()
 }
 
-// The counter falls silent. Requests that wait for it must not be held until their clients give up: each is decided
-// when the call's timeout is up, and after twenty timeouts the connection is made anew.
+// The counter stops replying. Requests that wait for it must not be delayed until their clients time out: each is decided at
+// the call's timeout, and after twenty timeouts the counter is dialled again.
 func TestCounterSilent(t *testing.T) {
 	r := newHarness(t, 1, 3, "")
 	r.instance.CounterConnected(r.now)
@@ -36,16 +35,16 @@
 	r.wantNone(Respond)
 	r.advance(2 * time.Millisecond)
 	if r.collect(); len(r.effects) == 0 {
-		t.Fatal("still held")
+		t.Fatal("the request is still waiting for the counter")
 	}
 	r.advance(2 * time.Second)
-	r.want(CloseCounter) // silent for 20 time-outs
+	r.want(CloseCounter) // no reply for 20 timeouts
 	r.want(DialCounter)
 }
 
-// Something that does not speak the counter's protocol answered at its address. The connection is closed and made anew,
-// and the calls are reported as perhaps added. Replies that are errors or no numbers are replies: the call was not
-// added, and the connection stays.
+// A server that does not speak the counter's protocol replies at its address. The connection must be closed and the counter
+// dialled again, and the calls are reported as possibly added. Replies that are errors or not numbers are valid replies: the
+// call was not added, and the connection stays open.
 func TestCounterMalformedReplies(t *testing.T) {
 	for _, s := range []string{"HTTP/1.1 400 Bad Request\r\n\r\n", "$1\r\n1\r\n:1\r\n:1\r\n", "*-7\r\n", "$1\r\nabc", "\x00\x00\r\n"} {
 		r := newHarness(t, 1, 3, "")
@@ -57,7 +56,7 @@
 		r.advance(100 * time.Millisecond)
 		r.want(DialCounter)
 		if r.instance.counter.pending() != 0 {
-			t.Errorf("%q: calls are left", s)
+			t.Errorf("%q: calls are still pending", s)
 		}
 	}
 	for _, s := range []string{"-OOM command not allowed\r\n-OOM\r\n", "$3\r\nnan\r\n:1\r\n", "$-1\r\n:0\r\n", "+OK\r\n+OK\r\n"} { // replies, but no totals
@@ -66,13 +65,13 @@
 		r.request("GET", "/look", "kb", "")
 		r.instance.CounterReceived(r.now, []byte(s))
 		if r.instance.counter.pending() != 0 || !r.instance.counter.connected {
-			t.Errorf("%q: not taken as a reply", s)
+			t.Errorf("%q: not accepted as a reply", s)
 		}
 	}
 }
 
-// TestCounterPendingCallsAreBounded holds the calls to the counter to counter's pending limit; those beyond it are not
-// sent.
+// TestCounterPendingCallsAreBounded checks that no more calls are pending than Counter.MaxPending allows; further calls are
+// not sent.
 func TestCounterPendingCallsAreBounded(t *testing.T) {
 	r := newHarness(t, 1, 3, "")
 	r.shared.Config.Counter.MaxPending = 2
@@ -85,8 +84,8 @@
 	}
 }
 
-// The counter was moved to another address, and a reply of the old one came at that moment. It belongs to no call: the
-// call under way is reported as perhaps added, and calls from then on go to the new address.
+// The counter moves to another address while a reply of the old one arrives. The reply belongs to no call: the pending call
+// is reported as possibly added, and later calls are sent to the new address.
 func TestCounterReplyDuringMove(t *testing.T) {
 	r := newHarness(t, 1, 3, "")
 	r.want(DialCounter)
@@ -97,16 +96,16 @@
 	r.want(CloseCounter)
 	r.instance.CounterReceived(r.now, []byte("$1\r\n1\r\n:1\r\n"))
 	if dial := r.want(DialCounter); dial.Addr != "127.0.0.1:2" {
-		t.Errorf("the next call goes to %s", dial.Addr)
+		t.Errorf("the counter is dialled at %s", dial.Addr)
 	}
 	if n := r.instance.counter.pending(); n != 0 || r.instance.Stats.CounterMalformed != 0 {
-		t.Errorf("%d calls are held, %d answers malformed", n, r.instance.Stats.CounterMalformed)
+		t.Errorf("%d calls are pending, %d replies malformed", n, r.instance.Stats.CounterMalformed)
 	}
 	r.instance.CounterConnected(r.now)
 	r.request("GET", "/look", "kb", "")
 	r.want(WriteCounter)
 	r.instance.CounterReceived(r.now, []byte("$1\r\n1\r\n:1\r\n"))
 	if n := r.instance.counter.pending(); n != 0 {
-		t.Errorf("%d calls wait at the new one", n)
+		t.Errorf("%d calls are pending at the new address", n)
 	}
 }
--- a/proxy/effects.go
+++ b/proxy/effects.go
@@ -1,35 +1,35 @@
 package proxy
 
-// EffectKind says what an Effect asks of the runtime.
+// EffectKind is the kind of an Effect.
 type EffectKind uint8
 
 // The kinds of effects.
 const (
 	// DialBackend: connect Conn to Addr, and report BackendConnected or BackendDisconnected.
 	DialBackend EffectKind = iota
-	// WriteAttempt: write Bytes, an attempt of Exchange, on Conn, and report ResponseReceived or BackendDisconnected.
+	// WriteAttempt: write Bytes, an attempt of Exchange, to Conn, and report ResponseReceived or BackendDisconnected.
 	// Conn is connected and carries no other attempt.
 	WriteAttempt
-	// CloseBackend: close Conn. Nothing more is reported of it.
+	// CloseBackend: close Conn, and report nothing more about it.
 	CloseBackend
-	// Respond: hand Bytes to Exchange's client as its complete response. Uses CloseAfterResponse.
+	// Respond: send Bytes to Exchange's client as its complete response. Uses CloseAfterResponse.
 	Respond
-	// StreamResponse: hand Bytes, the beginning of a response, to Exchange's client and pass on what follows on Conn.
+	// StreamResponse: send Bytes, the first part of a response, to Exchange's client and forward the rest from Conn.
 	// Uses CloseAfterResponse.
 	StreamResponse
-	// AbortClient: close the connection of Exchange's client, whose streamed response broke off.
+	// AbortClient: close the connection of Exchange's client, whose streamed response was cut off.
 	AbortClient
 	// DialCounter: connect to the counter at Addr, and report CounterConnected or CounterDisconnected.
 	DialCounter
 	// WriteCounter: write Bytes to the counter.
 	WriteCounter
-	// CloseCounter: close the connection to the counter. Nothing more is reported of it.
+	// CloseCounter: close the connection to the counter, and report nothing more about it.
 	CloseCounter
 	// PollEndpoints: read the endpoint list, and report ReplaceEndpoints, UpdateEndpoints or EndpointPollFailed.
 	PollEndpoints
 )
 
-// effectNames are the names of the kinds. Part of the stable output, as JSON keys of the simulator; do not change.
+// effectNames are the names of the kinds. They are JSON keys in the simulator's stable output; do not change them.
 var effectNames = [...]string{
 	DialBackend:    "dial",
 	WriteAttempt:   "write",
@@ -46,10 +46,11 @@
 // String returns the name under which the simulator reports the kind.
 func (k EffectKind) String() string { return effectNames[k] }
 
-// Effect is something for the runtime to do. Effects are carried out in order and none may block the instance's owner.
+// Effect is an operation that the runtime must execute. Effects are executed in order, and none may block the instance's
+// owner.
 //
-// It is one struct for all kinds, rather than a type for each, because a value of an interface type would be allocated
-// for each effect, twice a request. The comment of a kind names the fields that it uses; the others are zero:
+// All kinds share one struct because a value of an interface type would need an allocation for each effect, twice per
+// request. Each kind uses these fields; the others are zero:
 //
 //	DialBackend     Conn, Addr
 //	WriteAttempt    Conn, Exchange, Bytes
@@ -67,13 +68,13 @@
 	Exchange *Exchange
 	Bytes    []byte
 	Addr     string // host:port
-	// CloseAfterResponse: the client's connection ends with this response, because the response says so (Respond) or
-	// because only the connection's end can tell where its body ends (StreamResponse).
+	// CloseAfterResponse means that the client's connection is closed after this response, because the response announces
+	// it (Respond) or because the body is delimited by the end of the connection (StreamResponse).
 	CloseAfterResponse bool
 }
 
-// Effects returns what has to be done now and forgets it. The instance's owner calls it after each method that takes a
-// time, and carries the effects out in order before it reports anything that follows from them. The slice is the caller's.
+// Effects returns and removes the pending effects. The instance's owner calls it after each method that takes a time, and
+// executes the effects in order before it reports any of their results. The caller owns the slice.
 func (inst *Instance) Effects() []Effect {
 	if counter := &inst.counter; len(counter.outgoing) > 0 {
 		inst.emit(Effect{Kind: WriteCounter, Bytes: counter.outgoing})
@@ -84,5 +85,5 @@
 	return effects
 }
 
-// emit appends an effect to those that the runtime fetches next.
+// emit appends an effect to those that the next call of Effects returns.
 func (inst *Instance) emit(effect Effect) { inst.effects = append(inst.effects, effect) }
--- a/proxy/endpoints.go
+++ b/proxy/endpoints.go
@@ -8,20 +8,20 @@
 	"sandyard/decision"
 )
 
-// backendEntry is a backend as the endpoint list describes it, with its pool of connections. It stays until the list has
-// left it out and its last connection is closed.
+// backendEntry is a backend from the endpoint list with its pool of connections. It is kept until the list no longer
+// contains it and its last connection is closed.
 type backendEntry struct {
 	endpoint       decision.Endpoint
 	name           string
 	addr           string           // host:port
-	processStarted config.Timestamp // when its process started, as the list says
-	idleConns      []*BackendConn   // the last used is the last
-	connCount      int              // connections to it, idle, busy and being made
-	listed         bool             // the endpoint list has it
+	processStarted config.Timestamp // when its process started, according to the endpoint list
+	idleConns      []*BackendConn   // ordered by last use, the most recent last
+	connCount      int              // connections to it: idle, busy and dialling
+	listed         bool             // the endpoint list contains it
 	roundTrip      roundTripEstimate
 }
 
-// isSameProcess reports whether a connection was made to the process that the backend is now, as far as the list says.
+// isSameProcess reports whether a connection was dialled to the backend's current process, according to the endpoint list.
 func (backend *backendEntry) isSameProcess(conn *BackendConn) bool {
 	return backend.addr == conn.Addr && time.Time(backend.processStarted).Equal(time.Time(conn.processStarted))
 }
@@ -29,11 +29,12 @@
 // EndpointsUpdate is a message from the source of the endpoint list.
 type EndpointsUpdate struct {
 	Endpoints []config.Endpoint
-	// Origin is the calendar time at which the instance's clock stood at zero; the starts of processes are calendar times.
+	// Origin is the calendar time of the instance's time zero. It converts the start times of processes, which are calendar
+	// times.
 	Origin time.Time
 }
 
-// ReplaceEndpoints takes a whole endpoint list in: backends that it leaves out are removed.
+// ReplaceEndpoints applies a complete endpoint list: backends that it does not contain are removed.
 func (inst *Instance) ReplaceEndpoints(now time.Duration, update EndpointsUpdate) {
 	for _, backend := range inst.backendsInOrder {
 		backend.listed = false
@@ -41,18 +42,18 @@
 	inst.applyEndpoints(now, update, decision.EndpointsChanged{Full: true})
 }
 
-// UpdateEndpoints takes in what has changed of the endpoint list; other backends stay as they are.
+// UpdateEndpoints applies changes of the endpoint list; all other backends stay unchanged.
 func (inst *Instance) UpdateEndpoints(now time.Duration, update EndpointsUpdate) {
 	inst.applyEndpoints(now, update, decision.EndpointsChanged{})
 }
 
-// EndpointPollFailed reports that the endpoint list could not be read; the last one stays in force.
+// EndpointPollFailed reports that the endpoint list could not be read. The last list stays in force.
 func (inst *Instance) EndpointPollFailed(now time.Duration) {
 	inst.advanceTo(now)
 	inst.handleAndDrain(decision.EndpointsChanged{Failed: true})
 }
 
-// applyEndpoints takes an update in and hands it to the decision gateway as one event, change.
+// applyEndpoints applies an update and passes it to the decision gateway as one event, change.
 func (inst *Instance) applyEndpoints(now time.Duration, update EndpointsUpdate, change decision.EndpointsChanged) {
 	inst.advanceTo(now)
 	for i := range update.Endpoints {
@@ -63,8 +64,8 @@
 		}
 		inst.applyEndpoint(backend, entry, update.Origin)
 		removed := backend.endpoint.State == decision.Removed
-		// A change that removes a backend has it forgotten with its last connection. One that a whole list names as removed
-		// is kept until a list leaves it out.
+		// A backend that an incremental update removes is forgotten when its last connection is closed. A backend that a
+		// complete list names as removed is kept until a list does not contain it.
 		backend.listed = change.Full || !removed
 		change.Endpoints = append(change.Endpoints, backend.endpoint)
 		if inst.RecordDecision != nil {
@@ -77,7 +78,7 @@
 	inst.drainEvents()
 }
 
-// findOrAddBackend returns the backend that an update is of, or nil if that was never known and is removed.
+// findOrAddBackend returns the backend that an update refers to, or nil if the backend is unknown and the update removes it.
 func (inst *Instance) findOrAddBackend(update *config.Endpoint) *backendEntry {
 	if backend := inst.backendsByName[update.Name]; backend != nil {
 		return backend
@@ -93,13 +94,13 @@
 	return backend
 }
 
-// applyEndpoint takes an update of one backend in. Connections to a process that is no longer at the backend's address are
-// closed where they are idle; on the others no further attempt begins.
+// applyEndpoint applies an update of one backend. If the backend's process or address changed, its idle connections are
+// closed, and no further attempt starts on the others.
 func (inst *Instance) applyEndpoint(backend *backendEntry, update *config.Endpoint, origin time.Time) {
 	addressChanged := backend.addr != update.Address
 	processChanged := addressChanged || !time.Time(backend.processStarted).Equal(time.Time(update.Started))
 	backend.addr, backend.processStarted = update.Address, update.Started
-	backend.listed = true // before connections are closed: an unlisted backend is removed with its last one
+	backend.listed = true // set before connections are closed: an unlisted backend is removed with its last connection
 	if addressChanged {
 		backend.roundTrip = roundTripEstimate{}
 	}
@@ -119,8 +120,8 @@
 	backend.endpoint = endpoint
 }
 
-// retireBackends marks backends that the list has left out as removed, those that were draining as well, and closes the idle
-// connections of all that are not up. Attempts that were written are let finish; isObsolete drops those that were not.
+// retireBackends marks backends that the list does not contain as removed, including draining ones, and closes the idle
+// connections of all backends that are not up. Attempts that were already written may finish; isObsolete stops the others.
 func (inst *Instance) retireBackends() {
 	for _, backend := range slices.Clone(inst.backendsInOrder) { // closing may remove a backend
 		if !backend.listed {
@@ -133,7 +134,7 @@
 	}
 }
 
-// removeIfUnused forgets a backend that the endpoint list has left out, once it has no connection.
+// removeIfUnused forgets a backend if the endpoint list does not contain it and it has no connections.
 func (inst *Instance) removeIfUnused(backend *backendEntry) {
 	if !backend.listed && backend.connCount == 0 && inst.backendsByName[backend.name] == backend {
 		delete(inst.backendsByName, backend.name)
--- a/proxy/endpoints_test.go
+++ b/proxy/endpoints_test.go
@@ -9,8 +9,8 @@
 	"sandyard/decision"
 )
 
-// The endpoint list became empty, and then named the same backends again. Meanwhile requests are rejected and nothing
-// of the old backends is kept; afterwards requests are served.
+// The endpoint list becomes empty and then contains the same backends again. In between, requests must be rejected and no
+// state of the old backends may remain. Afterwards, requests must be served.
 func TestAllEndpointsRemovedAndReturned(t *testing.T) {
 	r := newHarness(t, 2, 1, "")
 	_, ex := r.request("GET", "/look", "ka", "")
@@ -19,13 +19,13 @@
 	r.wantResponse("200")
 	r.instance.ReplaceEndpoints(r.now, EndpointsUpdate{Endpoints: nil})
 	if r.want(CloseBackend).Conn != conn {
-		t.Error("the idle connection stays")
+		t.Error("the idle connection is not closed")
 	}
 	r.request("GET", "/look", "ka", "")
 	r.wantResponse("503")
 	r.wantNone(DialBackend)
 	if len(r.instance.backendsInOrder) != 0 || len(r.instance.backendsByName) != 0 {
-		t.Error("removed backends are kept")
+		t.Error("removed backends are still in the tables")
 	}
 	r.instance.ReplaceEndpoints(r.now, EndpointsUpdate{Endpoints: endpointList(2, 0)})
 	_, ex = r.request("GET", "/look", "ka", "")
@@ -35,8 +35,8 @@
 	r.requireQuiescent()
 }
 
-// An update leaves backends alone that it does not name, forgets one that is removed, and adds nothing for one that was
-// never known.
+// An update must not change backends that it does not contain, must forget a removed backend, and must not add an unknown
+// backend that it removes.
 func TestEndpointUpdates(t *testing.T) {
 	r := newHarness(t, 2, 1, "")
 	gone := config.EndpointState(decision.Removed)
@@ -56,8 +56,8 @@
 	}
 }
 
-// A backend's process restarts while all connections to it are idle. They are closed, and the backend must not be
-// forgotten with the last of them: it stays, and gets requests by a new connection.
+// A backend's process restarts while all connections to it are idle. They must be closed, but the backend must not be
+// forgotten with the last of them: it gets requests on a new connection.
 func TestBackendRestartsWithIdleConnections(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	_, ex := r.request("GET", "/look", "ka", "")
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -9,8 +9,9 @@
 	"sandyard/config"
 )
 
-// TestTransitionTableIsComplete holds the table to what "exactly one final answer" rests on. Each event is accepted in just
-// the states that are stated here; what is dropped leaves the state as it is; states are passed in their order.
+// TestTransitionTableIsComplete checks the properties of the state table that guarantee exactly one final answer: each event
+// is accepted only in the states listed here, a dropped event does not change the state, and no event leads to an earlier
+// state.
 func TestTransitionTableIsComplete(t *testing.T) {
 	accepted := [stateCount][]exchangeEvent{
 		Deciding: {eventAttemptSent, eventRejected, eventFailed, eventClientLeft},
@@ -25,19 +26,19 @@
 			if want := slices.Contains(accepted[state], event); transition.accepted != want {
 				t.Errorf("state %d, event %d: accepted %v, want %v", state, event, transition.accepted, want)
 			}
-			if transition.next < state { // also an entry that is missing, in any state but Deciding
+			if transition.next < state { // also detects a missing entry, in any state except Deciding
 				t.Errorf("state %d, event %d: goes back to %d", state, event, transition.next)
 			}
 			if transition.next != state && !transition.accepted {
-				t.Errorf("state %d, event %d: the state changes with an event that is dropped", state, event)
+				t.Errorf("state %d, event %d: a dropped event changes the state", state, event)
 			}
 		}
 	}
 }
 
-// TestEventsThatAnswerEndTheWait states where a client may be answered: only while it has no answer, and whatever answers
-// it, or notes that it left, leads to Done, or to Streaming.
-func TestEventsThatAnswerEndTheWait(t *testing.T) {
+// TestAnsweringEventsLeadToDoneOrStreaming checks that a client can be answered only while it has no answer, and that every
+// event that answers it, or reports that it left, leads to Done or Streaming.
+func TestAnsweringEventsLeadToDoneOrStreaming(t *testing.T) {
 	for state := range stateCount {
 		for _, event := range append(slices.Clone(answeringEvents), eventClientLeft) {
 			transition := transitions[state][event]
@@ -54,11 +55,11 @@
 	}
 }
 
-// answeringEvents are the events with which a client gets its final answer, or the beginning of it.
+// answeringEvents are the events that give a client its final answer or the first part of it.
 var answeringEvents = []exchangeEvent{eventRejected, eventFailed, eventResponseComplete, eventResponseStarted}
 
-// TestAnySequenceOfEventsGivesOneAnswer walks through all sequences of events that the table allows: none answers a client
-// twice, and none ends an exchange without an answer unless its client left.
+// TestAnySequenceOfEventsGivesOneAnswer explores all sequences of events that the table allows. No sequence may answer a
+// client twice, or end an exchange without an answer unless its client left.
 func TestAnySequenceOfEventsGivesOneAnswer(t *testing.T) {
 	type position struct {
 		state   State
@@ -94,8 +95,8 @@
 	}
 }
 
-// A complete response and the exchange's deadline came at the same moment, and the client was owed one answer, not two.
-// Whichever is handed over first is the answer; the other is dropped.
+// A complete response races with the exchange's deadline, and the client must get one answer, not two. The first of the two
+// events determines the answer; the other is dropped.
 func TestResponseAndTimeoutAtOnceGiveOneAnswer(t *testing.T) {
 	for _, first := range []string{"response", "timeout"} {
 		r := newHarness(t, 1, 1, "")
@@ -124,9 +125,9 @@
 	}
 }
 
-// Random events in any order: requests, connections made and lost, responses good and bad, clients that leave, timers,
-// endpoint lists, a counter that comes and goes. No request may get two answers, none may get none unless its client
-// left, and nothing may be held at the end.
+// Reports random events in any order: requests, established and lost connections, valid and malformed responses, clients
+// that leave, timers, endpoint lists, and a counter that connects and disconnects. Every request must get exactly one
+// answer, or none if its client left, and nothing may remain at the end.
 func TestExactlyOneFinalAnswerUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(300) {
 		d := &randomDriver{harness: newHarness(t, 3, 2, ""), seed: seed, state: seed*2654435761 + 1,
@@ -155,11 +156,11 @@
 	seed, state uint64
 	requested   []*Exchange
 	answers     map[*Exchange]int
-	left        map[*Exchange]bool         // its client left before an answer
-	conns       map[*BackendConn]*Exchange // that are open, with the exchange that was written last; nil: none yet
+	left        map[*Exchange]bool         // exchanges whose client left before the answer
+	conns       map[*BackendConn]*Exchange // open connections, with the exchange that was written last; nil: none yet
 }
 
-// next draws a number below n.
+// next returns a random number below n.
 func (d *randomDriver) next(n int) int {
 	d.state = d.state*6364136223846793005 + 1442695040888963407
 	return int(d.state>>33) % n
@@ -198,7 +199,7 @@
 	}
 }
 
-// sendRequest brings a request of any class and customer in.
+// sendRequest sends a request of a random class and customer.
 func (d *randomDriver) sendRequest() {
 	paths := []string{"/look", "/book", "/pay", "/feed"}
 	path, method := paths[d.next(4)], "POST"
@@ -209,8 +210,8 @@
 	d.requested = append(d.requested, ex)
 }
 
-// connectOrReply makes a connection on which nothing was written, and replies on another: a response, a failure, the
-// beginning of a large response, or no response at all.
+// connectOrReply establishes a connection on which nothing was written. On any other connection it replies with a response,
+// an error, the first part of a large response, or bytes that are not a response.
 func (d *randomDriver) connectOrReply(conn *BackendConn, ex *Exchange) {
 	if ex == nil {
 		d.instance.BackendConnected(d.now, conn)
@@ -225,7 +226,7 @@
 	d.reply(conn, ex, replies[d.next(4)])
 }
 
-// countAnswers takes what the instance asked for since the last call into the counts.
+// countAnswers updates the counts with the effects since the last call.
 func (d *randomDriver) countAnswers() {
 	d.collect()
 	for _, effect := range d.effects {
@@ -233,7 +234,7 @@
 		case Respond, StreamResponse:
 			d.answers[effect.Exchange]++
 			if d.left[effect.Exchange] {
-				d.Fatalf("seed %d: a response for a client that had left", d.seed)
+				d.Fatalf("seed %d: a response for a client that has left", d.seed)
 			}
 		case DialBackend:
 			d.conns[effect.Conn] = nil
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -12,8 +12,7 @@
 	"sandyard/config"
 )
 
-// TestMain fixes the seed of the property tests, so that they give the same verdict every time; -rapid.seed draws
-// otherwise.
+// TestMain fixes the seed of the property tests, so that their results are reproducible; -rapid.seed sets another one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
@@ -24,7 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// harnessConfig is the configuration of most tests. Its verbs are for the number of instances and the rejected statuses.
+// harnessConfig is the configuration of most tests. Its formatting verbs are for the number of instances and the rejected
+// statuses.
 const harnessConfig = `
 openapi: api.yaml
 door: {number: 0, of: %d}
@@ -57,16 +57,16 @@
   /feed: {get: {x-sandyard-class: feed, responses: {}}}
 `
 
-// harness drives an instance by hand, in the place of a runtime: it keeps the effects for the test to inspect and carry out.
+// harness drives an instance in place of a runtime: it collects the effects, which the test inspects and executes.
 type harness struct {
 	*testing.T
 	instance *Instance
 	shared   *Shared
 	now      time.Duration
-	effects  []Effect // fetched, and not taken out by want
+	effects  []Effect // fetched, and not yet removed by want
 }
 
-// newHarness returns an instance of harnessConfig with backends that are up.
+// newHarness returns a harness with an instance of harnessConfig whose backends are up.
 func newHarness(t *testing.T, backends, instances int, rejectedStatuses string) *harness {
 	t.Helper()
 	return newHarnessOf(t, harnessConfig, backends, instances, rejectedStatuses)
@@ -95,10 +95,10 @@
 	return r
 }
 
-// collect adds the instance's new effects to those that are kept.
+// collect appends the instance's new effects to the collected ones.
 func (r *harness) collect() { r.effects = append(r.effects, r.instance.Effects()...) }
 
-// want takes the first kept effect of a kind out, and fails if there is none.
+// want removes and returns the first collected effect of a kind. It fails the test if there is none.
 func (r *harness) want(k EffectKind) Effect {
 	r.Helper()
 	r.collect()
@@ -112,24 +112,24 @@
 	return Effect{}
 }
 
-// hasEffect reports whether an effect of a kind is kept.
+// hasEffect reports whether there is a collected effect of a kind.
 func (r *harness) hasEffect(k EffectKind) bool {
 	r.collect()
 	return slices.ContainsFunc(r.effects, func(effect Effect) bool { return effect.Kind == k })
 }
 
-// wantNone fails if an effect of a kind is kept.
+// wantNone fails the test if there is a collected effect of a kind.
 func (r *harness) wantNone(k EffectKind) {
 	r.Helper()
 	r.collect()
 	for _, effect := range r.effects {
 		if effect.Kind == k {
-			r.Fatalf("an effect %v: %+v", k, effect)
+			r.Fatalf("unexpected effect %v: %+v", k, effect)
 		}
 	}
 }
 
-// advance lets time pass, timer by timer.
+// advance moves the time forward and fires each timer that is due.
 func (r *harness) advance(d time.Duration) {
 	for end := r.now + d; ; {
 		next := r.instance.NextTimer()
@@ -143,16 +143,16 @@
 	}
 }
 
-// requestText returns a request with further header fields, each ended by CRLF.
-func requestText(method, path, key, more string) []byte {
-	return []byte(method + " " + path + " HTTP/1.1\r\nHost: h\r\nX-Api-Key: " + key + "\r\n" + more + "\r\n")
+// requestText returns a request with additional header fields, each ending in CRLF.
+func requestText(method, path, key, extraFields string) []byte {
+	return []byte(method + " " + path + " HTTP/1.1\r\nHost: h\r\nX-Api-Key: " + key + "\r\n" + extraFields + "\r\n")
 }
 
-// request brings a complete request in, by a client connection of its own.
-func (r *harness) request(method, path, key, more string) (*ClientConn, *Exchange) {
+// request sends a complete request on a new client connection.
+func (r *harness) request(method, path, key, extraFields string) (*ClientConn, *Exchange) {
 	r.Helper()
 	c := NewClientConn(r.shared, nil, "192.0.2.1", r.now)
-	ex := c.Feed(r.now, requestText(method, path, key, more))
+	ex := c.Feed(r.now, requestText(method, path, key, extraFields))
 	if ex == nil {
 		r.Fatalf("no exchange: %s", c.Outgoing)
 	}
@@ -161,7 +161,7 @@
 	return c, ex
 }
 
-// connect makes the next connection that is asked for, and returns it with the exchange that is written on it.
+// connect establishes the next connection that the instance dials, and returns it with the exchange that is written on it.
 func (r *harness) connect() (*BackendConn, *Exchange) {
 	r.Helper()
 	dial := r.want(DialBackend)
@@ -170,20 +170,20 @@
 	return effect.Conn, effect.Exchange
 }
 
-// reply feeds a backend's response through a codec of its own to the instance.
+// reply parses a backend's response with a new ResponseReader and reports it to the instance.
 func (r *harness) reply(conn *BackendConn, ex *Exchange, s string) *ResponseReader {
-	b := NewResponseReader(r.shared)
-	b.Expect(ex)
-	a := b.Feed([]byte(s))
-	r.instance.ResponseReceived(r.now, conn, &a)
+	reader := NewResponseReader(r.shared)
+	reader.Expect(ex)
+	response := reader.Feed([]byte(s))
+	r.instance.ResponseReceived(r.now, conn, &response)
 	r.collect()
-	return b
+	return reader
 }
 
 // ok200 is a complete response.
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-// wantResponse takes the first complete response out, and fails if its status is another.
+// wantResponse removes and returns the first complete response. It fails the test if the response has another status.
 func (r *harness) wantResponse(want string) Effect {
 	r.Helper()
 	effect := r.want(Respond)
@@ -193,11 +193,11 @@
 	return effect
 }
 
-// requireQuiescent fails if anything is held once time has passed.
+// requireQuiescent fails the test if any exchange or reserved memory remains after a minute.
 func (r *harness) requireQuiescent() {
 	r.Helper()
 	r.advance(time.Minute)
 	if reqs, _, _ := r.instance.Sizes(); reqs != 0 || r.instance.Unanswered() != 0 || r.shared.ReservedBytes.Load() != 0 {
-		r.Fatalf("held: %d exchanges, %d unanswered, %d bytes", reqs, r.instance.Unanswered(), r.shared.ReservedBytes.Load())
+		r.Fatalf("remaining: %d exchanges, %d unanswered, %d bytes", reqs, r.instance.Unanswered(), r.shared.ReservedBytes.Load())
 	}
 }
--- a/proxy/hostile_test.go
+++ b/proxy/hostile_test.go
@@ -6,8 +6,8 @@
 	"sandyard/decision"
 )
 
-// FuzzBackendBytes: bytes of a backend must not end the process, whether they answer a request, a stream or a health check,
-// and however they are cut.
+// FuzzBackendBytes checks that no bytes from a backend can crash the process, whether they answer a normal request, a
+// streamed one or a health check, and however they are split.
 func FuzzBackendBytes(f *testing.F) {
 	f.Add([]byte(ok200), uint8(3))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nA: b\r\n\r\n"), uint8(40))
@@ -44,7 +44,7 @@
 			r.collect()
 			for _, effect := range r.effects {
 				if effect.Exchange != nil && effect.Exchange.isProbe && effect.Kind != WriteAttempt {
-					t.Errorf("an effect for the client of a health check: %v", effect.Kind)
+					t.Errorf("a client effect for a health check: %v", effect.Kind)
 				}
 			}
 		}
--- a/proxy/inspect.go
+++ b/proxy/inspect.go
@@ -12,32 +12,32 @@
 	"sandyard/internal/protocol"
 )
 
-// Inspection asks what an instance would make of a request before anything is decided: its operation, customer and cost.
+// Inspection is a query for how an instance would classify a request before the decision: its operation, customer and cost.
 type Inspection struct {
 	Method, Target string
 	Fields         []string // header fields, as "Name: value"
-	Key            string   // the customer's key; empty: Customer or Fields say who it is
-	Customer       string   // the customer's name, used where Key is empty
+	Key            string   // the customer's key; empty: Customer or Fields identify the customer
+	Customer       string   // the customer's name, used if Key is empty
 }
 
-// InspectionResult is the answer to an Inspection. Its JSON keys are part of the stable output; do not
-// change them.
+// InspectionResult is the result of an Inspection. Its JSON keys are part of the stable output; do not change them.
 type InspectionResult struct {
 	Method      string  `json:"method"`
 	Target      string  `json:"target"`
 	Operation   string  `json:"operation,omitempty"`
-	Line        int     `json:"line,omitempty"` // in the OpenAPI description
+	Line        int     `json:"line,omitempty"` // of the operation in the OpenAPI description
 	Class       string  `json:"class,omitempty"`
 	Idempotency string  `json:"repeat,omitempty"`
 	Units       float64 `json:"units"`
 	Customer    string  `json:"studio,omitempty"`
 	Plan        string  `json:"plan,omitempty"`
 	Deadline    string  `json:"deadline,omitempty"`
-	Status      int     `json:"status,omitempty"` // of the local response that it gets; 0: it goes on to a decision
+	Status      int     `json:"status,omitempty"` // of the local response; 0: the request needs a decision
 	Reason      string  `json:"why,omitempty"`
 }
 
-// Run answers by a configuration, with the code that requests go through. Any goroutine may call it; it does not block.
+// Run performs the inspection with a configuration, using the code that handles requests. It is safe for concurrent use and
+// does not block.
 func (inspection Inspection) Run(cfg *config.Config) InspectionResult {
 	out := InspectionResult{Method: inspection.Method, Target: inspection.Target}
 	reader := http1.NewRequests(http1.Limits{Head: int(cfg.Limits.Head), Fields: cfg.Limits.Fields})
@@ -68,7 +68,7 @@
 	return out
 }
 
-// requestText returns the head of the request that is asked about.
+// requestText returns the head of the inspected request.
 func (inspection Inspection) requestText(cfg *config.Config) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: routes\r\n", inspection.Method, inspection.Target)
@@ -83,8 +83,8 @@
 	return text.String()
 }
 
-// idempotencyText describes what a second run of a request of a class would do. The words are part of the stable
-// output; do not change them.
+// idempotencyText describes whether requests of a class may run twice. The texts are part of the stable output; do not
+// change them.
 func idempotencyText(class decision.Class) string {
 	switch class.Idempotency {
 	case decision.Idempotent:
@@ -95,7 +95,7 @@
 	return "unsafe"
 }
 
-// Query returns the inspection as the query of a request to the admin socket; ParseInspection reads it.
+// Query returns the inspection as the query of a request to the admin socket. ParseInspection is its inverse.
 func (inspection Inspection) Query() string {
 	query := url.Values{
 		"method": {inspection.Method},
@@ -107,7 +107,7 @@
 	return query.Encode()
 }
 
-// ParseInspection returns the inspection of which Query made the query parameters.
+// ParseInspection returns the inspection that Query encoded as query parameters.
 func ParseInspection(query map[string]string) Inspection {
 	inspection := Inspection{Method: query["method"], Target: query["target"], Key: query["key"], Customer: query["studio"]}
 	for field := range strings.SplitSeq(query["fields"], "\n") {
@@ -118,13 +118,13 @@
 	return inspection
 }
 
-// Identification is what an instance makes of a request before anything is decided.
+// Identification is how an instance classifies a request before the decision.
 type Identification struct {
 	protocol.RequestInfo
-	localResponse *localResponse // nil: it goes on to a decision
+	localResponse *localResponse // nil: the request needs a decision
 }
 
-// LocalResponse returns the status and kind of the local response that the request gets; 0 if it goes on to a decision.
+// LocalResponse returns the status and kind of the request's local response, or 0 and "" if the request needs a decision.
 func (identification Identification) LocalResponse() (status int, kind string) {
 	if identification.localResponse == nil {
 		return 0, ""
@@ -132,8 +132,8 @@
 	return identification.localResponse.Status, identification.localResponse.Kind
 }
 
-// Identify returns what an instance of a configuration makes of a request with this head, with the code that requests go
-// through.
+// Identify returns how an instance with a configuration classifies a request with this head, using the code that handles
+// requests.
 func Identify(cfg *config.Config, h *http1.Head) Identification {
 	var identification Identification
 	identification.localResponse = identifyCustomer(cfg, h, &identification.RequestInfo)
@@ -143,7 +143,7 @@
 	return identification
 }
 
-// IdentifyFor is Identify for a customer whose key the tool does not have; nil stands for an unknown customer.
+// IdentifyFor is Identify for a customer whose key the caller does not have. A nil customer is unknown.
 func IdentifyFor(cfg *config.Config, h *http1.Head, customer *config.Customer) Identification {
 	var identification Identification
 	identification.Customer = customer
--- a/proxy/inspect_test.go
+++ b/proxy/inspect_test.go
@@ -12,15 +12,15 @@
 	"sandyard/config"
 )
 
-// operation is a method and a path of a drawn description.
+// operation is a method and a path of a random description.
 type operation struct{ method, path string }
 
 // parameter is a templated segment of a path.
 var parameter = regexp.MustCompile(`\{[^}]*\}`)
 
-// On drawn descriptions and requests, what a tool says of a request is what a ClientConn makes of its bytes: the same
-// operation, class, units and customer, or the same local response. Otherwise a tool would promise a decision on
-// requests that the instance answers itself.
+// For random descriptions and requests, an Inspection must agree with a ClientConn that parses the request: the same
+// operation, class, units and customer, or the same local response. Otherwise a tool could report that a request needs a
+// decision although the instance answers it itself.
 func TestInspectionAgreesWithRequests(t *testing.T) {
 	decided, answered := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -37,26 +37,26 @@
 		ex := c.Feed(Start, []byte(request))
 		switch {
 		case (ex == nil) != (got.Status != 0):
-			t.Fatalf("%q: the tool says %+v, the client connection %+v %s", request, got, ex, c.Outgoing)
+			t.Fatalf("%q: the inspection returns %+v, the client connection %+v %s", request, got, ex, c.Outgoing)
 		case ex == nil:
 			answered++
 			if !strings.HasPrefix(string(c.Outgoing), fmt.Sprintf("HTTP/1.1 %d ", got.Status)) {
-				t.Fatalf("%q: the tool says %d %s, the response is %s", request, got.Status, got.Reason, c.Outgoing)
+				t.Fatalf("%q: the inspection returns %d %s, the response is %s", request, got.Status, got.Reason, c.Outgoing)
 			}
 		default:
 			decided++
 			if ex.Operation.ID != got.Operation || ex.Operation.Class != got.Class || ex.Units != got.Units || ex.Customer.Name != got.Customer || ex.Timeout.String() != got.Deadline {
-				t.Fatalf("%q: the tool says %+v, the exchange is %+v of %+v", request, got, ex, ex.Operation)
+				t.Fatalf("%q: the inspection returns %+v, the exchange is %+v of %+v", request, got, ex, ex.Operation)
 			}
 		}
 	})
 	t.Logf("%d decided, %d answered", decided, answered)
 	if decided == 0 || answered == 0 {
-		t.Errorf("%d decided, %d answered: one of the two was not tried (-rapid.seed=%s)", decided, answered, flag.Lookup("rapid.seed").Value)
+		t.Errorf("%d decided, %d answered: one of the two did not occur (-rapid.seed=%s)", decided, answered, flag.Lookup("rapid.seed").Value)
 	}
 }
 
-// drawDescription draws an OpenAPI description of one to six paths, and returns its operations.
+// drawDescription returns a random OpenAPI description with one to six paths, and its operations.
 func drawDescription(t *rapid.T) (text string, operations []operation) {
 	segment := rapid.SampledFrom([]string{"a", "b", "{x}"})
 	units := rapid.SampledFrom([]string{"", "x-sandyard-units: 3, ", "x-sandyard-units: {in: query, name: n, default: 2, most: 8}, ",
@@ -85,8 +85,8 @@
 	return text, operations
 }
 
-// drawInspection draws a request. Half of the requests are for an operation that is described, by a customer that is known,
-// so that many go on to a decision and many don't.
+// drawInspection returns a random inspection. Half of them are for a described operation and a known customer, so that many
+// requests need a decision and many don't.
 func drawInspection(t *rapid.T, operations []operation) Inspection {
 	target := "/" + strings.Join(rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "", "..", "%2F", "x%20y"}), 1, 3).Draw(t, "path"), "/")
 	query := rapid.SampledFrom([]string{"", "?n=5", "?n=99", "?n=-1", "?n=x", "?m=1&n=3", "?n=3&n=4", "?n=%33"}).Draw(t, "query")
@@ -108,7 +108,7 @@
 	return inspection
 }
 
-// requestOf returns the bytes of the request that an inspection asks about.
+// requestOf returns the bytes of the inspected request.
 func requestOf(inspection Inspection, cfg *config.Config) string {
 	request := inspection.Method + " " + inspection.Target + " HTTP/1.1\r\nHost: t\r\n"
 	for _, field := range inspection.Fields {
--- a/proxy/instance.go
+++ b/proxy/instance.go
@@ -8,33 +8,35 @@
 	"sandyard/decision"
 )
 
-// snapshotInterval is how often the decision gateway's state is recorded, so that a replay may begin in the middle of a
-// trace. Taking it costs time in proportion to the number of customers, during which nothing is decided.
+// snapshotInterval is the interval at which the decision gateway's state is recorded, so that a replay can start in the
+// middle of a trace. Taking a snapshot takes time in proportion to the number of customers and delays decisions.
 const snapshotInterval = 30 * time.Second
 
-// DecisionStep is one event that was handed to the decision gateway, with the actions that it answered; or, where Snapshot
-// is set, its state before the next event.
+// DecisionStep is one event that the decision gateway handled, with the actions that it returned. If Snapshot is set, the
+// step instead holds the gateway's state before the next event.
 type DecisionStep struct {
 	At              time.Duration
-	Event           decision.Event // nil: the actions are those of the gateway's construction
+	Event           decision.Event // nil: the actions were returned when the gateway was created
 	Actions         []decision.Action
-	OperationNumber int             // of a RequestArrived: the position of its operation in the description, from 1; else 0
-	EndpointNames   []string        // of an EndpointsChanged: the names of its endpoints, in its order
-	Snapshot        *decision.State // if set, the other fields but At are empty
+	OperationNumber int             // for RequestArrived: the position of its operation in the description, from 1; otherwise 0
+	EndpointNames   []string        // for EndpointsChanged: the names of its endpoints, in the same order
+	Snapshot        *decision.State // if set, all other fields except At are empty
 }
 
 // Instance is the decision loop of one proxy instance. It has one owner at a time and does no I/O: no method blocks.
 //
-// Methods that take a time report to it what happened, and may add effects; the owner fetches them with Effects and
-// carries them out in order before it reports anything that follows from them. A time before an earlier one counts as that.
+// Methods that take a time report to it what happened, and may add effects. The owner fetches the effects with Effects and
+// executes them in order before it reports any of their results. The instance's time never goes back: a time earlier than
+// the last one is replaced by the last one.
 type Instance struct {
 	// Stats may be read by the owner at any time.
 	Stats Stats
-	// RecordDecision, if set, is called by the owner's methods with each step of the decision gateway, in order. It must
-	// not block, nor change what it is given.
+	// RecordDecision, if set, is called with each step of the decision gateway, in order. It must not block or modify its
+	// argument.
 	RecordDecision func(DecisionStep)
-	// EndpointsUnhandledFor, if set, is called just before an attempt begins. It returns for how long a message of the endpoint
-	// list has waited to be read or to be handed over; 0: none waits. It must not block.
+	// EndpointsUnhandledFor, if set, is called just before a connection is dialled and just before an attempt starts. It
+	// returns how long an endpoint list message has been waiting to be read or handled; 0: none is waiting. It must not
+	// block.
 	EndpointsUnhandledFor func() time.Duration
 
 	shared  *Shared
@@ -45,29 +47,29 @@
 	stopped bool
 
 	// Exchanges.
-	requests        map[decision.RequestID]*Exchange // until answered with no attempt open; health checks included
+	requests        map[decision.RequestID]*Exchange // until answered and no attempt is open; includes health checks
 	exchangesByName map[string]*Exchange             // by RequestInfo.UniqueName
 	lastRequestID   decision.RequestID
-	unanswered      int // exchanges without a final answer, or whose response is streamed
+	unanswered      int // exchanges without a final answer, or whose response is still being streamed
 
 	// Backends and their connections.
 	backends        map[decision.BackendID]*backendEntry
 	backendsInOrder []*backendEntry // in the order in which they were first listed
 	backendsByName  map[string]*backendEntry
 	lastBackendID   decision.BackendID
-	connCount       int // to all backends: idle, busy and being made
+	connCount       int // connections to all backends: idle, busy and dialling
 
 	counter counterClient
 
 	effects        []Effect          // not yet fetched by the owner
-	pendingEvents  []decision.Event  // that follow from actions, not yet handed over
-	initialActions []decision.Action // of the decision gateway's construction
+	pendingEvents  []decision.Event  // caused by actions, not yet passed to the decision gateway
+	initialActions []decision.Action // returned when the decision gateway was created
 	nextSnapshotAt time.Duration     // when the decision gateway's state is recorded next
-	endpointNames  []string          // of the endpoint list that is being handed over, while decisions are recorded
+	endpointNames  []string          // names in the EndpointsChanged event being handled; set only while decisions are recorded
 }
 
-// NewInstance returns an instance whose clock begins at now. It fails if the decision gateway refuses the settings. The
-// same configuration, seed and calls give the same effects.
+// NewInstance returns an instance whose clock starts at now. It fails if the decision gateway rejects the settings. The
+// same configuration, seed and calls produce the same effects.
 func NewInstance(shared *Shared, seed uint64, now time.Duration) (*Instance, error) {
 	gateway, actions, err := decision.New(shared.Config.Settings, seed, now)
 	if err != nil {
@@ -94,28 +96,29 @@
 	return inst, nil
 }
 
-// Gateway returns the decision gateway, for the owner to inspect. It must be handed no event.
+// Gateway returns the decision gateway for inspection. The caller must not pass events to it.
 func (inst *Instance) Gateway() *decision.Gateway { return inst.gateway }
 
 // InitialDecision returns the decision gateway's first step, for a recorder that is set after NewInstance. startedAt is
-// the time that NewInstance was given.
+// the time that was passed to NewInstance.
 func (inst *Instance) InitialDecision(startedAt time.Duration) DecisionStep {
 	return DecisionStep{At: startedAt, Actions: inst.initialActions}
 }
 
-// Unanswered returns how many exchanges wait for their answer or its end.
+// Unanswered returns the number of exchanges whose answer has not started or is not complete.
 func (inst *Instance) Unanswered() int { return inst.unanswered }
 
-// Quiescent reports whether nothing is held: no exchange, no attempt and no call to the counter.
+// Quiescent reports whether there is no exchange, no open attempt and no pending call to the counter.
 func (inst *Instance) Quiescent() bool { return len(inst.requests) == 0 && inst.counter.pending() == 0 }
 
-// Sizes returns the lengths of the instance's tables, for those who watch that they stay bounded: exchanges, timers, and
-// connections to backends.
+// Sizes returns the numbers of exchanges, timers and backend connections, so that callers can check that they stay
+// bounded.
 func (inst *Instance) Sizes() (requests, timers, conns int) {
 	return len(inst.requests), len(inst.timers.heap), inst.connCount
 }
 
-// Stop closes idle backend connections and that to the counter. Nothing new is begun; what is reported later is taken in.
+// Stop closes the idle backend connections and the connection to the counter. From then on no connection is pooled and the
+// counter is not dialled. Later reports are still processed.
 func (inst *Instance) Stop(now time.Duration) {
 	inst.advanceTo(now)
 	inst.stopped = true
@@ -128,17 +131,17 @@
 	}
 }
 
-// advanceTo sets the time, which never goes back.
+// advanceTo sets the current time, which never goes back.
 func (inst *Instance) advanceTo(now time.Duration) { inst.now = max(inst.now, now) }
 
-// queueEvent puts off an event that follows from an action: the decision gateway gets it once the actions of the event
-// under way are carried out.
+// queueEvent queues an event that is caused by an action. The decision gateway gets it after all actions of the current
+// event have been executed.
 func (inst *Instance) queueEvent(event decision.Event) {
 	inst.pendingEvents = append(inst.pendingEvents, event)
 }
 
-// drainEvents hands queued events over, and those that follow from them, until there are none. Every method that reports
-// something from which an event may follow ends with it.
+// drainEvents passes queued events, and the events that they cause, to the decision gateway until there are none. Every
+// exported method that may queue an event must call it before it returns.
 func (inst *Instance) drainEvents() {
 	for len(inst.pendingEvents) > 0 {
 		event := inst.pendingEvents[0]
@@ -150,14 +153,14 @@
 	}
 }
 
-// handleAndDrain hands an event over at once, and then what follows from it.
+// handleAndDrain handles an event at once, and then the events that it causes.
 func (inst *Instance) handleAndDrain(event decision.Event) {
 	inst.handle(event, 0)
 	inst.drainEvents()
 }
 
-// handle hands an event to the decision gateway, records the step and carries out its actions. operationNumber is as in
-// DecisionStep.
+// handle passes an event to the decision gateway, records the step and executes the returned actions. operationNumber is as
+// in DecisionStep.
 func (inst *Instance) handle(event decision.Event, operationNumber int) {
 	if inst.RecordDecision != nil && inst.now >= inst.nextSnapshotAt {
 		inst.nextSnapshotAt = inst.now + snapshotInterval
@@ -178,7 +181,7 @@
 	inst.perform(actions)
 }
 
-// perform carries out the decision gateway's actions in order.
+// perform executes the decision gateway's actions in order.
 func (inst *Instance) perform(actions []decision.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
--- a/proxy/localresponse.go
+++ b/proxy/localresponse.go
@@ -11,13 +11,13 @@
 // localResponse is one of the gateway's own responses.
 type localResponse = protocol.LocalResponse
 
-// newLocalResponse returns a response with a problem's URN, title and detail. Part of the stable output, on
-// which clients may rely; do not change.
+// newLocalResponse returns a response with a problem's kind, title and detail. These texts are part of the stable output,
+// on which clients may rely; do not change them.
 func newLocalResponse(status int, kind, title, detail string, retryIsSafe bool) localResponse {
 	return localResponse{Status: status, Kind: kind, Title: title, Detail: detail, RetryIsSafe: retryIsSafe}
 }
 
-// Responses that the decision gateway asks for.
+// Responses for actions of the decision gateway.
 var (
 	overQuota        = newLocalResponse(429, "beyond-quota", "Beyond the quota", "The studio's plan allows no more now.", true)
 	noCapacity       = newLocalResponse(503, "no-room", "No room", "The boxes have no room for this request in time.", true)
@@ -25,7 +25,7 @@
 	deadlineExceeded = newLocalResponse(504, "late", "No answer in time", "A box was tried; whether it acted is not known.", false)
 )
 
-// Responses of an instance that can't take a request, whatever it is.
+// Responses of an instance that can't accept any request.
 var (
 	shuttingDown       = newLocalResponse(503, "shutting-down", "Shutting down", "This front door takes no more requests.", true)
 	notReady           = newLocalResponse(503, "starting", "Starting", "This front door has no list of boxes yet.", true)
@@ -34,10 +34,10 @@
 	queueFull          = newLocalResponse(503, "queue", "Too busy", "This front door has more to decide than it may queue.", true)
 )
 
-// duplicateName answers a request whose unique name another one has that is open.
+// duplicateName is the response to a request whose unique name is used by another open request.
 var duplicateName = newLocalResponse(409, "same-name", "Open already", "A request of this name is open.", true)
 
-// Responses to a request that is wrong in itself.
+// Responses to invalid requests.
 var (
 	missingKey            = newLocalResponse(401, "no-key", "No key", "The request carries no key of a studio.", true)
 	unknownKey            = newLocalResponse(401, "unknown-key", "Unknown key", "The key belongs to no studio.", true)
@@ -52,8 +52,9 @@
 	bodyTooLarge          = newLocalResponse(413, "too-large", "Too large", "The body is larger than this front door holds.", true)
 )
 
-// appendLocalResponse appends a response to a request of the given method and HTTP/1 version. A status of 400 or more has
-// a problem of RFC 9457 as its body. retryAfter, if above 0, becomes a Retry-After field where the configuration has that.
+// appendLocalResponse appends a response to a request with the given method and HTTP/1 minor version. A response with a
+// status of 400 or more has an RFC 9457 problem as its body. If retryAfter is above 0 and the configuration enables it, the
+// response has a Retry-After field.
 func (s *Shared) appendLocalResponse(b []byte, response *localResponse, method string, minorVersion int, closeAfterResponse bool, retryAfter time.Duration) []byte {
 	b = http1.AppendStatus(b, response.Status, http1.StatusText(response.Status))
 	if retryAfter > 0 && s.Config.RetryAfter.Enabled {
@@ -81,7 +82,7 @@
 	return appendProblem(b, response, retryAdvice)
 }
 
-// The pieces of a problem's JSON between its values, which hold nothing that JSON escapes.
+// The parts of a problem's JSON between its values. The values must not contain characters that JSON escapes.
 const (
 	problemType   = `{"type":"urn:sandyard:problem:`
 	problemTitle  = `","title":"`
@@ -93,7 +94,7 @@
 	statusDigits = 3
 )
 
-// problemLength returns the length of what appendProblem appends, in bytes.
+// problemLength returns the number of bytes that appendProblem appends.
 func problemLength(response *localResponse, retryAdvice string) int {
 	pieces := len(problemType) + len(problemTitle) + len(problemStatus) + len(problemDetail) + len(problemRetry) + len(problemEnd)
 	return pieces + len(response.Kind) + len(response.Title) + statusDigits + len(response.Detail) + len(retryAdvice)
@@ -114,7 +115,8 @@
 	return append(b, problemEnd...)
 }
 
-// appendConnectionField appends a Connection field where what becomes of the connection is not the version's default.
+// appendConnectionField appends a Connection field: close if the connection is closed after the response, or keep-alive if
+// an HTTP/1.0 connection stays open.
 func appendConnectionField(b []byte, minorVersion int, closeAfterResponse bool) []byte {
 	switch {
 	case closeAfterResponse:
@@ -125,7 +127,7 @@
 	return b
 }
 
-// TooManyConnections returns the response to a connection beyond limits.connections, which is closed after it.
+// TooManyConnections returns the response for a connection beyond limits.connections. The connection is closed after it.
 func (s *Shared) TooManyConnections() []byte {
 	return s.appendLocalResponse(nil, &tooManyConnections, "GET", 1, true, localRetryAfter)
 }
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -8,11 +8,12 @@
 )
 
 // idleSweepInterval is how often idle backend connections are checked against limits.box-idle-timeout. A second is short
-// beside the timeout, which is tens of seconds, and the check is cheap.
+// compared with that timeout, which is tens of seconds, and the check is cheap.
 const idleSweepInterval = time.Second
 
-// assignConn gives an attempt a connection to its backend: an idle one, on which it begins at once, or a new one, on
-// which it begins when that is made. Where the bounds on connections allow neither the attempt ends as not sent.
+// assignConn assigns an attempt a connection to its backend: an idle one, on which the attempt starts at once, or a new one,
+// on which it starts when the connection is established. If the connection limits allow neither, the attempt ends as not
+// sent.
 func (inst *Instance) assignConn(ex *Exchange, index int, backend *backendEntry) {
 	if backend == nil {
 		inst.endAttemptWithOutcome(ex, index, decision.NotSent, false)
@@ -25,7 +26,7 @@
 		inst.writeAttempt(conn, ex, index)
 		return
 	}
-	if inst.endpointsOutdated() || !inst.makeRoom(backend, maxIdle) { // a connection would be made for nothing
+	if inst.endpointsOutdated() || !inst.makeRoom(backend, maxIdle) { // with an outdated list, isObsolete would stop the attempt
 		inst.endAttemptWithOutcome(ex, index, decision.NotSent, false)
 		return
 	}
@@ -46,9 +47,9 @@
 	inst.timers.push(timer{at: inst.now + time.Duration(limits.ConnectTimeout), kind: dialTimer, conn: conn})
 }
 
-// maxIdleTime is how long a connection may have been idle to carry an exchange. For a request that must not run twice it
-// is limits.unsafe-idle: where the backend closes a connection that has been idle for long just as the request is on its
-// way, it can't be known whether it ran, and it fails without a retry.
+// maxIdleTime returns how long a connection may have been idle and still be used for an exchange. For a non-idempotent
+// request it is limits.unsafe-idle: if a backend closes a long-idle connection just as the request is being sent, it is not
+// known whether the request ran, and the request fails without a retry.
 func (inst *Instance) maxIdleTime(ex *Exchange) time.Duration {
 	limits := &inst.shared.Config.Limits
 	maxIdle := time.Duration(limits.BackendIdleTimeout)
@@ -58,11 +59,12 @@
 	return maxIdle
 }
 
-// takeIdle takes the idle connection that was used last out of the pool, if it was used within maxIdle, and nil else.
+// takeIdle removes the most recently used idle connection from the pool and returns it, or nil if it has been idle for
+// longer than maxIdle.
 //
-// Those used within limits.line-rest are passed over. Bytes that a backend sends behind its response show up meanwhile,
-// and the connection is closed; after the next request was written they would be taken for its response, since nothing in
-// HTTP/1.1 names the request that a response is for.
+// Connections used within limits.line-rest are skipped. If a backend sends extra bytes after its response, they arrive
+// within that time and the connection is closed. If the next request had already been written, they would be taken for its
+// response, because HTTP/1.1 does not identify the request to which a response belongs.
 func (inst *Instance) takeIdle(backend *backendEntry, maxIdle time.Duration) *BackendConn {
 	reuseDelay := time.Duration(inst.shared.Config.Limits.ReuseDelay)
 	newest := len(backend.idleConns) - 1
@@ -77,10 +79,10 @@
 	return conn
 }
 
-// makeRoom reports whether a connection to a backend may be added to limits.lines-per-box and limits.lines, closing idle
-// ones where that is needed. One for a request that must not run twice also takes the place of the backend's oldest idle
-// connection where the backend has more than one, also below the limits; such requests get new connections each time, and
-// idle ones would pile up.
+// makeRoom reports whether limits.lines-per-box and limits.lines allow another connection to a backend. It closes idle
+// connections if necessary. For a non-idempotent request it closes the backend's oldest idle connection even below the
+// limits, if the backend has more than one: such requests may get a new connection each time, and idle ones would
+// accumulate.
 func (inst *Instance) makeRoom(backend *backendEntry, maxIdle time.Duration) bool {
 	limits := &inst.shared.Config.Limits
 	full := backend.connCount >= limits.ConnsPerBackend
@@ -93,7 +95,8 @@
 	return inst.connCount < limits.BackendConns || inst.evictOldestIdle()
 }
 
-// evictOldestIdle closes the connection to any backend that has been idle for longest, and reports whether there was one.
+// evictOldestIdle closes the connection that has been idle for the longest time, of any backend. It reports whether there
+// was one.
 func (inst *Instance) evictOldestIdle() bool {
 	var oldest *BackendConn
 	for _, backend := range inst.backendsInOrder {
@@ -108,8 +111,8 @@
 	return true
 }
 
-// returnToPool makes a connection idle that carries no attempt any more. It is closed where it can't be used again: its
-// backend is removed, draining or another process by now, or the instance is stopped.
+// returnToPool makes a connection idle that carries no attempt any more. It closes the connection if it can't be reused: its
+// backend is removed, draining or a different process now, or the instance is stopped.
 func (inst *Instance) returnToPool(conn *BackendConn) {
 	conn.exchange, conn.idleSince = nil, inst.now
 	backend := conn.backend
@@ -121,7 +124,7 @@
 	backend.idleConns = append(backend.idleConns, conn)
 }
 
-// closeConn closes a connection for good. For one that is closed it does nothing.
+// closeConn closes a connection. It does nothing if the connection is already closed.
 func (inst *Instance) closeConn(conn *BackendConn) {
 	if conn.state == connClosed {
 		return
@@ -131,15 +134,14 @@
 	inst.removeIfUnused(conn.backend)
 }
 
-// closeUnpooled closes a connection that is not closed already and is not in its backend's idleConns, which it does not
-// search.
+// closeUnpooled closes a connection that is neither closed nor in its backend's idleConns, which it does not search.
 func (inst *Instance) closeUnpooled(conn *BackendConn) {
 	inst.markClosed(conn)
 	inst.emit(Effect{Kind: CloseBackend, Conn: conn})
 	inst.removeIfUnused(conn.backend)
 }
 
-// removeConn marks a connection as closed and takes it out of the pool and of the counts. It must not be closed already.
+// removeConn marks a connection as closed and removes it from the pool and the counts. It must not be closed already.
 func (inst *Instance) removeConn(conn *BackendConn) {
 	backend := conn.backend
 	if conn.state == connIdle {
@@ -148,14 +150,14 @@
 	inst.markClosed(conn)
 }
 
-// markClosed marks a connection as closed and takes it out of the counts. It must not be closed already.
+// markClosed marks a connection as closed and removes it from the counts. It must not be closed already.
 func (inst *Instance) markClosed(conn *BackendConn) {
 	conn.state, conn.exchange = connClosed, nil
 	conn.backend.connCount--
 	inst.connCount--
 }
 
-// closeExpiredIdleConns closes connections that were idle for longer than limits.box-idle-timeout.
+// closeExpiredIdleConns closes connections that have been idle for longer than limits.box-idle-timeout.
 func (inst *Instance) closeExpiredIdleConns() {
 	limit := time.Duration(inst.shared.Config.Limits.BackendIdleTimeout)
 	for _, backend := range slices.Clone(inst.backendsInOrder) { // closing may remove a backend
@@ -165,7 +167,7 @@
 	}
 }
 
-// closeIdleConns closes a backend's idle connections, the last used first.
+// closeIdleConns closes a backend's idle connections, the most recently used first.
 func (inst *Instance) closeIdleConns(backend *backendEntry) {
 	for len(backend.idleConns) > 0 {
 		inst.closeConn(backend.idleConns[len(backend.idleConns)-1])
--- a/proxy/pool_test.go
+++ b/proxy/pool_test.go
@@ -7,15 +7,15 @@
 	"sandyard/internal/strictyaml"
 )
 
-// maxChoices is the number of requests within which each of two backends is chosen, by far.
+// maxChoices is a number of requests that is more than enough for each of two backends to be chosen.
 const maxChoices = 102
 
-// writeOn sends requests until one is written on a given idle connection, as its backend is chosen, and returns its
-// exchange. Requests that get another connection are answered, and that connection is closed.
-func (r *harness) writeOn(conn *BackendConn, path, more string) *Exchange {
+// writeOn sends requests until one is written on a given idle connection, which happens when its backend is chosen, and
+// returns its exchange. Requests on other connections are answered, and those connections are closed.
+func (r *harness) writeOn(conn *BackendConn, path, extraFields string) *Exchange {
 	r.Helper()
 	for range maxChoices {
-		_, ex := r.request("POST", path, "ka", more+"Content-Length: 0\r\n")
+		_, ex := r.request("POST", path, "ka", extraFields+"Content-Length: 0\r\n")
 		r.collect()
 		if effect := r.effects[len(r.effects)-1]; effect.Kind == WriteAttempt && effect.Conn == conn {
 			r.effects = nil
@@ -30,14 +30,14 @@
 	return nil
 }
 
-// A backend closed an idle connection just as a request was written on it. Requests that may run twice, by their class
-// or by an idempotency key, are sent to another backend. One that may not fails, unless none of its bytes had been
-// written.
+// A backend closes an idle connection just as a request is written on it. A request that is idempotent, by its class or by
+// an idempotency key, must be retried on another backend. A non-idempotent request fails, unless it was not written
+// completely.
 func TestStalePooledConnection(t *testing.T) {
 	for _, c := range []struct {
-		path, more string
-		unsent     bool
-		again      bool
+		path, extraFields string
+		unsent            bool
+		retries           bool
 	}{
 		{"/look", "", false, true}, {"/book", "Idempotency-Key: k\r\n", false, true}, {"/pay", "", false, false},
 		{"/look", "", true, true}, {"/book", "Idempotency-Key: k\r\n", true, true}, {"/pay", "", true, true},
@@ -47,10 +47,10 @@
 		conn, _ := r.connect()
 		r.reply(conn, ex, ok200)
 		r.wantResponse("200")
-		ex = r.writeOn(conn, c.path, c.more)
+		ex = r.writeOn(conn, c.path, c.extraFields)
 		r.instance.BackendDisconnected(r.now, conn, c.unsent)
 		r.collect()
-		if !c.again {
+		if !c.retries {
 			r.wantResponse("502")
 			r.wantNone(DialBackend)
 			r.requireQuiescent()
@@ -59,7 +59,7 @@
 		r.wantNone(Respond)
 		conn, got := r.connect()
 		if got != ex {
-			t.Fatal("another exchange")
+			t.Fatal("another exchange is written")
 		}
 		r.reply(conn, ex, ok200)
 		r.wantResponse("200")
@@ -67,8 +67,8 @@
 	}
 }
 
-// A request that must not run twice is not written on a connection that was idle for longer than limits.unsafe-idle,
-// which its backend may be about to close; other requests are.
+// A non-idempotent request must not be written on a connection that was idle for longer than limits.unsafe-idle, because the
+// backend may be about to close it. Other requests use the connection.
 func TestNonIdempotentAvoidsLongIdleConnections(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	_, ex := r.request("GET", "/look", "ka", "")
@@ -80,51 +80,51 @@
 	r.want(DialBackend)
 	r.request("GET", "/look", "ka", "")
 	if r.want(WriteAttempt).Conn != conn {
-		t.Error("a safe one is not")
+		t.Error("an idempotent request does not use the idle connection")
 	}
 }
 
-// Where requests that must not run twice get a new connection each, the old ones would pile up idle. A new one takes
-// the place of the oldest idle one.
+// If each non-idempotent request gets a new connection, idle connections would accumulate. Each new connection must replace
+// the oldest idle one.
 func TestNonIdempotentRequestsReplaceIdleConnections(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	r.shared.Config.Limits.NonIdempotentIdle, r.shared.Config.Limits.ConnsPerBackend = 0, 100
 	for range 20 {
 		_, ex := r.request("POST", "/pay", "ka", "Content-Length: 0\r\n")
-		conn, _ := r.connect() // a new one each time
+		conn, _ := r.connect() // a new connection each time
 		r.reply(conn, ex, ok200)
 		r.wantResponse("200")
 		r.advance(20 * time.Millisecond)
 	}
 	if _, _, conns := r.instance.Sizes(); conns > 2 {
-		t.Errorf("%d connections for one request at a time", conns)
+		t.Errorf("%d connections, although there is only one request at a time", conns)
 	}
 }
 
-// A backend sent a second copy of a response a moment after the first, and the next request on the connection got it as
-// its own. Connections rest for limits.line-rest, within which such bytes are seen.
+// A backend sends a second copy of a response just after the first, and the next request on the connection got it as its
+// response. A connection must not be reused within limits.line-rest, so that such bytes are detected.
 func TestConnectionIsNotReusedWithinReuseDelay(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	r.shared.Config.Limits.ReuseDelay = strictyaml.Duration(20 * time.Millisecond)
 	_, ex := r.request("GET", "/look", "ka", "")
 	conn, _ := r.connect()
-	b := r.reply(conn, ex, ok200)
+	reader := r.reply(conn, ex, ok200)
 	r.wantResponse("200")
 	r.request("GET", "/look", "ka", "")
-	r.wantNone(WriteAttempt) // on the connection that has just had a response
+	r.wantNone(WriteAttempt) // on the connection that has just carried a response
 	dial := r.want(DialBackend)
 	r.instance.BackendDisconnected(r.now, dial.Conn, true)
-	if a := b.Feed([]byte(ok200)); a.Kind != Malformed {
-		t.Fatalf("a second copy of a response: %+v", a)
+	if response := reader.Feed([]byte(ok200)); response.Kind != Malformed {
+		t.Fatalf("a second copy of a response is not malformed: %+v", response)
 	}
 	r.advance(time.Second)
 	r.request("GET", "/look", "ka", "")
 	if effect := r.want(WriteAttempt); effect.Conn != conn {
-		t.Error("a connection that rested is not used")
+		t.Error("the connection is not reused after limits.line-rest")
 	}
 }
 
-// Beyond limits.lines-per-box an attempt is known never to have been sent, and its request is rejected.
+// An attempt beyond limits.lines-per-box ends as not sent, and its request is rejected.
 func TestConnectionsPerBackendAreBounded(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	for range 6 {
@@ -138,8 +138,7 @@
 	r.wantNone(Respond)
 }
 
-// At limits.lines an idle connection to any backend is closed to make room for another, and where none is idle nothing
-// is sent.
+// At limits.lines, an idle connection to any backend is closed to make room for a new one. If none is idle, nothing is sent.
 func TestConnectionsToAllBackendsAreBounded(t *testing.T) {
 	r := newHarness(t, 3, 1, "")
 	r.shared.Config.Limits.BackendConns = 2
@@ -147,7 +146,7 @@
 		r.request("GET", "/look", "ka", "")
 	}
 	if _, _, conns := r.instance.Sizes(); conns != 2 {
-		t.Fatalf("%d connections of 2", conns)
+		t.Fatalf("%d connections, want 2", conns)
 	}
 	for _, effect := range r.effects {
 		if effect.Kind == DialBackend {
@@ -160,6 +159,6 @@
 		r.request("GET", "/look", "ka", "")
 	}
 	if r.want(CloseBackend); r.instance.connCount > 2 {
-		t.Errorf("%d connections of 2", r.instance.connCount)
+		t.Errorf("%d connections, want at most 2", r.instance.connCount)
 	}
 }
--- a/proxy/requests.go
+++ b/proxy/requests.go
@@ -8,11 +8,11 @@
 	"sandyard/decision"
 )
 
-// RequestArrived takes an exchange in, for which a client waits. It gets its final answer within its timeout, less
-// limits.answer-margin, and earlier where the instance has been late.
+// RequestArrived starts handling an exchange. The exchange gets its final answer within its timeout minus
+// limits.answer-margin, or earlier if timers have been firing late.
 //
-// One with the unique name of another that is open is answered 409 at once, and the decision gateway gets no event for it:
-// backends know requests by that name.
+// An exchange with the unique name of another open exchange is answered 409 at once, without an event for the decision
+// gateway, because backends identify requests by that name.
 func (inst *Instance) RequestArrived(now time.Duration, ex *Exchange) {
 	inst.advanceTo(now)
 	if ex.UniqueName != "" {
@@ -24,7 +24,7 @@
 	}
 	inst.lastRequestID++
 	ex.ID, ex.state = inst.lastRequestID, Deciding
-	ex.latenessMargin = inst.shared.latenessMargin(ex.Timeout)
+	ex.timerDelayMargin = inst.shared.timerDelayMargin(ex.Timeout)
 	inst.requests[ex.ID] = ex
 	inst.unanswered++
 	inst.Stats.Arrived++
@@ -42,7 +42,7 @@
 	inst.drainEvents()
 }
 
-// rejectDuplicate answers an exchange whose unique name is in use. The exchange was never in the instance's tables.
+// rejectDuplicate answers an exchange whose unique name is in use. The exchange must not be in the instance's tables.
 func (inst *Instance) rejectDuplicate(ex *Exchange) {
 	ex.state = Done
 	inst.respondLocally(ex, &duplicateName, 0)
@@ -50,14 +50,14 @@
 	ex.reservedBytes = 0
 }
 
-// answerDeadline is when an exchange must be answered: limits.answer-margin is for the answer to reach the client, the other
-// margin for timers that are late.
+// answerDeadline returns the time by which an exchange must be answered. limits.answer-margin is for the answer to reach the
+// client, timerDelayMargin for timers that fire late.
 func (inst *Instance) answerDeadline(ex *Exchange) time.Duration {
-	return ex.Arrived + ex.Timeout - time.Duration(inst.shared.Config.Limits.ResponseMargin) - ex.latenessMargin
+	return ex.Arrived + ex.Timeout - time.Duration(inst.shared.Config.Limits.ResponseMargin) - ex.timerDelayMargin
 }
 
-// ClientLeft reports that an exchange's client is gone. It gets no answer; the decision gateway gets the event and may
-// cancel attempts that are open. A backend connection whose response was being streamed is closed.
+// ClientLeft reports that an exchange's client disconnected. The exchange gets no answer. The decision gateway gets an event
+// and may cancel open attempts. If a response was being streamed, its backend connection is closed.
 func (inst *Instance) ClientLeft(now time.Duration, ex *Exchange) {
 	inst.advanceTo(now)
 	if inst.requests[ex.ID] != ex {
@@ -77,8 +77,8 @@
 	inst.releaseIfDone(ex)
 }
 
-// FailUnanswered gives every exchange without an answer its final one, at the end of a shutdown: one of which no byte was
-// sent to a backend is rejected, any other fails, and a response that is being streamed breaks off.
+// FailUnanswered answers every unanswered exchange at the end of a shutdown. An exchange of which no byte was sent to a
+// backend is rejected; any other fails. A response that is being streamed is aborted.
 func (inst *Instance) FailUnanswered(now time.Duration) {
 	inst.advanceTo(now)
 	for _, id := range slices.Sorted(maps.Keys(inst.requests)) {
@@ -103,7 +103,7 @@
 	return slices.ContainsFunc(ex.attempts, func(attempt attempt) bool { return attempt.firstByteAt > 0 })
 }
 
-// reject carries out the decision gateway's action.
+// reject executes the decision gateway's action.
 func (inst *Instance) reject(action decision.Reject) {
 	response := &noCapacity
 	if action.Reason == decision.OverQuota {
@@ -112,7 +112,7 @@
 	inst.answerLocally(action.Request, eventRejected, response, action.RetryAfter)
 }
 
-// fail carries out the decision gateway's action. The answer says whether the time had run out.
+// fail executes the decision gateway's action. The answer is 504 if the answer deadline has passed, and 502 otherwise.
 func (inst *Instance) fail(action decision.Fail) {
 	response := &attemptFailed
 	if ex := inst.requests[action.Request]; ex != nil && inst.now >= inst.answerDeadline(ex) {
@@ -121,8 +121,8 @@
 	inst.answerLocally(action.Request, eventFailed, response, 0)
 }
 
-// answerLocally gives the answer that the decision gateway decided on, if the exchange's state allows one: event is
-// eventRejected or eventFailed. retryAfter, if above 0, goes into the response.
+// answerLocally answers an exchange with one of the gateway's own responses, if the exchange's state allows it. event is
+// eventRejected or eventFailed. retryAfter is included in the response if it is above 0.
 func (inst *Instance) answerLocally(id decision.RequestID, event exchangeEvent, response *localResponse, retryAfter time.Duration) {
 	ex := inst.requests[id]
 	if ex == nil || !ex.apply(event) {
@@ -142,7 +142,7 @@
 	inst.releaseIfDone(ex)
 }
 
-// respondLocally hands one of the gateway's own responses to an exchange's client.
+// respondLocally sends one of the gateway's own responses to an exchange's client.
 func (inst *Instance) respondLocally(ex *Exchange, response *localResponse, retryAfter time.Duration) {
 	ex.Status = response.Status
 	closeAfterResponse := ex.CloseAfterResponse || inst.shared.closesAfterResponse()
@@ -150,7 +150,8 @@
 	inst.emit(Effect{Kind: Respond, Exchange: ex, Bytes: rendered, CloseAfterResponse: closeAfterResponse})
 }
 
-// releaseIfDone forgets an exchange, and gives its memory back, once it is answered and none of its attempts is open.
+// releaseIfDone removes an exchange from the tables and releases its reserved memory if the exchange is done and none of its
+// attempts is open.
 func (inst *Instance) releaseIfDone(ex *Exchange) {
 	if ex.state == Done && ex.openAttempts == 0 && inst.requests[ex.ID] == ex {
 		delete(inst.requests, ex.ID)
--- a/proxy/requests_test.go
+++ b/proxy/requests_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRequestIsForwardedAndAnswered follows one request: backends get its end-to-end fields, not its key and hop-by-hop
-// fields; the client gets the response without the load report.
+// TestRequestIsForwardedAndAnswered checks one request: backends get its end-to-end fields, but not its key and hop-by-hop
+// fields. The client gets the response without the load report.
 func TestRequestIsForwardedAndAnswered(t *testing.T) {
 	r := newHarness(t, 2, 1, "")
 	c, ex := r.request("POST", "/look", "ka", "X-Forwarded-For: 192.0.2.9\r\nTraceparent: 00-1-2-01\r\nConnection: x-hop\r\nX-Hop: 1\r\nTE: x\r\nContent-Length: 0\r\n")
@@ -19,7 +19,7 @@
 	}
 	for _, no := range []string{"X-Hop", "TE:", "Connection", "ka"} {
 		if strings.Contains(wire, no) {
-			t.Errorf("%q passed on: %q", no, wire)
+			t.Errorf("%q is forwarded: %q", no, wire)
 		}
 	}
 	r.reply(conn, ex, "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT cpu_utilization=0.5, named_metrics.n=3\r\nKeep-Alive: x\r\nContent-Length: 2\r\n\r\nhi")
@@ -29,19 +29,19 @@
 	}
 	c.Respond(r.now, ex, effect.Bytes, false)
 	if c.AwaitingResponse() {
-		t.Error("still waiting")
+		t.Error("the connection still awaits a response")
 	}
 	r.requireQuiescent()
 }
 
-// A client left after its request was admitted, while the connection for its attempt was being made. Nothing may be
-// written for it: the backend would work, and quota be spent, for nobody.
+// A client leaves after its request was admitted, while the connection for its attempt is being established. The attempt
+// must not be written: the backend would run a request, and quota would be used, for a client that no longer waits.
 func TestClientLeavesWhileConnecting(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	c, ex := r.request("GET", "/look", "ka", "")
 	dial := r.want(DialBackend)
 	if c.Disconnected() != ex {
-		t.Fatal("the exchange is not given up")
+		t.Fatal("Disconnected does not return the exchange")
 	}
 	r.instance.ClientLeft(r.now, ex)
 	r.instance.BackendConnected(r.now, dial.Conn)
@@ -50,8 +50,8 @@
 	r.requireQuiescent()
 }
 
-// A client left while a response was streamed to it. The backend connection is closed, since nobody reads the rest, and
-// nobody is answered.
+// A client leaves while a response is streamed to it. The backend connection must be closed, because no client reads the
+// rest, and no answer may be sent.
 func TestClientLeavesMidStream(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	c, ex := r.request("GET", "/look", "ka", "")
@@ -67,12 +67,12 @@
 	r.requireQuiescent()
 }
 
-// While a request with a unique name is open another with the same name gets 409 and nothing of it goes out: backends
-// know requests by that name. Once the first is answered the name is free.
+// While a request with a unique name is open, another request with the same name must get 409 and must not be sent, because
+// backends identify requests by that name. After the first is answered, the name can be used again.
 func TestDuplicateRequestNameIsRejected(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	_, first := r.request("GET", "/look", "ka", "")
-	first.UniqueName = "n" // as a protocol sets it; the harness's sets none
+	first.UniqueName = "n" // normally set by the protocol; the harness's protocol does not set it
 	r.instance.exchangesByName["n"] = first
 	conn, _ := r.connect()
 	c := NewClientConn(r.shared, nil, "192.0.2.1", r.now)
--- a/proxy/responsereader.go
+++ b/proxy/responsereader.go
@@ -5,49 +5,50 @@
 	"sandyard/internal/protocol"
 )
 
-// responseHeadSize is the memory that is set aside for the head of a rendered response, in bytes. Most heads fit; larger
-// ones are copied once.
+// responseHeadSize is the memory that is allocated for the head of a rendered response (bytes). Most heads fit; the buffer
+// is copied once for larger ones.
 const responseHeadSize = 512
 
-// ResponseKind says what a backend connection's bytes amount to.
+// ResponseKind is the kind of a Response.
 type ResponseKind uint8
 
 // The kinds of responses.
 const (
 	NeedMore  ResponseKind = iota // more bytes are needed
 	Complete                      // the response is complete; Bytes is all of it
-	Started                       // the response is to be streamed; Bytes is its head and what there is of its body
+	Started                       // the response is streamed; Bytes is its head and the body received so far
 	Continued                     // more of a streamed response, in Bytes
-	Ended                         // a streamed response is complete; Bytes is its end
-	Malformed                     // the bytes are no response, or it was cut off
+	Ended                         // the streamed response is complete; Bytes is its end
+	Malformed                     // the bytes are not a valid response, or the response was cut off
 )
 
-// Response is what a backend connection's bytes amount to. Status and the report are set in Complete and Started, and in Ended.
+// Response is the result of parsing bytes from a backend connection. Status and the report are set in Complete, Started and
+// Ended.
 type Response struct {
 	Kind      ResponseKind
 	Status    int
 	Bytes     []byte // for the client
 	ReuseConn bool   // Complete, Ended: the backend connection can carry another request
-	// CloseAfterResponse says in Complete that Bytes tell the client that the connection ends, in Started that only the end
-	// of the client's connection can tell it where the body ends.
+	// CloseAfterResponse means in Complete that Bytes announce that the client's connection will be closed, and in Started
+	// that the body is delimited by the end of the client's connection.
 	CloseAfterResponse bool
 	protocol.ResponseReport
 }
 
-// ResponseReader is the codec of a connection to a backend: it parses responses and renders them for the client that waits.
-// It belongs to one goroutine at a time, and no method blocks.
+// ResponseReader is the codec of a connection to a backend: it parses responses and renders them for the waiting client. It
+// belongs to one goroutine at a time, and no method blocks.
 //
-// A response is held until it is complete, so that nothing has reached the client if the backend breaks off and a retry is
-// allowed. One larger than limits.hold-answer, or of a streaming class, is streamed: passed on as it comes. To a health check
-// it is Malformed.
+// A response is buffered until it is complete, so that the request can still be retried if the backend's response is cut
+// off. A response larger than limits.hold-answer, or of a streaming class, is streamed: it is forwarded as it arrives. A
+// response to a health check that is larger than limits.hold-answer is Malformed.
 type ResponseReader struct {
 	shared    *Shared
 	parser    *http1.Reader
 	exchange  *Exchange // whose response is awaited; nil: none
 	head      *http1.Head
-	body      []byte // what is held of it
+	body      []byte // the buffered part of the body
 	streaming bool
-	chunked   bool // the streamed response goes to the client in chunks
+	chunked   bool // the streamed response is sent to the client with chunked transfer coding
 }
 
 // NewResponseReader returns the codec of a new connection.
@@ -56,13 +57,13 @@
 	return &ResponseReader{shared: shared, parser: http1.NewResponses(http1.Limits{Head: int(limits.Head), Fields: limits.Fields})}
 }
 
-// Expect prepares for the response to a request that is about to be written. The one before must have ended.
+// Expect prepares for the response to a request that is about to be written. The previous response must have ended.
 func (r *ResponseReader) Expect(ex *Exchange) {
 	r.exchange, r.head, r.body, r.streaming, r.chunked = ex, nil, nil, false, false
 	r.parser.Expect(ex.Method)
 }
 
-// Feed takes all of in, and returns what the response amounts to by now. Bytes that no request expects are Malformed.
+// Feed consumes all of in and returns the result. Bytes that arrive while no response is expected are Malformed.
 func (r *ResponseReader) Feed(in []byte) Response {
 	if r.exchange == nil {
 		if len(in) == 0 {
@@ -82,7 +83,7 @@
 			return r.unfinished(out)
 		case http1.HeadEnd:
 			if part.Head.Status < 200 {
-				continue // interim responses speak of this hop, or promise what another attempt may not keep
+				continue // an interim response concerns this hop only, or announces what another attempt may not deliver
 			}
 			r.head = part.Head
 			if r.exceedsLimit(part.Head.Length) {
@@ -98,13 +99,14 @@
 				r.body = append(r.body, part.Data...)
 			}
 		case http1.End:
-			reuse := !r.head.Close && len(in) == 0 // what follows the end of a response belongs to none
+			reuse := !r.head.Close && len(in) == 0 // what follows the end of a response belongs to no request
 			return r.finish(out, part.Trailers, reuse)
 		}
 	}
 }
 
-// EOF reports that the backend closed the connection, which ends a response without a length.
+// EOF reports that the backend closed the connection. This completes a response whose body is delimited by the end of the
+// connection.
 func (r *ResponseReader) EOF() Response {
 	if r.exchange == nil {
 		return Response{Kind: Malformed}
@@ -116,7 +118,7 @@
 	return r.finish(nil, nil, false)
 }
 
-// ConnectionLost reports that the connection was lost, which ends no response well.
+// ConnectionLost reports that the connection was lost, which makes any response Malformed.
 func (r *ResponseReader) ConnectionLost() Response { return r.malformed() }
 
 func (r *ResponseReader) malformed() Response {
@@ -124,7 +126,8 @@
 	return Response{Kind: Malformed}
 }
 
-// unfinished returns what a response amounts to whose end has not come; out is what is rendered of a streamed one.
+// unfinished returns the result for a response whose end has not been received. out is the newly rendered part of a streamed
+// response.
 func (r *ResponseReader) unfinished(out []byte) Response {
 	switch {
 	case r.head == nil:
@@ -142,19 +145,19 @@
 	return r.startStreaming()
 }
 
-// exceedsLimit reports whether a body of n bytes is larger than limits.answer, if that is set: a backend that sends so much
-// is taken to be faulty, and its response is not passed on.
+// exceedsLimit reports whether a body of n bytes is larger than limits.answer, if that is set. A backend that sends more is
+// considered faulty, and its response is not forwarded.
 func (r *ResponseReader) exceedsLimit(n int64) bool {
 	limit := int64(r.shared.Config.Limits.Response)
 	return limit > 0 && n > limit
 }
 
-// isStreamClass reports whether the response is streamed whatever its size.
+// isStreamClass reports whether the response is streamed regardless of its size.
 func (r *ResponseReader) isStreamClass() bool {
 	return !r.exchange.isProbe && r.shared.Config.Settings.Classes[r.exchange.Class].Stream
 }
 
-// appendBody appends a piece of a streamed body as the client gets it.
+// appendBody appends a part of a streamed body in the form in which the client gets it.
 func (r *ResponseReader) appendBody(out, data []byte) []byte {
 	if r.exchange.Method == "HEAD" {
 		return out
@@ -165,7 +168,7 @@
 	return append(out, data...)
 }
 
-// startStreaming renders the head, and what there is of a body whose end has not come.
+// startStreaming renders the head and the part of the body received so far.
 func (r *ResponseReader) startStreaming() Response {
 	head, ex := r.head, r.exchange
 	r.streaming = true
@@ -187,7 +190,7 @@
 	return response
 }
 
-// finish renders a complete response, or the end of one that is streamed, of which out is rendered already.
+// finish renders a complete response, or appends the end of a streamed one to out, which is already rendered.
 func (r *ResponseReader) finish(out []byte, trailers []http1.Field, reuse bool) Response {
 	var response Response
 	if r.streaming {
@@ -207,7 +210,7 @@
 	return response
 }
 
-// renderComplete renders a complete response that was held. It has a length, or chunks where trailers follow that the
+// renderComplete renders a complete buffered response. It has a Content-Length, or is chunked if it has trailers that the
 // client can read.
 func (r *ResponseReader) renderComplete(trailers []http1.Field, closeAfterResponse bool) []byte {
 	head, ex := r.head, r.exchange
@@ -217,7 +220,7 @@
 	case chunked:
 		out = append(out, "Transfer-Encoding: chunked\r\n"...)
 	case head.Status == 204:
-	case ex.Method == "HEAD" || head.Status == 304: // the length that a GET would have had, if the backend says so
+	case ex.Method == "HEAD" || head.Status == 304: // the length that a GET would have, if the backend sent it
 		if v, ok := head.Get("Content-Length"); ok {
 			out = http1.AppendField(out, "Content-Length", v)
 		}
@@ -235,7 +238,7 @@
 	return append(out, r.body...)
 }
 
-// newResponse returns a Response with what the head, and the body of a complete one, report.
+// newResponse returns a Response with the report in the head, and in the body as far as it was buffered.
 func (r *ResponseReader) newResponse(kind ResponseKind) Response {
 	report := r.shared.Protocol.ParseResponse(r.head, r.body, r.exchange.isProbe)
 	return Response{Kind: kind, Status: r.head.Status, ResponseReport: report}
--- a/proxy/roundtrip_test.go
+++ b/proxy/roundtrip_test.go
@@ -7,21 +7,22 @@
 	"sandyard/decision"
 )
 
-// One slow connection does not make a backend look far away, and a longer route is believed in the end.
+// A single slow connection must not raise the estimate. A permanently longer round trip must be accepted after one to two
+// windows.
 func TestRoundTripEstimate(t *testing.T) {
-	var effect roundTripEstimate
+	var estimate roundTripEstimate
 	for _, step := range []struct{ at, took, want time.Duration }{
 		{0, 20, 20}, {1, 900, 20}, {2, 15, 15}, {roundTripMemory - 1, 200, 15}, {roundTripMemory, 200, 15}, {2*roundTripMemory - 1, 300, 15}, {2 * roundTripMemory, 300, 200},
 		{3 * roundTripMemory, 300, 300}, {9 * roundTripMemory, 0, 1},
 	} {
-		if effect.add(step.took, step.at); effect.shortest() != step.want {
-			t.Errorf("at %v: %v, not %v", step.at, effect.shortest(), step.want)
+		if estimate.add(step.took, step.at); estimate.shortest() != step.want {
+			t.Errorf("at %v: %v, want %v", step.at, estimate.shortest(), step.want)
 		}
 	}
 }
 
-// The decision gateway gets the round trip of each attempt, twice where its connection had to be made; a backend at
-// another address begins a new estimate.
+// The decision gateway gets the round-trip time of each attempt, doubled if the attempt had to wait for a new connection.
+// When the address of a backend changes, a new estimate is started.
 func TestAttemptReportsRoundTrip(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	var reported []time.Duration
--- a/proxy/shared.go
+++ b/proxy/shared.go
@@ -8,56 +8,58 @@
 	"sandyard/internal/protocol"
 )
 
-// Start is the time at which an instance's clock begins in virtual time, and an emulator's. It is well above zero, so that
-// what happened before the process started, above all the start of a backend's process, has a time above zero, too.
+// Start is the time at which the clocks of instances and emulators start in virtual time. It is well above zero, so that
+// earlier events, such as the start of a backend's process, also have a time above zero.
 const Start = 24 * time.Hour
 
-// maxLatenessMarginDivisor bounds the margin for late timers by a part of the client's timeout: the rest is the backends'.
-const maxLatenessMarginDivisor = 4
+// maxTimerDelayMarginDivisor limits the margin for late timers to a fraction of the client's timeout. The rest is left for
+// the backends.
+const maxTimerDelayMarginDivisor = 4
 
-// Shared is what the parts of one instance have in common. All goroutines may use it; Config and Protocol are not changed
-// once the instance runs.
+// Shared holds what all parts of one instance use. It is safe for concurrent use; Config and Protocol must not change
+// while the instance runs.
 type Shared struct {
 	Config                *config.Config
 	Protocol              protocol.Protocol
-	ReservedBytes         atomic.Int64 // memory held for requests, in bytes; bounded by limits.memory
-	ClientConns           atomic.Int64 // open client connections; counted by the runtime
-	expectedLateness      atomic.Int64 // a time.Duration
+	ReservedBytes         atomic.Int64 // memory reserved for requests (bytes); bounded by limits.memory
+	ClientConns           atomic.Int64 // open client connections; maintained by the runtime
+	expectedTimerDelay    atomic.Int64 // a time.Duration
 	starting              atomic.Bool
 	closingAfterResponses atomic.Bool
 	draining              atomic.Bool
 }
 
-// ExpectLateness says how late timers may be: answers come earlier by as much.
-func (s *Shared) ExpectLateness(late time.Duration) { s.expectedLateness.Store(int64(late)) }
+// SetExpectedTimerDelay sets the expected delay of timers. Requests are answered earlier by this time.
+func (s *Shared) SetExpectedTimerDelay(delay time.Duration) { s.expectedTimerDelay.Store(int64(delay)) }
 
-// latenessMargin is how much earlier an exchange that arrives is answered, since timers may be late.
-func (s *Shared) latenessMargin(timeout time.Duration) time.Duration {
-	return min(time.Duration(s.expectedLateness.Load()), timeout/maxLatenessMarginDivisor)
+// timerDelayMargin returns how much earlier a new exchange is answered because timers may fire late.
+func (s *Shared) timerDelayMargin(timeout time.Duration) time.Duration {
+	return min(time.Duration(s.expectedTimerDelay.Load()), timeout/maxTimerDelayMarginDivisor)
 }
 
-// MarkStarting says that the instance has no endpoint list yet that it may go by: requests are answered 503.
+// MarkStarting records that the instance has no usable endpoint list yet. Until MarkStarted, requests are answered 503.
 func (s *Shared) MarkStarting() { s.starting.Store(true) }
 
-// MarkStarted ends what MarkStarting began.
+// MarkStarted records that the instance has a usable endpoint list.
 func (s *Shared) MarkStarted() { s.starting.Store(false) }
 
-// CloseAfterResponses begins the graceful shutdown: responses close their connections, and requests are still accepted.
+// CloseAfterResponses starts the graceful shutdown: each response closes its connection, and requests are still accepted.
 func (s *Shared) CloseAfterResponses() { s.closingAfterResponses.Store(true) }
 
 // closesAfterResponse reports whether responses close their connections.
 func (s *Shared) closesAfterResponse() bool { return s.closingAfterResponses.Load() }
 
-// Draining reports whether requests are not accepted any more.
+// Draining reports whether new requests are rejected.
 func (s *Shared) Draining() bool { return s.draining.Load() }
 
-// RejectNewRequests continues the graceful shutdown: new requests are answered 503, and responses close their connections.
+// RejectNewRequests continues the graceful shutdown: new requests are answered 503, and each response closes its
+// connection.
 func (s *Shared) RejectNewRequests() {
 	s.closingAfterResponses.Store(true)
 	s.draining.Store(true)
 }
 
-// reserve reserves n bytes of limits.memory, and reports false where less is left.
+// reserve reserves n bytes of limits.memory. It reports false, and reserves nothing, if fewer bytes are left.
 func (s *Shared) reserve(n int) bool {
 	if s.ReservedBytes.Add(int64(n)) > int64(s.Config.Limits.Memory) {
 		s.ReservedBytes.Add(-int64(n))
@@ -66,5 +68,5 @@
 	return true
 }
 
-// release gives n reserved bytes back.
+// release returns n reserved bytes.
 func (s *Shared) release(n int) { s.ReservedBytes.Add(-int64(n)) }
--- a/proxy/timers.go
+++ b/proxy/timers.go
@@ -6,40 +6,40 @@
 	"sandyard/decision"
 )
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 // The kinds of timers.
 const (
-	gatewayTimer     timerKind = iota // the decision gateway's; handed back to it
+	gatewayTimer     timerKind = iota // set by the decision gateway; returned to it as an event
 	attemptTimer                      // an attempt's deadline
-	dialTimer                         // a connection to a backend was not made within limits.connect-timeout
-	counterTimer                      // the oldest call to the counter is overdue
+	dialTimer                         // limits.connect-timeout of a connection to a backend
+	counterTimer                      // a call to the counter timed out, or its connection must be closed
 	counterDialTimer                  // the counter is dialled again
 	idleSweepTimer                    // idle connections to backends are checked
 	streamTimer                       // the deadline of an exchange whose response is streamed
 )
 
-// timer is an entry of the queue. It names its request by ID, so that the entry keeps no exchange in memory.
+// timer is an entry of the queue. It refers to its request by ID, so that it does not keep the exchange in memory.
 type timer struct {
 	at          time.Duration
 	seq         uint64             // the order in which timers were set
-	request     decision.RequestID // of gatewayTimer, attemptTimer and streamTimer
-	conn        *BackendConn       // of dialTimer
-	attempt     int32              // of attemptTimer
+	request     decision.RequestID // for gatewayTimer, attemptTimer and streamTimer
+	conn        *BackendConn       // for dialTimer
+	attempt     int32              // for attemptTimer
 	kind        timerKind
-	gatewayKind decision.TimerKind // of gatewayTimer
+	gatewayKind decision.TimerKind // for gatewayTimer
 }
 
-// before reports whether a timer fires before another: in the order of their times, and of their setting where those are
-// the same, so that a run can be repeated.
+// before reports whether a timer fires before another: ordered by time, and for equal times by the order in which they were
+// set, so that runs are reproducible.
 func (t *timer) before(other *timer) bool {
 	return t.at < other.at || t.at == other.at && t.seq < other.seq
 }
 
-// timerQueue is a binary heap of timers, the next one first. Timers are not removed when what they are for is over; what
-// they do then is nothing. container/heap is not used: it takes and returns timers as interface values, which would be
-// allocated, several for each request.
+// timerQueue is a binary heap of timers, the next one first. Timers are never cancelled: a timer that is no longer needed
+// fires without effect. container/heap is not used because it passes timers as interface values, which would need several
+// allocations per request.
 type timerQueue struct {
 	heap []timer
 	seq  uint64 // of the timer that was set last
@@ -61,7 +61,7 @@
 	}
 }
 
-// pop takes the next timer out; there must be one.
+// pop removes and returns the next timer. The queue must not be empty.
 func (q *timerQueue) pop() timer {
 	heap := q.heap
 	top, last := heap[0], len(heap)-1
@@ -83,10 +83,10 @@
 	}
 }
 
-// NextTimer returns when Tick has to be called if nothing else happens. There always is a timer.
+// NextTimer returns when Tick must be called if nothing else happens. There is always a timer.
 func (inst *Instance) NextTimer() time.Duration { return inst.timers.heap[0].at }
 
-// Tick reports that time has passed, and does what is due by then.
+// Tick reports that time has passed and fires the timers that are due.
 func (inst *Instance) Tick(now time.Duration) {
 	inst.advanceTo(now)
 	for len(inst.timers.heap) > 0 && inst.timers.heap[0].at <= inst.now {
@@ -99,7 +99,7 @@
 		case dialTimer:
 			inst.dialTimedOut(due.conn)
 		case counterTimer:
-			inst.reportLateCounterCalls()
+			inst.reportTimedOutCounterCalls()
 		case counterDialTimer:
 			inst.dialCounter()
 		case streamTimer:
@@ -112,7 +112,7 @@
 	}
 }
 
-// attemptTimedOut gives an attempt up, unless it has ended or its response is being streamed.
+// attemptTimedOut ends an attempt that timed out, unless it has ended already or its response is being streamed.
 func (inst *Instance) attemptTimedOut(due timer) {
 	ex := inst.requests[due.request]
 	if ex == nil || !ex.attempts[due.attempt].open || ex.state == Streaming && ex.streamingAttempt == int(due.attempt) {
@@ -121,7 +121,7 @@
 	inst.abandonAttempt(ex, int(due.attempt), decision.TimedOut)
 }
 
-// dialTimedOut gives up a connection that is still being made, and the attempt that waits for it.
+// dialTimedOut closes a connection that is still being established, and ends the attempt that waits for it.
 func (inst *Instance) dialTimedOut(conn *BackendConn) {
 	if conn.state != connDialing {
 		return
@@ -133,8 +133,8 @@
 	}
 }
 
-// streamTimedOut aborts a streamed response that is not complete at the exchange's deadline. The client is about to give
-// up: it learns that the response failed, rather than being left to wait. Streaming classes have no such timer.
+// streamTimedOut aborts a streamed response that is incomplete at the exchange's deadline. The client, which is about to
+// time out, is thus notified that the response failed. Streaming classes have no such timer.
 func (inst *Instance) streamTimedOut(due timer) {
 	if ex := inst.requests[due.request]; ex != nil && ex.state == Streaming {
 		inst.closeConn(ex.streamingConn)
--- a/proxy/unhandled_test.go
+++ b/proxy/unhandled_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// A message of the endpoint list lay unread while an attempt began: it may have been that the backend drains. An attempt does
-// not begin once the message has waited for half of the drain grace, nor is a connection made for it; its request is
+// An endpoint list message is still unread when an attempt is about to start; it may say that the backend drains. When the
+// message has waited for half of the drain grace, no attempt may start and no connection may be dialled, and the request is
 // rejected.
-func TestAttemptIsNotBegunBesideUnhandledEndpoints(t *testing.T) {
+func TestAttemptIsNotSentWhileEndpointUpdateWaits(t *testing.T) {
 	const grace = time.Second
 	const late = grace / unhandledGraceDivisor
 	for _, c := range []struct {
 		name                  string
-		atDecision, atConnect time.Duration // for how long the message has waited
+		atDecision, atConnect time.Duration // how long the message has waited
 		dials, writes         bool
 	}{
-		{"none waits", 0, 0, true, true},
-		{"it has just come", late - 1, late - 1, true, true},
-		{"it waits for too long while the connection is made", late - 1, late, true, false},
-		{"it has waited for too long", late, late, false, false},
+		{"no message waits", 0, 0, true, true},
+		{"the message has waited for less than the limit", late - 1, late - 1, true, true},
+		{"the limit is reached while the connection is being established", late - 1, late, true, false},
+		{"the limit is reached before the decision", late, late, false, false},
 	} {
 		r := newHarness(t, 1, 1, "")
 		r.shared.Config.Settings.DrainGrace = grace
@@ -35,10 +35,10 @@
 		unhandledFor = c.atConnect
 		r.instance.BackendConnected(r.now, dial.Conn)
 		if wrote := r.hasEffect(WriteAttempt); wrote != c.writes {
-			t.Errorf("%s: it is written: %v", c.name, wrote)
+			t.Errorf("%s: the attempt is written: %v", c.name, wrote)
 		}
 		if !c.writes {
-			r.wantResponse("503") // unsafe, but known not to have run: a refusal
+			r.wantResponse("503") // non-idempotent, but known not to have run: rejected
 		}
 	}
 }
