--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,7 +1,7 @@
-// Package platform is the adapter of the operators' platform: the configuration that an instance is started with, how
-// requests, attempts and responses look, the messages of discovery, and the lines of the counter. It decides nothing,
-// opens no connection and reads no clock. Its values are immutable and may be shared by goroutines, except a counter
-// codec, which belongs to one connection. docs/design/platform.md describes the protocol's guards.
+// Package platform is the adapter for the operators' platform. It defines the configuration that an instance starts with,
+// the format of requests, attempts and responses, the messages of discovery, and the line protocol of the counter. The
+// package makes no decisions, opens no connection and reads no clock. Its values are immutable and safe for concurrent
+// use, except a counter codec, which belongs to one connection. docs/design/platform.md describes the protocol's guards.
 package platform
 
 import (
@@ -19,40 +19,40 @@
 	"sandyard/routes"
 )
 
-// Errors of a configuration. Other faults are *diagnostic.FieldError (a field with a value that can't be taken) or
-// *EndpointError (an entry of the list of endpoints).
+// Errors of a configuration. Other errors are *diagnostic.FieldError (a field with an invalid value) or *EndpointError (an
+// invalid entry of the endpoint list).
 var (
-	ErrNegativeLimit    = errors.New("expected no negative figure")
-	ErrNoClassOrPlan    = errors.New("no class or no plan")
-	ErrDuplicateName    = errors.New("two classes or two plans of one name")
-	ErrSettingsNoObject = errors.New("expected an object")
+	ErrNegativeLimit     = errors.New("expected no negative number")
+	ErrNoClassOrPlan     = errors.New("no class or no plan")
+	ErrDuplicateName     = errors.New("two classes or two plans with the same name")
+	ErrSettingsNotObject = errors.New("expected an object")
 )
 
-// Node is the configuration of an instance, read when it starts and again with SIGHUP, and the protocol that the
-// instance speaks by it.
+// Node is the configuration of an instance, read at the start and again on SIGHUP. It implements the platform's protocol
+// for that configuration.
 type Node struct {
 	Name            string       // of the instance, for logs
 	Listen          string       // host:port for clients
 	Discovery       string       // host:port of discovery
-	Seed            uint64       // of all random draws
-	Limits          Limits       // of its processes
-	CachedEndpoints EndpointList // as the instance had them last; may be old
+	Seed            uint64       // seed of all random draws
+	Limits          Limits       // resource limits of the instance's processes
+	CachedEndpoints EndpointList // the last list that the instance had; may be old
 	Config          *config.Config
 
-	operations      map[string]*routes.Operation // by name of class
+	operations      map[string]*routes.Operation // by class name
 	plans           map[string]decision.PlanID   // by name
-	loadReportNames []string                     // of the figures, in the order of Settings.LoadFields
-	instances       int                          // in the fleet
+	loadReportNames []string                     // names of the load values, in the order of Settings.LoadFields
+	instances       int                          // number of instances in the fleet
 }
 
-// Limits are what an instance's processes may take.
+// Limits are the resource limits of an instance's processes.
 type Limits struct {
 	Cores    float64 `json:"cores"`     // processor cores, fractions allowed; 0: not limited
 	MemoryMB int     `json:"memory_mb"` // MiB; 0: not limited
-	Sockets  int     `json:"sockets"`   // descriptors; 0: not limited
+	Sockets  int     `json:"sockets"`   // file descriptors; 0: not limited
 }
 
-// configFile is a configuration as operators write it.
+// configFile is the JSON form of a configuration.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -64,7 +64,7 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// ParseConfig reads a configuration. The error names the first field that is wrong.
+// ParseConfig parses a configuration. The error names the first invalid field.
 func ParseConfig(text []byte) (*Node, error) {
 	n, err := parseConfig(text)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return n, nil
 }
 
-// checkAddresses refuses what is no address. An instance may be without a counter.
+// checkAddresses returns an error for the first field that is not an address. The counter's address is optional.
 func (f *configFile) checkAddresses() error {
 	for _, a := range []struct {
 		field, address string
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// cachedEndpoints reads the list of endpoints that comes with the configuration. All of its entries have to be right.
+// cachedEndpoints parses the endpoint list in the configuration. All of its entries must be valid.
 func (f *configFile) cachedEndpoints() (EndpointList, error) {
 	if len(f.Endpoints) == 0 {
 		return EndpointList{}, nil
@@ -130,8 +130,8 @@
 	return list, nil
 }
 
-// applySettings works out what the instance goes by from the operators' settings. The counter is called only where they
-// allow it.
+// applySettings derives the instance's configuration from the operators' settings. The counter is used only if the settings
+// enable it.
 func (n *Node) applySettings(text json.RawMessage, counter string) error {
 	lookup, err := settingsLookup(text)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return n.indexNames(s)
 }
 
-// indexNames makes classes and plans known by their names, which requests give.
+// indexNames indexes classes and plans by the names that requests use.
 func (n *Node) indexNames(s *sitesettings.Settings) error {
 	n.operations, n.plans = map[string]*routes.Operation{}, map[string]decision.PlanID{}
 	for i, c := range s.Classes {
--- a/internal/platform/counter.go
+++ b/internal/platform/counter.go
@@ -10,11 +10,11 @@
 	"sandyard/internal/protocol"
 )
 
-// maxReplyLine bounds a reply of the counter in bytes, line end included: "ok" and a number take less than 40, so that more
-// is no reply, and must not fill the memory.
+// maxReplyLine is the maximum length of a counter reply (bytes), including the line end. "ok" and a number take less than 40
+// bytes; a longer line is not a valid reply and must not exhaust the memory.
 const maxReplyLine = 256
 
-// Words of the counter's protocol (see counterCodec).
+// Keywords of the counter's protocol (see counterCodec).
 const (
 	addVerb    = "add "
 	okPrefix   = "ok "
@@ -22,23 +22,23 @@
 	errorReply = "error"
 )
 
-// counterCodec is the codec of one connection to the platform's counter. A call is a line, and so is its reply; replies come
-// in the order of the calls:
+// counterCodec is the codec of one connection to the platform's counter. A call and its reply are one line each; replies
+// arrive in the order of the calls:
 //
-//	add NAME AMOUNT MILLISECONDS    adds AMOUNT, in weighted units, to the total of NAME, whose lifetime is set at its first use
-//	ok TOTAL                        it was added; TOTAL, in weighted units, is the sum after it
-//	busy, error                     it was not added; the connection stays
+//	add NAME AMOUNT MILLISECONDS    adds AMOUNT (weighted units) to the total of NAME, whose lifetime is set at its first use
+//	ok TOTAL                        AMOUNT was added; TOTAL (weighted units) is the new total
+//	busy, error                     AMOUNT was not added; the connection stays open
 //
-// A call ends in CRLF, a reply in LF or CRLF. Any other reply, a TOTAL that is no finite number, and a line of more than
-// maxReplyLine bytes are protocol.ErrMalformedReply. The codec belongs to one goroutine at a time.
+// A call ends in CRLF, a reply in LF or CRLF. Any other reply, a TOTAL that is not a finite number, and a line longer than
+// maxReplyLine bytes result in protocol.ErrMalformedReply. The codec belongs to one goroutine at a time.
 type counterCodec struct {
-	line []byte // what has come of the unfinished reply
+	line []byte // received part of an incomplete reply
 }
 
 // NewCounterCodec returns the codec of a new connection to the counter.
 func (n *Node) NewCounterCodec() protocol.CounterCodec { return &counterCodec{} }
 
-// AppendCall implements protocol.CounterCodec. The lifetime is cut to whole milliseconds, and is at least one.
+// AppendCall implements protocol.CounterCodec. The lifetime is truncated to whole milliseconds, with a minimum of one.
 func (c *counterCodec) AppendCall(b []byte, name string, amount float64, ttl time.Duration) []byte {
 	b = append(b, addVerb...)
 	b = append(b, name...)
@@ -49,8 +49,8 @@
 	return append(b, '\r', '\n')
 }
 
-// Feed implements protocol.CounterCodec. It takes bytes up to the end of one reply. After protocol.ErrMalformedReply the
-// connection can't be used any more: which call a later reply answers is not known.
+// Feed implements protocol.CounterCodec. It uses bytes up to the end of one reply. After protocol.ErrMalformedReply the
+// connection can't be used any more, because later replies can't be matched to calls.
 func (c *counterCodec) Feed(b []byte) (int, protocol.CounterReply, error) {
 	used := bytes.IndexByte(b, '\n') + 1
 	complete := used > 0
@@ -69,7 +69,7 @@
 	return used, reply, err
 }
 
-// parseCounterReply reads a reply without its line end. The error is protocol.ErrMalformedReply.
+// parseCounterReply parses a reply without its line end. The error is protocol.ErrMalformedReply.
 func parseCounterReply(line string) (protocol.CounterReply, error) {
 	if line == busyReply || line == errorReply {
 		return protocol.CounterReply{Complete: true}, nil
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -13,50 +13,52 @@
 	"sandyard/internal/diagnostic"
 )
 
-// MaxEndpointListBytes bounds one message of discovery, in bytes: some 30,000 entries, more than a fleet has backends.
+// MaxEndpointListBytes is the maximum size of one discovery message (bytes): about 30,000 entries, more than a fleet has
+// backends.
 const MaxEndpointListBytes = 4 << 20
 
-// maxBirthMillis bounds when a backend started, in Unix milliseconds; a later time does not fit into nanoseconds.
-const maxBirthMillis = math.MaxInt64 / 1e6
+// maxStartMillis is the upper bound for the start time of a backend (Unix milliseconds). A later time does not fit into
+// nanoseconds.
+const maxStartMillis = math.MaxInt64 / 1e6
 
-// ErrTooManyEndpoints says that a list has more than config.MaxEndpoints entries.
+// ErrTooManyEndpoints is returned for a list with more than config.MaxEndpoints entries.
 var ErrTooManyEndpoints = errors.New("too many endpoints")
 
-// EndpointList is one message of discovery: the full list, or the entries that changed up to a version.
+// EndpointList is one discovery message: the full list, or the entries that changed up to a version.
 type EndpointList struct {
 	Version   uint64
 	Full      bool
 	Endpoints []config.Endpoint
-	Malformed []EndpointError // entries that can't be read; they are not among Endpoints
+	Malformed []EndpointError // entries that can't be parsed; Endpoints does not contain them
 }
 
-// EndpointError is an entry of a list that can't be read. It wraps the cause.
+// EndpointError is the error for a list entry that can't be parsed. It wraps the cause.
 type EndpointError struct {
-	Host string // "" if that can't be read either
-	Err  error  // with its place
+	Host string // "" if the name can't be parsed either
+	Err  error  // cause, with the position of the entry
 }
 
-// Error is the cause, which names the entry.
+// Error returns the text of the cause, which names the entry.
 func (e *EndpointError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *EndpointError) Unwrap() error { return e.Err }
 
-// endpointStates are the operators' words for the states of an endpoint.
+// endpointStates maps the operators' names for the states of an endpoint.
 var endpointStates = map[string]decision.EndpointState{
 	"active":  decision.Up,
 	"leaving": decision.Draining,
 	"left":    decision.Removed,
 }
 
-// listMessage is a message of discovery as it is written.
+// listMessage is the JSON form of a discovery message.
 type listMessage struct {
 	Version *uint64           `json:"seq"`
 	Full    bool              `json:"whole"`
 	Entries []json.RawMessage `json:"hosts"`
 }
 
-// listEntry is an entry of a message as it is written.
+// listEntry is the JSON form of an entry of a discovery message.
 type listEntry struct {
 	Host        string  `json:"host"`
 	Address     string  `json:"dial"`
@@ -64,11 +66,11 @@
 	Cell        int     `json:"block"`
 	State       string  `json:"health"`
 	Weight      float64 `json:"share"`
-	StartMillis float64 `json:"born_ms"` // Unix time; 0: long ago
+	StartMillis float64 `json:"born_ms"` // Unix milliseconds; 0: long ago
 }
 
-// ParseEndpointList reads a message of discovery. An entry that can't be read is among Malformed and spoils no other; a
-// message that can't be read as a whole is an error.
+// ParseEndpointList parses a discovery message. An entry that can't be parsed is added to Malformed and does not affect the
+// others. A message that can't be parsed as a whole is an error.
 func ParseEndpointList(text []byte) (EndpointList, error) {
 	var m listMessage
 	if err := json.Unmarshal(text, &m); err != nil {
@@ -92,7 +94,7 @@
 	return list, nil
 }
 
-// parseEndpoint reads one entry. With an error, the endpoint has the entry's name if that could be read.
+// parseEndpoint parses one entry. If it returns an error, the endpoint has the entry's name if that could be parsed.
 func parseEndpoint(text []byte) (config.Endpoint, error) {
 	var entry listEntry
 	if err := json.Unmarshal(text, &entry); err != nil {
@@ -118,7 +120,7 @@
 		return out, &diagnostic.FieldError{Field: "dial", Value: e.Address, Want: "an IP address and a port"}
 	}
 	out.State = config.EndpointState(state)
-	if e.StartMillis > 0 && e.StartMillis < maxBirthMillis {
+	if e.StartMillis > 0 && e.StartMillis < maxStartMillis {
 		out.Started = config.Timestamp(time.UnixMicro(int64(e.StartMillis * 1e3)))
 	}
 	return out, nil
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	maxBody               = 64 << 10               // bytes of a request's or response's body, as the protocol says
-	maxHead               = 16 << 10               // bytes of a head: the protocol's fields take less than one KiB
-	maxFields             = 64                     // of a head: the protocol has seven
-	eventQueue            = 2048                   // messages of the event loop: at half of it accepting pauses, beyond it requests get 503
-	defaultDescriptors    = 4096                   // where the configuration has no limit
-	clientShare           = 0.5                    // of the descriptors, for clients' connections
-	backendShare          = 0.3                    // of the descriptors, for backend connections; the rest is for all else
-	bodyMemoryDivisor     = 4                      // a quarter of the memory may hold bodies; the rest is the process's own
-	idleShare             = 0.6                    // of the time after which a backend closes an idle connection, so that we are first
-	requestTimeout        = 2 * time.Second        // for a request to be complete; the platform wants slow senders to get an end within 3 s
-	writeTimeout          = 3 * time.Second        // for 64 KiB, which no client that reads takes longer for
-	clientIdleTimeout     = 30 * time.Second       // a client's connection without a request
-	streamIdleTimeout     = 30 * time.Second       // a response that flows without a byte; none does here
-	maxShutdownDeadline   = 3 * time.Second        // as which a longer deadline of a class counts in the platform's earliest kill
-	killDelay             = 700 * time.Millisecond // from SIGTERM to the earliest kill, beside the longest deadline
-	shutdownMargin        = 50 * time.Millisecond  // before the earliest kill, for the last answers to be written
-	responseMargin        = 12 * time.Millisecond  // kept off a client's deadline for the response to reach it
-	reuseDelay            = 20 * time.Millisecond  // between requests on a backend connection, so that bytes behind a response are seen
-	defaultCounterTimeout = 50 * time.Millisecond  // of a call to the counter, where the settings have no time
+	maxBody               = 64 << 10               // bytes in the body of a request or response, as defined by the protocol
+	maxHead               = 16 << 10               // bytes in a head: the protocol's fields take less than one KiB
+	maxFields             = 64                     // fields in a head: the protocol has seven
+	eventQueue            = 2048                   // messages for the event loop: half full, accepting pauses; full, requests get 503
+	defaultDescriptors    = 4096                   // file descriptors, if the configuration has no limit
+	clientShare           = 0.5                    // share of the descriptors for client connections
+	backendShare          = 0.3                    // share of the descriptors for backend connections; the rest is for other uses
+	bodyMemoryDivisor     = 4                      // a quarter of the memory may hold bodies; the rest is for the process itself
+	idleShare             = 0.6                    // share of the backend's idle timeout, so that the instance closes an idle connection first
+	requestTimeout        = 2 * time.Second        // to receive a request; the platform requires that slow senders are cut off within 3 s
+	writeTimeout          = 3 * time.Second        // to write 64 KiB; a client that reads needs less
+	clientIdleTimeout     = 30 * time.Second       // for a client connection without a request
+	streamIdleTimeout     = 30 * time.Second       // for a streamed response without new bytes; the platform has no streamed responses
+	maxShutdownDeadline   = 3 * time.Second        // the platform's earliest SIGKILL counts a longer class deadline as this
+	killDelay             = 700 * time.Millisecond // from SIGTERM to the earliest SIGKILL, in addition to the longest class deadline
+	shutdownMargin        = 50 * time.Millisecond  // before the earliest SIGKILL, to write the last answers
+	responseMargin        = 12 * time.Millisecond  // before a client's deadline, for the response to reach the client
+	reuseDelay            = 20 * time.Millisecond  // between requests on a backend connection, to detect extra bytes after a response
+	defaultCounterTimeout = 50 * time.Millisecond  // of a call to the counter, if the settings have no timeout
 	counterMaxPending     = 1024                   // calls to the counter in flight
-	stopDelay             = 600 * time.Millisecond // after SIGTERM, for which the platform still sends new connections
+	stopDelay             = 600 * time.Millisecond // after SIGTERM, while the platform still opens new connections
 )
 
-// newConfig is the configuration of the instance in the form that the runtime has.
+// newConfig returns the configuration of the instance in the runtime's form.
 func (n *Node) newConfig(s *sitesettings.Settings, counter string) *config.Config {
 	c := &config.Config{Settings: s.Decision(), Endpoints: n.CachedEndpoints.Endpoints}
 	c.Trace.Mode, c.Log.Level = "off", "info"
@@ -58,7 +58,8 @@
 	return c
 }
 
-// shutdownTimeout is how long after SIGTERM all requests have to be answered: just before the platform's earliest kill.
+// shutdownTimeout returns the time after SIGTERM within which all requests must be answered: just before the platform's
+// earliest SIGKILL.
 func shutdownTimeout(classes []sitesettings.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
@@ -67,8 +68,8 @@
 	return min(longest, maxShutdownDeadline) + killDelay - shutdownMargin
 }
 
-// runtime works out the runtime's limits from those of the processes and from how long backends take to connect and keep
-// an idle connection.
+// runtime derives the runtime's limits from the resource limits, the connect timeout and the time after which backends close
+// idle connections.
 func (l Limits) runtime(connectTimeout, backendIdle time.Duration) config.Limits {
 	clients, backends := l.connections()
 	return config.Limits{
@@ -89,7 +90,7 @@
 		IdleTimeout:        strictyaml.Duration(clientIdleTimeout),
 		ConnectTimeout:     strictyaml.Duration(connectTimeout),
 		BackendIdleTimeout: strictyaml.Duration(idleShare * float64(backendIdle)),
-		NonIdempotentIdle:  0, // such a request always gets a new connection: a reset on a kept one would leave open whether it ran
+		NonIdempotentIdle:  0, // such a request always gets a new connection: after a reset on a reused one it is unknown whether it ran
 		ReuseDelay:         strictyaml.Duration(reuseDelay),
 		ResponseMargin:     strictyaml.Duration(responseMargin),
 		StreamIdleTimeout:  strictyaml.Duration(streamIdleTimeout),
@@ -97,7 +98,7 @@
 	}
 }
 
-// connections are how many connections to clients and to backends the descriptors allow.
+// connections returns how many client and backend connections the file descriptors allow.
 func (l Limits) connections() (clients, backends int) {
 	descriptors := l.Sockets
 	if descriptors == 0 {
@@ -106,10 +107,10 @@
 	return max(4, int(clientShare*float64(descriptors))), max(2, int(backendShare*float64(descriptors)))
 }
 
-// bodyMemory is how many bytes of bodies may be held.
+// bodyMemory returns the memory for bodies (bytes).
 func (l Limits) bodyMemory() strictyaml.Size {
 	if l.MemoryMB == 0 {
-		return math.MaxInt32 // bytes; no limit is set, and this is more than an instance holds
+		return math.MaxInt32 // bytes; no limit is set, and this is more than an instance uses
 	}
 	return strictyaml.Size(int64(l.MemoryMB) << 20 / bodyMemoryDivisor)
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -32,8 +32,8 @@
 	return n
 }
 
-// TestConfigurationIsParsed: an instance takes its settings, its limits and the list that it had last from one file. A
-// counter that the settings don't allow is not called, and descriptors are left for all else.
+// TestConfigurationIsParsed checks that an instance reads its settings, its limits and its last endpoint list from one file.
+// A counter that the settings disable is not used, and file descriptors remain for other uses.
 func TestConfigurationIsParsed(t *testing.T) {
 	n := newNode(t)
 	s, c := n.Config.Settings, n.Config
@@ -54,21 +54,21 @@
 		t.Errorf("%+v", n.CachedEndpoints)
 	}
 	if n, err := ParseConfig([]byte(strings.Replace(configuration, `"shared-counter":true`, `"shared-counter":false`, 1))); err != nil || n.Config.Counter.Address != "" {
-		t.Errorf("a counter that may not be called: %v %+v", err, n.Config.Counter)
+		t.Errorf("a disabled counter: %v %+v", err, n.Config.Counter)
 	}
 	if c.Zones[1] != "hall_b" {
 		t.Errorf("%q", c.Zones)
 	}
 }
 
-// TestMalformedConfigurationsNameTheField: an operator whose instance does not start has only the message, which names the
-// field.
+// TestMalformedConfigurationsNameTheField checks that the error names the invalid field: an operator whose instance does not
+// start has only this message.
 func TestMalformedConfigurationsNameTheField(t *testing.T) {
 	for _, c := range [][3]string{{`"127.0.0.2:8500"`, `"nowhere"`, "discovery"}, {`"8c1f30d27a5be964"`, `"seed"`, "seed"}, {`"leaving"`, `"away"`, "hosts[0].health"},
 		{`"retryable"`, `"often"`, "services.0.semantics"}, {`"max-attempts":3`, `"max-attempts":"x"`, "limits.max-attempts"}, {`"name":"book"`, `"name":"pay"`, "two classes"},
 		{`"memory_mb":64`, `"memory_mb":-1`, "limits"}, {`"seq":41`, `"sea":41`, "seq"}, {`"settings":{`, `"settings":[{`, "configuration"}} {
 		if _, err := ParseConfig([]byte(strings.Replace(configuration, c[0], c[1], 1))); err == nil || !strings.Contains(err.Error(), c[2]) {
-			t.Errorf("%s for %s: %v, want it to name %s", c[1], c[0], err, c[2])
+			t.Errorf("%s instead of %s: %v, want an error that names %s", c[1], c[0], err, c[2])
 		}
 	}
 }
@@ -88,8 +88,8 @@
 const postRequest = "POST /api?x=1&client=00000000b4d65521 HTTP/1.1\r\nHost: o\r\nX-Request-Id: 9b1f03aa5c7e2d42\r\nX-Class: book\r\nX-Tier: free\r\n" +
 	"Idempotency-Key: k1\r\nX-Deadline-Ms: 480\r\nContent-Length: 3\r\nX-Call-Terms: units=1,spread=4,first=0\r\n\r\n"
 
-// TestRequestsAreParsedAndRendered: all that a request says reaches the decisions, and a backend gets what has to pass
-// through, the time that is left, and no more.
+// TestRequestsAreParsedAndRendered checks that all values in a request are passed to the decision, and that a backend gets
+// only the forwarded fields and the time left.
 func TestRequestsAreParsedAndRendered(t *testing.T) {
 	n := newNode(t)
 	var info protocol.RequestInfo
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestMalformedRequestsAreRejected: whatever is not as the protocol says gets a 4xx of its own and no decision.
+// TestMalformedRequestsAreRejected checks that requests that violate the protocol get a 4xx response and no decision.
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	n := newNode(t)
 	for _, c := range [][3]string{{getRequest, "GET /api", "GET /other"}, {getRequest, "GET ", "POST "}, {getRequest, "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d4"}, {getRequest, "9b1f", "ZZZZ"},
@@ -128,20 +128,21 @@
 		{getRequest, "X-Retry: 1", "Idempotency-Key: k"}, {getRequest, "X-Retry: 1", "Content-Length: 1"}, {postRequest, "POST", "PUT"}, {postRequest, "Idempotency-Key: k1\r\n", ""}, {postRequest, "POST", "GET"}} {
 		var info protocol.RequestInfo
 		if response := n.ParseRequest(parseHead(t, strings.Replace(c[0], c[1], c[2], 1)), &info); response == nil || response.Status < 400 || response.Status > 499 {
-			t.Errorf("%q for %q: %+v", c[2], c[1], response)
+			t.Errorf("%q instead of %q: %+v", c[2], c[1], response)
 		}
 	}
 }
 
-// TestOutcomesAndLoadReportsAreParsed: only a backend that says so has not run a request. An error without the mark that
-// was taken for a rejection would be sent again and could act twice. Figures that can't be read are missing, not zero.
+// TestOutcomesAndLoadReportsAreParsed checks that a request counts as not run only if the backend says so: if an error
+// without X-Not-Run counted as a rejection, the request would be retried and could take effect twice. Values that can't be
+// parsed are missing, not zero.
 func TestOutcomesAndLoadReportsAreParsed(t *testing.T) {
 	n := newNode(t)
 	for _, c := range []struct {
 		text, body string
 		probe      bool
 		want       decision.Outcome
-		use        float64
+		util       float64 // -1: no report
 	}{
 		{"200 OK\r\nX-Load: inflight=7,queue=2,util=0.61", "", false, decision.OK, 0.61},
 		{"200 OK", "util=0.5,queue=1\r\n", true, decision.OK, 0.5},
@@ -157,9 +158,9 @@
 			t.Fatal(err)
 		}
 		r := n.ParseResponse(p.Head, []byte(c.body), c.probe)
-		if r.Outcome != c.want || (r.Load == nil) != (c.use == -1) {
+		if r.Outcome != c.want || (r.Load == nil) != (c.util == -1) {
 			t.Errorf("%q: %+v", c.text, r)
-		} else if r.Load != nil && r.Load[0] != c.use && !math.IsNaN(c.use) || math.IsNaN(c.use) && !math.IsNaN(r.Load[0]) {
+		} else if r.Load != nil && r.Load[0] != c.util && !math.IsNaN(c.util) || math.IsNaN(c.util) && !math.IsNaN(r.Load[0]) {
 			t.Errorf("%q: load %v", c.text, r.Load)
 		}
 	}
@@ -168,7 +169,8 @@
 	}
 }
 
-// TestCounterRepliesAreParsedHoweverTheyAreSplit: replies are read alike however they are split, and what has no number ends the connection.
+// TestCounterRepliesAreParsedHoweverTheyAreSplit checks that the result does not depend on how replies are split, and that a
+// malformed reply is an error.
 func TestCounterRepliesAreParsedHoweverTheyAreSplit(t *testing.T) {
 	n := newNode(t)
 	if b := n.NewCounterCodec().AppendCall(nil, "a.1", -2.5, 4*time.Second); string(b) != "add a.1 -2.5 4000\r\n" {
@@ -202,16 +204,16 @@
 	}
 }
 
-// TestMalformedEndpointsSpoilNoOthers: an instance that dropped a whole list for one broken entry would go on with
-// backends that have left. The others are taken, and the broken one is named with its place.
-func TestMalformedEndpointsSpoilNoOthers(t *testing.T) {
+// TestMalformedEndpointsAreSkipped checks that valid entries of a list are accepted and that the error for a malformed entry
+// gives its position. An instance that rejected the whole list would keep using backends that have left.
+func TestMalformedEndpointsAreSkipped(t *testing.T) {
 	l, err := ParseEndpointList([]byte(`{"seq":43,"whole":false,"hosts":[{"host":"s","health":"left"}]}`))
 	if err != nil || l.Full || l.Version != 43 || l.Endpoints[0].State != config.EndpointState(decision.Removed) {
 		t.Errorf("%+v %v", l, err)
 	}
 	for _, bad := range []string{`{"seq":-1}`, `x`, `{"hosts":[]}`, `{"seq":1,"hosts":{}}`, `[]`} {
 		if _, err := ParseEndpointList([]byte(bad)); err == nil {
-			t.Errorf("%s is taken", bad)
+			t.Errorf("%s is accepted", bad)
 		}
 	}
 	const good = `{"host":"g","health":"active","dial":"127.0.0.1:1"}`
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	apiPath         = "/api"   // of every request that clients make
+	apiPath         = "/api"   // path of all requests for backends
 	readyPath       = "/ready" // answered by the instance itself
 	requestIDDigits = 16       // hex digits of X-Request-Id
 	customerDigits  = 16       // hex digits of a customer's number
-	maxCustomer     = 1 << 33  // customers have numbers below it
+	maxCustomer     = 1 << 33  // exclusive upper bound of customers' numbers
 )
 
-// Responses that the instance gives by itself. Their kinds and texts are part of the protocol.
+// Responses that the instance sends by itself. Their kinds and texts are part of the protocol.
 var (
 	ready       = protocol.LocalResponse{Status: 200, Kind: "ready"}
 	noRoute     = clientError(404, "no-route", "No such path", "Requests go to "+apiPath+".")
@@ -38,7 +38,7 @@
 	return protocol.LocalResponse{Status: status, Kind: kind, Title: title, Detail: detail, RetryIsSafe: true}
 }
 
-// requestField is a field of a request's head that the protocol knows.
+// requestField is a request header field that the protocol defines.
 type requestField int
 
 const (
@@ -52,7 +52,7 @@
 	fieldCount
 )
 
-// fieldNames are the operators' names of the fields.
+// fieldNames are the names of the fields in the protocol.
 var fieldNames = [fieldCount]string{
 	fieldRequestID:      "X-Request-Id",
 	fieldClass:          "X-Class",
@@ -63,11 +63,11 @@
 	fieldRetry:          "X-Retry",
 }
 
-// requestFields are the values of the known fields, "" for one that is not there.
+// requestFields are the values of the known fields; "" for an absent field.
 type requestFields [fieldCount]string
 
-// parse takes the known fields out of a head. It returns false if one of them stands there twice, even with one value:
-// a backend could read the other one.
+// parse sets the values of the known fields. It returns false if one of them is repeated, even with the same value: a
+// backend could use the other one.
 func (f *requestFields) parse(fields []http1.Field) bool {
 	var seen [fieldCount]bool
 	for i := range fields {
@@ -86,8 +86,8 @@
 	return true
 }
 
-// ParseRequest reads the head of a client's request into info. It returns the instance's own response where the request
-// asks for no backend or can't be taken, else nil. A head that could be read in two ways is refused.
+// ParseRequest parses the head of a client's request into info. It returns the instance's own response if the request needs
+// no backend or is invalid, and nil otherwise. An ambiguous head is rejected.
 func (n *Node) ParseRequest(h *http1.Head, info *protocol.RequestInfo) *protocol.LocalResponse {
 	if h.Path == readyPath {
 		if h.Method != "GET" {
@@ -111,8 +111,8 @@
 	return n.checkMethod(h, fields[fieldIdempotencyKey] != "", info)
 }
 
-// parseIdentity reads which request this is, of which class, plan and customer, and how long its client waits. It leaves
-// info as it was if one of them can't be read.
+// parseIdentity parses the request's ID, class, plan, customer and timeout. If one of them is invalid, it returns a response
+// and leaves info unchanged.
 func (n *Node) parseIdentity(h *http1.Head, fields *requestFields, info *protocol.RequestInfo) *protocol.LocalResponse {
 	id := fields[fieldRequestID]
 	if len(id) != requestIDDigits || !isHex(id) {
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// checkMethod refuses a method, key or body that the request's class does not have.
+// checkMethod rejects a method, idempotency key or body that the request's class does not allow.
 func (n *Node) checkMethod(h *http1.Head, hasKey bool, info *protocol.RequestInfo) *protocol.LocalResponse {
 	idempotency := n.Config.Settings.Classes[info.Operation.Index].Idempotency
 	method := "POST"
@@ -172,7 +172,7 @@
 	return time.Duration(ms) * time.Millisecond, err == nil && ms > 0
 }
 
-// parseCustomer finds the customer in a query: one parameter client, and nothing else under that name.
+// parseCustomer returns the customer in a query, which must have exactly one parameter with the name client.
 func parseCustomer(query string) (string, bool) {
 	found := ""
 	for query != "" {
@@ -194,7 +194,7 @@
 	return found, err == nil && number < maxCustomer
 }
 
-// term is a term of a call that each request has to have once.
+// term is a set of the terms in X-Call-Terms, each of which a request must have exactly once.
 type term uint8
 
 const (
@@ -204,7 +204,7 @@
 	allTerms = termUnits | termSpread | termFirst
 )
 
-// parseTerms reads "units=2,spread=3,first=1" into info. Terms of other names are ignored.
+// parseTerms parses terms such as "units=2,spread=3,first=1" into info. Unknown terms are ignored.
 func (n *Node) parseTerms(list string, info *protocol.RequestInfo) bool {
 	var seen term
 	for list != "" {
@@ -220,7 +220,7 @@
 	return seen == allTerms
 }
 
-// parseTerm reads one term. It is 0 for one that the protocol does not know; ok is false for a value out of bounds.
+// parseTerm parses one term. It returns 0 for an unknown term; ok is false for a value out of bounds.
 func (n *Node) parseTerm(name, value string, info *protocol.RequestInfo) (t term, ok bool) {
 	switch name {
 	case "units":
@@ -245,8 +245,8 @@
 	return t, true
 }
 
-// RenderRequest appends a request for backends to b: what has to pass through, and no more. It returns where the head's
-// last line begins, at which RenderAttempt adds what differs between attempts.
+// RenderRequest appends a request for backends to b, with only the fields that the protocol forwards. It returns the offset
+// of the empty line that ends the head, where RenderAttempt adds the field that differs between attempts.
 func (n *Node) RenderRequest(b []byte, h *http1.Head, body []byte, _ []http1.Field, _ string) ([]byte, int) {
 	b = append(append(append(b, h.Method...), ' '), h.Target...)
 	b = append(b, " HTTP/1.1\r\n"...)
@@ -265,8 +265,8 @@
 	return append(b, body...), head
 }
 
-// RenderAttempt gives a rendered request the time for which the instance waits for a response, in whole milliseconds,
-// 1 or more. A probe, whose head is 0, stays as it is.
+// RenderAttempt adds to a rendered request the time for which the instance waits for a response, in whole milliseconds, at
+// least 1. A probe, for which head is 0, is returned unchanged.
 func (n *Node) RenderAttempt(wire []byte, head int, left time.Duration) []byte {
 	if head == 0 {
 		return wire
@@ -278,7 +278,7 @@
 	return append(b, wire[head:]...)
 }
 
-// RenderProbe renders a request for the load report of the backend at an address.
+// RenderProbe returns a request for the load report of the backend at an address.
 func (n *Node) RenderProbe(addr string) []byte {
 	return []byte("GET /status/load HTTP/1.1\r\nHost: " + addr + "\r\n\r\n")
 }
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -11,7 +11,7 @@
 	"sandyard/internal/protocol"
 )
 
-// loadFields are the names that the protocol has for the figures of a load report, next to those of the settings.
+// loadFields are the protocol's names for the values of a load report, in addition to those of the settings.
 var loadFields = map[string]decision.LoadField{
 	"inflight":   decision.FieldInFlight,
 	"queue":      decision.FieldQueue,
@@ -21,7 +21,8 @@
 	"eps":        decision.FieldErrors,
 }
 
-// ParseResponse reads the outcome of an attempt or a probe, and the load report, which of a probe is the body.
+// ParseResponse parses the outcome of an attempt or a probe, and the load report, which a probe's response may have in its
+// body.
 func (n *Node) ParseResponse(h *http1.Head, body []byte, probe bool) protocol.ResponseReport {
 	report := protocol.ResponseReport{Outcome: outcome(h)}
 	if text, ok := h.Get("X-Load"); ok {
@@ -32,8 +33,8 @@
 	return report
 }
 
-// outcome is what a head says of its attempt. Only a backend that says so has not run it: any other status than 200 may
-// come from one that has.
+// outcome returns the outcome of an attempt according to its response head. A request counts as not run only if the backend
+// says so: any other status than 200 may come from a backend that has run it.
 func outcome(h *http1.Head) decision.Outcome {
 	notRun, _ := h.Get("X-Not-Run")
 	switch {
@@ -45,8 +46,8 @@
 	return decision.BackendError
 }
 
-// parseLoad reads a report such as "inflight=7,queue=2,util=0.61" into the order of Settings.LoadFields, by the
-// protocol's names or by those of the settings. A figure that is missing or can't be read is NaN.
+// parseLoad parses a report such as "inflight=7,queue=2,util=0.61" into values in the order of Settings.LoadFields. It
+// accepts the protocol's names and those of the settings. A value that is missing or can't be parsed is NaN.
 func (n *Node) parseLoad(report string) []float64 {
 	fields := n.Config.Settings.LoadFields
 	load := make([]float64, len(fields))
@@ -71,7 +72,7 @@
 	return load
 }
 
-// RenderResponseHead appends a response's status line. What else a backend's head says is for the instance alone.
+// RenderResponseHead appends a response's status line. The other fields of a backend's head are for the instance only.
 func (n *Node) RenderResponseHead(b []byte, h *http1.Head) []byte {
 	return http1.AppendStatus(b, h.Status, http1.StatusText(h.Status))
 }
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -9,16 +9,16 @@
 	"sandyard/internal/sitesettings"
 )
 
-// settingsLookup reads settings that are nested JSON objects.
+// settingsLookup returns a lookup in settings that are nested JSON objects.
 func settingsLookup(text []byte) (sitesettings.Lookup, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber() // so that a value that is refused is named as it was written
+	d.UseNumber() // so that an error shows a rejected value as it was written
 	var root any
 	if err := d.Decode(&root); err != nil {
 		return nil, err
 	}
 	if _, ok := root.(map[string]any); !ok {
-		return nil, ErrSettingsNoObject
+		return nil, ErrSettingsNotObject
 	}
 	return func(path string) string {
 		text, _ := lookup(root, path)
@@ -26,7 +26,7 @@
 	}, nil
 }
 
-// lookup finds the text at a path below a value. Keys that have dots themselves are found, too.
+// lookup returns the text at a path below a value. Keys may contain dots themselves.
 func lookup(v any, path string) (string, bool) {
 	if path == "" {
 		return valueText(v)
@@ -66,7 +66,7 @@
 	return ok
 }
 
-// valueText is the text of a value, or of a list of plain values; objects have none.
+// valueText returns the text of a scalar or of a list of scalars; objects have none.
 func valueText(v any) (string, bool) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -84,10 +84,10 @@
 	return scalarText(v), true
 }
 
-// wireName gives a name the form that it has in settings: the simulator's wire has no spaces and commas in values.
+// wireName converts a name to its form in settings: the simulator's wire has no spaces and commas in values.
 var wireName = strings.NewReplacer(" ", "_", ",", "_")
 
-// scalarText is the text of a plain value; "-" stands for one that is not there.
+// scalarText returns the text of a scalar, or "-" for any other value.
 func scalarText(v any) string {
 	switch v := v.(type) {
 	case string:
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -13,20 +13,21 @@
 	"sandyard/internal/diagnostic"
 )
 
-// settingsCase is one change to the settings of a configuration that is accepted as it stands.
+// settingsCase is one change to the settings of a valid configuration.
 type settingsCase struct{ name, old, replacement string }
 
 func (c settingsCase) parse(t *testing.T) (*Node, error) {
 	t.Helper()
 	if !strings.Contains(configuration, c.old) {
-		t.Fatalf("%s: the configuration has no %s", c.name, c.old)
+		t.Fatalf("%s: the configuration does not contain %s", c.name, c.old)
 	}
 	return ParseConfig([]byte(strings.Replace(configuration, c.old, c.replacement, 1)))
 }
 
-// TestAcceptedSettings: operators generate their configurations with many tools, which write a number as text, a list
-// as an object with its length, a nested key with dots or an absent value as null. An instance that refused one of
-// these forms after an update would not start again. Each form keeps its meaning, and an unknown key is ignored.
+// TestAcceptedSettings checks the accepted forms of settings. Operators generate configurations with many tools, which may
+// write a number as text, a list as an object with its length, a nested key with dots, or an absent value as null. An
+// instance that rejected one of these forms after an update would not start again. Each form must keep its meaning, and
+// unknown keys are ignored.
 func TestAcceptedSettings(t *testing.T) {
 	for _, c := range []struct {
 		settingsCase
@@ -45,25 +46,25 @@
 		{settingsCase{"a dash is absent", `"units-top":6`, `"units-top":"-"`}, func(s *decision.Settings, _ *config.Config) { s.MaxUnits = 1 }},
 		{settingsCase{"empty text is absent", `"units-top":6`, `"units-top":""`}, func(s *decision.Settings, _ *config.Config) { s.MaxUnits = 1 }},
 		{settingsCase{"object for a number", `"units-top":6`, `"units-top":{"a":1}`}, func(s *decision.Settings, _ *config.Config) { s.MaxUnits = 1 }},
-		{settingsCase{"another way of reports", `"via":"piggyback"`, `"via":"pigeon"`}, func(s *decision.Settings, _ *config.Config) { s.LoadInAnswers = false }},
+		{settingsCase{"unknown delivery of reports", `"via":"piggyback"`, `"via":"pigeon"`}, func(s *decision.Settings, _ *config.Config) { s.LoadInAnswers = false }},
 		{settingsCase{"reports by probe", `"via":"piggyback"`, `"via":"pull"`}, func(s *decision.Settings, _ *config.Config) { s.LoadInAnswers, s.LoadByProbe = false, true }},
-		{settingsCase{"unknown figure", `"pending"]`, `"odd"]`}, func(s *decision.Settings, _ *config.Config) { s.LoadFields[1] = decision.FieldOther }},
-		{settingsCase{"figures as text", `["cpu_share","pending"]`, `"cpu_share"`}, func(s *decision.Settings, _ *config.Config) { s.LoadFields = s.LoadFields[:1] }},
-		{settingsCase{"no figures", `["cpu_share","pending"]`, `[]`}, func(s *decision.Settings, _ *config.Config) { s.LoadFields = nil }},
+		{settingsCase{"unknown load value", `"pending"]`, `"odd"]`}, func(s *decision.Settings, _ *config.Config) { s.LoadFields[1] = decision.FieldOther }},
+		{settingsCase{"load values as text", `["cpu_share","pending"]`, `"cpu_share"`}, func(s *decision.Settings, _ *config.Config) { s.LoadFields = s.LoadFields[:1] }},
+		{settingsCase{"no load values", `["cpu_share","pending"]`, `[]`}, func(s *decision.Settings, _ *config.Config) { s.LoadFields = nil }},
 		{settingsCase{"plans as an object", `"plans":[{"name":"free","refill":1.5,"store-size":4.0},{"name":"team","parallel":2,"refill":null}]`,
 			`"plans":{"count":2,"0":{"name":"free","refill":1.5,"store-size":4.0},"1":{"name":"team","parallel":2}}`}, nil},
-		{settingsCase{"a plan that is no object", `{"name":"team","parallel":2,"refill":null}`, `7`}, func(s *decision.Settings, _ *config.Config) { s.Plans[1].MaxInFlight = 0 }},
-		{settingsCase{"class without its kind", `"semantics":"dedup",`, ``}, func(s *decision.Settings, _ *config.Config) { s.Classes[1].Idempotency = decision.NotIdempotent }},
+		{settingsCase{"plan that is not an object", `{"name":"team","parallel":2,"refill":null}`, `7`}, func(s *decision.Settings, _ *config.Config) { s.Plans[1].MaxInFlight = 0 }},
+		{settingsCase{"class without idempotency", `"semantics":"dedup",`, ``}, func(s *decision.Settings, _ *config.Config) { s.Classes[1].Idempotency = decision.NotIdempotent }},
 		{settingsCase{"class without a value", `,"value":2.0`, ``}, func(s *decision.Settings, _ *config.Config) { s.Classes[0].PriorityWeight = 1 }},
 		{settingsCase{"scope", `"key-ttl-ms":3000.0`, `"key-ttl-ms":3000.0,"dedup-scope":"cell"`}, func(s *decision.Settings, _ *config.Config) { s.Classes[1].KeyScope = decision.KeyScopeCell }},
 		{settingsCase{"negative time", `"key-ttl-ms":3000.0`, `"key-ttl-ms":-3000.0`}, func(s *decision.Settings, _ *config.Config) { s.Classes[1].KeyTTL = -3 * time.Second }},
-		{settingsCase{"immense time", `"key-ttl-ms":3000.0`, `"key-ttl-ms":1e300`}, func(s *decision.Settings, _ *config.Config) {
+		{settingsCase{"time beyond the range of a duration", `"key-ttl-ms":3000.0`, `"key-ttl-ms":1e300`}, func(s *decision.Settings, _ *config.Config) {
 			s.Classes[1].KeyTTL = time.Duration(float64(math.MaxInt64/4)/float64(time.Microsecond)) * time.Microsecond
 		}},
-		{settingsCase{"idle time that is no number", `"conn-idle-ms":4000.0`, `"conn-idle-ms":"long"`}, func(_ *decision.Settings, c *config.Config) { c.Limits.BackendIdleTimeout = 9e9 }},
-		{settingsCase{"idle time of 0", `"conn-idle-ms":4000.0`, `"conn-idle-ms":0`}, func(_ *decision.Settings, c *config.Config) { c.Limits.BackendIdleTimeout = 9e9 }},
-		{settingsCase{"immense time to connect", `"connect-timeout-ms":200.0`, `"connect-timeout-ms":1e9`}, func(_ *decision.Settings, c *config.Config) { c.Limits.ConnectTimeout = 250e6 }},
-		{settingsCase{"counter without a time", `"count-limit-ms":50.0,`, ``}, func(s *decision.Settings, _ *config.Config) { s.CounterTimeout = 0 }},
+		{settingsCase{"idle timeout that is not a number", `"conn-idle-ms":4000.0`, `"conn-idle-ms":"long"`}, func(_ *decision.Settings, c *config.Config) { c.Limits.BackendIdleTimeout = 9e9 }},
+		{settingsCase{"idle timeout of 0", `"conn-idle-ms":4000.0`, `"conn-idle-ms":0`}, func(_ *decision.Settings, c *config.Config) { c.Limits.BackendIdleTimeout = 9e9 }},
+		{settingsCase{"connect timeout out of range", `"connect-timeout-ms":200.0`, `"connect-timeout-ms":1e9`}, func(_ *decision.Settings, c *config.Config) { c.Limits.ConnectTimeout = 250e6 }},
+		{settingsCase{"counter without a timeout", `"count-limit-ms":50.0,`, ``}, func(s *decision.Settings, _ *config.Config) { s.CounterTimeout = 0 }},
 		{settingsCase{"class name with a comma", `"name":"pay"`, `"name":"pay, later"`}, func(_ *decision.Settings, c *config.Config) { c.ClassNames[2] = "pay__later" }},
 		{settingsCase{"class without a name", `"name":"pay"`, `"name":null`}, func(_ *decision.Settings, c *config.Config) { c.ClassNames[2] = "-" }},
 		{settingsCase{"zones as text", `["hall a","hall b"]`, `"hall a"`}, func(_ *decision.Settings, c *config.Config) { c.Zones = []string{"hall_a"} }},
@@ -82,8 +83,9 @@
 	}
 }
 
-// TestRefusedSettings: an operator whose instance does not start has only the message. It names the setting by its
-// path, the value and what is expected instead; of several faults it names the one that is read first.
+// TestRefusedSettings checks the error for invalid settings, which is all that an operator has if an instance does not
+// start. It must name the setting's path, the value and the expected form. If several settings are invalid, it names the
+// one that is decoded first.
 func TestRefusedSettings(t *testing.T) {
 	for _, c := range []struct {
 		settingsCase
@@ -96,22 +98,22 @@
 		{settingsCase{"boolean for a whole number", `"me":2`, `"me":true`}, `settings: me: "true": expected a whole number, 0 or more`},
 		{settingsCase{"text for a number", `"units-top":6`, `"units-top":"six units"`}, `settings: specifics.units-top: "six_units": expected a number`},
 		{settingsCase{"infinite number", `"units-top":6`, `"units-top":"Inf"`}, `settings: specifics.units-top: "Inf": expected a number`},
-		{settingsCase{"number beyond all", `"units-top":6`, `"units-top":1e999`}, `settings: specifics.units-top: "1e999": expected a number`},
+		{settingsCase{"number out of range", `"units-top":6`, `"units-top":1e999`}, `settings: specifics.units-top: "1e999": expected a number`},
 		{settingsCase{"text for a time", `"count-limit-ms":50.0`, `"count-limit-ms":"50ms"`}, `settings: specifics.count-limit-ms: "50ms": expected a number`},
 		{settingsCase{"text for a boolean", `"retry-after":true`, `"retry-after":"yes"`}, `settings: limits.retry-after: "yes": expected true or false`},
 		{settingsCase{"number for a boolean", `"shared-counter":true`, `"shared-counter":2`}, `settings: specifics.shared-counter: "2": expected true or false`},
-		{settingsCase{"unknown kind of class", `"retryable"`, `"often"`}, `settings: services.0.semantics: "often": expected a word of the wire`},
+		{settingsCase{"unknown idempotency", `"retryable"`, `"often"`}, `settings: services.0.semantics: "often": expected a word of the wire`},
 		{settingsCase{"unknown scope", `"key-ttl-ms":3000.0`, `"dedup-scope":"hall"`}, `settings: services.1.dedup-scope: "hall": expected a word of the wire`},
 		{settingsCase{"text for a rate", `"refill":1.5`, `"refill":"fast"`}, `settings: plans.0.refill: "fast": expected a number`},
 		{settingsCase{"fraction for attempts", `"parallel":2`, `"parallel":2.5`}, `settings: plans.1.parallel: "2.5": expected a whole number, 0 or more`},
-		{settingsCase{"count that is no number", `"plans":[`, `"plans":{"count":"many"},"x":[`}, `settings: plans.count: "many": expected a whole number, 0 or more`},
-		{settingsCase{"two faults", `"me":2`, `"rules":{"cold-from":"x"},"me":"y"`}, `settings: me: "y": expected a whole number, 0 or more`},
+		{settingsCase{"count that is not a number", `"plans":[`, `"plans":{"count":"many"},"x":[`}, `settings: plans.count: "many": expected a whole number, 0 or more`},
+		{settingsCase{"two errors", `"me":2`, `"rules":{"cold-from":"x"},"me":"y"`}, `settings: me: "y": expected a whole number, 0 or more`},
 		{settingsCase{"no class", `"services":[`, `"services":[],"x":[`}, `settings: no class or no plan`},
 		{settingsCase{"no plan", `"plans":[`, `"plans":null,"x":[`}, `settings: no class or no plan`},
-		{settingsCase{"two classes of one name", `"name":"book"`, `"name":"pay"`}, `settings: two classes or two plans of one name`},
-		{settingsCase{"two plans of one name", `"name":"team"`, `"name":"free"`}, `settings: two classes or two plans of one name`},
-		{settingsCase{"a list", `"settings":{`, `"settings":[],"x":{`}, `settings: expected an object`},
-		{settingsCase{"nothing", `"settings":{`, `"x":{`}, `settings: EOF`},
+		{settingsCase{"two classes with the same name", `"name":"book"`, `"name":"pay"`}, `settings: two classes or two plans with the same name`},
+		{settingsCase{"two plans with the same name", `"name":"team"`, `"name":"free"`}, `settings: two classes or two plans with the same name`},
+		{settingsCase{"settings that are a list", `"settings":{`, `"settings":[],"x":{`}, `settings: expected an object`},
+		{settingsCase{"no settings", `"settings":{`, `"x":{`}, `settings: EOF`},
 	} {
 		if _, err := c.parse(t); err == nil || !strings.HasPrefix(err.Error(), "configuration: ") || !strings.HasSuffix(err.Error(), c.want) {
 			t.Errorf("%s: %v, want configuration: ... %s", c.name, err, c.want)
@@ -119,21 +121,22 @@
 	}
 }
 
-// TestErrorsAreTyped: what a configuration or a list is refused for can be told apart without reading the message.
+// TestErrorsAreTyped checks that callers can distinguish the errors of a configuration or an endpoint list without parsing
+// their texts.
 func TestErrorsAreTyped(t *testing.T) {
 	var field *diagnostic.FieldError
 	if _, err := (settingsCase{"", `"max-attempts":3`, `"max-attempts":"x"`}).parse(t); !errors.As(err, &field) || field.Field != "limits.max-attempts" || field.Value != "x" {
-		t.Errorf("a setting that is no number: %v", err)
+		t.Errorf("a setting that is not a number: %v", err)
 	}
 	var endpoint *EndpointError
 	if _, err := (settingsCase{"", `"leaving"`, `"away"`}).parse(t); !errors.As(err, &endpoint) || endpoint.Host != "s-1" || !errors.As(err, &field) || field.Field != "health" {
-		t.Errorf("an endpoint in no known state: %v", err)
+		t.Errorf("an endpoint with an unknown state: %v", err)
 	}
 	for want, c := range map[error]settingsCase{
 		ErrNoClassOrPlan:      {"", `"plans":[`, `"x":[`},
 		ErrDuplicateName:      {"", `"name":"book"`, `"name":"pay"`},
 		ErrNegativeLimit:      {"", `"memory_mb":64`, `"memory_mb":-1`},
-		ErrSettingsNoObject:   {"", `"settings":{`, `"settings":[],"x":{`},
+		ErrSettingsNotObject:  {"", `"settings":{`, `"settings":[],"x":{`},
 		diagnostic.ErrMissing: {"", `"seq":41`, `"sea":41`},
 	} {
 		if _, err := c.parse(t); !errors.Is(err, want) {
--- a/internal/sitesettings/decode.go
+++ b/internal/sitesettings/decode.go
@@ -10,16 +10,16 @@
 	"sandyard/internal/diagnostic"
 )
 
-// absentText stands for a value that is not there.
+// absentText is the text of an absent value.
 const absentText = "-"
 
 const (
-	defaultConnectTimeout = 250 * time.Millisecond // as limits.connect-timeout of gateway.yaml has it
-	defaultIdleTimeout    = 15 * time.Second       // as limits.box-idle-timeout of gateway.yaml has it
-	maxConnectionMillis   = 1e9                    // milliseconds; a longer time of a connection is taken for a mistake
+	defaultConnectTimeout = 250 * time.Millisecond // same as the default of limits.connect-timeout in gateway.yaml
+	defaultIdleTimeout    = 15 * time.Second       // same as the default of limits.box-idle-timeout in gateway.yaml
+	maxConnectionMillis   = 1e9                    // milliseconds; a connect or idle timeout from here on is treated as a mistake
 )
 
-// The operators' words for values, and what they mean.
+// The operators' names for values, and their meanings.
 var (
 	loadFields = map[string]decision.LoadField{
 		"busy_reqs": decision.FieldInFlight,
@@ -41,14 +41,14 @@
 	}
 )
 
-// Lookup gives the text of the setting at a path such as "plans.0.refill". A list of plain values is joined by commas,
-// a list of objects has its length at the path with ".count" and its items at ".0", ".1" and so on. A setting that is
-// not there is "" or "-".
+// Lookup returns the text of the setting at a path such as "plans.0.refill". The values of a scalar list are joined by
+// commas. A list of objects has its length at the path with ".count" and its items at ".0", ".1" and so on. The text of an
+// absent setting is "" or "-".
 type Lookup func(path string) string
 
-// Decode reads the settings that a lookup has. Settings that nobody asks for are ignored. The error is a
-// *diagnostic.FieldError that names the first setting with a value that can't be read, in the order below. Times of
-// connections that can't be read have their defaults, and words for how load is reported are taken as they are.
+// Decode decodes the settings of a lookup. Unknown settings are ignored. The error is a *diagnostic.FieldError that names
+// the first setting with an invalid value, in the order below. An invalid connect or idle timeout is replaced by its
+// default, and unknown names for load reports are not errors.
 func Decode(lookup Lookup) (*Settings, error) {
 	d := &decoder{lookup: lookup}
 	s := &Settings{
@@ -60,7 +60,7 @@
 	}
 	s.Attempts.Max = d.integer("limits.max-attempts", 1)
 	s.Discovery = Discovery{
-		Subscribe:    d.word("discovery") == "subscribe",
+		Subscribe:    d.text("discovery") == "subscribe",
 		PollInterval: d.millis("rules.ask-every-ms"),
 		DrainGrace:   d.millis("rules.drain-grace-ms"),
 	}
@@ -87,7 +87,7 @@
 	return s, nil
 }
 
-// decoder reads settings one by one and keeps the first fault.
+// decoder decodes settings one by one and keeps the first error.
 type decoder struct {
 	lookup Lookup
 	err    error
@@ -100,7 +100,7 @@
 }
 
 func (d *decoder) loadReports() LoadReports {
-	via := d.word("feedback.via")
+	via := d.text("feedback.via")
 	return LoadReports{InResponses: via == "piggyback", ByProbe: via == "pull", Names: strings.Split(d.lookup("feedback.names"), ",")}
 }
 
@@ -133,17 +133,17 @@
 	}
 }
 
-// word is the text of a setting; "" if it is not there.
-func (d *decoder) word(path string) string {
+// text returns the text of a setting, or "" if it is absent.
+func (d *decoder) text(path string) string {
 	if text := d.lookup(path); text != absentText {
 		return text
 	}
 	return ""
 }
 
-// number reads a finite number.
+// number decodes a finite number.
 func (d *decoder) number(path string, absent float64) float64 {
-	text := d.word(path)
+	text := d.text(path)
 	if text == "" {
 		return absent
 	}
@@ -155,7 +155,7 @@
 }
 
 func (d *decoder) integer(path string, absent int) int {
-	text := d.word(path)
+	text := d.text(path)
 	if text == "" {
 		return absent
 	}
@@ -167,9 +167,9 @@
 	return n
 }
 
-// boolean reads true, 1, false or 0; it is false by default.
+// boolean decodes true, 1, false or 0; the default is false.
 func (d *decoder) boolean(path string) bool {
-	switch text := d.word(path); text {
+	switch text := d.text(path); text {
 	case "true", "1":
 		return true
 	case "false", "0", "":
@@ -181,8 +181,8 @@
 
 func (d *decoder) millis(path string) time.Duration { return Millis(d.number(path, 0)) }
 
-// connectionTime reads a time of connections. What can't be one has the default: an instance that can't tell how long
-// a connection lives still has to start.
+// connectionTime decodes a connect or idle timeout. It returns the default for an invalid value: an instance must start even
+// if the setting can't be parsed.
 func (d *decoder) connectionTime(path string, absent time.Duration) time.Duration {
 	ms, err := strconv.ParseFloat(d.lookup(path), 64)
 	if err != nil || !(ms > 0) || ms >= maxConnectionMillis {
@@ -192,7 +192,7 @@
 }
 
 func oneOf[T any](d *decoder, path string, known map[string]T, absent T) T {
-	text := d.word(path)
+	text := d.text(path)
 	if text == "" {
 		return absent
 	}
@@ -203,13 +203,13 @@
 	return value
 }
 
-// ParseNumber reads a finite number.
+// ParseNumber parses a finite number. It reports false for any other text.
 func ParseNumber(text string) (float64, bool) {
 	x, err := strconv.ParseFloat(text, 64)
 	return x, err == nil && !math.IsNaN(x) && !math.IsInf(x, 0)
 }
 
-// Millis turns milliseconds into a duration, rounded to the microsecond and kept within what a duration holds.
+// Millis converts milliseconds to a duration, rounded to the microsecond and limited to the range of a duration.
 func Millis(ms float64) time.Duration {
 	const limit = float64(math.MaxInt64/4) / float64(time.Microsecond) // leaves room for sums of durations
 	return time.Duration(math.Round(max(-limit, min(limit, ms*1000)))) * time.Microsecond
--- a/internal/sitesettings/sitesettings.go
+++ b/internal/sitesettings/sitesettings.go
@@ -1,6 +1,6 @@
-// Package sitesettings holds the settings that operators hand to an instance. The simulator sends them as path=value
-// pairs (internal/simwire), the platform as nested JSON (internal/platform); paths, meanings and defaults are the same
-// and are mapped here, once, to the field's terms. The package decides nothing and keeps nothing.
+// Package sitesettings decodes the settings that operators give to an instance. The simulator sends them as path=value
+// pairs (internal/simwire), the platform as nested JSON (internal/platform). Paths, meanings and defaults are the same, and
+// are mapped to the usual technical terms only here. The package makes no decisions and has no state.
 package sitesettings
 
 import (
@@ -9,7 +9,7 @@
 	"sandyard/decision"
 )
 
-// Settings are one instance's settings, with defaults where the operators gave none.
+// Settings are one instance's settings, with defaults for absent settings.
 type Settings struct {
 	Instance       Instance
 	LoadReports    LoadReports
@@ -24,76 +24,76 @@
 	Classes        []Class
 	Plans          []Plan
 	ZoneNames      []string      // by zone number
-	ConnectTimeout time.Duration // after which an attempt counts as never connected; 250 ms by default
+	ConnectTimeout time.Duration // after which an attempt counts as not connected; 250 ms by default
 	IdleTimeout    time.Duration // after which a backend closes an idle connection; 15 s by default
 }
 
-// Instance says which instance of its fleet this is.
+// Instance identifies an instance within its fleet.
 type Instance struct {
 	Number int // from 0; 0 by default
-	Total  int // in the fleet; 1 by default
-	Zone   int // index of ZoneNames; 0 by default
+	Total  int // number of instances in the fleet; 1 by default
+	Zone   int // index in ZoneNames; 0 by default
 }
 
-// LoadReports say which figures backends report, and how.
+// LoadReports describes which values backends report, and how.
 type LoadReports struct {
-	InResponses bool     // reports come with responses
-	ByProbe     bool     // reports come with the results of probes only
-	Names       []string // of the figures, in their order, as the operators wrote them; one empty name if there are none
+	InResponses bool     // reports are sent with responses
+	ByProbe     bool     // reports are sent only in answers to probes
+	Names       []string // names of the values, in order, as the operators wrote them; one empty name if there are none
 }
 
-// Probes say whether backends may be probed for their load.
+// Probes describes whether backends may be probed for their load.
 type Probes struct {
 	Allowed bool
-	Cost    float64 // points taken off the result by a probe; 0 by default
+	Cost    float64 // points deducted from the result per probe; 0 by default
 }
 
-// Attempts bound the attempts of a request.
+// Attempts limits the attempts of a request.
 type Attempts struct {
 	Max     int  // attempts of one request; 1 by default
 	Cancel  bool // attempts may be cancelled
 	Hedging bool // two attempts of a request may be in flight at once
 }
 
-// RetryAfter says whether rejected clients are told when to come back.
+// RetryAfter describes whether rejected clients get a Retry-After.
 type RetryAfter struct {
 	Enabled bool
-	Max     time.Duration // longest wait that clients follow; 0: none
+	Max     time.Duration // longest wait that clients respect; 0: none
 }
 
-// Discovery says how the list of endpoints is obtained, and what binds an instance that has it.
+// Discovery describes how the endpoint list is obtained, and the drain grace.
 type Discovery struct {
 	Subscribe    bool          // changes arrive only after a subscription
-	PollInterval time.Duration // without a subscription the list is asked for this often
-	DrainGrace   time.Duration // in which attempts to a draining or removed backend have to cease
+	PollInterval time.Duration // interval at which the list is polled without a subscription
+	DrainGrace   time.Duration // within which attempts to a draining or removed backend must cease
 }
 
-// SlowStart says how a started backend warms up.
+// SlowStart describes how a newly started backend warms up.
 type SlowStart struct {
-	Share float64       // least share of its capacity that it starts with; 1 by default: none has to warm up
+	Share float64       // minimum share of its capacity at the start; 1 by default: no backend has to warm up
 	Time  time.Duration // after which it is warm
 }
 
-// Overload says what pushes a backend that is warming up over.
+// Overload describes the load at which a warming backend fails.
 type Overload struct {
-	Factor float64       // multiple of its present capacity
-	Time   time.Duration // for which it is sent that much
+	Factor float64       // load as a multiple of its current capacity
+	Time   time.Duration // for which the load must last
 }
 
-// Counter says whether and how the counter shared by all instances is called.
+// Counter describes whether and how the shared counter is called.
 type Counter struct {
 	Enabled bool
 	Timeout time.Duration // of a call
-	Cost    float64       // points taken off the result by calls, for each first attempt; 0 by default
+	Cost    float64       // points deducted from the result for calls, per first attempt; 0 by default
 }
 
-// Units say how the units of requests are counted.
+// Units describes how the units of requests are counted.
 type Units struct {
 	Max         float64 // of one request; 1 by default
-	SettleLater bool    // units are an estimate until the first good response
+	SettleLater bool    // units are an estimate until the first successful response
 }
 
-// Class is a class of requests.
+// Class is a request class.
 type Class struct {
 	Name             string
 	Idempotency      decision.Idempotency // not idempotent by default
@@ -102,25 +102,25 @@
 	LatencyObjective time.Duration
 	Deadline         time.Duration // of a request, over all its attempts
 	PriorityWeight   float64       // 1 by default
-	LateShare        float64       // of the weight, for a response later than the objective; 0 by default
+	LateShare        float64       // share of the weight for a response after the latency objective; 0 by default
 	Stream           bool          // responses are streamed
 }
 
-// Plan is what each customer on it is entitled to.
+// Plan defines the entitlement of each of its customers.
 type Plan struct {
 	Name           string
-	Rate           float64 // units per second; 0: no such quota
+	Rate           float64 // units per second; 0: no rate quota
 	Burst          float64 // units
-	MaxInFlight    int     // attempts; 0: no such quota
-	WeightFactor   float64 // of the class's weight; 1 by default
-	OverQuotaValue float64 // share of the weight earned beyond the quota
+	MaxInFlight    int     // attempts; 0: no quota of attempts in flight
+	WeightFactor   float64 // factor of the class's priority weight; 1 by default
+	OverQuotaValue float64 // share of the weight that a response beyond the quota earns
 	OverQuotaCost  float64 // share of the weight that an attempt beyond the quota costs
 	CeilingRate    float64 // units per second; 0: no ceiling
 	CeilingBurst   float64 // units
-	CeilingSlack   float64 // units that the ceiling's tokens may be below 0
+	CeilingSlack   float64 // units by which the ceiling's token bucket may be below 0
 }
 
-// Decision is what the decisions need of the settings.
+// Decision converts the settings to those of package decision.
 func (s *Settings) Decision() decision.Settings {
 	out := decision.Settings{
 		Self: s.Instance.Number, Instances: s.Instance.Total, Zone: s.Instance.Zone,
@@ -146,7 +146,7 @@
 	return out
 }
 
-// fields are the meanings of the named figures; names that mean nothing known are kept as FieldOther.
+// fields returns the meanings of the named values. Unknown names are mapped to FieldOther.
 func (r *LoadReports) fields() []decision.LoadField {
 	if len(r.Names) == 1 && r.Names[0] == absentText {
 		return nil
--- a/internal/sitesettings/sitesettings_test.go
+++ b/internal/sitesettings/sitesettings_test.go
@@ -11,7 +11,7 @@
 	"sandyard/internal/diagnostic"
 )
 
-// decode decodes path=value pairs, one a line.
+// decode decodes path=value pairs, separated by white space.
 func decode(text string) (*Settings, error) {
 	pairs := map[string]string{}
 	for _, line := range strings.Fields(text) {
@@ -21,8 +21,8 @@
 	return Decode(func(path string) string { return pairs[path] })
 }
 
-// every has a value other than the default for each setting.
-const every = `me=1 peers-total=3 az=2 feedback.via=pull feedback.names=svc_ms,odd limits.probes=true prices.probe=0.5 limits.cancel=true
+// allSettings has a value other than the default for each setting.
+const allSettings = `me=1 peers-total=3 az=2 feedback.via=pull feedback.names=svc_ms,odd limits.probes=true prices.probe=0.5 limits.cancel=true
 limits.may-duplicate=true limits.max-attempts=4 limits.retry-after=true limits.max-retry-after-ms=2000 discovery=subscribe rules.ask-every-ms=10000
 rules.drain-grace-ms=1500 rules.cold-from=0.25 rules.cold-ms=18000 rules.overload-factor=4 rules.fall-ms=2500 specifics.shared-counter=true
 specifics.count-limit-ms=80 specifics.count-fee=0.02 specifics.units-top=6 specifics.settles=true localities=a,b,c limits.connect-timeout-ms=200
@@ -31,11 +31,11 @@
 plans.0.refill=1.5 plans.0.store-size=5 plans.0.parallel=7 plans.0.worth-factor=1.2 plans.0.over-worth=0.1 plans.0.over-cost=0.3
 plans.0.never-over-rate=40 plans.0.ceiling-burst=79 plans.0.hard-slack=8`
 
-// TestEverySettingIsMapped: a setting that is read into the wrong field, or not handed to the decisions, changes how an
-// instance behaves without any message. Each of the operators' names reaches its field, and from there the decisions; reports
-// come with probes here, so that LoadInAnswers alone is not set.
+// TestEverySettingIsMapped checks that each setting is decoded into its field and passed to the decisions. A setting in the
+// wrong field would silently change how an instance behaves. Load reports come with probes here, so that LoadInAnswers is
+// the only zero field.
 func TestEverySettingIsMapped(t *testing.T) {
-	s, err := decode(every)
+	s, err := decode(allSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,14 +64,14 @@
 	d := reflect.ValueOf(s.Decision())
 	for i := range d.NumField() {
 		if name := d.Type().Field(i).Name; d.Field(i).IsZero() && name != "LoadInAnswers" {
-			t.Errorf("the decisions have no %s", name)
+			t.Errorf("the decision settings have no %s", name)
 		}
 	}
 }
 
-// TestFirstFaultIsReported: of several faults the one that is read first is reported, whatever the order of the input, so
-// that two starts from one file give one message.
-func TestFirstFaultIsReported(t *testing.T) {
+// TestFirstErrorIsReported checks that, of several invalid settings, the one that is decoded first is reported, whatever the
+// order of the input, so that repeated starts from one file give the same message.
+func TestFirstErrorIsReported(t *testing.T) {
 	_, err := decode("plans.count=x me=y limits.cancel=z")
 	var field *diagnostic.FieldError
 	if !errors.As(err, &field) || *field != (diagnostic.FieldError{Field: "me", Value: "y", Want: "a whole number, 0 or more"}) {
