--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -260,22 +260,22 @@
 	if h.Method == "POST" {
 		b = http1.AppendLength(b, int64(len(body)))
 	}
-	head := len(b)
+	attemptFieldsAt := len(b)
 	b = append(b, '\r', '\n')
-	return append(b, body...), head
+	return append(b, body...), attemptFieldsAt
 }
 
 // RenderAttempt adds to a rendered request the time for which the instance waits for a response, in whole milliseconds, at
-// least 1. A probe, for which head is 0, is returned unchanged.
-func (n *Node) RenderAttempt(wire []byte, head int, left time.Duration) []byte {
-	if head == 0 {
-		return wire
+// least 1. A probe, for which attemptFieldsAt is 0, is returned unchanged.
+func (n *Node) RenderAttempt(rendered []byte, attemptFieldsAt int, timeLeft time.Duration) []byte {
+	if attemptFieldsAt == 0 {
+		return rendered
 	}
-	b := make([]byte, 0, len(wire)+32)
-	b = append(append(b, wire[:head]...), "X-Deadline-Ms: "...)
-	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
+	b := make([]byte, 0, len(rendered)+32)
+	b = append(append(b, rendered[:attemptFieldsAt]...), "X-Deadline-Ms: "...)
+	b = strconv.AppendInt(b, max(1, timeLeft.Milliseconds()), 10)
 	b = append(b, '\r', '\n')
-	return append(b, wire[head:]...)
+	return append(b, rendered[attemptFieldsAt:]...)
 }
 
 // RenderProbe returns a request for the load report of the backend at an address.
--- a/internal/sitesettings/decode.go
+++ b/internal/sitesettings/decode.go
@@ -142,10 +142,10 @@
 }
 
 // number decodes a finite number.
-func (d *decoder) number(path string, absent float64) float64 {
+func (d *decoder) number(path string, defaultValue float64) float64 {
 	text := d.text(path)
 	if text == "" {
-		return absent
+		return defaultValue
 	}
 	x, ok := ParseNumber(text)
 	if !ok {
@@ -154,10 +154,10 @@
 	return x
 }
 
-func (d *decoder) integer(path string, absent int) int {
+func (d *decoder) integer(path string, defaultValue int) int {
 	text := d.text(path)
 	if text == "" {
-		return absent
+		return defaultValue
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 {
@@ -183,18 +183,18 @@
 
 // connectionTime decodes a connect or idle timeout. It returns the default for an invalid value: an instance must start even
 // if the setting can't be parsed.
-func (d *decoder) connectionTime(path string, absent time.Duration) time.Duration {
+func (d *decoder) connectionTime(path string, defaultValue time.Duration) time.Duration {
 	ms, err := strconv.ParseFloat(d.lookup(path), 64)
 	if err != nil || !(ms > 0) || ms >= maxConnectionMillis {
-		return absent
+		return defaultValue
 	}
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-func oneOf[T any](d *decoder, path string, known map[string]T, absent T) T {
+func oneOf[T any](d *decoder, path string, known map[string]T, defaultValue T) T {
 	text := d.text(path)
 	if text == "" {
-		return absent
+		return defaultValue
 	}
 	value, ok := known[text]
 	if !ok {
--- a/proxy/attempts_test.go
+++ b/proxy/attempts_test.go
@@ -173,7 +173,7 @@
 	remaining *time.Duration
 }
 
-func (d recordedTimeout) RenderAttempt(wire []byte, head int, left time.Duration) []byte {
-	*d.remaining = left
-	return wire
+func (d recordedTimeout) RenderAttempt(rendered []byte, attemptFieldsAt int, timeLeft time.Duration) []byte {
+	*d.remaining = timeLeft
+	return rendered
 }
--- a/proxy/clientconn.go
+++ b/proxy/clientconn.go
@@ -39,15 +39,15 @@
 	phaseSince time.Duration // when the phase started
 
 	// The current request.
-	receivedAt       time.Duration // when the bytes that are being parsed were received
-	exchange         *Exchange     // from the end of its head until its response is complete
-	head             *http1.Head
-	body             []byte // its capacity is reserved in Shared.ReservedBytes
-	trailers         []http1.Field
-	bytesToSkip      int64          // in phaseSkipBody: how many more bytes of the body are read
-	localResponse    *localResponse // response without a decision; nil: none
-	answerDeadline   time.Duration  // in phaseAwaitResponse: when the connection answers in place of the instance; 0: never
-	handedOutRequest bool           // Feed or Resume has returned a request for the instance; local responses don't count
+	receivedAt     time.Duration // when the bytes that are being parsed were received
+	exchange       *Exchange     // from the end of its head until its response is complete
+	head           *http1.Head
+	body           []byte // its capacity is reserved in Shared.ReservedBytes
+	trailers       []http1.Field
+	bytesToSkip    int64          // in phaseSkipBody: how many more bytes of the body are read
+	localResponse  *localResponse // response without a decision; nil: none
+	answerDeadline time.Duration  // in phaseAwaitResponse: when the connection answers in place of the instance; 0: never
+	hadRequest     bool           // Feed or Resume has returned a request for the instance; local responses don't count
 
 	// Bytes received while a response was awaited.
 	readAhead           []byte        // reserved in Shared.ReservedBytes
@@ -78,7 +78,7 @@
 // be in transit: the owner must then read and discard incoming bytes for a while before it closes, because closing a socket
 // with unread bytes resets the connection, and the client could lose the response.
 func (c *ClientConn) Closing() (closing, linger bool) {
-	return c.phase == phaseClosing, c.linger || c.handedOutRequest
+	return c.phase == phaseClosing, c.linger || c.hadRequest
 }
 
 // MustReset reports whether a closing connection must be reset after Outgoing is written: its response was cut off, and a
@@ -93,8 +93,8 @@
 
 // IdleSince returns when the current phase started, whether Feed or Resume has returned a request before, and the result of
 // Idle.
-func (c *ClientConn) IdleSince() (since time.Duration, handedOutRequest, idle bool) {
-	return c.phaseSince, c.handedOutRequest, c.Idle()
+func (c *ClientConn) IdleSince() (since time.Duration, hadRequest, idle bool) {
+	return c.phaseSince, c.hadRequest, c.Idle()
 }
 
 // Deadline returns when DeadlinePassed must be called if nothing else happens; 0: never. A new connection has
@@ -114,7 +114,7 @@
 	default:
 		return 0
 	}
-	if !c.handedOutRequest {
+	if !c.hadRequest {
 		deadline = min(deadline, c.openedAt+time.Duration(limits.FirstTimeout))
 	}
 	return deadline
@@ -127,7 +127,7 @@
 		return
 	}
 	if c.phase == phaseAwaitResponse {
-		c.answerInPlaceOfInstance(now)
+		c.respondForLateInstance(now)
 		return
 	}
 	if c.phase == phaseHead || c.phase == phaseBody || c.phase == phaseSkipBody {
--- a/proxy/clientrequest.go
+++ b/proxy/clientrequest.go
@@ -132,7 +132,7 @@
 	ex.reservedBytes = size
 	ex.RenderedRequest, ex.attemptFieldsAt = c.shared.Protocol.RenderRequest(make([]byte, 0, size), c.head, c.body, c.trailers, c.clientAddr)
 	c.releaseBody()
-	c.handedOutRequest = true
+	c.hadRequest = true
 	ex.Arrived = min(now, c.receivedAt) // the client has been waiting since its bytes arrived, not since the previous response
 	c.phase, c.phaseSince = phaseAwaitResponse, now
 	c.setAnswerDeadline(now)
--- a/proxy/clientresponse.go
+++ b/proxy/clientresponse.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// answerInPlaceOfInstance answers the current exchange with 504 because the instance's answer is late. A later answer by the
+// respondForLateInstance answers the current exchange with 504 because the instance's answer is late. A later answer by the
 // instance is dropped, and no further attempt starts.
-func (c *ClientConn) answerInPlaceOfInstance(now time.Duration) {
+func (c *ClientConn) respondForLateInstance(now time.Duration) {
 	ex := c.exchange
 	ex.clientDone.Store(true)
 	closeAfterResponse := ex.CloseAfterResponse || c.shared.closesAfterResponse()
