--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -23,7 +23,7 @@
 	requestTimeout        = 2 * time.Second        // to receive a request; the platform requires that slow senders are cut off within 3 s
 	writeTimeout          = 3 * time.Second        // to write 64 KiB; a client that reads needs less
 	clientIdleTimeout     = 30 * time.Second       // for a client connection without a request
-	streamIdleTimeout     = 30 * time.Second       // for a streamed response without new bytes; the platform has no streamed responses
+	streamIdleTimeout     = 30 * time.Second       // for a streamed response without new bytes; only a streaming class has such responses here
 	maxShutdownDeadline   = 3 * time.Second        // the platform's earliest SIGKILL counts a longer class deadline as this
 	killDelay             = 700 * time.Millisecond // from SIGTERM to the earliest SIGKILL, in addition to the longest class deadline
 	shutdownMargin        = 50 * time.Millisecond  // before the earliest SIGKILL, to write the last answers
