--- a/internal/simulation/faultkinds.go
+++ b/internal/simulation/faultkinds.go
@@ -86,7 +86,7 @@
 	return e
 }
 
-// drawTarget draws a target of a kind of faultKind.target.
+// drawTarget draws a target of the given kind (see faultKind).
 func (s *Script) drawTarget(rng *rand.Rand, kind string) string {
 	backend := func() string { return fmt.Sprintf("box-%d", rng.IntN(s.Backends.Count)) }
 	instance := func() string { return fmt.Sprintf("door-%d", rng.IntN(s.Instances)) }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -38,7 +38,7 @@
 const (
 	maxRate               = 420.0  // highest rate without surges (requests/s)
 	maxRequests           = 5000.0 // requests in total, without surges
-	minRequestsToCollapse = 14.0   // fewest requests of mean work that make a backend in slow start collapse; fewer are chance
+	minRequestsToCollapse = 14.0   // fewest requests of mean work that make a backend in slow start collapse; with fewer, a collapse is chance
 )
 
 // scenarioBuilder draws a script step by step.
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -125,7 +125,8 @@
 	return e
 }
 
-// keyExpiry has clients retry requests that one backend has executed at another, around the expiry of the idempotency key.
+// keyExpiry has clients retry what one backend has executed, so that another backend gets it around the expiry of the
+// idempotency key.
 func (b *scenarioBuilder) keyExpiry() {
 	b.Backends.Count = 2 + b.rng.IntN(6)
 	b.Backends.Work = strictyaml.Duration(time.Duration(b.oneOf(15, 40, 80)) * time.Millisecond)
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -81,7 +81,7 @@
 	return kept
 }
 
-// dropFaults removes faults in groups, all at first and then ever smaller groups, and reports whether it could remove any.
+// dropFaults removes faults, first all at once and then in ever smaller groups, and reports whether it could remove any.
 func (sh *shrinker) dropFaults() (dropped bool) {
 	for size := len(sh.best.Events); size > 0; size /= 2 {
 		for at := 0; at < len(sh.best.Events); {
