--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -250,7 +250,7 @@
 	if err != nil {
 		return adminFailure(500, "%v", err)
 	}
-	would, err := quota.WouldDecide(a.server.cfg.Settings, state, customer.Plan, customer.Name, customer.Spread, customer.First, units, at)
+	would, err := quota.DryRun(a.server.cfg.Settings, state, customer.Plan, customer.Name, customer.Spread, customer.First, units, at)
 	if err != nil {
 		return adminFailure(500, "%v", err)
 	}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota tells how a customer stands with its quota as one proxy instance sees it, from the state of the decision
-// package. It decides nothing: what would be decided is asked of the decision package itself, on a copy of its state.
-// It has no I/O.
+// Package quota describes the state of a customer's quota as one proxy instance sees it, from the state of package
+// decision. It makes no decisions: for a dry run it lets package decision handle a request on a copy of its state. It
+// does no I/O.
 package quota
 
 import (
@@ -9,30 +9,31 @@
 	"sandyard/decision"
 )
 
-// never is the age in seconds of what has not happened.
+// never is the age, in seconds, of an event that has not happened.
 const never = -1
 
-// View is a customer's quota as one proxy instance sees it. Times are in seconds, ages are before the inspection.
+// View is the state of a customer's quota as one proxy instance sees it. Times are in seconds. Ages are relative to the
+// time of the inspection.
 type View struct {
 	Customer           string  `json:"studio"`
-	Known              bool    `json:"known"`         // the instance has seen it lately; without it, only the plan's figures are set
-	Rate               float64 `json:"rate"`          // of its plan, units per second; 0: no such limit
-	Burst              float64 `json:"burst"`         // of its plan, units
-	CeilingRate        float64 `json:"ceiling_rate"`  // of its plan, units per second; 0: no ceiling
-	Spread             float64 `json:"spread"`        // instances that share its quota
-	UsesCounter        bool    `json:"asks_keeper"`   // the shared counter holds its use
-	SplitTokens        float64 `json:"split_level"`   // units left of this instance's split of the quota
-	SplitCeilingTokens float64 `json:"split_ceiling"` // units left of its split of the ceiling
-	CounterTotal       float64 `json:"total"`         // units, faded use at all instances, as the counter last said
-	CounterTotalAge    float64 `json:"heard_ago"`     // age of that; -1: it never did
-	RecentDemand       float64 `json:"asked_here"`    // units asked for here lately
-	PendingUse         float64 `json:"untold"`        // units spent here that were not added to the counter yet
-	InFlight           int     `json:"open"`          // attempts
-	OverQuotaFor       float64 `json:"beyond_for"`    // seconds until the counter is asked again, if it was beyond its quota
+	Known              bool    `json:"known"`         // the instance has seen the customer recently; otherwise only the plan's limits are set
+	Rate               float64 `json:"rate"`          // rate of the plan, units per second; 0: no such limit
+	Burst              float64 `json:"burst"`         // burst of the plan, units
+	CeilingRate        float64 `json:"ceiling_rate"`  // ceiling of the plan, units per second; 0: no ceiling
+	Spread             float64 `json:"spread"`        // number of instances that share the quota
+	UsesCounter        bool    `json:"asks_keeper"`   // the shared counter holds the customer's use
+	SplitTokens        float64 `json:"split_level"`   // remaining units of this instance's split of the quota
+	SplitCeilingTokens float64 `json:"split_ceiling"` // remaining units of this instance's split of the ceiling
+	CounterTotal       float64 `json:"total"`         // units, decayed use at all instances by the counter's last reply
+	CounterTotalAge    float64 `json:"heard_ago"`     // age of that reply; -1: there was none
+	RecentDemand       float64 `json:"asked_here"`    // units that were requested from this instance lately
+	PendingUse         float64 `json:"untold"`        // units admitted by this instance that were not added to the counter yet
+	InFlight           int     `json:"open"`          // attempts in flight
+	OverQuotaFor       float64 `json:"beyond_for"`    // seconds until the counter may be called again, if the customer was beyond its quota
 }
 
-// Inspect makes a View of what the decision package knows of a customer. known is false if it knows nothing; customer
-// is not read then.
+// Inspect returns the View of a customer's state in package decision. If known is false, the customer is unknown there
+// and customer is not read.
 func Inspect(settings decision.Settings, plan decision.PlanID, name string, customer decision.CustomerState, known bool, now time.Duration) View {
 	view := View{Customer: name, Known: known, CounterTotalAge: never}
 	if plan >= 0 && int(plan) < len(settings.Plans) {
@@ -65,26 +66,27 @@
 	}
 }
 
-// The answers of a Verdict.
+// The values of Verdict.Answer.
 const (
 	answerAdmitted   = "admitted"
 	answerCounter    = "asks the keeper first"
 	answerOverQuota  = "refused: quota"
 	answerNoCapacity = "refused: no room"
 	answerFailed     = "failed"
-	answerHeld       = "held" // neither decided nor asked
+	answerHeld       = "held" // neither decided nor waiting for the counter
 )
 
-// Verdict is what would be decided about a request.
+// Verdict is the result of a dry run.
 type Verdict struct {
 	Answer      string `json:"answer"`        // one of the constants above
-	Backend     uint32 `json:"box,omitempty"` // that would get it, if it is admitted
+	Backend     uint32 `json:"box,omitempty"` // backend that would get the request if it is admitted
 	UsesCounter bool   `json:"asks"`          // the shared counter would be called
 }
 
-// WouldDecide tells what would be decided now about a request of a customer, on a copy of a gateway's state; state is
-// not changed. spread and first are those of decision.RequestArrived. The error is that of decision.Restore.
-func WouldDecide(settings decision.Settings, state decision.State, plan decision.PlanID, name string, spread, first int, units float64, now time.Duration) (Verdict, error) {
+// DryRun returns the decision that a gateway would make now on a request of a customer. It works on a copy of the
+// gateway's state and does not change state. spread and first are the fields of decision.RequestArrived. The error is
+// that of decision.Restore.
+func DryRun(settings decision.Settings, state decision.State, plan decision.PlanID, name string, spread, first int, units float64, now time.Duration) (Verdict, error) {
 	gateway, err := decision.Restore(settings, state)
 	if err != nil {
 		return Verdict{}, err
@@ -102,7 +104,7 @@
 	return verdictOf(gateway.Handle(request, now)), nil
 }
 
-// verdictOf reads a verdict from the actions that answer a request.
+// verdictOf derives a verdict from the actions that follow a request.
 func verdictOf(actions []decision.Action) Verdict {
 	verdict := Verdict{Answer: answerHeld}
 	for _, action := range actions {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// start makes a gateway with one backend, or none.
+// start starts a gateway with the given backends.
 func start(t *testing.T, settings decision.Settings, backends ...decision.Endpoint) *decision.Gateway {
 	t.Helper()
 	gateway, _, err := decision.New(settings, 1, time.Hour)
@@ -28,7 +28,7 @@
 	return gateway
 }
 
-// Operators' scripts read a View as JSON: its keys, and what stands for a customer that is not known, must stay.
+// Operators' scripts read a View as JSON. Its keys, and its values for an unknown customer, must not change.
 func TestViewKeepsItsKeys(t *testing.T) {
 	view := Inspect(settings(decision.Plan{Rate: 10, Burst: 20, CeilingRate: 30}), 0, "mill", decision.CustomerState{
 		Instances: 2, UsesCounter: true, Tokens: 3, CeilingTokens: 4, CounterTotal: 5, CounterTotalAt: time.Minute,
@@ -41,12 +41,12 @@
 	}
 	unknown := Inspect(settings(decision.Plan{Rate: 10}), 7, "mill", decision.CustomerState{Tokens: 3}, false, time.Minute)
 	if unknown != (View{Customer: "mill", CounterTotalAge: -1}) {
-		t.Errorf("a customer that is not known, of a plan that is not there: %+v", unknown)
+		t.Errorf("an unknown customer of an unknown plan: %+v", unknown)
 	}
 }
 
-// What would be decided is told in the words that operators' scripts look for, and the gateway that was asked about is not changed.
-func TestWouldDecideAnswers(t *testing.T) {
+// A dry run answers with the texts that operators' scripts match, and does not change the gateway.
+func TestDryRunAnswers(t *testing.T) {
 	up := decision.Endpoint{Backend: 7}
 	for _, c := range []struct {
 		name     string
@@ -67,16 +67,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			verdict, err := WouldDecide(set, state, 0, "mill", c.spread, 0, 1, time.Hour)
+			verdict, err := DryRun(set, state, 0, "mill", c.spread, 0, 1, time.Hour)
 			if err != nil || verdict != c.want {
 				t.Errorf("%+v (%v), want %+v", verdict, err, c.want)
 			}
 			if _, known := gateway.Customer("mill"); known {
-				t.Error("the question is in the gateway's state")
+				t.Error("the dry run has changed the gateway's state")
 			}
 		})
 	}
-	if _, err := WouldDecide(settings(decision.Plan{}), decision.State{}, 0, "mill", 1, 0, 1, 0); !errors.Is(err, decision.ErrStateMismatch) {
-		t.Errorf("a state of nothing: %v", err)
+	if _, err := DryRun(settings(decision.Plan{}), decision.State{}, 0, "mill", 1, 0, 1, 0); !errors.Is(err, decision.ErrStateMismatch) {
+		t.Errorf("an empty state: %v", err)
 	}
 }
