--- a/decision/actions.go
+++ b/decision/actions.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// This file holds what a gateway asks its owner to do. Struct tags keep the names under which recorded traces hold the
-// fields; neither they nor the order of the fields may change.
+// This file defines the actions that a gateway returns to its owner. Struct tags keep the field names that recorded
+// traces use; neither the tags nor the order of the fields may change.
 
-// Action is something to do now, in the order in which it was returned: one of the types of this file.
+// Action is an instruction that the owner carries out at once, in the order in which the gateway returned it: one of
+// the types of this file.
 type Action interface{ action() }
 
-// SendAttempt starts the next attempt of a request (numbered from 0) at a backend. An AttemptEnded must follow, with
-// TimedOut at the latest when Timeout has passed.
+// SendAttempt sends the next attempt of a request (numbered from 0) to a backend. An AttemptEnded must follow; if the
+// attempt has not ended when Timeout has passed, its outcome is TimedOut.
 type SendAttempt struct {
 	Request RequestID
 	Backend BackendID `json:"Server"`
 	Timeout time.Duration
 }
 
-// CancelAttempt withdraws an attempt; its AttemptEnded is still expected.
+// CancelAttempt cancels an attempt. Its AttemptEnded must still follow.
 type CancelAttempt struct {
 	Request RequestID
 	Attempt int
@@ -25,59 +26,59 @@
 // RejectReason says why a request was rejected.
 type RejectReason int
 
-// The reasons.
+// The reasons for a rejection.
 const (
-	// NoCapacity is any reason but the quota: load, no backend that could answer in time, attempts that brought no
-	// answer, or no answer of the shared counter by the deadline.
+	// NoCapacity covers every reason except the quota: load shedding, no backend that could answer in time, attempts
+	// without an answer, or no reply of the shared counter before the deadline.
 	NoCapacity RejectReason = iota
-	// OverQuota: its customer's plan allows no more now.
+	// OverQuota means that the customer's plan allows no more requests now.
 	OverQuota
 )
 
-// Reject is a final answer that promises that a retry by the client is harmless.
+// Reject answers a request with a rejection, a final answer which guarantees that a retry by the client is safe.
 type Reject struct {
 	Request    RequestID
-	RetryAfter time.Duration // how long the client should stay away; 0: no hint
+	RetryAfter time.Duration // time that the client should wait before a retry; 0: no hint
 	Reason     RejectReason  `json:"Why"`
 }
 
-// Fail is a final answer that promises nothing: the request may have run.
+// Fail answers a request with a failure, a final answer without any guarantee: the request may have run.
 type Fail struct{ Request RequestID }
 
-// Probe asks a backend for its load; a ProbeEnded must follow.
+// Probe requests a load report from a backend. A ProbeEnded must follow.
 type Probe struct {
 	Backend BackendID `json:"Server"`
 }
 
-// AddToCounter adds to a number that all instances share; a CounterReplied must follow.
+// AddToCounter adds an amount to a total of the shared counter. A CounterReplied must follow.
 type AddToCounter struct {
 	Name   string
-	Amount float64       // may be negative: what was added is taken back
-	TTL    time.Duration // the counter may forget the name after this
+	Amount float64       // negative to refund units that were added before
+	TTL    time.Duration // the counter may delete the name after this time
 }
 
-// TimerKind tells timers apart.
+// TimerKind is the purpose of a timer.
 type TimerKind int
 
 // The timers that a gateway sets.
 const (
 	TickTimer     TimerKind = iota // periodic work, every housekeepingInterval
-	DeadlineTimer                  // a request's deadline, and every lostAttemptTTL after it until the request is forgotten
+	DeadlineTimer                  // the deadline of a request, then every lostAttemptTTL until the request is deleted
 )
 
-// Timer is handed back as it was set.
+// Timer identifies a timer. TimerFired returns it unchanged.
 type Timer struct {
 	Kind    TimerKind
 	Request RequestID // for DeadlineTimer
 }
 
-// SetTimer asks for a TimerFired at or after At. Timers are never withdrawn.
+// SetTimer requests a TimerFired at or after At. Timers are never cancelled.
 type SetTimer struct {
 	At    time.Duration
 	Timer Timer
 }
 
-// WatchEndpoints asks discovery for watch events from now on.
+// WatchEndpoints starts a watch of discovery's endpoints.
 type WatchEndpoints struct{}
 
 func (SendAttempt) action()    {}
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -8,56 +8,59 @@
 	"time"
 )
 
-// This file decides which requests are admitted and which are shed. Each priority has a PI controller that moves the
-// admitted fraction of its customers so that the backends' utilization (load.go) stays at the set point. A request's
-// priority is its class's weight times its plan's; a higher priority is cut last. Requests beyond a quota that their
-// plan pays for share one more controller, below all others. The mechanism is that of T. Abdelzaher, K. Shin and
-// N. Bhatti, "Performance Guarantees for Web Server End-Systems: A Control-Theoretical Approach" (2002), sections 4 (the
-// control loop) and 5 (priorities): a controller's set point is what those above it leave.
+// This file decides which requests are admitted and which are shed. Each priority has a PI controller that adjusts the
+// admitted fraction of its customers so that the backends' utilization (load.go) stays at the set point. The priority
+// of a request is the weight of its class times the weight of its plan; the lowest priority is shed first. Requests
+// beyond their quota whose plan pays for such use share one more controller, below all others. The mechanism is that of
+// T. Abdelzaher, K. Shin and N. Bhatti, "Performance Guarantees for Web Server End-Systems: A Control-Theoretical
+// Approach" (2002), sections 4 (the control loop) and 5 (priorities): the set point of a controller is the utilization
+// that the controllers of higher priority leave.
 //
-// A customer is admitted while its hash is below the fraction, so that all instances shed the same customers, and the
-// requests of one priority of a customer that is admitted are not cut.
+// A customer is admitted while its hash is below the admitted fraction. All instances therefore shed the same
+// customers, and the controller sheds either all or none of a customer's requests of its priority.
 
 const (
-	// controlPeriod is the time between two steps of the controllers: several service times, so that a step shows
-	// before the next one, and few per fault.
+	// controlPeriod is the time between two steps of the controllers: several service times, so that the effect of a
+	// step shows before the next one, and long enough that a fault lasts for few steps.
 	controlPeriod = 300 * time.Millisecond
-	// controlGainMargin is G of the paper (section 4), by which the gain stays below the critical one: a queue integrates, so a
-	// larger gain makes the fraction swing.
+	// controlGainMargin is G of the paper (section 4), the factor by which the gain stays below the critical gain: a
+	// queue integrates, so a larger gain makes the admitted fraction oscillate.
 	controlGainMargin = 20.0
-	// workAverageTime is the time over which offered and admitted work fade: long against controlPeriod, short
-	// against a change of traffic.
+	// workAverageTime is the time constant with which offered and admitted work decay: long compared with
+	// controlPeriod, short compared with changes of traffic.
 	workAverageTime = 2 * time.Second
-	// utilizationSetPoint is the utilization to hold; 1 is full load (load.go), at half the expected latency from which
-	// an attempt is refused (maxLatencyRatio).
+	// utilizationSetPoint is the utilization to hold. 1 is full load (load.go), which corresponds to half the expected
+	// latency above which no attempt is begun (maxLatencyRatio).
 	utilizationSetPoint = 0.95
-	// maxUtilization bounds the utilization handed to the controllers: a longer queue must not cause a larger step, and
-	// an unbounded error would shed everybody after an overload.
+	// maxUtilization bounds the utilization that the controllers see: a longer queue must not cause a larger step, and
+	// an unbounded error would shed all customers after an overload.
 	maxUtilization = 1.3
-	// offeredWorkDivisor: a controller that was offered less than the whole admitted work over this counts as offered
-	// that much, or its gain would have no bound.
+	// offeredWorkDivisor sets the minimum offered work of a controller: the admitted work of all controllers divided by
+	// this. Without a minimum the gain would be unbounded.
 	offeredWorkDivisor = 20
-	// leastDivisor keeps divisions from zero where there was no work; any work is far above it.
-	leastDivisor = 1e-9
+	// minDivisor prevents divisions by zero without any work; any real work is far above it.
+	minDivisor = 1e-9
 )
 
-// piController is the control of one priority.
+// piController is the PI controller of one priority.
 type piController struct {
-	admitRatio   float64 // fraction of customers that is admitted, 0 to 1
+	admitRatio   float64 // admitted fraction of the customers, 0 to 1
 	lastError    float64
-	admittedWork float64 // admitted lately, in seconds of service
-	offeredWork  float64 // asked for lately, likewise
+	admittedWork float64 // work that was admitted lately, in seconds of service
+	offeredWork  float64 // work that was requested lately, in seconds of service
 }
 
-// update moves the fraction by one period. available is the utilization that higher priorities leave, share the part of
-// the present one that this priority causes, totalWork what all priorities had admitted. In this incremental form the
-// integral part cannot wind up: it halts at the bounds of the fraction.
+// update adjusts the admitted fraction for one period. available is the utilization that higher priorities leave, share
+// is the part of the current utilization that this priority causes, and totalWork is the work that all priorities
+// admitted. elapsed is in seconds. The controller has the incremental (velocity) form: each step changes the fraction,
+// which is limited to the range 0 to 1, so the integral part cannot wind up.
 func (c *piController) update(available, share, totalWork, elapsed float64) {
 	controlError := available - share
-	// The utilization if all that was offered were admitted, p_max of the paper.
-	peakUtilization := utilizationSetPoint * max(c.offeredWork, totalWork/offeredWorkDivisor) / max(totalWork, leastDivisor)
+	// The utilization if all offered work were admitted, p_max of the paper.
+	peakUtilization := utilizationSetPoint * max(c.offeredWork, totalWork/offeredWorkDivisor) / max(totalWork, minDivisor)
 	proportionalGain := math.Sqrt(3) / (2 * controlGainMargin * peakUtilization)
-	// The gain is per second: it is divided by the time here and multiplied by it below, which cancels but for rounding.
+	// The gain is per second. The division by the elapsed time here and the multiplication below cancel except for
+	// rounding.
 	integralGain := 5 * math.Pi / (3 * elapsed) / math.Sqrt(3)
 	c.admitRatio = min(1, max(0, c.admitRatio+proportionalGain*(controlError-c.lastError+integralGain*elapsed*controlError)))
 	c.lastError = controlError
@@ -65,13 +68,14 @@
 
 // admissionControl holds the controllers of all priorities.
 type admissionControl struct {
-	controllers []piController // highest priority first; the last is for use beyond quotas
-	index       [][]int        // position in controllers, by class and plan
+	controllers []piController // highest priority first; the last one is for use beyond quotas
+	index       [][]int        // index into controllers, by class and plan
 }
 
-// newAdmissionControl gives each priority that a class under a plan can have its controller, all open.
+// newAdmissionControl creates a controller for each priority that a class and a plan can give, with all customers
+// admitted.
 func newAdmissionControl(classes []Class, plans []Plan) admissionControl {
-	var priorities []float64 // negative, so that the highest comes first
+	var priorities []float64 // negated, so that the highest priority is sorted first
 	for _, class := range classes {
 		for _, plan := range plans {
 			priorities = append(priorities, -class.PriorityWeight*plan.WeightFactor)
@@ -91,18 +95,18 @@
 	return admission
 }
 
-// controller is that of a class under a plan.
+// controller returns the controller for requests of a class under a plan.
 func (a *admissionControl) controller(class ClassID, plan int) *piController {
 	return &a.controllers[a.index[class][plan]]
 }
 
-// overQuotaController is that of requests beyond their quota.
+// overQuotaController returns the controller for requests beyond their quota.
 func (a *admissionControl) overQuotaController() *piController {
 	return &a.controllers[len(a.controllers)-1]
 }
 
-// update moves all fractions by one period of so many seconds. The utilization is split by the work that each priority
-// had admitted.
+// update adjusts all admitted fractions for one period of elapsed seconds. It splits the utilization in proportion to
+// the work that each priority admitted.
 func (a *admissionControl) update(utilization, elapsed float64) {
 	utilization = min(maxUtilization, utilization)
 	totalWork := 0.0
@@ -124,27 +128,27 @@
 	}
 }
 
-// admissionHash maps a customer to [0, 1), alike at all instances.
+// admissionHash maps a customer to [0, 1). All instances compute the same hash.
 func admissionHash(customer string) float64 {
 	sum := sha256.Sum256([]byte(customer))
 	return float64(binary.BigEndian.Uint64(sum[:])>>11) / (1 << 53)
 }
 
-// quotaDecision is how a request stands with its customer's quota by the time that load shedding decides on it.
+// quotaDecision is the result of the quota check of a request, on which load shedding then decides.
 type quotaDecision int
 
 const (
-	// beyondQuota: the quota does not allow it. If the shared counter had added its units, they have been taken back,
-	// or stay there because the counter may not be called (decideByTotal).
+	// beyondQuota means that the quota does not allow the request. If the shared counter had added its units, they have
+	// been refunded, or they remain there because the counter may not be called (decideByTotal).
 	beyondQuota quotaDecision = iota
-	// insideUncounted: the quota allows it as far as is known here, or is not checked because load cuts the request
-	// anyway; the shared counter is not known to hold its units.
+	// insideUncounted means that the quota allows the request as far as this instance knows, or that the quota was not
+	// checked because the request will be shed anyway. The shared counter is not known to hold its units.
 	insideUncounted
-	// insideCounted: the quota allows it by the counter's total, which includes its units.
+	// insideCounted means that the counter's total, which includes the request's units, is within the quota.
 	insideCounted
 )
 
-// uncountedDecision is the decision on a request whose units the shared counter is not known to hold.
+// uncountedDecision returns the decision for a request whose units the shared counter is not known to hold.
 func uncountedDecision(inside bool) quotaDecision {
 	if inside {
 		return insideUncounted
@@ -152,15 +156,15 @@
 	return beyondQuota
 }
 
-// cuts tells whether the fraction of a controller leaves a customer out.
-func (c *piController) cuts(customer *customerRecord) bool {
+// sheds reports whether a customer is outside the admitted fraction of a controller.
+func (c *piController) sheds(customer *customerRecord) bool {
 	return customer.admissionHash >= c.admitRatio
 }
 
-// admitOrShed sends the first attempt of a request or rejects it. A request is shed when the fraction of its priority
-// leaves its customer out, when it would pass the ceiling of its plan, when it is beyond a quota that its plan does not
-// pay for, or when no backend could answer it in time (sendAttempt). It is called once for each request that has not
-// ended.
+// admitOrShed sends the first attempt of a request or rejects the request. It rejects a request whose customer is
+// outside the admitted fraction of the priority, that would exceed the ceiling of its plan, that is beyond the quota
+// under a plan that does not pay for such use, or that no backend could answer in time (sendAttempt). It is called once
+// for each request that has not ended.
 func (g *Gateway) admitOrShed(request *requestRecord, quota quotaDecision) {
 	controller := g.admission.controller(request.class, request.customer.plan)
 	if quota == beyondQuota {
@@ -168,7 +172,7 @@
 		request.rejectReason = OverQuota
 		plan := &g.settings.Plans[request.customer.plan]
 		if plan.OverQuotaValue <= plan.OverQuotaCost {
-			g.finishWithAnswer(request)
+			g.finishWithLocalResponse(request)
 			return
 		}
 	}
@@ -176,19 +180,19 @@
 	controller.offeredWork += work
 	if reason, shed := g.shedReason(request, quota, controller); shed {
 		request.rejectReason = reason
-		g.takeBackIfCounted(request, quota)
-		g.finishWithAnswer(request)
+		g.refundIfCounted(request, quota)
+		g.finishWithLocalResponse(request)
 		return
 	}
-	if !g.sendAttempt(request) { // which has ended the request
-		g.takeBackIfCounted(request, quota)
+	if !g.sendAttempt(request) { // sendAttempt has ended the request
+		g.refundIfCounted(request, quota)
 		return
 	}
 	controller.admittedWork += work
 	g.spendUnits(request, quota)
 }
 
-// shedReason tells whether a request is rejected before any attempt, and why. It changes nothing.
+// shedReason reports whether a request is rejected before any attempt, and the reason. It has no side effects.
 func (g *Gateway) shedReason(request *requestRecord, quota quotaDecision, controller *piController) (reason RejectReason, shed bool) {
 	customer := request.customer
 	plan := &g.settings.Plans[customer.plan]
@@ -196,21 +200,21 @@
 	switch {
 	case ceilingExceeded:
 		return OverQuota, true
-	case controller.cuts(customer):
+	case controller.sheds(customer):
 		return request.rejectReason, true
 	default:
 		return request.rejectReason, false
 	}
 }
 
-// takeBackIfCounted takes the units of a request that was not admitted back at the shared counter, if it holds them.
-func (g *Gateway) takeBackIfCounted(request *requestRecord, quota quotaDecision) {
+// refundIfCounted refunds the units of a request that was not admitted, if the shared counter holds them.
+func (g *Gateway) refundIfCounted(request *requestRecord, quota quotaDecision) {
 	if quota == insideCounted {
-		g.takeBackUnits(request)
+		g.refundUnits(request)
 	}
 }
 
-// spendUnits takes an admitted request's units off this instance's split.
+// spendUnits deducts an admitted request's units from this instance's split.
 func (g *Gateway) spendUnits(request *requestRecord, quota quotaDecision) {
 	if quota == insideCounted {
 		g.spendCountedUnits(request)
--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -9,7 +9,8 @@
 	"sandyard/decision"
 )
 
-// Under lasting overload the plan of the lowest weight is shed first and that of the highest hardly at all.
+// Under lasting overload, the plan with the lowest weight is shed first and the plan with the highest weight hardly at
+// all.
 func TestLowerPriorityIsShedFirst(t *testing.T) {
 	set := basicSettings()
 	set.Plans = slices.Repeat([]decision.Plan{{Rate: 1000, Burst: 1000}}, 4)
@@ -24,8 +25,8 @@
 	}
 	var queue []attempt
 	freeAt := driver.now
-	sent, asked := [4]float64{}, [4]float64{}
-	for i := range 4000 { // 100 a second, of which the backends can do 60
+	sent, requested := [4]float64{}, [4]float64{}
+	for i := range 4000 { // 100 requests per second; the backends can serve 60
 		driver.advance(10 * time.Millisecond)
 		for len(queue) > 0 && queue[0].endsAt <= driver.now {
 			driver.endAttempt(queue[0].request, queue[0].backend, decision.OK)
@@ -34,7 +35,7 @@
 		plan := i % 4
 		id := driver.nextRequest
 		driver.nextRequest++
-		asked[plan]++
+		requested[plan]++
 		for _, a := range driver.handle(decision.RequestArrived{Request: id, Plan: decision.PlanID(plan), TimeLeft: 2 * time.Second,
 			Customer: fmt.Sprint("c", i%200), Units: 1, Spread: 1}) {
 			if a, ok := a.(decision.SendAttempt); ok {
@@ -44,7 +45,7 @@
 			}
 		}
 	}
-	if sent[3] < 0.75*asked[3] || sent[0] > 0.5*asked[0] || sent[0] > 0.6*sent[1] {
-		t.Errorf("admitted %v, lowest weight first, of %v", sent, asked)
+	if sent[3] < 0.75*requested[3] || sent[0] > 0.5*requested[0] || sent[0] > 0.6*sent[1] {
+		t.Errorf("admitted %v of %v requests by plan, lowest weight first", sent, requested)
 	}
 }
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// This file decides about single attempts: whether one is begun, how long it may take, and what its end means for the
-// estimates of the other files and for its request. Latencies are seconds.
+// This file decides about single attempts: whether an attempt is begun, how long it may take, and how its end affects
+// its request and the estimates of the other files. Latencies are in seconds.
 
 const (
 	// maxLatencyRatio is the expected latency, as a share of the objective, above which no attempt is begun: its
-	// answer would be late, and it would make others late. A request that may have run is an exception, since
-	// without an answer it fails.
+	// answer would be late, and it would delay others. A request that may have run is an exception, since it would fail
+	// without an answer.
 	maxLatencyRatio = 0.8
-	// timeoutDeviations is the number of deviations above the mean latency that an attempt may take if another could
-	// follow it: rarely is an answer that late still to come.
+	// timeoutDeviations is the number of deviations above the mean latency after which an attempt times out if a retry
+	// is possible: an answer rarely arrives later than that.
 	timeoutDeviations = 8.0
 	// latencySmoothing is the weight of a new latency in the mean of its class: some twenty attempts show a trend.
 	latencySmoothing = 0.05
-	// lostAttemptTTL is how long after its deadline a request is kept whose attempts have no end yet.
+	// lostAttemptTTL is how long a request is kept after its deadline if its attempts have not ended.
 	lostAttemptTTL = 30 * time.Second
 )
 
-// requestRecord is a request with an answer owed or an attempt in flight.
+// requestRecord is a request without a final answer or with an attempt in flight.
 type requestRecord struct {
 	id        RequestID
 	class     ClassID
@@ -32,39 +32,39 @@
 	arrivedAt time.Duration
 	deadline  time.Duration
 	attempts  []attemptRecord
-	ended     bool // no answer is owed any more
-	streaming bool // the client gets an answer
-	// rejectReason is why it would be rejected before any attempt.
+	ended     bool // the request needs no answer any more
+	streaming bool // an answer is being streamed to the client
+	// rejectReason is the reason to give if the request is rejected before any attempt.
 	rejectReason RejectReason
 
 	mayHaveRun      bool           // some attempt may have run
 	firstRunBackend *backendRecord // backend of the first attempt that may have run; nil: none
-	firstRunSentAt  time.Duration  // when that attempt was decided on
+	firstRunSentAt  time.Duration  // time of the decision to send that attempt
 
-	counterName    string  // the counter's name to which its units were added
+	counterName    string  // name in the counter to which its units were added
 	counterWeight  float64 // weight of one unit under counterName
-	addedToCounter bool    // the counter holds this request's units, after it was admitted
+	addedToCounter bool    // the request was admitted and the counter holds its units
 }
 
 // attemptRecord is one attempt of a request.
 type attemptRecord struct {
 	backend       *backendRecord
 	sentAt        time.Duration
-	queuePosition float64 // at its backend, from 1
+	queuePosition float64 // estimated position in the queue of its backend, from 1
 	open          bool    // in flight
 }
 
-// attemptedAt tells whether a request has been tried at a backend.
+// attemptedAt reports whether a request has had an attempt at a backend.
 func (request *requestRecord) attemptedAt(backend *backendRecord) bool {
 	return slices.ContainsFunc(request.attempts, func(attempt attemptRecord) bool { return attempt.backend == backend })
 }
 
-// inFlight tells whether an attempt of a request is in flight.
+// inFlight reports whether an attempt of a request is in flight.
 func (request *requestRecord) inFlight() bool {
 	return slices.ContainsFunc(request.attempts, func(attempt attemptRecord) bool { return attempt.open })
 }
 
-// latencyEstimate is what attempts of a class take, and how far they stray from it, in seconds.
+// latencyEstimate holds the mean latency of a class's attempts and their mean absolute deviation, in seconds.
 type latencyEstimate struct {
 	mean      float64
 	deviation float64
@@ -79,19 +79,19 @@
 	return latencies
 }
 
-// add takes in what an attempt took, in seconds.
+// add records the latency of an attempt, in seconds.
 func (l *latencyEstimate) add(took float64) {
 	l.deviation += (math.Abs(took-l.mean) - l.deviation) * latencySmoothing
 	l.mean += (took - l.mean) * latencySmoothing
 }
 
-// sendAttempt starts the next attempt of a request. It ends the request instead, and returns false, if no backend may
-// get it, if no time is left, or if the answer would come too late and nothing has run yet.
+// sendAttempt sends the next attempt of a request. If no backend may get it, if no time is left, or if the answer would
+// be too late and no attempt may have run, it ends the request instead and returns false.
 func (g *Gateway) sendAttempt(request *requestRecord) bool {
 	backend := g.chooseBackend(request)
 	left := request.deadline - g.now
 	if backend == nil || left <= 0 || g.answersTooLate(backend, request) {
-		g.finishWithAnswer(request)
+		g.finishWithLocalResponse(request)
 		return false
 	}
 	queuePosition := g.queueLengthAt(backend) + 1
@@ -110,14 +110,14 @@
 	return true
 }
 
-// answersTooLate tells whether a backend would answer a request too late to begin an attempt. A request that may have
-// run is never too late, since without an answer it fails.
+// answersTooLate reports whether a backend is expected to answer so late that no attempt should be begun. It returns
+// false for a request that may have run, since that would fail without an answer.
 func (g *Gateway) answersTooLate(backend *backendRecord, request *requestRecord) bool {
 	return g.expectedLatencyRatioAt(backend) > maxLatencyRatio && !request.mayHaveRun
 }
 
-// attemptTimeout is how long the last attempt of a request may take: all the time that is left, but less where a retry
-// could still be in time and harmless.
+// attemptTimeout returns the timeout of the last attempt of a request: all the time that is left, or less if a safe
+// retry could still answer in time.
 func (g *Gateway) attemptTimeout(request *requestRecord, left time.Duration) time.Duration {
 	class := g.settings.Classes[request.class]
 	if class.Idempotency == NotIdempotent || class.Stream || len(request.attempts) >= g.settings.MaxAttempts {
@@ -132,7 +132,7 @@
 	return min(timeout, left)
 }
 
-// handleAttemptEnd closes an attempt, learns from it, and ends or retries its request.
+// handleAttemptEnd closes an attempt, updates the estimates, and ends or retries the request.
 func (g *Gateway) handleAttemptEnd(event AttemptEnded) {
 	request := g.requests[event.Request]
 	if request == nil || event.Attempt < 0 || event.Attempt >= len(request.attempts) || !request.attempts[event.Attempt].open {
@@ -140,7 +140,7 @@
 	}
 	attempt := &request.attempts[event.Attempt]
 	g.closeAttempt(request, attempt)
-	g.learnFromAttempt(request.class, attempt, event)
+	g.updateEstimates(request.class, attempt, event)
 	if !request.mayHaveRun && event.Outcome.mayHaveRun() {
 		request.mayHaveRun = true
 		request.firstRunBackend = attempt.backend
@@ -148,18 +148,18 @@
 	}
 	switch {
 	case request.ended:
-		g.forgetIfOver(request)
+		g.deleteIfEnded(request)
 	case event.Answered || event.Outcome == OK:
-		g.finishWithoutAnswer(request)
+		g.finishWithoutLocalResponse(request)
 	case g.mayRetry(request, g.settings.Classes[request.class]):
 		g.sendAttempt(request)
 	default:
-		g.finishWithAnswer(request)
+		g.finishWithLocalResponse(request)
 	}
 }
 
-// learnFromAttempt hands an attempt's end to the estimates of load, latency, failures and service rate.
-func (g *Gateway) learnFromAttempt(classID ClassID, attempt *attemptRecord, event AttemptEnded) {
+// updateEstimates updates the estimates of load, latency, failures and service rate with the end of an attempt.
+func (g *Gateway) updateEstimates(classID ClassID, attempt *attemptRecord, event AttemptEnded) {
 	g.recordLoadReport(event.Load)
 	class := g.settings.Classes[classID]
 	backend := attempt.backend
@@ -178,7 +178,7 @@
 	g.recordOverload(class, event.Outcome, took)
 }
 
-// closeAttempt marks an attempt as over. An attempt that was counted as one in flight is taken back at the counter.
+// closeAttempt marks an attempt as ended. If the counter counts it as an attempt in flight, it is subtracted there.
 func (g *Gateway) closeAttempt(request *requestRecord, attempt *attemptRecord) {
 	if !attempt.open {
 		return
@@ -191,7 +191,7 @@
 	customer := request.customer
 	customer.inFlight--
 	if request.addedToCounter && customer.quota.countsInFlight() {
-		g.takeBackUnits(request)
+		g.refundUnits(request)
 	}
-	g.endpoints.forgetIfGone(backend)
+	g.endpoints.deleteIfRemoved(backend)
 }
--- a/decision/attempt_test.go
+++ b/decision/attempt_test.go
@@ -7,7 +7,7 @@
 	"sandyard/decision"
 )
 
-// A client leaves while its attempt is in flight: the attempt is cancelled only where the settings allow it.
+// If a client disconnects while its attempt is in flight, the attempt is cancelled only if the settings allow it.
 func TestCancelsOnlyWhereAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		set := basicSettings()
@@ -15,15 +15,15 @@
 		driver := startDriver(t, set, 0, upEndpoints(1)...)
 		id, _, _ := driver.request("a", 0, 1)
 		if n := countActions[decision.CancelAttempt](driver.handle(decision.ClientDisconnected{Request: id})); (n == 1) != allowed {
-			t.Errorf("allowed %v: %d cancels", allowed, n)
+			t.Errorf("Cancel %v: %d CancelAttempt actions", allowed, n)
 		}
 	}
 }
 
-// Two hundred requests come at one stroke. Those whose answer would come too late are rejected before any attempt.
-func TestShedsWhatWouldBeLate(t *testing.T) {
+// Of two hundred simultaneous requests, those whose answer would be too late are rejected before any attempt.
+func TestRejectsRequestsThatWouldBeLate(t *testing.T) {
 	driver := startDriver(t, basicSettings(), 0, upEndpoints(1, 2)...)
-	for range 40 { // learn that attempts take 100 ms each
+	for range 40 { // the gateway learns that attempts take 100 ms each
 		id, s, ok := driver.request("a", 0, 1)
 		driver.advance(100 * time.Millisecond)
 		if ok {
@@ -31,12 +31,12 @@
 		}
 	}
 	sent := 0
-	for range 200 { // at one stroke
+	for range 200 { // simultaneously
 		if _, _, ok := driver.request("a", 0, 1); ok {
 			sent++
 		}
 	}
 	if sent < 4 || sent > 20 {
-		t.Errorf("%d attempts at once at two backends of 100 ms a request with an objective of 1 s", sent)
+		t.Errorf("%d simultaneous attempts at two backends that take 100 ms per request, with an objective of 1 s", sent)
 	}
 }
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -5,36 +5,38 @@
 	"slices"
 )
 
-// This file decides which backend gets the next attempt of a request: of a few drawn at random, the one with the lowest
-// cost, in latency objectives: the expected latency (load.go), times a little in another zone, and the risk of a failure
-// (outlier.go). Drawing few keeps the instances from sending all to the one backend that looks best. A warming backend
-// is drawn as often as its capacity share says, and may be passed over (slowstart.go). Backends that the request has
-// been tried at come last; those that do not know its idempotency key, if it may have run, are left out.
+// This file decides which backend gets the next attempt of a request: among a few backends drawn at random, the one
+// with the lowest cost. The cost is the expected latency (load.go), slightly increased for another zone, plus the risk
+// of a failure (outlier.go), all in latency objectives. Comparing only a few backends prevents all instances from
+// sending to the one backend that looks best. A warming backend is drawn in proportion to its capacity share, and may
+// be skipped (slowstart.go). Backends that already got an attempt of the request come last. If the request may have
+// run, backends that do not know its idempotency key are excluded.
 
 const (
 	// candidatesPerChoice is the number of backends that are compared; two give most of the gain over one at random.
 	candidatesPerChoice = 3
-	// extraCandidates times the share of attempts that fail anywhere is the number of further ones: where many
-	// backends fail, those that work are to be found.
+	// extraCandidates times the failure rate over all backends is the number of additional candidates: if many backends
+	// fail, those that work have to be found.
 	extraCandidates = 6.0
-	// maxDraws bounds the draws to find them, and with them the time of a choice. If none of so many draws gives a
-	// backend that may get the attempt, the request ends, even with backends up. Draws are with replacement: one
-	// backend may be drawn several times.
+	// maxDraws bounds the number of draws for the candidates, and with it the time of a choice. If none of the draws
+	// gives a backend that may get the attempt, the request ends, even if backends are up. Draws are with replacement:
+	// one backend may be drawn several times.
 	maxDraws = 24
-	// otherZoneFactor is the factor on the expected latency in another zone: it decides between equals alone.
+	// otherZoneFactor is the factor on the expected latency in another zone. It only decides between otherwise equal
+	// backends.
 	otherZoneFactor = 1.005
-	// failureCost is the cost of a sure failure, in latency objectives: about what it takes to notice and retry.
+	// failureCost is the cost of a certain failure, in latency objectives: about the time to detect it and to retry.
 	failureCost = 1.0
 )
 
-// candidate is a backend that was drawn, and its cost.
+// candidate is a drawn backend and its cost.
 type candidate struct {
 	backend *backendRecord
 	cost    float64
 }
 
-// chooseBackend gives the backend for the next attempt of a request, or nil if there is none. It may be called once for
-// an attempt: it draws random numbers and counts.
+// chooseBackend returns the backend for the next attempt of a request, or nil if there is none. It must be called only
+// once per attempt because it draws random numbers and updates counts.
 func (g *Gateway) chooseBackend(request *requestRecord) *backendRecord {
 	g.serviceRate.choicesMade++
 	class := g.settings.Classes[request.class]
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// costAt is the cost of an attempt of a class at a backend, in latency objectives.
+// costAt returns the cost of an attempt of a class at a backend, in latency objectives.
 func (g *Gateway) costAt(backend *backendRecord, class ClassID) float64 {
 	latencyRatio := g.expectedLatencyRatioAt(backend)
 	if backend.Zone != g.settings.Zone {
@@ -77,8 +79,8 @@
 	return latencyRatio + g.failureRisk(backend, class)*failureCost
 }
 
-// admitBestCandidate gives the backend of the lowest cost that may get one more attempt, or nil. It sorts the candidates
-// and counts its checks; tryAdmitWarming has effects of its own.
+// admitBestCandidate returns the backend of the lowest cost that may get one more attempt, or nil. As side effects it
+// sorts the candidates, counts the checks and calls tryAdmitWarming, which changes the backend's bucket.
 func (g *Gateway) admitBestCandidate(drawn []candidate) *backendRecord {
 	slices.SortStableFunc(drawn, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 	for _, candidate := range drawn {
@@ -90,9 +92,9 @@
 	return nil
 }
 
-// mayRunAt tells whether an attempt of a request at a backend can't run it twice on account of its key: false only for
-// a request by key that may have run, at a backend that does not know the key. Whether other requests that may have run
-// are sent again is decided by mayRetry.
+// mayRunAt reports whether a request may be sent to a backend with regard to its idempotency key. It returns false only
+// for a request of class IdempotentByKey that may have run, if the backend does not know the key. mayRetry decides
+// whether other requests that may have run are sent again.
 func mayRunAt(request *requestRecord, class Class, backend *backendRecord) bool {
 	if class.Idempotency != IdempotentByKey || request.firstRunBackend == nil || class.KeyScope == KeyScopeAll {
 		return true
--- a/decision/countersync.go
+++ b/decision/countersync.go
@@ -6,69 +6,76 @@
 	"time"
 )
 
-// This file decides when the shared counter is called, with what, and what its answers mean. The counter holds a number
-// per name. A customer's use is added to one of its names, each unit with a weight that grows with time, so that older
-// use fades against newer: the total divided by the present weight is the customer's recent use at all instances.
+// This file decides when the shared counter is called, with which amount, and what its replies mean. The counter holds
+// a total per name. A customer's use is added to one of the customer's names. The weight of a unit grows with time, so
+// that older use decays relative to newer use: the total divided by the current weight is the customer's recent use at
+// all instances.
 //
-// A request whose quota is unknown here is added and held until the answer; if it was beyond the quota it is taken back.
-// What is admitted without asking is added a little later, together. A slow or rejecting counter is called less: calls
-// are made by chance, more valuable requests first. A counter that forgot its totals (a restart) shows by a total far
-// below the one expected; until the use before that has faded, nothing is passed on beyond a ceiling's split.
+// If this instance does not know whether a request is inside the quota, the request's units are added and the request
+// is held until the reply; if it was beyond the quota, the units are refunded. Units that are admitted without a call
+// are added a little later, in one call. A counter that is slow or rejects calls is called less: calls are made at
+// random, with a higher probability for more valuable requests. A counter that has lost its totals (a restart) is
+// detected by a total far below the expected one. Until the use before that has decayed, nothing is admitted beyond a
+// ceiling's split.
 
 const (
-	// counterNameTTL is how long the counter keeps a name, more than maxCounterNamePeriod.
+	// counterNameTTL is how long the counter keeps a name. It is longer than maxCounterNamePeriod.
 	counterNameTTL = time.Minute
-	// maxCounterNamePeriod is the longest time for which a name is used; a customer's next name starts from nothing.
+	// maxCounterNamePeriod is the longest time for which a name is used. The total under the next name starts at zero.
 	maxCounterNamePeriod = 50 * time.Second
-	// maxCounterNameFades bounds the same in fading times: weights grow to e to this power, well inside a float64 with
-	// all its digits.
+	// maxCounterNameFades bounds the same period in fade times: weights grow to e to this power, well within the range
+	// of a float64 at full precision.
 	maxCounterNameFades = 45.0
-	// maxCustomerInName is the length of a customer's id, in bytes, from which on its hash stands in the name.
+	// maxCustomerInName is the maximum length of a customer's id, in bytes, that is used in a name. A hash replaces a
+	// longer id.
 	maxCustomerInName = 40
-	// counterResetRatio is the share of the expected total below which the counter has lost it. Above it, the
-	// difference may be use that was taken back.
+	// counterResetRatio is the share of the expected total below which the counter is assumed to have lost it. A
+	// smaller difference may be use that was refunded.
 	counterResetRatio = 0.5
-	// maxOverQuotaWait is the time, in seconds, after which a customer beyond its quota is asked about again at the
-	// latest: its use elsewhere may have stopped.
+	// maxOverQuotaWait is the longest time, in seconds, until the counter may be called again for a customer beyond its
+	// quota: the customer's use at other instances may have stopped.
 	maxOverQuotaWait = 1.0
-	// pendingUseDelay is how long use is kept before it is added: one call then carries several requests' units.
+	// pendingUseDelay is how long use is collected before it is added: one call then carries the units of several
+	// requests.
 	pendingUseDelay = 250 * time.Millisecond
-	// pendingUseKeepShare is the share of a quota from which pending use waits for a call instead of being dropped:
-	// less than that hardly changes a decision.
+	// pendingUseKeepShare is the share of a quota above which pending use waits for a later call instead of being
+	// dropped: less than that hardly changes a decision.
 	pendingUseKeepShare = 0.1
-	// rejectedCallFactor lowers the chance of a call after one that was rejected: the counter is at its limit.
+	// rejectedCallFactor reduces the call probability after a call that was rejected: the counter is at its limit.
 	rejectedCallFactor = 0.85
-	// slowCallFactor lowers it after one that was slow or timed out: all its callers wait then.
+	// slowCallFactor reduces the call probability after a call that was slow or timed out: all callers of the counter
+	// have to wait then.
 	slowCallFactor = 0.6
-	// goodCallFactor raises it after a good answer.
+	// goodCallFactor raises the call probability after a good reply.
 	goodCallFactor = 1.06
-	// recoveryCallFactor raises it after a good answer if the last bad one is past by counterRecoveryTime.
+	// recoveryCallFactor raises the call probability after a good reply if the last slow or failed call was more than
+	// counterRecoveryTime ago.
 	recoveryCallFactor = 1.25
-	// counterRecoveryTime is long enough for the counter to have recovered from an overload.
+	// counterRecoveryTime is long enough for the counter to recover from an overload.
 	counterRecoveryTime = 4 * time.Second
-	// minCallProbability is the least callProbability, at which calls still find out that the counter has recovered.
-	// The chance of one request's call is this times its callPriority, which may be near 0.
+	// minCallProbability is the minimum of callProbability, at which calls still detect that the counter has recovered.
+	// The probability of a call for one request is this times its callPriority, which may be near 0.
 	minCallProbability = 0.15
 )
 
-// counterCall is a call of the counter that was not answered yet.
+// counterCall is a call of the counter that has not been answered yet.
 type counterCall struct {
 	customer     *customerRecord
-	request      *requestRecord // that waits for the answer; nil if none
-	unitWeight   float64        // that one unit was added with
-	pendingUnits float64        // units of other requests in it, to be added later if they were not now
+	request      *requestRecord // request that waits for the reply; nil if none
+	unitWeight   float64        // weight of one unit in the added amount
+	pendingUnits float64        // pending or refunded (negative) units in the call, queued again if the call did not add them
 	sentAt       time.Duration
 }
 
-// counterSync holds what is known of the shared counter.
+// counterSync holds the state of the communication with the shared counter.
 type counterSync struct {
-	calls            map[string][]counterCall // not answered yet, by name, in order
-	pendingUseQueue  []*customerRecord        // those with use that was not added to the counter yet
-	insideShare      []movingAverage          // share of the requests asked about that were inside their quota, by plan
-	reportedUseShare movingAverage            // share of the use that reached the counter
+	calls            map[string][]counterCall // calls without a reply, by name, in the order of the calls
+	pendingUseQueue  []*customerRecord        // customers with use that was not added to the counter yet
+	insideShare      []movingAverage          // share of the requests decided by a total that were inside their quota, by plan
+	reportedUseShare movingAverage            // share of the use that was reported to the counter
 	maxPlanWeight    float64                  // highest WeightFactor of all plans
-	callProbability  float64                  // chance of a call of the highest priority, minCallProbability to 1
-	overloadedAt     time.Duration            // when it last was slow or rejected a call
+	callProbability  float64                  // probability of a call of the highest priority, minCallProbability to 1
+	overloadedAt     time.Duration            // time of the last slow or failed call
 }
 
 func newCounterSync(plans []Plan, now time.Duration) counterSync {
@@ -82,12 +89,12 @@
 	return counter
 }
 
-// push notes a call.
+// push records a call.
 func (c *counterSync) push(name string, call counterCall) {
 	c.calls[name] = append(c.calls[name], call)
 }
 
-// pop gives the call that an answer for a name belongs to, and false if there is none.
+// pop removes and returns the call that a reply for a name belongs to, or false if there is none.
 func (c *counterSync) pop(name string) (counterCall, bool) {
 	calls := c.calls[name]
 	if len(calls) == 0 {
@@ -100,7 +107,7 @@
 	return calls[0], true
 }
 
-// recordCall moves the chance of calls by how one ended.
+// recordCall adjusts the call probability to the result of a call.
 func (c *counterSync) recordCall(slow, ok bool, now time.Duration) {
 	switch {
 	case slow:
@@ -116,15 +123,15 @@
 	}
 }
 
-// mayCallCounter decides by chance whether the counter may be called; while the counter is overloaded it draws a random
-// number. callPriority, 0 to 1, lowers the chance of calls that are worth less, but only in that time.
+// mayCallCounter decides whether the counter may be called. While the counter is overloaded, it decides at random:
+// callPriority, 0 to 1, then reduces the probability of less valuable calls.
 func (g *Gateway) mayCallCounter(callPriority float64) bool {
 	return g.counter.callProbability == 1 || g.rng.Float64() < g.counter.callProbability*callPriority
 }
 
-// counterNameOf is the name to which a customer's use is added now, and what a unit counts in it. Names change before
-// weights grow too large or the counter forgets; those of different customers change at different times, so that not
-// all totals are unknown at once.
+// counterNameOf returns the name to which a customer's use is added now, and the current weight of a unit. A name is
+// replaced before its weights grow too large and before the counter deletes it. The names of different customers change
+// at different times, so that not all totals are unknown at once.
 func (g *Gateway) counterNameOf(customer *customerRecord) (name string, unitWeight float64) {
 	period := min(maxCounterNamePeriod.Seconds(), maxCounterNameFades*customer.quota.fadeTime)
 	epoch, elapsedShare := math.Modf(g.now.Seconds()/period + customer.admissionHash)
@@ -135,7 +142,8 @@
 	return name + "." + strconv.FormatInt(int64(epoch), 36), math.Exp(elapsedShare * period / customer.quota.fadeTime)
 }
 
-// callCounter adds units to a customer's total, with its pending use; request, if any, waits for the answer.
+// callCounter adds units and the customer's pending use to the customer's total. request, if not nil, waits for the
+// reply.
 func (g *Gateway) callCounter(customer *customerRecord, units float64, request *requestRecord) {
 	name, unitWeight := g.counterNameOf(customer)
 	pending := customer.pendingUse
@@ -148,16 +156,16 @@
 	g.emit(AddToCounter{Name: name, Amount: (units + pending) * unitWeight, TTL: counterNameTTL})
 }
 
-// takeBackUnits takes back what was added for a request: one that was rejected in the end, or an attempt that is no
-// longer in flight.
-func (g *Gateway) takeBackUnits(request *requestRecord) {
+// refundUnits subtracts the units of a request from the counter's total: the request was not admitted, or its attempt
+// is no longer in flight.
+func (g *Gateway) refundUnits(request *requestRecord) {
 	request.addedToCounter = false
 	call := counterCall{customer: request.customer, unitWeight: request.counterWeight, pendingUnits: -request.units, sentAt: g.now}
 	g.counter.push(request.counterName, call)
 	g.emit(AddToCounter{Name: request.counterName, Amount: -request.units * request.counterWeight, TTL: counterNameTTL})
 }
 
-// queuePendingUse keeps units until they are added to the counter.
+// queuePendingUse stores units until they are added to the counter.
 func (g *Gateway) queuePendingUse(customer *customerRecord, units float64) {
 	customer.pendingUse += units
 	if customer.pendingUseQueued {
@@ -168,7 +176,7 @@
 	g.counter.pendingUseQueue = append(g.counter.pendingUseQueue, customer)
 }
 
-// flushPendingUse tells the counter what was spent without asking and is due.
+// flushPendingUse adds pending use that is due to the counter.
 func (g *Gateway) flushPendingUse() {
 	queue := g.counter.pendingUseQueue
 	waiting := queue[:0]
@@ -181,9 +189,9 @@
 	g.counter.pendingUseQueue = waiting
 }
 
-// flushCustomer adds a customer's pending use to the counter, with an action, if it is due, and returns false if it has
-// to wait on. Where the counter may not be called, use that matters is kept, and fades as it would there; the rest is
-// dropped.
+// flushCustomer emits a call that adds a customer's pending use to the counter if the use is due. It returns false if
+// the use has to wait longer. If the counter may not be called, use above pendingUseKeepShare is kept and decays as it
+// would in the counter; less than that is dropped.
 func (g *Gateway) flushCustomer(customer *customerRecord) (done bool) {
 	if g.now < customer.pendingUseDueAt {
 		return false
@@ -207,18 +215,18 @@
 	return true
 }
 
-// handleCounterReply takes in the answer of a call, and decides on the request that waits for it.
+// handleCounterReply processes the reply to a call and decides on the request that waits for it.
 func (g *Gateway) handleCounterReply(event CounterReplied) {
 	call, found := g.counter.pop(event.Name)
 	if !found {
 		return
 	}
-	total := max(0, event.Total) // what was taken back may leave a rounding error below nothing
+	total := max(0, event.Total) // refunds may leave a negative rounding error
 	ok := event.Outcome == OK && !anyNegativeOrNotFinite(total)
 	slow := event.Outcome == TimedOut || g.now-call.sentAt > g.settings.CounterTimeout/2
 	g.counter.recordCall(slow, ok, g.now)
-	if call.request != nil && call.request.ended && ok { // the client left, or the deadline passed
-		g.takeBackUnits(call.request)
+	if call.request != nil && call.request.ended && ok { // the client disconnected, or the deadline passed
+		g.refundUnits(call.request)
 	}
 	g.refillTokens(call.customer)
 	if call.pendingUnits != 0 && (event.Outcome == Rejected || event.Outcome == ConnectFailed) { // not added
@@ -237,10 +245,10 @@
 	}
 }
 
-// recordTotal takes in a customer's total. One far below the expected one means that the counter may have forgotten; it
-// would admit too much until the use before that has faded, so the counter is distrusted for that long. A change of
-// the counter's name (counterNameOf) looks the same: the new name's total starts from nothing, the counter is distrusted
-// too, and the customer may spend up to one more burst.
+// recordTotal records a customer's total. A total far below the expected one means that the counter may have lost it.
+// The counter is distrusted until the use before that has decayed, because it would allow too much until then. A change
+// of the customer's name in the counter (counterNameOf) looks the same: the total under the new name starts at zero,
+// the counter is distrusted as well, and the customer may spend up to one more burst.
 func (g *Gateway) recordTotal(customer *customerRecord, total float64) {
 	expected := customer.counterTotal * customer.quota.fade(g.now-customer.counterTotalAt)
 	if customer.counterTotalAt > 0 && total < counterResetRatio*expected {
@@ -250,19 +258,20 @@
 	customer.counterTotalAt = g.now
 }
 
-// decideWithoutTotal decides on a request of which the counter says nothing. After a timeout its units may have been
-// added.
+// decideWithoutTotal decides on a request whose call of the counter failed. After a timeout the units may have been
+// added, so they are refunded if the request counts as beyond the quota.
 func (g *Gateway) decideWithoutTotal(request *requestRecord, outcome Outcome) {
 	inside := g.decideWithoutCounter(request.customer, request.class, request.units)
 	if outcome == TimedOut && !inside {
-		g.takeBackUnits(request)
+		g.refundUnits(request)
 	}
 	g.admitOrShed(request, uncountedDecision(inside))
 }
 
 // decideByTotal decides on a request by its customer's total, which includes the request's units. A request is inside
-// if at least half of its units fit; recordOverQuota inverts the same rule. Beyond this instance's split of a ceiling it
-// is admitted only from the part that is not split, while the counter is trusted.
+// the quota if at least half of its units fit; recordOverQuota solves the same condition for the time. Beyond this
+// instance's split of a ceiling, a request is admitted only from the part that is not split, and only while the counter
+// is trusted.
 func (g *Gateway) decideByTotal(request *requestRecord) {
 	customer := request.customer
 	units := request.units
@@ -271,27 +280,27 @@
 	g.counter.insideShare[customer.plan].add(indicator(inside), g.now)
 	if !inside {
 		g.recordOverQuota(request, before)
-		if g.mayCallCounter(1) { // else its units stay in the total until they fade
-			g.takeBackUnits(request)
+		if g.mayCallCounter(1) { // otherwise the units stay in the total until they decay
+			g.refundUnits(request)
 		}
 		g.admitOrShed(request, beyondQuota)
 		return
 	}
 	plan := &g.settings.Plans[customer.plan]
 	beyondSplit := !customer.ceilingAllows(plan, units)
-	sharedPartUsedUp := g.now < customer.counterDistrustedUntil || before+units > ceilingCounterShare*plan.CeilingBurst
-	if beyondSplit && sharedPartUsedUp {
+	unsplitPartUsedUp := g.now < customer.counterDistrustedUntil || before+units > ceilingCounterShare*plan.CeilingBurst
+	if beyondSplit && unsplitPartUsedUp {
 		request.rejectReason = OverQuota
-		g.takeBackUnits(request)
-		g.finishWithAnswer(request)
+		g.refundUnits(request)
+		g.finishWithLocalResponse(request)
 		return
 	}
 	g.admitOrShed(request, insideCounted)
 }
 
-// recordOverQuota notes that a customer is beyond its quota, until the total without the request has faded so far that
-// half of the request's units fit (at most maxOverQuotaWait). Where attempts in flight are counted, only the total is
-// noted.
+// recordOverQuota records that a customer is beyond its quota until the total without the request has decayed so far
+// that half of the request's units fit, for at most maxOverQuotaWait. If attempts in flight are counted, it records
+// only the total.
 func (g *Gateway) recordOverQuota(request *requestRecord, total float64) {
 	customer := request.customer
 	customer.counterTotal = total
--- a/decision/countersync_test.go
+++ b/decision/countersync_test.go
@@ -9,8 +9,8 @@
 	"sandyard/decision"
 )
 
-// The counter restarts and has lost its totals, so it would let a customer use its ceiling a second time. Its answer is far
-// below the total expected: nothing beyond the split is admitted until the use before has faded.
+// A counter that restarts loses its totals, so it would allow a customer to use its ceiling a second time. Its reply is
+// far below the expected total: nothing beyond the split is admitted until the use before has decayed.
 func TestCounterResetBlocksUseBeyondCeilingSplit(t *testing.T) {
 	set := basicSettings()
 	set.Instances = 2
@@ -33,15 +33,15 @@
 	first := admit()
 	total = 0
 	second := admit()
-	driver.advance(time.Second) // the fading time
+	driver.advance(time.Second) // the fade time
 	third := admit()
 	if first < 10 || second > 0 || third < 10 {
-		t.Errorf("%d, then %d once the counter has forgotten, then %d", first, second, third)
+		t.Errorf("admitted %d, then %d after the counter lost its totals, then %d", first, second, third)
 	}
 }
 
-// Others used very much for a moment, so that all requests of a customer are rejected here and the counter is not called for
-// it. It must get its quota again when their use has faded.
+// High use at other instances for a moment makes this instance reject all requests of a customer without a call of the
+// counter. The customer must get its quota again after that use has decayed.
 func TestRejectedCustomerGetsItsQuotaAgain(t *testing.T) {
 	set := basicSettings()
 	set.Instances = 2
@@ -51,7 +51,7 @@
 	for driver.now < 20*time.Second {
 		driver.advance(25 * time.Millisecond)
 		for ; seen < len(driver.actions); seen++ {
-			if a, ok := driver.actions[seen].(decision.AddToCounter); ok { // once, the others used very much
+			if a, ok := driver.actions[seen].(decision.AddToCounter); ok { // the first reply reports high use at other instances
 				driver.handle(decision.CounterReplied{Name: a.Name, Total: a.Amount + spike})
 				spike = 0
 			}
@@ -64,11 +64,11 @@
 		}
 	}
 	if late < 40 {
-		t.Errorf("%d admitted in 10 s, want at least the split of 50", late)
+		t.Errorf("%d admitted in the last 10 s, want at least 40 of the split of 50", late)
 	}
 }
 
-// Attempts in flight at other instances count under a plan that limits them.
+// Under a plan that limits attempts in flight, those of other instances count.
 func TestInFlightLimitCountsOtherInstances(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -82,7 +82,7 @@
 			set.Plans = []decision.Plan{{MaxInFlight: 3, WeightFactor: 1}}
 			driver := startDriver(t, set, time.Minute, upEndpoints(1, 2, 3)...)
 			total := c.elsewhere
-			scale := 0.0 // what one attempt counts as
+			scale := 0.0 // weight of one attempt
 			driver.counter = func(a decision.AddToCounter) (decision.Outcome, float64) {
 				if scale == 0 {
 					scale = a.Amount
@@ -103,12 +103,13 @@
 	}
 }
 
-// A customer that comes in through a hundred instances, each of which hardly ever sees it, gets its quota: all of it, and not
-// much more, whatever it asks for. Splits would give it nothing, or a request at each instance.
+// A customer whose requests are spread over a hundred instances, each of which rarely sees it, gets its full quota and
+// not much more, however many requests it sends. Splits of the quota would give it nothing, or one request per
+// instance.
 func TestQuotaOverAHundredInstances(t *testing.T) {
 	cases := []struct {
 		name     string
-		asked    float64 // a second, for a minute
+		rate     float64 // requests per second, for a minute
 		answer   counterFunc
 		min, max int
 	}{
@@ -125,7 +126,7 @@
 			instances := startInstances(t, 100, set, time.Hour, c.answer, upEndpoints(1, 2, 3, 4, 5, 6)...)
 			rng := rand.New(rand.NewPCG(1, 2))
 			sent := 0
-			for at := time.Hour; at < time.Hour+time.Minute; at += time.Duration(float64(time.Second) / c.asked) {
+			for at := time.Hour; at < time.Hour+time.Minute; at += time.Duration(float64(time.Second) / c.rate) {
 				driver := instances[rng.IntN(len(instances))]
 				driver.advanceTo(at)
 				if id, s, ok := driver.request("a", 0, 100); ok {
@@ -135,14 +136,14 @@
 				}
 			}
 			if sent < c.min || sent > c.max {
-				t.Errorf("%d of %v admitted, want %d to %d", sent, 60*c.asked, c.min, c.max)
+				t.Errorf("%d of %v admitted, want %d to %d", sent, 60*c.rate, c.min, c.max)
 			}
 		})
 	}
 }
 
-// Attempts in flight are taken back at the counter when they end, and so is what was added for a request that was rejected: else
-// the limit would stay used up.
+// The counter's total is reduced when an attempt in flight ends, and when a request whose units were added is rejected.
+// Otherwise the limit would stay used up.
 func TestInFlightLimitOverManyInstances(t *testing.T) {
 	set := basicSettings()
 	set.Plans = []decision.Plan{{MaxInFlight: 3, WeightFactor: 1, OverQuotaCost: 1}}
@@ -171,8 +172,8 @@
 	}
 }
 
-// The counter rejects three calls of four, so fewer are made. Use that was admitted without asking waits for a call where it is a
-// tenth of the quota or more: about half of it reaches the counter; without waiting it would be a sixth.
+// The counter rejects three of four calls, so fewer calls are made. Use that was admitted without a call waits for one
+// if it is a tenth of the quota or more: about half of it reaches the counter. Without waiting it would be a sixth.
 func TestPendingUseWaitsForCounter(t *testing.T) {
 	reported := func(rejects bool) (sum float64) {
 		set := basicSettings()
@@ -197,6 +198,6 @@
 		return sum
 	}
 	if all, some := reported(false), reported(true); some < 0.4*all {
-		t.Errorf("a counter that rejects three calls of four got %.0f units, another %.0f", some, all)
+		t.Errorf("a counter that rejects three of four calls got %.0f units, one that rejects none got %.0f", some, all)
 	}
 }
--- a/decision/driver_test.go
+++ b/decision/driver_test.go
@@ -7,8 +7,8 @@
 	"sandyard/decision"
 )
 
-// driver is the owner of one gateway: it keeps the time, fires timers and remembers the actions. Its attempts end when a
-// test says so.
+// driver is the owner of one gateway: it keeps the time, fires timers and records the actions. Attempts end only when a
+// test ends them.
 type driver struct {
 	t             *testing.T
 	gateway       *decision.Gateway
@@ -17,10 +17,10 @@
 	actions       []decision.Action
 	nextRequest   decision.RequestID
 	attemptsEnded map[decision.RequestID]int
-	counter       counterFunc // if set, answers calls at once
+	counter       counterFunc // replies to calls at once; nil: calls get no reply
 }
 
-// startDriver starts a gateway of its own with endpoints that are known from a cache.
+// startDriver starts a gateway and gives it a cached endpoint list.
 func startDriver(t *testing.T, settings decision.Settings, at time.Duration, endpoints ...decision.Endpoint) *driver {
 	t.Helper()
 	return startSeeded(t, settings, 1, at, endpoints)
@@ -38,7 +38,7 @@
 	return d
 }
 
-// record keeps actions, and the timers among them.
+// record stores the actions and the timers among them.
 func (d *driver) record(actions []decision.Action) []decision.Action {
 	for _, a := range actions {
 		if t, ok := a.(decision.SetTimer); ok {
@@ -49,7 +49,8 @@
 	return actions
 }
 
-// handle hands an event to the gateway and returns its actions, with those that answers of the counter led to.
+// handle passes an event to the gateway and returns its actions, followed by the actions that replies of the counter
+// led to.
 func (d *driver) handle(e decision.Event) []decision.Action {
 	did := d.record(d.gateway.Handle(e, d.now))
 	for i := 0; i < len(did) && d.counter != nil; i++ {
@@ -61,7 +62,7 @@
 	return did
 }
 
-// advanceTo lets time pass, firing timers in order.
+// advanceTo advances the time and fires timers in order.
 func (d *driver) advanceTo(at time.Duration) {
 	for {
 		first := -1
@@ -81,10 +82,10 @@
 	}
 }
 
-// advance lets so much time pass.
+// advance advances the time by elapsed.
 func (d *driver) advance(elapsed time.Duration) { d.advanceTo(d.now + elapsed) }
 
-// request brings a request; sent is false if no attempt was made at once.
+// request sends a request to the gateway. sent is false if the gateway did not send an attempt at once.
 func (d *driver) request(customer string, class decision.ClassID, spread int) (id decision.RequestID, s decision.BackendID, sent bool) {
 	id = d.nextRequest
 	d.nextRequest++
@@ -112,7 +113,8 @@
 	return out
 }
 
-// basicSettings have an idempotent class, one that is not, and one that is by its key; and a plan that nobody exceeds.
+// basicSettings returns settings with an idempotent class, one that is not idempotent, and one that is idempotent by
+// key, and with a plan that no test exceeds by accident.
 func basicSettings() decision.Settings {
 	return decision.Settings{
 		Instances: 1, MaxAttempts: 3, Cancel: true, Counter: true, DrainGrace: time.Second,
@@ -137,9 +139,9 @@
 	return n
 }
 
-// playRequests brings n requests of a class at a steady rate to backends that behave as told, and counts what each got. A
-// backend that takes no time never answers.
-func playRequests(driver *driver, class decision.ClassID, n int, gap time.Duration,
+// sendRequests sends n requests of a class at a constant rate and returns the number of attempts at each backend.
+// behave returns the latency and the outcome of an attempt; after a latency of zero the attempt never ends.
+func sendRequests(driver *driver, class decision.ClassID, n int, gap time.Duration,
 	behave func(backend decision.BackendID) (time.Duration, decision.Outcome)) map[decision.BackendID]int {
 	type attempt struct {
 		request decision.RequestID
@@ -168,23 +170,23 @@
 	return got
 }
 
-// answersIn50ms is how a healthy backend behaves.
+// answersIn50ms is the behavior of a healthy backend.
 func answersIn50ms() (time.Duration, decision.Outcome) { return 50 * time.Millisecond, decision.OK }
 
-// counterFunc is how the shared counter answers a call: an outcome and the total.
+// counterFunc implements the shared counter: it returns the outcome of a call and the total.
 type counterFunc func(decision.AddToCounter) (decision.Outcome, float64)
 
 func timesOut(decision.AddToCounter) (decision.Outcome, float64) { return decision.TimedOut, 0 }
 
 func unreachable(decision.AddToCounter) (decision.Outcome, float64) { return decision.ConnectFailed, 0 }
 
-// onlyCaller is a counter that nobody else adds to.
+// onlyCaller returns a counter that no other instance adds to.
 func onlyCaller() counterFunc { return counterWithFactor(1) }
 
-// othersUseTheSame is a counter to which others add as much as this instance.
+// othersUseTheSame returns a counter to which the other instances add as much as this one.
 func othersUseTheSame() counterFunc { return counterWithFactor(2) }
 
-// counterWithFactor is a counter to which all instances together add factor times what this one does.
+// counterWithFactor returns a counter to which all instances together add factor times the amounts of this one.
 func counterWithFactor(factor float64) counterFunc {
 	totals := map[string]float64{}
 	return func(a decision.AddToCounter) (decision.Outcome, float64) {
@@ -201,7 +203,7 @@
 	return decision.OK, c[a.Name]
 }
 
-// startInstances starts n instances of the same settings, whose calls of the counter are answered alike.
+// startInstances starts n instances with the same settings, endpoints and counter.
 func startInstances(t *testing.T, n int, settings decision.Settings, at time.Duration, counter counterFunc, endpoints ...decision.Endpoint) []*driver {
 	t.Helper()
 	settings.Instances = n
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// This file decides which backends exist and which may get new attempts, from the watch events of discovery. A backend
-// that is draining or removed gets none; its record stays while attempts are in flight there. One whose process started
-// anew is warming up (slowstart.go).
+// This file maintains the backends and decides which of them may get new attempts, from the watch events of discovery.
+// A draining or removed backend gets no new attempts; its record is kept while attempts are in flight there. A backend
+// whose process has restarted warms up (slowstart.go).
 
-// backendRecord is what a gateway knows of a backend.
+// backendRecord is a gateway's record of a backend.
 type backendRecord struct {
 	Endpoint
-	inFlight    int              // own attempts
-	answerDueAt time.Duration    // when the silence of those in flight becomes suspect, see outlier.go
-	slowness    float64          // latency in a queue position, relative to all backends
+	inFlight    int              // attempts of this instance
+	answerDueAt time.Duration    // time after which attempts in flight without an answer are suspect, see outlier.go
+	slowness    float64          // latency per queue position, relative to all backends
 	outcomes    []outcomeHistory // by class
 
 	// See slowstart.go.
 	warmingUp           bool
-	startedAt           time.Duration // of the process that is warming up
-	slowStartTokens     float64       // attempts that it may get while it warms up, as of slowStartRefilledAt
-	slowStartThreshold  float64       // what slowStartTokens must reach for the next attempt
-	slowStartRefilledAt time.Duration // 0: not considered for an attempt since it started
+	startedAt           time.Duration // start of the process that is warming up
+	slowStartTokens     float64       // attempts that the backend may get while it warms up, at slowStartRefilledAt
+	slowStartThreshold  float64       // value that slowStartTokens must reach for the next attempt
+	slowStartRefilledAt time.Duration // 0: not considered for an attempt since the process started
 }
 
 // endpointTable holds the backends.
 type endpointTable struct {
 	known        map[BackendID]*backendRecord
-	up           []*backendRecord // those that may get attempts, in the order in which they came up
-	watchPending bool             // discovery is to be asked for watch events at the next control period
-	probeTurn    int              // counts probes, to give each backend its turn
+	up           []*backendRecord // backends that may get attempts, in the order in which they were added
+	watchPending bool             // a watch has to be requested in the next control period
+	probeTurn    int              // number of probes, which selects the next backend in turn
 }
 
 func newEndpointTable(subscribe bool) endpointTable {
 	return endpointTable{known: map[BackendID]*backendRecord{}, watchPending: subscribe}
 }
 
-// forgetIfGone forgets a removed backend if nothing is in flight there. It is called when endpoints have changed, and when
-// an attempt at the backend ends.
-func (t *endpointTable) forgetIfGone(backend *backendRecord) {
+// deleteIfRemoved deletes a removed backend without attempts in flight. It is called when endpoints have changed and
+// when an attempt at the backend ends.
+func (t *endpointTable) deleteIfRemoved(backend *backendRecord) {
 	if backend.State == Removed && backend.inFlight == 0 {
 		delete(t.known, backend.Backend)
 	}
 }
 
-// watchAgain asks discovery for watch events where that is due. It is not done at once after a failure: all instances
-// hear of the failure together, and would come back together.
-func (g *Gateway) watchAgain() {
+// requestPendingWatch requests a watch of the endpoints at the start and after a watch has failed. It runs once per
+// control period instead of directly after a failure: all instances learn of the failure at the same time, and would
+// reconnect at the same time.
+func (g *Gateway) requestPendingWatch() {
 	if !g.endpoints.watchPending {
 		return
 	}
@@ -68,13 +69,13 @@
 	for _, endpoint := range event.Endpoints {
 		g.updateEndpoint(endpoint)
 	}
-	g.endpoints.dropNotUp()
+	g.endpoints.removeNotUp()
 }
 
-// dropNotUp takes the backends that may get no more attempts off the list, and forgets those that are gone.
-func (t *endpointTable) dropNotUp() {
+// removeNotUp removes the backends that may get no more attempts from the list, and deletes removed backends.
+func (t *endpointTable) removeNotUp() {
 	for _, backend := range t.known {
-		t.forgetIfGone(backend)
+		t.deleteIfRemoved(backend)
 	}
 	stillUp := t.up[:0]
 	for _, backend := range t.up {
@@ -86,7 +87,7 @@
 	t.up = stillUp
 }
 
-// updateEndpoint takes in the present state of one endpoint.
+// updateEndpoint records the current state of one endpoint.
 func (g *Gateway) updateEndpoint(endpoint Endpoint) {
 	backend := g.endpoints.known[endpoint.Backend]
 	if backend == nil && endpoint.State == Removed {
@@ -105,9 +106,9 @@
 	}
 }
 
-// beginSlowStart notes that a backend's process has started anew. The outcomes of attempts at the earlier process are
-// forgotten; slowness and answerDueAt stay. A start that is learnt of only when SlowStartTime has passed is not noted,
-// and nothing is forgotten.
+// beginSlowStart records that a backend's process has restarted. It clears the outcomes of attempts at the earlier
+// process, but keeps slowness and answerDueAt. It is not called for a start that becomes known only after SlowStartTime
+// has passed; nothing is cleared then.
 func (g *Gateway) beginSlowStart(backend *backendRecord, startedAt time.Duration) {
 	backend.warmingUp = true
 	backend.startedAt = startedAt
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -7,7 +7,7 @@
 	"sandyard/decision"
 )
 
-// A backend that is draining or removed may end at any time: it gets no first attempt and no retry. Without any backend,
+// A draining or removed backend may stop at any time: it gets no first attempt and no retry. Without any backend,
 // requests are rejected at once.
 func TestDrainingAndRemovedBackendsGetNoAttempts(t *testing.T) {
 	for _, state := range []decision.EndpointState{decision.Draining, decision.Removed} {
@@ -17,24 +17,24 @@
 		driver.handle(decision.EndpointsChanged{Endpoints: []decision.Endpoint{{Backend: other, State: state}}})
 		for range 30 {
 			if _, s, sent := driver.request("a", 0, 1); sent && s == other {
-				t.Fatalf("sent to a backend in state %v", state)
+				t.Fatalf("sent an attempt to a backend in state %v", state)
 			}
 		}
 		for _, a := range driver.endAttempt(id, first, decision.Rejected) {
 			if a, ok := a.(decision.SendAttempt); ok && a.Backend == other {
-				t.Fatal("retried at a backend that is not up")
+				t.Fatal("sent a retry to a backend that is not up")
 			}
 		}
 	}
 	driver := startDriver(t, basicSettings(), 0, upEndpoints(1, 2)...)
 	driver.handle(decision.EndpointsChanged{Full: true})
 	if _, _, sent := driver.request("a", 0, 1); sent || countActions[decision.Reject](driver.actions) != 1 {
-		t.Error("an empty list must give a rejection at once")
+		t.Error("a request after an empty endpoint list was not rejected at once")
 	}
 }
 
-// Backends that had drained before they were removed stayed in the table for ever: a change that removes them, and a full
-// list that leaves them out, must have them forgotten.
+// Backends that had drained before they were removed stayed in the table for ever. Both a change that removes such a
+// backend and a full list without it must delete it.
 func TestDrainedBackendsAreForgotten(t *testing.T) {
 	for name, removal := range map[string]decision.EndpointsChanged{
 		"a change":    {Endpoints: []decision.Endpoint{{Backend: 2, State: decision.Removed}}},
@@ -48,12 +48,12 @@
 			t.Fatal(err)
 		}
 		if state.KnownBackends != 1 {
-			t.Errorf("%s: %d backends are kept, 1 is listed", name, state.KnownBackends)
+			t.Errorf("%s: %d backends in the table, want 1", name, state.KnownBackends)
 		}
 	}
 }
 
-// A watch that failed is asked for again, but not at once: all instances see the failure together.
+// A failed watch is requested again, but not at once, because all instances see the failure at the same time.
 func TestWatchesAgainAfterFailure(t *testing.T) {
 	set := basicSettings()
 	set.Subscribe = true
@@ -63,7 +63,7 @@
 		t.Fatalf("%d watches at the start", n)
 	}
 	if n := countActions[decision.WatchEndpoints](driver.handle(decision.EndpointsChanged{Failed: true})); n != 0 {
-		t.Errorf("watched again at once")
+		t.Errorf("the watch was requested again at once")
 	}
 	driver.advance(time.Second)
 	if n := countActions[decision.WatchEndpoints](driver.actions); n != 2 {
--- a/decision/gateway.go
+++ b/decision/gateway.go
@@ -1,14 +1,15 @@
-// Package decision makes every decision of an API gateway that keeps each customer of a shared backend to its plan:
-// which requests are admitted, which backend gets an attempt, when a request is retried and how it is answered.
+// Package decision makes every decision of an API gateway that enforces the plans of customers who share the same
+// backends: which requests are admitted, which backend gets an attempt, when a request is retried and how it is
+// answered.
 //
-// A Gateway is a deterministic state machine. Its owner hands it events (events.go) with the time at which they
-// happened and carries out the actions (actions.go) that it returns. It does no I/O, starts no goroutine and reads no
-// clock; nothing in it blocks. The same settings, seed and events give the same actions.
+// A Gateway is a deterministic state machine. Its owner passes events (events.go) with their times to it and carries
+// out the actions (actions.go) that it returns. It does no I/O, starts no goroutines, reads no clock and never blocks.
+// The same settings, seed and events give the same actions.
 //
-// Each rule has one file: load.go (backend utilization), admission.go (load shedding), quota.go and countersync.go
+// The rules are split by file: load.go (backend utilization), admission.go (load shedding), quota.go and countersync.go
 // (plans and the shared counter), endpoints.go, slowstart.go, outlier.go and balancer.go (backends), attempt.go,
-// retry.go and response.go (what becomes of a request), ewma.go (averages). docs/design.md says why the rules are as
-// they are.
+// retry.go and response.go (life cycle of a request), ewma.go (averages). docs/design.md explains the design of the
+// rules.
 package decision
 
 import (
@@ -16,22 +17,22 @@
 	"time"
 )
 
-// This file constructs a Gateway and dispatches events to the rules. It has no rule of its own.
+// This file constructs a Gateway and dispatches events to the rules. It contains no rules.
 
-// housekeepingInterval is the time between two runs of the periodic work. It is well under any latency objective, so
-// that nothing that waits for it makes an answer late. Shorter latency objectives are taken as this where they scale an
-// estimate: in latency ratios (learnFromAttempt), the fading of attempts in flight (newPlanQuota) and the first service
-// rate. Elsewhere they hold as they are.
+// housekeepingInterval is the time between two runs of the periodic work. It is well below common latency objectives,
+// so that work which waits for the next run does not make an answer late. A shorter latency objective is replaced by
+// this interval where it scales an estimate: in latency ratios (updateEstimates), the decay of attempts in flight
+// (newPlanQuota) and the initial service rate (newServiceRateEstimator). Elsewhere it is used as configured.
 const housekeepingInterval = 50 * time.Millisecond
 
-// Gateway decides for one proxy instance. It is not safe for concurrent use: one goroutine owns it.
+// Gateway makes the decisions of one proxy instance. It is not safe for concurrent use: one goroutine owns it.
 type Gateway struct {
 	settings     Settings
-	randomSource *rand.PCG // what rng draws from; a part of the state
+	randomSource *rand.PCG // source of rng, kept because it is part of the state
 	rng          *rand.Rand
 	startedAt    time.Duration
-	now          time.Duration // of the last event
-	actions      []Action      // of the event that is being handled
+	now          time.Duration // time of the last event
+	actions      []Action      // actions of the event that is being handled
 	load         loadEstimator
 	admission    admissionControl
 	quotas       quotaTable
@@ -39,13 +40,13 @@
 	endpoints    endpointTable
 	serviceRate  serviceRateEstimator
 	failureRates failureRates
-	requests     map[RequestID]*requestRecord // those with an answer owed or an attempt in flight
-	classLatency []latencyEstimate            // of attempts, by class
+	requests     map[RequestID]*requestRecord // requests without a final answer or with an attempt in flight
+	classLatency []latencyEstimate            // latency of attempts, by class
 }
 
-// New makes a gateway. The actions are the first that its owner has to carry out. The seed decides all random choices;
-// now is the time on the clock that later events use. It must be above zero, because zero stands for "never" in several
-// times that are kept; it is not checked. The error is a *SettingsError.
+// New creates a gateway. The returned actions are the first ones that its owner has to carry out. The seed determines
+// all random choices. now is read from the clock that also timestamps the events. It must be above zero, because
+// several recorded times use zero for "never"; New does not check this. The error is a *SettingsError.
 func New(settings Settings, seed uint64, now time.Duration) (*Gateway, []Action, error) {
 	if err := settings.validate(); err != nil {
 		return nil, nil, err
@@ -72,9 +73,9 @@
 	return g, g.actions, nil
 }
 
-// Handle takes in an event and returns what to do now, in order. now must not be before that of the event before; it
-// is taken as the same if it is. Events that name a request, attempt, backend or call that is unknown or over are
-// ignored.
+// Handle processes an event and returns the resulting actions in order. A now that is earlier than that of the previous
+// event is replaced by the latter. Events that refer to a request, attempt, backend or call that is unknown or has
+// ended are ignored.
 func (g *Gateway) Handle(event Event, now time.Duration) []Action {
 	g.now = max(g.now, now)
 	g.actions = nil
@@ -99,7 +100,7 @@
 	return g.actions
 }
 
-// emit adds an action to those of the event that is being handled.
+// emit appends an action to those of the event that is being handled.
 func (g *Gateway) emit(action Action) { g.actions = append(g.actions, action) }
 
 func (g *Gateway) handleTimer(timer Timer) {
@@ -111,8 +112,8 @@
 	}
 }
 
-// runHousekeeping does the periodic work: every housekeepingInterval that of the quotas, every controlPeriod that of
-// load shedding and endpoints.
+// runHousekeeping does the periodic work: every housekeepingInterval for quotas, every controlPeriod for load shedding
+// and endpoints.
 func (g *Gateway) runHousekeeping() {
 	g.emit(SetTimer{At: g.now + housekeepingInterval, Timer: Timer{Kind: TickTimer}})
 	g.flushPendingUse()
@@ -125,6 +126,6 @@
 	g.load.sampledAt = g.now
 	g.updateServiceRate(elapsed.Seconds())
 	g.admission.update(utilization, elapsed.Seconds())
-	g.watchAgain()
+	g.requestPendingWatch()
 	g.probeNext()
 }
--- a/decision/gateway_test.go
+++ b/decision/gateway_test.go
@@ -9,8 +9,8 @@
 	"sandyard/decision"
 )
 
-// Customers, requests, backends and calls that are over leave nothing behind: the memory of a gateway that meets ever new ones
-// stays bounded.
+// The records of idle customers, ended requests, removed backends and answered calls are deleted: the memory of a
+// gateway that keeps seeing new ones stays bounded.
 func TestStateIsBounded(t *testing.T) {
 	set := basicSettings()
 	set.Instances = 2
@@ -24,7 +24,7 @@
 		runtime.KeepAlive(driver)
 		return m.HeapAlloc
 	}
-	day := func(from, to int) {
+	run := func(from, to int) {
 		for i := from; i < to; i++ {
 			driver.advance(20 * time.Millisecond)
 			id, s, ok := driver.request(fmt.Sprint("customer", i), 0, 2)
@@ -40,9 +40,9 @@
 			}
 		}
 	}
-	day(0, 10000)
+	run(0, 10000)
 	before := heap()
-	day(10000, 40000)
+	run(10000, 40000)
 	if after := heap(); after > before+before/2 {
 		t.Errorf("heap grew from %d to %d bytes", before, after)
 	}
--- a/decision/inspect.go
+++ b/decision/inspect.go
@@ -1,8 +1,9 @@
 package decision
 
-// This file answers questions about a gateway's state between two events. Only its owner may ask; nothing changes.
+// This file implements queries of a gateway's state between two events. Only the goroutine that owns the gateway may
+// call them. They change nothing.
 
-// Customer is what the gateway knows of a customer, as of its last event; false if it knows none of that id.
+// Customer returns the state of a customer after the last event, or false if the gateway does not know the customer.
 func (g *Gateway) Customer(id string) (CustomerState, bool) {
 	customer := g.quotas.customers[id]
 	if customer == nil {
@@ -11,8 +12,8 @@
 	return customer.state(), true
 }
 
-// CounterName is the name under which the counter holds a customer's use as of the last event, and what a unit weighs
-// in it; ok is false for a customer that is not known here or whose use the counter does not hold.
+// CounterName returns the name under which the counter holds a customer's use at the time of the last event, and the
+// weight of one unit. ok is false for a customer that is unknown or does not use the counter.
 func (g *Gateway) CounterName(id string) (name string, unitWeight float64, ok bool) {
 	customer := g.quotas.customers[id]
 	if customer == nil || !customer.usesCounter {
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -8,9 +8,9 @@
 	"sandyard/decision"
 )
 
-// Backends are far away: the round trip is not taken for load, but the rest of the latency is. Impossible round-trip times hide
-// no load.
-func TestRoundTripIsNotTakenForLoad(t *testing.T) {
+// With distant backends, the round-trip time does not count as load, but the rest of the latency does. Invalid
+// round-trip times do not hide load.
+func TestRoundTripDoesNotCountAsLoad(t *testing.T) {
 	for _, c := range []struct {
 		roundTrip   time.Duration
 		latency     time.Duration
@@ -31,12 +31,13 @@
 			}
 		}
 		if c.allAdmitted != (rejected == 0) {
-			t.Errorf("%d of 60 rejected, one at a time, of %v each, %v of them the round trip", rejected, c.latency, c.roundTrip)
+			t.Errorf("%d of 60 sequential requests rejected, with a latency of %v and a round-trip time of %v", rejected, c.latency, c.roundTrip)
 		}
 	}
 }
 
-// A long queue was reported once, so everything is rejected and no more reports come. The report must not be believed for ever.
+// After a report of a long queue, all requests are rejected, so no more reports arrive. The old report must not count
+// for ever.
 func TestOldQueueReportFades(t *testing.T) {
 	set := basicSettings()
 	set.LoadFields = []decision.LoadField{decision.FieldInFlight}
@@ -49,7 +50,7 @@
 		}
 	}
 	if _, _, ok := driver.request("a", 0, 1); ok {
-		t.Error("an attempt at a queue of 500")
+		t.Error("an attempt was sent at a reported queue of 500")
 	}
 	driver.advance(20 * time.Second)
 	if _, _, ok := driver.request("a", 0, 1); !ok {
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// This file estimates how likely an attempt fails at a backend, from the outcomes of attempts there, by class, and from
-// silence. Nothing is ejected outright: the balancer adds the risk to the expected latency, so a backend that fails is
-// avoided as far as others fail less. What all backends suffer alike changes nothing.
+// This file estimates the probability that an attempt at a backend fails, from the outcomes of attempts there, by
+// class, and from overdue answers. Outliers are not ejected: the balancer adds the risk to the expected latency, so a
+// failing backend is avoided to the extent that others fail less. A fault that affects all backends equally changes
+// nothing.
 
 const (
-	// failureMemory is the time over which a backend's outcomes fade to 1/e: after that, one that failed is tried
-	// again.
+	// failureMemory is the time in which the weight of a backend's outcomes falls to 1/e: after that, a backend that
+	// failed is tried again.
 	failureMemory = 10 * time.Second
-	// failurePrior is a number of attempts that are counted beside those seen. In failureRisk they fail as often as
-	// attempts do anywhere: it is small, so that one failure tells where failures are rare. slowstart.go uses it
-	// twice: in workingShare twice this many attempts count as good, in endPeriod this many do.
+	// failurePrior is the number of prior attempts that are added to the observed ones. In failureRisk they fail as
+	// often as attempts at all backends do; their number is small, so that one failure is significant if failures are
+	// rare. slowstart.go uses it in two places: workingShare adds twice this number of successful attempts, endPeriod
+	// adds this number.
 	failurePrior = 0.5
-	// suspectLatencies is the silence, in mean latencies, after which an attempt in flight counts as a failure: a
-	// backend that hangs answers nothing, and its timeouts come too late.
+	// suspectLatencies is the time without an answer, in mean latencies, after which an attempt in flight counts as a
+	// failure: a backend that hangs gives no answers, and the timeouts of its attempts come too late.
 	suspectLatencies = 4.0
 )
 
-// outcomeHistory is how the attempts of a class ended lately at a backend, as of updatedAt.
+// outcomeHistory holds the decayed outcomes of a class's attempts at a backend, at updatedAt.
 type outcomeHistory struct {
 	failures  float64
 	attempts  float64
 	updatedAt time.Duration
 }
 
-// at gives failures and attempts faded up to now.
+// at returns the failures and attempts, decayed up to now.
 func (h *outcomeHistory) at(now time.Duration) (failures, attempts float64) {
 	decay := math.Exp(-(now - h.updatedAt).Seconds() / failureMemory.Seconds())
 	return h.failures * decay, h.attempts * decay
 }
 
-// add takes in an attempt of some weight; failure is 1 or 0.
+// add records an attempt with a weight. failure is 1 or 0.
 func (h *outcomeHistory) add(failure, weight float64, now time.Duration) {
 	failures, attempts := h.at(now)
 	h.failures = failures + failure*weight
@@ -43,7 +45,7 @@
 	h.updatedAt = now
 }
 
-// failureRates holds how often attempts fail anywhere.
+// failureRates holds the failure rates over all backends.
 type failureRates struct {
 	byClass []movingAverage // share of attempts that failed, by class
 }
@@ -56,8 +58,9 @@
 	return rates
 }
 
-// failureRisk is how likely an attempt of a class fails at a backend, 0 to 1: by its last attempts there, weighed
-// against how often they fail anywhere. An overdue answer counts as a failure.
+// failureRisk returns the estimated probability, 0 to 1, that an attempt of a class fails at a backend. It combines the
+// recent attempts of the class at the backend with the failure rate of the class at all backends. An overdue answer
+// counts as a failure.
 func (g *Gateway) failureRisk(backend *backendRecord, class ClassID) float64 {
 	failures, attempts := backend.outcomes[class].at(g.now)
 	if backend.inFlight > 0 && g.now > backend.answerDueAt {
@@ -67,8 +70,9 @@
 	return (g.failureRates.byClass[class].value*failurePrior + failures) / (failurePrior + attempts)
 }
 
-// recordOutcome takes in an attempt's end. A failure counts half for the other classes: a backend that hangs fails all,
-// one that fails a class may serve the others. Attempts that say nothing of the backend are left out.
+// recordOutcome records the outcome of an attempt. A failure counts half for the other classes: a backend that hangs
+// fails all classes, but a backend that fails one class may serve the others. Outcomes that say nothing about the
+// health of the backend are ignored.
 func (g *Gateway) recordOutcome(backend *backendRecord, class ClassID, outcome Outcome) {
 	failure := 1.0
 	switch outcome {
@@ -88,7 +92,7 @@
 	}
 }
 
-// suspectAfter is the silence after which an attempt's backend is suspected.
+// suspectAfter returns the time without an answer after which a backend with attempts in flight is suspected to hang.
 func (g *Gateway) suspectAfter(class ClassID) time.Duration {
 	return seconds(suspectLatencies * g.classLatency[class].mean)
 }
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -5,58 +5,63 @@
 	"time"
 )
 
-// This file decides whether a request is inside its customer's quota, beyond it, or whether that is unknown here and the
-// shared counter has to be asked (countersync.go). A customer's quota is shared by the instances through which it comes
-// in. Each of them holds a token bucket with its split: burst and rate over the number of these instances. A customer
-// that comes in through one instance alone is decided by that bucket; of others the counter's total tells more.
+// This file decides whether a request is inside its customer's quota, beyond it, or whether this instance does not know
+// and has to call the shared counter (countersync.go). A customer's quota is shared by the instances that receive the
+// customer's requests. Each of them holds a token bucket with its split: burst and rate divided by the number of these
+// instances. If only one instance receives the customer's requests, that bucket decides. For other customers the
+// counter's total is more accurate.
 //
-// Where the counter can't be asked and a customer's burst is split into less than one request for each instance, no
-// instance could ever admit one. There a request is admitted by chance: once the tokens reach a share of it that is drawn
-// anew for each. The tokens go below nothing then, so that over the fleet as much is admitted as the splits gather, while
-// the instances remember the customer; what a split gathers beyond one request is lost, more the seldomer an instance meets
-// the customer. One that is new to an instance has had tokens there since the instance started, for customerIdleTTL at most:
-// after a time without requests as much as that may be passed beyond the burst.
+// If a customer does not use the counter and the split of its burst is less than one request, no instance could ever
+// admit a request from a full bucket. Such requests are admitted at random: a request is admitted once the tokens reach
+// a random share of its units, and each such admission draws a new share. The tokens become negative by the admission,
+// so that the fleet admits as much as the splits accumulate, as long as the instances remember the customer. A bucket
+// holds at most one request (MaxUnits); tokens beyond that are lost, and the more so the less often an instance
+// receives the customer's requests. A customer that is new to an instance starts with the tokens that its split would
+// have accumulated since the instance started, for at most customerIdleTTL. After a time without requests, the customer
+// may exceed its burst by these tokens.
 //
-// A plan's ceiling has a bucket of its own. It may never be passed by more than its slack, also when the counter is
-// silent or has forgotten, so it is split in any case; only a part may be passed on beyond the split by asking.
+// The ceiling of a plan has its own bucket. It must never be exceeded by more than its slack, even if the counter does
+// not reply or has lost its totals. The ceiling is therefore always split; only a part of it (ceilingCounterShare) is
+// granted beyond the split, by the counter.
 //
-// Units are those of the plan: of requests, or attempts in flight where the plan limits those. Times are seconds.
+// Units are those of the plan: units of requests, or attempts in flight if the plan limits only those. Times are in
+// seconds.
 
 const (
-	// quotaTrustFactor says how long the counter's total is relied on without asking again: this times the time in
-	// which the rest of the quota refills. At one half, others would have to spend at twice the rate of the plan to
-	// make it wrong.
+	// quotaTrustFactor sets how long the counter's last total is trusted without another call, as a share of the time
+	// in which the remaining quota refills. At one half, the other instances would have to spend at twice the rate of
+	// the plan to use up the remaining quota in that time.
 	quotaTrustFactor = 0.5
-	// inFlightFadeFactor is the time, in latency objectives, over which attempts in flight that nobody took back fade
-	// from the total: an instance that crashed must not block its customers for longer.
+	// inFlightFadeFactor is the time constant, in latency objectives, with which attempts in flight decay in the total
+	// if they are not refunded: an instance that crashed must not block its customers for longer.
 	inFlightFadeFactor = 1.0
-	// ceilingCounterShare is the share of a ceiling that is not split, but may be passed on by asking alone.
+	// ceilingCounterShare is the share of a ceiling that is not split among the instances, but granted by the counter.
 	ceilingCounterShare = 0.35
-	// unconfirmedQuotaWeight is the weight of the chance that a request is inside its quota when the counter says
-	// nothing of it: below 1, since all instances guess alike and err together.
+	// unconfirmedQuotaWeight is the weight of the probability that a request is inside its quota when the counter gives
+	// no total. It is below 1 because all instances make the same estimate and are wrong together.
 	unconfirmedQuotaWeight = 0.4
-	// demandMemory is the time over which an instance remembers what was asked of it for a customer.
+	// demandMemory is the time constant with which an instance's record of a customer's demand decays.
 	demandMemory = 5 * time.Second
-	// demandPrior is the number of requests that the share of all customers' requests counts beside a customer's own:
-	// a rare customer is judged by the plan's others.
+	// demandPrior is the weight, in units, of the share of all requests under the plan that were inside their quota,
+	// against the customer's own demand: for a rarely seen customer, the plan's other customers decide.
 	demandPrior = 0.5
-	// customersPerSweep is the number of customers that are inspected per housekeeping, so that it takes no time to
-	// speak of however many there are.
+	// customersPerSweep is the number of customers that are checked per housekeeping run. It bounds the time of a run,
+	// however many customers there are.
 	customersPerSweep = 20
-	// customerIdleTTL is the time after which an idle customer is forgotten, longer than the counter keeps a total
-	// under one name (maxCounterNamePeriod). If it comes again, it begins with a full bucket
-	// of the quota; that of its ceiling holds only the slack.
+	// customerIdleTTL is the time after which an idle customer is forgotten. It is longer than the period for which one
+	// counter name is used (maxCounterNamePeriod). A customer that returns later starts with a full quota bucket, and
+	// with a ceiling bucket that holds only the slack.
 	customerIdleTTL = 60 * time.Second
 )
 
-// planQuota is how the use of a plan's customers is counted: as a total that fades, over all instances. It fades so
-// fast that a customer who spends at the plan's rate holds the total at the burst. One answer of the counter then tells
-// the recent use.
+// planQuota describes how the use of a plan's customers is counted: as a total over all instances that decays. The
+// decay is so fast that a customer who spends at the plan's rate keeps the total at the burst. A single reply of the
+// counter then gives the recent use.
 type planQuota struct {
 	rate     float64 // units per second; 0: attempts in flight are counted
 	burst    float64 // units
-	maxTotal float64 // the faded total that the plan allows; 0: no quota
-	fadeTime float64 // seconds over which the total falls to 1/e
+	maxTotal float64 // decayed total that the plan allows; 0: no quota
+	fadeTime float64 // seconds in which the total falls to 1/e
 }
 
 func newPlanQuota(plan Plan, classes []Class) planQuota {
@@ -77,50 +82,50 @@
 	return quota
 }
 
-// countsInFlight tells whether the use that is counted is attempts in flight, for want of a rate.
+// countsInFlight reports whether the counted use is attempts in flight, because the plan has no rate.
 func (q *planQuota) countsInFlight() bool { return q.rate == 0 }
 
-// fade is the factor by which a total falls in a time.
+// fade returns the factor by which a total decays in the elapsed time.
 func (q *planQuota) fade(elapsed time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / q.fadeTime)
 }
 
-// customerRecord is what a gateway knows of a customer.
+// customerRecord is a gateway's record of a customer.
 type customerRecord struct {
 	id            string
 	admissionHash float64
-	instances     float64 // through which it comes in, this one included
+	instances     float64 // instances that receive the customer's requests, including this one
 	plan          int
 	quota         *planQuota
 	usesCounter   bool // the shared counter holds its use
 	lastUsedAt    time.Duration
 	inFlight      int // attempts
 
-	// The buckets of this instance's split, as of refilledAt.
-	refilledAt    time.Duration
-	tokens        float64 // units left of the quota; below nothing after a request that was admitted by chance
-	splitDraw     float64 // share of a request that tokens must reach where the split is smaller than it
-	ceilingTokens float64 // units left of the ceiling
-	recentDemand  float64 // units asked for here lately
+	// The buckets of this instance's split at refilledAt.
+	refilledAt     time.Duration
+	tokens         float64 // remaining units of the quota; may be negative after an admission at random
+	splitThreshold float64 // share of a request's units that tokens must reach if the full split is smaller than the request
+	ceilingTokens  float64 // remaining units of the ceiling
+	recentDemand   float64 // units that were requested from this instance lately
 
-	// What the shared counter said.
-	counterTotal           float64       // use at all instances, faded, as of counterTotalAt
+	// The last reply of the shared counter.
+	counterTotal           float64       // decayed use at all instances at counterTotalAt
 	counterTotalAt         time.Duration // 0: never
-	overQuotaUntil         time.Duration // by that total
-	counterDistrustedUntil time.Duration // it had lost its total: until the use before that has faded
+	overQuotaUntil         time.Duration // the customer is beyond its quota by that total until then
+	counterDistrustedUntil time.Duration // the counter had lost its total; the use before that has decayed by then
 
-	// What was not added to the shared counter yet.
-	pendingUse       float64 // units spent here
+	// Use that was not added to the shared counter yet.
+	pendingUse       float64 // units
 	pendingUseDueAt  time.Duration
-	pendingUseQueued bool // it is in counterSync.pendingUseQueue
+	pendingUseQueued bool // the customer is in counterSync.pendingUseQueue
 }
 
 // quotaTable holds the customers.
 type quotaTable struct {
-	plans         []planQuota // by position in Settings.Plans
+	plans         []planQuota // by index in Settings.Plans
 	customers     map[string]*customerRecord
-	list          []*customerRecord // the same, for sweeping
-	sweepPosition int               // in list
+	list          []*customerRecord // the same customers, in sweep order
+	sweepPosition int               // index into list
 }
 
 func newQuotaTable(settings Settings) quotaTable {
@@ -131,11 +136,11 @@
 	return table
 }
 
-// sweepIdle forgets customers that were idle for customerIdleTTL, a few at each call.
+// sweepIdle forgets customers that were idle for customerIdleTTL. Each call checks a few customers.
 func (t *quotaTable) sweepIdle(now time.Duration) {
 	for range min(customersPerSweep, len(t.list)) {
 		t.sweepPosition++
-		if t.sweepPosition >= len(t.list) { // a remainder would stand still while the list grows
+		if t.sweepPosition >= len(t.list) { // a running count modulo len would not advance while the list grows
 			t.sweepPosition = 0
 		}
 		customer := t.list[t.sweepPosition]
@@ -152,7 +157,7 @@
 	}
 }
 
-// findOrAddCustomer gives a request's customer, its buckets filled up to now.
+// findOrAddCustomer returns the customer of a request with its buckets refilled.
 func (g *Gateway) findOrAddCustomer(event RequestArrived) *customerRecord {
 	customer := g.quotas.customers[event.Customer]
 	if customer == nil {
@@ -165,8 +170,9 @@
 	return customer
 }
 
-// newCustomer makes the record of a customer that is new here. It has the split of its burst, and more where that is less
-// than a request (see above), but of a ceiling only that of the slack: this instance may have restarted, and the ceiling may have been drawn on until a moment ago.
+// newCustomer creates the record of a customer that is new to this instance. Its quota bucket holds the split of the
+// burst, and possibly more if that is less than a request (see above). Its ceiling bucket holds only the split of the
+// slack: this instance may have restarted, and the ceiling may have been used up a moment ago.
 func (g *Gateway) newCustomer(event RequestArrived) *customerRecord {
 	customer := &customerRecord{
 		id:            event.Customer,
@@ -178,17 +184,17 @@
 	customer.quota = &g.quotas.plans[customer.plan]
 	customer.usesCounter = g.settings.Counter && customer.instances > 1 && customer.quota.maxTotal > 0
 	customer.tokens = customer.quota.burst / customer.instances
-	if customer.splitsByChance() && customer.tokens < g.settings.MaxUnits {
+	if customer.admitsAtRandom() && customer.tokens < g.settings.MaxUnits {
 		sinceStart := min(g.now-g.startedAt, customerIdleTTL)
 		customer.tokens = min(g.settings.MaxUnits, customer.tokens+customer.quota.rate/customer.instances*sinceStart.Seconds())
-		customer.splitDraw = g.rng.Float64()
+		customer.splitThreshold = g.rng.Float64()
 	}
 	customer.ceilingTokens = g.settings.Plans[customer.plan].CeilingSlack / customer.instances
 	return customer
 }
 
-// refillTokens fills a customer's buckets up to now. Of a ceiling, ceilingCounterShare is left out of the split where
-// the counter can be asked.
+// refillTokens refills a customer's buckets for the time since the last refill. If the customer uses the counter,
+// ceilingCounterShare of its ceiling is left out of the split.
 func (g *Gateway) refillTokens(customer *customerRecord) {
 	elapsed := (g.now - customer.refilledAt).Seconds()
 	plan := &g.settings.Plans[customer.plan]
@@ -203,7 +209,7 @@
 	customer.refilledAt = g.now
 }
 
-// quotaVerdict is what is known here of a request without asking the counter.
+// quotaVerdict is the result of a quota check by this instance's own knowledge, without a call of the counter.
 type quotaVerdict int
 
 const (
@@ -212,8 +218,9 @@
 	quotaExceeded
 )
 
-// checkQuota judges a request by what is known here. It is beyond the quota until the total that the counter last gave
-// can have faded enough; it is inside while others could not have used up the rest even at several times the rate.
+// checkQuota checks a request against what this instance knows. The request is beyond the quota until the counter's
+// last total can have decayed enough. It is inside as long as the other instances cannot have used up the remaining
+// quota, even at a higher rate than the plan's (quotaTrustFactor).
 func (g *Gateway) checkQuota(customer *customerRecord, units float64) quotaVerdict {
 	plan := &g.settings.Plans[customer.plan]
 	switch {
@@ -234,7 +241,7 @@
 	return quotaUnknown
 }
 
-// checkSplit judges a request by this instance's split alone.
+// checkSplit checks a request against this instance's split only.
 func (customer *customerRecord) checkSplit(plan *Plan, units float64) quotaVerdict {
 	if plan.Rate > 0 && !customer.splitAllows(units) {
 		return quotaExceeded
@@ -245,38 +252,38 @@
 	return quotaInside
 }
 
-// splitAllows tells whether this instance's split of the quota has room for a request.
+// splitAllows reports whether this instance's split of the quota allows a request.
 func (customer *customerRecord) splitAllows(units float64) bool {
-	if customer.splitHolds(units) || !customer.splitsByChance() {
+	if customer.splitHolds(units) || !customer.admitsAtRandom() {
 		return customer.tokens >= units
 	}
-	return customer.tokens >= customer.splitDraw*units
+	return customer.tokens >= customer.splitThreshold*units
 }
 
-// splitsByChance tells whether a split that is smaller than a request admits one by chance.
-func (customer *customerRecord) splitsByChance() bool {
+// admitsAtRandom reports whether requests that are larger than the full split are admitted at random.
+func (customer *customerRecord) admitsAtRandom() bool {
 	return !customer.usesCounter && customer.instances > 1
 }
 
-// splitHolds tells whether a full split holds a request at all.
+// splitHolds reports whether a full split holds a request.
 func (customer *customerRecord) splitHolds(units float64) bool {
 	return customer.quota.burst >= customer.instances*units
 }
 
-// inFlightAllows tells whether this instance's split of the attempts in flight has room.
+// inFlightAllows reports whether this instance's split of the attempts in flight allows one more.
 func (customer *customerRecord) inFlightAllows(plan *Plan) bool {
 	return float64(customer.inFlight) < float64(plan.MaxInFlight)/customer.instances
 }
 
-// ceilingAllows tells whether this instance's split of the ceiling has room.
+// ceilingAllows reports whether this instance's split of the ceiling allows a request.
 func (customer *customerRecord) ceilingAllows(plan *Plan, units float64) bool {
 	return plan.CeilingRate == 0 || units <= customer.ceilingTokens
 }
 
-// insideProbability is how likely a request is inside the quota if the counter is not asked: this instance's split of
-// the quota over demandMemory, against what was asked here in that time; where attempts in flight are limited, as many
-// as can end in that time. For a customer that hardly ever comes here it is the share of the plan's requests that the
-// counter lets in.
+// insideProbability estimates the probability that a request is inside the quota if the counter is not called: this
+// instance's split of the quota over demandMemory, divided by the demand in that time. If attempts in flight are
+// limited, the split is the number of attempts that can end in that time. For a rarely seen customer the estimate is
+// the share of the plan's requests that were inside their quota according to the counter.
 func (g *Gateway) insideProbability(customer *customerRecord, class ClassID) float64 {
 	split := customer.quota.rate / customer.instances * demandMemory.Seconds()
 	if customer.quota.countsInFlight() {
@@ -285,8 +292,9 @@
 	return min(1, (demandPrior*g.counter.insideShare[customer.plan].value+split)/(demandPrior+customer.recentDemand))
 }
 
-// decideWithoutCounter tells whether a request counts as inside the quota when the counter says nothing of it: by the
-// split, where that holds a request; else where the chance to be right is worth more than the cost of being wrong.
+// decideWithoutCounter reports whether a request counts as inside the quota when the counter gives no total. The split
+// decides if a full split holds a request. Otherwise the request is inside if the expected value of admitting it
+// exceeds the expected cost of a wrong admission.
 func (g *Gateway) decideWithoutCounter(customer *customerRecord, class ClassID, units float64) bool {
 	plan := &g.settings.Plans[customer.plan]
 	switch {
@@ -301,8 +309,8 @@
 	return probability*unconfirmedQuotaWeight > (1-probability)*plan.OverQuotaCost
 }
 
-// spendCountedUnits takes an admitted request's units off the split when the counter has added them, and counts the use
-// as reported (reportedUseShare).
+// spendCountedUnits deducts an admitted request's units from the split after the counter has added them, and records
+// the use as reported (reportedUseShare).
 func (g *Gateway) spendCountedUnits(request *requestRecord) {
 	customer := request.customer
 	g.counter.reportedUseShare.add(1, g.now)
@@ -311,20 +319,21 @@
 	customer.ceilingTokens = max(0, customer.ceilingTokens-request.units)
 }
 
-// spendTokens takes a request's units off the split of the quota. Use beyond the quota leaves nothing of it, but takes it no
-// further below nothing.
+// spendTokens deducts a request's units from the split of the quota. Use beyond the quota empties the bucket, but
+// neither makes the tokens negative nor reduces negative tokens further. An admission at random does.
 func (g *Gateway) spendTokens(customer *customerRecord, units float64) {
-	byChance := customer.splitsByChance() && !customer.splitHolds(units) && customer.splitAllows(units)
-	if !byChance {
+	atRandom := customer.admitsAtRandom() && !customer.splitHolds(units) && customer.splitAllows(units)
+	if !atRandom {
 		customer.tokens = max(min(0, customer.tokens), customer.tokens-units)
 		return
 	}
 	customer.tokens -= units
-	customer.splitDraw = g.rng.Float64()
+	customer.splitThreshold = g.rng.Float64()
 }
 
-// spendUncountedUnits takes an admitted request's units off the split when the counter does not hold them; they are
-// added later. The ceiling's bucket may go below nothing here, so that what was passed is made up for.
+// spendUncountedUnits deducts an admitted request's units from the split if the counter does not hold them. If the
+// customer uses the counter, they are added later, except for attempts in flight. The ceiling's bucket may become
+// negative, so that later requests compensate for an excess.
 func (g *Gateway) spendUncountedUnits(customer *customerRecord, units float64) {
 	g.spendTokens(customer, units)
 	customer.ceilingTokens -= units
--- a/decision/quota_split_test.go
+++ b/decision/quota_split_test.go
@@ -10,42 +10,44 @@
 	"sandyard/decision"
 )
 
-// splitCase is a customer without a counter whose requests of one unit come in through many instances.
+// splitCase is a customer without a counter that sends requests of one unit through many instances.
 type splitCase struct {
 	instances int
-	rate      float64 // of the quota over the fleet, in units a second
-	asked     float64 // of the quota's rate
-	uneven    bool    // an instance gets more the lower its number is
-	moves     bool    // the customer comes in through the other half of the instances after half of the time
-	restarts  bool    // every tenth of the time a tenth of the instances starts anew
+	rate      float64 // of the quota over the fleet, in units per second
+	asked     float64 // request rate, as a multiple of the quota's rate
+	uneven    bool    // instances with lower numbers get more requests
+	moves     bool    // after half of the time, the requests move to the other half of the instances
+	restarts  bool    // after every tenth of the time, a tenth of the instances restarts
 }
 
 const (
 	splitBurst = 8.0 // units, over the fleet
 	splitTime  = 60 * time.Second
 
-	// splitIdleTime is the time before a customer's first request at an instance for which it has tokens there.
+	// splitIdleTime is the longest time before a customer's first request at an instance for which it accumulates
+	// tokens there.
 	splitIdleTime = 60 * time.Second
 
-	// chanceDeviations is how many standard deviations a sum of chances may be off; about one in 16,000 is.
+	// chanceDeviations is the number of standard deviations that a random sum may be off; about one in 16,000 is off by
+	// more.
 	chanceDeviations = 4
 )
 
-// holdsRequest tells whether an instance's split of the burst holds a request. Then nothing is left to chance.
+// holdsRequest reports whether an instance's split of the burst holds a request. If so, no admission is random.
 func (c splitCase) holdsRequest() bool { return splitBurst >= float64(c.instances) }
 
-// splitBucket is one instance's split of a quota by its definition. It begins with the split of the burst and of what the
-// rate brought since the instance started, for splitIdleTime at most, and holds the split of the burst or one request,
-// whichever is more. An admitted request takes its unit; where the split of the burst is less than a request, the tokens
-// may go below nothing by that.
+// splitBucket is a reference model of one instance's split of a quota. It starts with the split of the burst plus the
+// tokens that the rate adds in the time since the instance started, for at most splitIdleTime. It holds the split of
+// the burst or one request, whichever is more. An admitted request costs one unit; if the split of the burst is less
+// than a request, the tokens may become negative by that.
 //
-// Such a split admits a request once its tokens reach a share of the request, which is uniformly distributed and drawn
-// anew after each admission. Say that c tokens have come in and none has spilled over, and that f is c without its whole
-// part: as many requests as the whole part are admitted, and one more with the probability f. The tokens that are left
-// are f with the probability 1-f, else f-1: their mean is 0, their variance f(1-f). Once tokens have spilled over, the
-// next request is admitted for certain and leaves 0 tokens, from where the same holds again. So whatever the traffic, a
-// fleet's tokens add up to 0 at the last request of each instance, but for chance: what the splits have gathered until
-// then is admitted, neither less nor more.
+// Such a split admits a request once its tokens reach a share of the request. The share is uniformly distributed and
+// drawn again after each admission. Assume that c tokens have been added without an overflow, and let f be the
+// fractional part of c. Then as many requests as the integer part are admitted, and one more with probability f. The
+// remaining tokens are f with probability 1-f, otherwise f-1: their mean is 0, their variance f(1-f). After an
+// overflow, the next request is admitted with certainty and leaves 0 tokens, from where the same holds again. So for
+// any traffic, the expected sum of a fleet's tokens after the last request of each instance is 0: the fleet admits what
+// the splits have accumulated until then, neither less nor more, except for random variation.
 type splitBucket struct {
 	rate, burst  float64 // this instance's split
 	holdsRequest bool
@@ -60,7 +62,7 @@
 	return &splitBucket{rate: c.rate / n, burst: splitBurst / n, holdsRequest: c.holdsRequest(), startedAt: startedAt}
 }
 
-// refill brings the tokens up to the moment of a request.
+// refill refills the bucket up to the time of a request.
 func (b *splitBucket) refill(at time.Duration) {
 	elapsed := at - b.refilledAt
 	if !b.hasRequested {
@@ -72,12 +74,12 @@
 	b.tokens = min(max(b.burst, 1), b.tokens+b.rate*elapsed.Seconds())
 }
 
-// check reports a verdict that the tokens rule out, and takes the units of an admitted request.
+// check fails the test if the tokens rule out the verdict, and deducts the units of an admitted request.
 func (b *splitBucket) check(t *testing.T, admitted bool) {
 	const rounding = 1e-9 // tokens
 	switch {
 	case !admitted && b.tokens >= 1+rounding:
-		t.Errorf("refused at %.3f tokens", b.tokens)
+		t.Errorf("rejected at %.3f tokens", b.tokens)
 	case admitted && b.tokens < -rounding, admitted && b.holdsRequest && b.tokens < 1-rounding:
 		t.Errorf("admitted at %.3f tokens", b.tokens)
 	}
@@ -86,13 +88,13 @@
 	}
 }
 
-// splitSums are what plays admitted, and the tokens that were left at the last request at each instance.
+// splitSums holds the results of one or several runs.
 type splitSums struct {
-	asked, admitted int
-	restarts        int
-	allowed         float64 // by the quota over the fleet
-	tokensLeft      float64
-	variance        float64 // of tokensLeft
+	requested, admitted int
+	restarts            int
+	allowed             float64 // units that the quota allows over the fleet
+	tokensLeft          float64 // sum of the tokens after the last request at each instance
+	variance            float64 // of tokensLeft
 }
 
 func (s *splitSums) addLeft(b *splitBucket) {
@@ -106,19 +108,21 @@
 	}
 }
 
-// tolerance is by how much a sum of tokens may be off by chance.
+// tolerance returns the random variation that is accepted for the sum of tokens.
 func (s *splitSums) tolerance() float64 { return chanceDeviations * math.Sqrt(s.variance) }
 
-// share is what was admitted, of what the quota and the traffic allow.
-func (s *splitSums) share() float64 { return float64(s.admitted) / min(float64(s.asked), s.allowed) }
+// share returns the admitted share of what the quota and the traffic allow.
+func (s *splitSums) share() float64 {
+	return float64(s.admitted) / min(float64(s.requested), s.allowed)
+}
 
-// splitInstance is an instance and the tokens that its split must have.
+// splitInstance is an instance and the reference model of its split.
 type splitInstance struct {
 	*driver
 	bucket *splitBucket
 }
 
-// splitFleet is a fleet that a customer without a counter comes in through.
+// splitFleet is a fleet of instances that receives the requests of a customer without a counter.
 type splitFleet struct {
 	t         *testing.T
 	splitCase splitCase
@@ -141,7 +145,7 @@
 	return fleet
 }
 
-// start starts an instance with chances of its own.
+// start starts an instance with its own random seed.
 func (f *splitFleet) start(i int, at time.Duration) {
 	f.settings.Self = i
 	f.instances[i] = splitInstance{
@@ -156,20 +160,20 @@
 	f.start(i, at)
 }
 
-// request brings a request to an instance and compares the verdict with the tokens.
+// request sends a request to an instance and compares the verdict with the reference model.
 func (f *splitFleet) request(i int, at time.Duration) {
 	instance := f.instances[i]
 	at = max(at, instance.now)
 	admitted := instance.requestAt(at, f.splitCase.instances)
 	instance.bucket.refill(at)
 	instance.bucket.check(f.t, admitted)
-	f.sums.asked++
+	f.sums.requested++
 	if admitted {
 		f.sums.admitted++
 	}
 }
 
-// requestAt brings a request at a moment, and a response soon after where it is admitted.
+// requestAt sends a request at the given time. If it is admitted, its attempt ends soon after.
 func (i splitInstance) requestAt(at time.Duration, instances int) (admitted bool) {
 	i.advanceTo(max(at, i.now))
 	id, backend, admitted := i.request("a", 0, instances)
@@ -180,15 +184,15 @@
 	return admitted
 }
 
-// stop adds what is left at the end.
+// stop adds the remaining tokens of all instances to the sums.
 func (f *splitFleet) stop() {
 	for _, instance := range f.instances {
 		f.sums.addLeft(instance.bucket)
 	}
 }
 
-// play brings requests at random moments for splitTime; the time between two is exponentially distributed.
-func (f *splitFleet) play(start time.Duration) {
+// run sends requests for splitTime. The time between two requests is exponentially distributed.
+func (f *splitFleet) run(start time.Duration) {
 	c, rng, end := f.splitCase, f.rng, start+splitTime
 	nextRestart, restarted := start+splitTime/10, 0
 	for at := start; at < end; at += time.Duration(rng.ExpFloat64() / (c.asked * c.rate) * float64(time.Second)) {
@@ -203,23 +207,23 @@
 	f.sums.allowed += splitBurst + c.rate*splitTime.Seconds()
 }
 
-func pickInstance(rng *rand.Rand, c splitCase, late bool) int {
+func pickInstance(rng *rand.Rand, c splitCase, secondHalf bool) int {
 	x := rng.Float64()
 	if c.uneven {
 		x = x * x
 	}
 	if c.moves && c.instances > 1 {
 		x /= 2
-		if late {
+		if secondHalf {
 			x += 0.5
 		}
 	}
 	return min(c.instances-1, int(x*float64(c.instances)))
 }
 
-// A customer without a counter came in through hundreds of instances: each had a split of less than one request and
-// admitted nobody. The fleet must admit what the splits gather up to the last request at each instance, and never more
-// than the quota and a split of the burst for each restart, but for chance.
+// With a customer without a counter and hundreds of instances, the split of each instance was less than one request,
+// and none was admitted. The fleet must admit what the splits accumulate up to the last request at each instance, and
+// never more than the quota plus a split of the burst for each restart, except for random variation.
 func TestSplitQuotaOverFleets(t *testing.T) {
 	const rate = 4
 	for _, n := range []int{1, 3, 30, 300, 900} {
@@ -236,7 +240,7 @@
 				var sums splitSums
 				for seed := range uint64(seeds) {
 					fleet := startSplitFleet(t, c, seed+1, time.Hour, &sums)
-					fleet.play(time.Hour)
+					fleet.run(time.Hour)
 					fleet.stop()
 				}
 				sums.checkAdmitted(t, c)
@@ -245,30 +249,30 @@
 	}
 }
 
-// checkAdmitted compares what was admitted with what the splits gathered, and with the quota.
+// checkAdmitted compares the admitted requests with the tokens that the splits accumulated, and with the quota.
 func (s *splitSums) checkAdmitted(t *testing.T, c splitCase) {
 	t.Helper()
-	gathered := float64(s.admitted) + s.tokensLeft
-	t.Logf("asked %d, admitted %d: %.3f of what the quota allows; gathered %.1f, tolerance %.1f", s.asked, s.admitted,
-		s.share(), gathered, s.tolerance())
+	accumulated := float64(s.admitted) + s.tokensLeft
+	t.Logf("%d requests, %d admitted: %.3f of what the quota allows; accumulated %.1f, tolerance %.1f", s.requested, s.admitted,
+		s.share(), accumulated, s.tolerance())
 	if s.admitted == 0 {
-		t.Error("admitted nothing")
+		t.Error("no request was admitted")
 	}
 	if !c.holdsRequest() && math.Abs(s.tokensLeft) > s.tolerance() {
-		t.Errorf("admitted %d, want %.1f, what the splits gathered, but for %.1f", s.admitted, gathered, s.tolerance())
+		t.Errorf("admitted %d, want %.1f, what the splits accumulated, within %.1f", s.admitted, accumulated, s.tolerance())
 	}
 	restartBurst := float64(s.restarts) * splitBurst / float64(c.instances)
 	if most := s.allowed + restartBurst + s.tolerance(); float64(s.admitted) > most {
-		t.Errorf("admitted %d, want %.1f at most", s.admitted, most)
+		t.Errorf("admitted %d, want at most %.1f", s.admitted, most)
 	}
 }
 
-// In the long run a customer that comes in at random moments gets the same part of its quota through any number of
-// instances. Say that the quota brings m = 1/asked tokens to an instance between two requests, in the mean. Once the tokens have
-// reached the drawn share u of a request, e more come in before the next one, exponentially distributed with the mean m;
-// what u+e exceeds 1 by spills over. Its mean is m²(1-exp(-1/m)), that of its square 2m³(1-exp(-1/m)). So an admission costs
-// 1 + m²(1-exp(-1/m)) tokens in the mean. At the end an instance may have tokens that no admission has used: 1+m in the
-// mean at most.
+// In the long run, a customer that sends requests at random times gets the same share of its quota with any number of
+// instances. Let m = 1/asked be the mean number of tokens that the quota adds to an instance between two requests.
+// After the tokens have reached the random share u of a request, e more are added before the next request, where e is
+// exponentially distributed with mean m. The excess of u+e over 1 overflows. The mean of the overflow is
+// m²(1-exp(-1/m)), the mean of its square 2m³(1-exp(-1/m)). So an admission costs 1 + m²(1-exp(-1/m)) tokens on
+// average. At the end an instance may have tokens that no admission has used: at most 1+m on average.
 func TestSplitQuotaInTheLongRun(t *testing.T) {
 	for _, n := range []int{10, 30, 300} {
 		for _, asked := range []float64{0.5, 1, 4} {
@@ -277,7 +281,7 @@
 			t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
 				var sums splitSums
 				fleet := startSplitFleet(t, c, 1, time.Hour, &sums)
-				fleet.play(time.Hour)
+				fleet.run(time.Hour)
 				fleet.stop()
 				sums.checkAdmitted(t, c)
 
@@ -285,20 +289,21 @@
 				late := 1 - math.Exp(-1/m)
 				cost := 1 + m*m*late
 				variance := 2*m*m*m*late - m*m*m*m*late*late
-				brought := c.rate * splitTime.Seconds()
-				least := (brought-float64(n)*(1+m))/cost - chanceDeviations*math.Sqrt(variance*brought/(cost*cost*cost))
-				t.Logf("admitted %.3f of what the quota brings, in the long run %.3f, in this time %.3f at least",
-					float64(sums.admitted)/brought, 1/cost, least/brought)
+				added := c.rate * splitTime.Seconds()
+				least := (added-float64(n)*(1+m))/cost - chanceDeviations*math.Sqrt(variance*added/(cost*cost*cost))
+				t.Logf("admitted %.3f of the tokens that the quota added; long-run share %.3f, minimum for this time %.3f",
+					float64(sums.admitted)/added, 1/cost, least/added)
 				if float64(sums.admitted) < least {
-					t.Errorf("admitted %d, want %.1f at least", sums.admitted, least)
+					t.Errorf("admitted %d, want at least %.1f", sums.admitted, least)
 				}
 			})
 		}
 	}
 }
 
-// A customer that no instance has met for long comes at once through all of them. A split that has tokens for a share of
-// one request admits one with that probability: over the fleet the burst and what the quota brings in splitIdleTime.
+// A customer that no instance has seen for a long time sends requests to all of them at once. A split with tokens for a
+// share of one request admits one with that probability. Over the fleet, that is the burst plus the tokens that the
+// quota adds in splitIdleTime.
 func TestSplitQuotaAfterIdleTime(t *testing.T) {
 	c := splitCase{instances: 300, rate: 4}
 	var sums splitSums
@@ -311,9 +316,9 @@
 	sums.checkAdmitted(t, c)
 }
 
-// Clients that each keep one connection to one instance, ask until a request is admitted and rest for a little more than
-// splitIdleTime then: the instances forget what the customer has used beyond its split. It must not get more than its quota
-// and the slack that is stated for a time without requests.
+// Each client keeps a connection to one instance, sends requests until one is admitted, and then pauses for a little
+// longer than splitIdleTime. The instances forget the use beyond the split in that time. The customer must not get more
+// than its quota plus the documented slack after a time without requests.
 func TestSplitQuotaOfRestingClients(t *testing.T) {
 	const (
 		horizon  = 10 * time.Minute
@@ -334,11 +339,11 @@
 					}
 				}
 			}
-			// The tokens that are left at an instance have a variance of 1/4 at most.
+			// The remaining tokens at an instance have a variance of at most 1/4.
 			slack := c.rate*splitIdleTime.Seconds() + chanceDeviations*math.Sqrt(float64(n))/2
 			most := splitBurst + c.rate*horizon.Seconds() + slack
 			if float64(sums.admitted) > most {
-				t.Errorf("admitted %d, want %.0f at most", sums.admitted, most)
+				t.Errorf("admitted %d, want at most %.0f", sums.admitted, most)
 			}
 		})
 	}
--- a/decision/quota_test.go
+++ b/decision/quota_test.go
@@ -8,8 +8,8 @@
 	"sandyard/decision"
 )
 
-// An instance restarts while its customers are at their ceilings, which it does not know: it may only use its split of the
-// slack at once.
+// An instance that restarts does not know that its customers are at their ceilings. At first it may admit only its
+// split of the slack.
 func TestCeilingAfterInstanceRestart(t *testing.T) {
 	set := basicSettings()
 	set.Instances = 2
@@ -24,12 +24,12 @@
 		}
 	}
 	if sent != 3 {
-		t.Errorf("%d admitted at once, want the split of the slack", sent)
+		t.Errorf("%d admitted at once, want 3, the split of the slack", sent)
 	}
 }
 
-// One instance gets four times the quota, alone or as one of several, with a counter that answers, fails, or tells of others'
-// use.
+// One instance receives requests for four times the quota, alone or as one of several, with a counter that replies,
+// fails, or reports use at other instances.
 func TestQuotaOfOneInstance(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -70,8 +70,8 @@
 	}
 }
 
-// The counter is silent from the first moment on, and forty instances get far more than the ceiling of a customer allows: all
-// together they hold it.
+// The counter never replies, and forty instances receive far more requests of a customer than its ceiling allows.
+// Together they must not exceed the ceiling.
 func TestCeilingOverManyInstancesWithoutCounter(t *testing.T) {
 	set := basicSettings()
 	set.Plans = []decision.Plan{{Rate: 20, Burst: 40, WeightFactor: 1, OverQuotaCost: 1, CeilingRate: 40, CeilingBurst: 80, CeilingSlack: 8}}
@@ -85,15 +85,15 @@
 		last = at
 		if id, s, ok := driver.request("a", 0, 40); ok {
 			if tokens--; tokens < -8 {
-				t.Fatalf("the ceiling is passed by %v after %v", -tokens, at-time.Hour)
+				t.Fatalf("the ceiling is exceeded by %v after %v", -tokens, at-time.Hour)
 			}
 			driver.endAttempt(id, s, decision.OK)
 		}
 	}
 }
 
-// Requests name spreads of nothing, below nothing and above the number of instances, and change their plan: none of it gives a
-// customer more than one instance alone would.
+// Requests with a spread of zero, a negative spread or one above the number of instances, and changes of the plan, must
+// not give a customer more than a single instance would.
 func TestImpossibleSpreadsAndPlanChanges(t *testing.T) {
 	set := basicSettings()
 	set.Instances = 10
@@ -113,13 +113,13 @@
 			}
 		}
 	}
-	if sent < 8 || sent > 50 { // 8 at once and 2 to 4 a second
+	if sent < 8 || sent > 50 { // 8 at once, then 2 to 4 per second
 		t.Errorf("%d admitted in 10 s", sent)
 	}
 }
 
-// A plan limits attempts in flight, and the counter rejects every call: attempts that are quick fit under the limit one after
-// the other, and none is shed.
+// A plan limits attempts in flight, and the counter rejects every call. Short sequential attempts stay below the limit,
+// so none of them is shed.
 func TestQuickAttemptsFitUnderInFlightLimit(t *testing.T) {
 	set := basicSettings()
 	set.Instances = 4
@@ -136,6 +136,6 @@
 		driver.advance(150 * time.Millisecond)
 	}
 	if sent < 45 {
-		t.Errorf("%d of 50 requests admitted, one at a time, 50 ms each, under a limit of 2", sent)
+		t.Errorf("%d of 50 sequential requests of 50 ms each admitted, under a limit of 2", sent)
 	}
 }
--- a/decision/random_test.go
+++ b/decision/random_test.go
@@ -9,69 +9,69 @@
 	"sandyard/decision"
 )
 
-// Random events, possible and impossible, keep the rules that can be seen from outside: one final answer by the deadline, no
-// attempt at a backend that is not up, no second attempt of what must not run twice.
+// With random valid and invalid events, the gateway keeps its externally visible invariants: one final answer by the
+// deadline, no attempt at a backend that is not up, and no second attempt of a request that must not run twice.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range uint64(30) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandomEvents(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomEvents(t, seed) })
 	}
 }
 
-// playedAttempt is an attempt as the test sees it.
-type playedAttempt struct {
+// observedAttempt is the test's record of an attempt.
+type observedAttempt struct {
 	backend decision.BackendID
 	open    bool
-	ran     bool // it may have run
+	ran     bool // the request may have run
 }
 
-// playedRequest is a request as the test sees it.
-type playedRequest struct {
+// observedRequest is the test's record of a request.
+type observedRequest struct {
 	class    decision.ClassID
-	attempts []playedAttempt
-	answers  int  // of the gateway's own
-	ended    bool // by an attempt's answer, or by its client
+	attempts []observedAttempt
+	answers  int  // number of local responses
+	ended    bool // ended by an attempt's answer or by its client
 	deadline time.Duration
 }
 
-// eventPlayer brings random events to a gateway and checks its actions.
-type eventPlayer struct {
+// eventGenerator sends random events to a gateway and checks its actions.
+type eventGenerator struct {
 	t        *testing.T
 	rng      *rand.Rand
 	driver   *driver
-	requests map[decision.RequestID]*playedRequest
+	requests map[decision.RequestID]*observedRequest
 	ids      []decision.RequestID
 	states   map[decision.BackendID]decision.EndpointState
-	checked  int // actions
+	checked  int // number of actions that were checked
 }
 
-func playRandomEvents(t *testing.T, seed uint64) {
+func runRandomEvents(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	settings := basicSettings()
 	settings.Instances = 1 + rng.IntN(3)
 	settings.Plans = append(settings.Plans, decision.Plan{MaxInFlight: 2, WeightFactor: 2},
 		decision.Plan{Rate: 5, Burst: 5, WeightFactor: 3, CeilingRate: 8, CeilingBurst: 10, CeilingSlack: 2})
-	p := &eventPlayer{t: t, rng: rng, driver: startDriver(t, settings, 0, upEndpoints(1, 2, 3, 4, 5)...),
-		requests: map[decision.RequestID]*playedRequest{}, states: map[decision.BackendID]decision.EndpointState{}}
+	p := &eventGenerator{t: t, rng: rng, driver: startDriver(t, settings, 0, upEndpoints(1, 2, 3, 4, 5)...),
+		requests: map[decision.RequestID]*observedRequest{}, states: map[decision.BackendID]decision.EndpointState{}}
 	for range 3000 {
 		p.driver.advance(time.Duration(rng.IntN(20)) * time.Millisecond)
 		p.checkActions()
-		p.playEvent()
+		p.sendEvent()
 		p.checkActions()
 		p.checkDeadlines()
 	}
 	for id, r := range p.requests {
 		if r.answers > 1 || r.ended && r.answers > 0 {
-			t.Fatalf("%d: %d answers, ended %v", id, r.answers, r.ended)
+			t.Fatalf("request %d: %d local responses, ended %v", id, r.answers, r.ended)
 		}
 	}
 }
 
-func (p *eventPlayer) playEvent() {
+func (p *eventGenerator) sendEvent() {
 	switch k := p.rng.IntN(20); {
 	case k < 9:
-		p.playRequest()
+		p.sendRequest()
 	case k < 17 && len(p.ids) > 0:
-		p.playAttemptEnds(p.ids[max(0, len(p.ids)-1-p.rng.IntN(30))])
+		p.endAttempts(p.ids[max(0, len(p.ids)-1-p.rng.IntN(30))])
 	case k == 17 && len(p.ids) > 0:
 		id := p.ids[p.rng.IntN(len(p.ids))]
 		if p.requests[id].answers == 0 {
@@ -82,25 +82,25 @@
 		backend := decision.BackendID(1 + p.rng.IntN(6))
 		p.states[backend] = decision.EndpointState(p.rng.IntN(3))
 		p.driver.handle(decision.EndpointsChanged{Endpoints: []decision.Endpoint{{Backend: backend, State: p.states[backend], Started: p.driver.now}}})
-	default: // events about what is not known
+	default: // events that refer to unknown objects
 		p.driver.handle(decision.CounterReplied{Name: "x.1", Total: 5})
 		p.driver.handle(decision.AttemptEnded{Request: 1 << 40, Attempt: -1, Outcome: decision.OK})
 		p.driver.handle(decision.ProbeEnded{Backend: 99})
 	}
 }
 
-func (p *eventPlayer) playRequest() {
+func (p *eventGenerator) sendRequest() {
 	id := decision.RequestID(len(p.ids) + 1)
 	p.ids = append(p.ids, id)
 	left := time.Duration(200+p.rng.IntN(1800)) * time.Millisecond
-	r := &playedRequest{class: decision.ClassID(p.rng.IntN(3)), deadline: p.driver.now + left}
+	r := &observedRequest{class: decision.ClassID(p.rng.IntN(3)), deadline: p.driver.now + left}
 	p.requests[id] = r
 	p.driver.handle(decision.RequestArrived{Request: id, Class: r.class, Plan: decision.PlanID(p.rng.IntN(5) - 1),
 		Customer: fmt.Sprint(p.rng.IntN(9)), TimeLeft: left, Units: float64(p.rng.IntN(3)), Spread: p.rng.IntN(4)})
 }
 
-// playAttemptEnds ends the attempts of a request that are in flight, each with a random outcome.
-func (p *eventPlayer) playAttemptEnds(id decision.RequestID) {
+// endAttempts ends the attempts of a request that are in flight with random outcomes.
+func (p *eventGenerator) endAttempts(id decision.RequestID) {
 	r := p.requests[id]
 	for i := range r.attempts {
 		attempt := &r.attempts[i]
@@ -116,8 +116,8 @@
 	}
 }
 
-// checkActions checks what the gateway did since it was called last.
-func (p *eventPlayer) checkActions() {
+// checkActions checks the gateway's actions since the last call.
+func (p *eventGenerator) checkActions() {
 	for _, action := range p.driver.actions[p.checked:] {
 		switch action := action.(type) {
 		case decision.SendAttempt:
@@ -127,7 +127,7 @@
 			r.answers++
 			for _, attempt := range r.attempts {
 				if r.class != 0 && (attempt.ran || attempt.open) {
-					p.t.Fatalf("rejected %d, which may have run", action.Request)
+					p.t.Fatalf("request %d was rejected, but may have run", action.Request)
 				}
 			}
 		case decision.Fail:
@@ -137,30 +137,30 @@
 	p.checked = len(p.driver.actions)
 }
 
-func (p *eventPlayer) checkAttempt(action decision.SendAttempt) {
+func (p *eventGenerator) checkAttempt(action decision.SendAttempt) {
 	r := p.requests[action.Request]
 	if r.ended || r.answers > 0 {
-		p.t.Fatalf("sent after the end of %d", action.Request)
+		p.t.Fatalf("an attempt of request %d was sent after its end", action.Request)
 	}
 	if p.states[action.Backend] != decision.Up {
-		p.t.Fatalf("sent to %d, which is not up", action.Backend)
+		p.t.Fatalf("an attempt was sent to backend %d, which is not up", action.Backend)
 	}
 	for _, attempt := range r.attempts {
 		if attempt.open {
-			p.t.Fatalf("two attempts of %d in flight", action.Request)
+			p.t.Fatalf("two attempts of request %d are in flight", action.Request)
 		}
 		if attempt.ran && r.class == 1 {
-			p.t.Fatalf("%d is not idempotent and sent again", action.Request)
+			p.t.Fatalf("request %d is not idempotent and was sent again", action.Request)
 		}
 	}
-	r.attempts = append(r.attempts, playedAttempt{backend: action.Backend, open: true})
+	r.attempts = append(r.attempts, observedAttempt{backend: action.Backend, open: true})
 }
 
-// checkDeadlines finds a request of the last 300 that had no answer by its deadline.
-func (p *eventPlayer) checkDeadlines() {
+// checkDeadlines fails the test if one of the last 300 requests had no answer by its deadline.
+func (p *eventGenerator) checkDeadlines() {
 	for _, id := range p.ids[max(0, len(p.ids)-300):] {
 		if r := p.requests[id]; !r.ended && r.answers == 0 && p.driver.now > r.deadline+time.Millisecond {
-			p.t.Fatalf("no answer for %d by its deadline", id)
+			p.t.Fatalf("request %d got no answer by its deadline", id)
 		}
 	}
 }
--- a/decision/response.go
+++ b/decision/response.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// This file decides how a request enters and how it ends: each gets exactly one final answer, by its deadline. An answer
-// of the gateway's own is a rejection, which promises that a retry by the client is harmless, or a failure, which
-// promises nothing. A request that may have run is rejected only if it is idempotent everywhere. A rejection may say
-// when to come back.
+// This file decides how a request starts and how it ends: each request gets exactly one final answer, by its deadline.
+// A local response is a rejection, which guarantees that a retry by the client is safe, or a failure, which guarantees
+// nothing. A request that may have run is rejected only if all backends handle a repeat safely. A rejection may carry a
+// Retry-After hint.
 
-// maxRetryAfterShare is the share of the latency objective that a client is asked to stay away at most, so that several
-// tries fit in its time. A protocol that states whole seconds rounds the hint up to 1 s, which may be longer.
+// maxRetryAfterShare is the longest Retry-After hint as a share of the latency objective, so that several tries fit
+// into the client's time. A protocol with whole seconds rounds the hint up to 1 s, which may be longer.
 const maxRetryAfterShare = 0.1
 
-// handleRequest takes in a new request: it is decided at once, or held until the shared counter has answered.
+// handleRequest handles a new request. It decides on the request at once, or holds it until the shared counter has
+// replied.
 func (g *Gateway) handleRequest(event RequestArrived) {
 	if g.requests[event.Request] != nil {
 		return
@@ -52,11 +53,11 @@
 	return request
 }
 
-// resolveUnknownQuota asks the shared counter about a request, or decides without it where it would be shed anyway or
-// the counter may not be called.
+// resolveUnknownQuota calls the shared counter for a request, or decides without it if the request would be shed anyway
+// or the counter may not be called.
 func (g *Gateway) resolveUnknownQuota(request *requestRecord) {
 	customer := request.customer
-	if g.admission.controller(request.class, customer.plan).cuts(customer) {
+	if g.admission.controller(request.class, customer.plan).sheds(customer) {
 		g.admitOrShed(request, insideUncounted)
 		return
 	}
@@ -70,7 +71,7 @@
 
 func (g *Gateway) handleDisconnect(event ClientDisconnected) {
 	if request := g.requests[event.Request]; request != nil && !request.ended {
-		g.finishWithoutAnswer(request)
+		g.finishWithoutLocalResponse(request)
 	}
 }
 
@@ -80,29 +81,29 @@
 	}
 }
 
-// handleDeadline answers a request while its client still waits, whatever became of its attempts. Later it is called
-// again, to close attempts whose end never came, and at last to forget the request.
+// handleDeadline answers a request whose client still waits at the deadline, whatever the state of its attempts. It is
+// called again later to close attempts without an AttemptEnded, and finally to delete the request.
 func (g *Gateway) handleDeadline(id RequestID) {
 	request := g.requests[id]
 	if request == nil || g.now < request.deadline {
 		return
 	}
 	if !request.ended && !request.streaming {
-		g.finishWithAnswer(request)
+		g.finishWithLocalResponse(request)
 	} else if request.ended && g.now >= request.deadline+lostAttemptTTL {
 		for i := range request.attempts {
 			g.closeAttempt(request, &request.attempts[i])
 		}
-		g.forgetIfOver(request)
+		g.deleteIfEnded(request)
 	}
 	if g.requests[id] != nil {
 		g.emit(SetTimer{At: g.now + lostAttemptTTL, Timer: Timer{Kind: DeadlineTimer, Request: id}})
 	}
 }
 
-// finishWithAnswer ends a request whose client still waits: with a rejection where a retry by the client is harmless,
-// else with a failure. With finishWithoutAnswer it is the only place where a request ends.
-func (g *Gateway) finishWithAnswer(request *requestRecord) {
+// finishWithLocalResponse ends a request whose client still waits with a local response: a rejection if a retry by the
+// client is safe, otherwise a failure. A request ends only here and in finishWithoutLocalResponse.
+func (g *Gateway) finishWithLocalResponse(request *requestRecord) {
 	request.ended = true
 	g.cancelAttempts(request)
 	if g.clientMayRetry(request) {
@@ -113,17 +114,17 @@
 	} else {
 		g.emit(Fail{Request: request.id})
 	}
-	g.forgetIfOver(request)
+	g.deleteIfEnded(request)
 }
 
-// finishWithoutAnswer ends a request whose client has its answer or is gone.
-func (g *Gateway) finishWithoutAnswer(request *requestRecord) {
+// finishWithoutLocalResponse ends a request whose client has its answer or has disconnected.
+func (g *Gateway) finishWithoutLocalResponse(request *requestRecord) {
 	request.ended = true
 	g.cancelAttempts(request)
-	g.forgetIfOver(request)
+	g.deleteIfEnded(request)
 }
 
-// clientMayRetry tells whether a retry by the client is harmless. It is not for a request that may have run and must
+// clientMayRetry reports whether a retry by the client is safe. It is not safe for a request that may have run and must
 // not run again, or whose repeats only some backends discard.
 func (g *Gateway) clientMayRetry(request *requestRecord) bool {
 	class := g.settings.Classes[request.class]
@@ -132,7 +133,8 @@
 	return class.Idempotency == Idempotent || cannotHaveRun || discardedEverywhere
 }
 
-// cancelAttempts withdraws the attempts of a request that are in flight, where that is allowed.
+// cancelAttempts cancels the attempts of a request that are in flight, if the settings allow it and no answer is being
+// streamed.
 func (g *Gateway) cancelAttempts(request *requestRecord) {
 	if !g.settings.Cancel || request.streaming {
 		return
@@ -144,30 +146,31 @@
 	}
 }
 
-// forgetIfOver forgets an ended request once no attempt of it is in flight.
-func (g *Gateway) forgetIfOver(request *requestRecord) {
+// deleteIfEnded deletes an ended request if none of its attempts is in flight.
+func (g *Gateway) deleteIfEnded(request *requestRecord) {
 	if !request.inFlight() {
 		delete(g.requests, request.id)
 	}
 }
 
-// retryAfter is the time after which a rejected request has a chance, 0 for no hint: beyond the quota, when the counter
-// may be asked again, the split has filled or an attempt in flight is likely over; without capacity, when admission
-// control has made its next step. It is bounded by maxRetryAfterShare and by what clients heed.
+// retryAfter returns the time after which a retry of a rejected request may succeed; 0 means no hint. Beyond the quota,
+// that is when the counter may be called again, the split has refilled, or an attempt in flight has probably ended.
+// Without capacity, it is the next step of admission control. The hint is limited by maxRetryAfterShare and by the
+// longest hint that clients respect (Settings.MaxRetryAfter).
 func (g *Gateway) retryAfter(request *requestRecord) time.Duration {
 	if !g.settings.RetryAfter {
 		return 0
 	}
 	wait := controlPeriod
 	if request.rejectReason == OverQuota {
-		wait = g.timeToQuota(request)
+		wait = g.timeUntilQuota(request)
 	}
 	longest := time.Duration(maxRetryAfterShare * float64(g.settings.Classes[request.class].LatencyObjective))
 	return min(max(housekeepingInterval, min(wait, longest)), max(0, g.settings.MaxRetryAfter))
 }
 
-// timeToQuota is the time until a request's quota may allow it.
-func (g *Gateway) timeToQuota(request *requestRecord) time.Duration {
+// timeUntilQuota returns the time until the quota may allow a request.
+func (g *Gateway) timeUntilQuota(request *requestRecord) time.Duration {
 	customer := request.customer
 	switch {
 	case customer.overQuotaUntil > g.now:
--- a/decision/response_test.go
+++ b/decision/response_test.go
@@ -7,14 +7,15 @@
 	"sandyard/decision"
 )
 
-// The deadline passes, the timeout of the attempt comes late and twice, and the client leaves as well: one answer is given.
+// The deadline passes, the end of the attempt is reported late and twice, and the client disconnects: the request gets
+// exactly one answer.
 func TestDeadlineAnswersExactlyOnce(t *testing.T) {
 	for class, fail := range []int{0, 1} {
 		driver := startDriver(t, basicSettings(), 0, upEndpoints(1)...)
 		id, s, _ := driver.request("a", decision.ClassID(class), 1)
 		driver.advance(2 * time.Second)
 		driver.endAttempt(id, s, decision.TimedOut)
-		driver.endAttempt(id, s, decision.OK) // late, and for the second time
+		driver.endAttempt(id, s, decision.OK) // a second, late report
 		driver.handle(decision.ClientDisconnected{Request: id})
 		driver.advance(time.Minute)
 		if r, f := countActions[decision.Reject](driver.actions), countActions[decision.Fail](driver.actions); r != 1-fail || f != fail {
@@ -23,7 +24,7 @@
 	}
 }
 
-// A client that gets a stream has its answer already: no deadline cuts it, and no retry replaces it.
+// A client that receives a stream already has its answer: no deadline cuts the stream off, and no retry replaces it.
 func TestStreamHasNoDeadline(t *testing.T) {
 	set := basicSettings()
 	set.Classes[0].Stream = true
@@ -34,15 +35,15 @@
 	driver.advance(10 * time.Second)
 	driver.endAttempt(id, s, decision.ConnectionReset)
 	if n := countActions[decision.SendAttempt](driver.actions) + countActions[decision.CancelAttempt](driver.actions); n != 0 {
-		t.Errorf("%d sends and cancels for a stream under way", n)
+		t.Errorf("%d attempts sent or cancelled while the answer was being streamed", n)
 	}
 	if n := countActions[decision.Fail](driver.actions) + countActions[decision.Reject](driver.actions); n != 1 {
-		t.Errorf("%d answers after it broke without an answer, want 1", n)
+		t.Errorf("%d local responses after the stream's connection was reset, want 1", n)
 	}
 }
 
-// A rejection says when to come back: within what clients heed, and so soon that a few tries fit in the latency objective;
-// nothing is said where the settings don't allow it.
+// A rejection carries a Retry-After hint that clients respect, so short that a few tries fit into the latency
+// objective. There is no hint if the settings do not allow it.
 func TestRejectionCarriesRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		set := basicSettings()
@@ -64,7 +65,7 @@
 		}
 		for _, d := range hints {
 			if most := set.Classes[0].LatencyObjective / 2; allowed != (d > 0) || d > most {
-				t.Errorf("allowed %v: hint %v, at most %v was expected", allowed, d, most)
+				t.Errorf("RetryAfter %v: hint %v, want at most %v", allowed, d, most)
 			}
 		}
 	}
--- a/decision/restore.go
+++ b/decision/restore.go
@@ -2,10 +2,10 @@
 
 import "math/rand/v2"
 
-// This file makes a gateway of a State, table by table; snapshot.go has the other direction.
+// This file restores a gateway from a State, table by table. snapshot.go implements the other direction.
 
-// restorer turns positions into pointers while a gateway is made of a state. Tables are restored in the order in which
-// they refer to each other.
+// restorer converts indexes to pointers while it restores a gateway from a state. It restores a table after those that
+// it refers to.
 type restorer struct {
 	gateway   *Gateway
 	state     *State
@@ -14,11 +14,12 @@
 	requests  []*requestRecord
 }
 
-// within tells whether a position is in a table of n rows.
+// within reports whether i is an index of a table with n rows.
 func within(i, n int) bool { return i >= 0 && i < n }
 
-// Restore makes a gateway of a state that Snapshot took of one with the same settings. It goes on as that one would
-// have; its timers are those that were set. The error is a *SettingsError or a *StateError.
+// Restore creates a gateway from a state that Snapshot returned for a gateway with the same settings. The new gateway
+// continues as the old one would have. It sets no timers: those that the old gateway had set stay in force. The error
+// is a *SettingsError or a *StateError.
 func Restore(settings Settings, s State) (*Gateway, error) {
 	g, _, err := New(settings, 0, s.Now)
 	if err != nil {
@@ -43,7 +44,8 @@
 	return g, nil
 }
 
-// checkSizes finds tables whose size the settings decide, and counts that their tables do not have.
+// checkSizes checks the sizes of tables that depend on the settings, and the row counts against the sizes of their
+// tables.
 func (r *restorer) checkSizes() error {
 	g, s := r.gateway, r.state
 	checks := []struct {
@@ -66,7 +68,7 @@
 	return nil
 }
 
-// restoreEstimates restores what refers to no table.
+// restoreEstimates restores the fields that refer to no table.
 func (r *restorer) restoreEstimates() {
 	g, s := r.gateway, r.state
 	g.load.sampledAt = s.LoadSampledAt
@@ -126,7 +128,7 @@
 		lastUsedAt:             c.LastUsedAt,
 		refilledAt:             c.RefilledAt,
 		tokens:                 c.Tokens,
-		splitDraw:              c.SplitDraw,
+		splitThreshold:         c.SplitThreshold,
 		ceilingTokens:          c.CeilingTokens,
 		counterTotal:           c.CounterTotal,
 		counterTotalAt:         c.CounterTotalAt,
@@ -201,7 +203,7 @@
 	return nil
 }
 
-// restoreRequest restores a request but for its attempts.
+// restoreRequest restores a request without its attempts.
 func (r *restorer) restoreRequest(q RequestState) *requestRecord {
 	request := &requestRecord{
 		id:             q.ID,
--- a/decision/restore_test.go
+++ b/decision/restore_test.go
@@ -9,8 +9,8 @@
 	"sandyard/decision"
 )
 
-// A trace is replayed from a state that was recorded. A state that is broken, or of other settings, must give an error with its
-// place rather than a gateway that decides by it; one that fits gives a gateway with the same state.
+// A replay of a trace starts from a recorded state. A corrupt state, or one of other settings, must give an error with
+// its place instead of a gateway that uses it. A valid state gives a gateway with the same state.
 func TestRestoreChecksTheState(t *testing.T) {
 	settings := basicSettings()
 	settings.Instances = 2
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if again, err := restored.Snapshot(); err != nil || !reflect.DeepEqual(again, snapshot()) {
-		t.Errorf("restored as another state (%v)", err)
+		t.Errorf("the restored gateway has another state (%v)", err)
 	}
 	for _, c := range []struct {
 		table  string
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -7,9 +7,9 @@
 	"sandyard/decision"
 )
 
-// A request that may have run must not run a second time with effect. After each way in which an attempt can end, a request is
-// sent again only where its class makes that harmless; one that may have run and must not again fails, since a rejection
-// would invite the client to repeat it.
+// A request that may have run must not have its effect twice. After each outcome of an attempt, a request is sent again
+// only if its class makes that safe. A request that may have run and must not run again fails, since a rejection would
+// invite the client to repeat it.
 func TestRetryRespectsIdempotency(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -37,7 +37,7 @@
 			driver.advance(20 * time.Millisecond)
 			did := driver.endAttempt(id, s, c.outcome)
 			if n := countActions[decision.SendAttempt](did); n != c.sends {
-				t.Errorf("%d sends, want %d", n, c.sends)
+				t.Errorf("%d attempts, want %d", n, c.sends)
 			}
 			if n := countActions[decision.Reject](did); n != c.rejects {
 				t.Errorf("%d rejections, want %d", n, c.rejects)
@@ -49,8 +49,8 @@
 	}
 }
 
-// Backends of one zone know the idempotency key, those of the other do not and would run the request again; after the key's
-// lifetime all would. A retry must stay in the zone, and there is none once the key may be forgotten.
+// Backends of one zone know the idempotency key. Those of the other zone would run the request again, and after the
+// key's lifetime all would. A retry must stay in the zone, and must not be sent when the key may have expired.
 func TestKeyedRetryStaysInScopeAndKeyLifetime(t *testing.T) {
 	endpoints := []decision.Endpoint{{Backend: 1, Zone: 0}, {Backend: 2, Zone: 0}, {Backend: 3, Zone: 1}, {Backend: 4, Zone: 1}}
 	zone := map[decision.BackendID]int{1: 0, 2: 0, 3: 1, 4: 1}
@@ -66,7 +66,7 @@
 	}
 	driver := startDriver(t, basicSettings(), 0, endpoints...)
 	id, s, _ := driver.request("a", 2, 1)
-	driver.advance(1500 * time.Millisecond) // the key is forgotten by now
+	driver.advance(1500 * time.Millisecond) // the key has expired
 	did := driver.endAttempt(id, s, decision.BackendError)
 	if countActions[decision.SendAttempt](did) != 0 || countActions[decision.Fail](did) != 1 {
 		t.Errorf("after the key's lifetime: %v, want a failure", did)
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// This file holds the configuration of a gateway. Struct tags keep the names under which recorded traces hold the
-// fields; neither they nor the order of the fields may change.
+// This file defines the configuration of a gateway. Struct tags keep the field names that recorded traces use; neither
+// the tags nor the order of the fields may change.
 
-// BackendID names a backend; it survives a restart of the backend's process.
+// BackendID identifies a backend. It survives a restart of the backend's process.
 type BackendID uint32
 
-// RequestID names one request of a client; it is never reused during a gateway's life.
+// RequestID identifies one request of a client. It is never reused during the lifetime of a gateway.
 type RequestID uint64
 
-// ClassID is a position in Settings.Classes.
+// ClassID is an index into Settings.Classes.
 type ClassID int
 
-// PlanID is a position in Settings.Plans. One that is not there stands for a plan without limits.
+// PlanID is an index into Settings.Plans. An index out of range means a plan without limits.
 type PlanID int
 
-// Idempotency says what a second run of a request would do. The zero value is Idempotent.
+// Idempotency says whether a request may run more than once. The zero value is Idempotent.
 type Idempotency int
 
-// What a second run of a request does.
+// The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // nothing new: it may run any number of times
-	IdempotentByKey                    // nothing: backends within KeyScope discard it for KeyTTL
-	NotIdempotent                      // harm: it must never run twice
+	Idempotent      Idempotency = iota // may run any number of times without further effect
+	IdempotentByKey                    // carries an idempotency key: backends within KeyScope discard repeats for KeyTTL
+	NotIdempotent                      // must never run twice
 )
 
 // KeyScope is the group of backends that know an idempotency key once one of them has seen it.
@@ -43,101 +43,101 @@
 	KeyScopeCell                 // the backends of one cell
 )
 
-// Class describes one kind of request.
+// Class describes a request class.
 type Class struct {
 	Idempotency      Idempotency   `json:"Repeat"`
-	KeyScope         KeyScope      `json:"Scope"` // of idempotency keys; only for IdempotentByKey
+	KeyScope         KeyScope      `json:"Scope"` // scope of idempotency keys; only for IdempotentByKey
 	KeyTTL           time.Duration // how long backends remember an idempotency key
-	LatencyObjective time.Duration `json:"Aim"` // an answer within this has the full value; 0: every attempt counts as late
-	Deadline         time.Duration // how long clients wait in all; informative, since each request states its time left
-	PriorityWeight   float64       `json:"Worth"` // value of an answer in time, in any unit that all classes share; times the plan's WeightFactor it is the priority
-	LateShare        float64       // share of that value that an answer after the objective still has, 0 to 1; 0: no retry begins after it
-	Stream           bool          // answers are streams, which no attempt timeout and no deadline may cut
+	LatencyObjective time.Duration `json:"Aim"` // answers within this time have their full value; 0: every attempt counts as late
+	Deadline         time.Duration // how long clients wait in total; informative, since each request states its time left
+	PriorityWeight   float64       `json:"Worth"` // value of an answer within the objective, in a unit that all classes share; multiplied by the plan's WeightFactor it gives the priority
+	LateShare        float64       // share of that value, 0 to 1, that an answer has after the objective; 0: no retry begins after the objective
+	Stream           bool          // answers are streams, which neither the attempt timeout nor the deadline may cut off
 }
 
-// Plan holds what each customer of it is entitled to, over all gateways together. Zero means no such limit. MaxInFlight
-// beside Rate or CeilingRate is an exception: the counter then holds units and not attempts in flight, so each instance
-// that asks the counter allows the full number.
+// Plan holds the limits of each of its customers, over all instances together. Zero means that there is no such limit.
+// MaxInFlight combined with Rate or CeilingRate is an exception: the counter then holds units instead of attempts in
+// flight, so each instance that uses the counter allows the full MaxInFlight.
 type Plan struct {
 	Rate           float64 // units per second
 	Burst          float64 // units
 	MaxInFlight    int     `json:"Open"`      // attempts in flight at once
 	WeightFactor   float64 `json:"Price"`     // factor on the PriorityWeight of its requests
-	OverQuotaValue float64 `json:"OverWorth"` // value of an answer beyond the quota, as a share of its value within
-	OverQuotaCost  float64 `json:"OverCost"`  // cost of such an answer, in the same shares; with value at or below cost such requests are rejected
-	CeilingRate    float64 // hard limit beside the quota: units per second
+	OverQuotaValue float64 `json:"OverWorth"` // value of an answer beyond the quota, as a share of its value within the quota
+	OverQuotaCost  float64 `json:"OverCost"`  // cost of such an answer, as the same share; requests beyond the quota are rejected if their value is not above the cost
+	CeilingRate    float64 // hard limit in addition to the quota: units per second
 	CeilingBurst   float64 // units
-	CeilingSlack   float64 // units by which the ceiling may be passed
+	CeilingSlack   float64 // units by which the ceiling may be exceeded
 }
 
-// LoadField is a figure that a load report may carry.
+// LoadField identifies a value in a load report.
 type LoadField int
 
-// The load fields. Only FieldInFlight and FieldUtil are used; FieldOther stands for figures that are not known.
+// The load fields. Only FieldInFlight and FieldUtil are used. FieldOther stands for unknown fields.
 const (
 	FieldOther    LoadField = iota
-	FieldInFlight           // requests in work at the backend
+	FieldInFlight           // requests in progress at the backend
 	FieldQueue              // requests
-	FieldUtil               // use of processors, 1 is all
+	FieldUtil               // CPU utilization; 1 means all cores
 	FieldLatency            // milliseconds
 	FieldServed             // requests per second
 	FieldErrors             // errors per second
 )
 
-// Settings is the configuration of a gateway, which does not change. The zero value of a field means that the feature is absent or
-// the limit does not exist, where nothing else is said at the field. Fields marked as informative
-// are in traces, and some are read by the proxy, but no rule of this package reads them.
+// Settings is the configuration of a gateway. It does not change while the gateway runs. Unless a field says otherwise,
+// its zero value means that the feature is absent or that there is no such limit. Fields marked as informative are
+// recorded in traces, and the proxy reads some of them, but no rule of this package does.
 type Settings struct {
 	Self             int     // this instance's number, from 0; informative
-	Instances        int     `json:"Gateways"` // proxy instances before the same backends; less than 1 is taken as 1
-	Zone             int     // where this instance stands; backends of it are preferred a little
+	Instances        int     `json:"Gateways"` // number of proxy instances in front of the same backends; a value below 1 means 1
+	Zone             int     // zone of this instance; backends in the same zone are slightly preferred
 	Classes          []Class // at least one
 	Plans            []Plan
-	LoadFields       []LoadField   // what the values of a load report stand for, in order
-	LoadInAnswers    bool          // load reports come with answers; informative, since any that comes is read
+	LoadFields       []LoadField   // meaning of the values of a load report, in order
+	LoadInAnswers    bool          // load reports come with answers; informative, since every report is read
 	LoadByProbe      bool          // load reports come with probes only
 	Probes           bool          // probing is allowed
-	ProbeCost        float64       `json:"ProbePrice"` // of one probe, in requests
+	ProbeCost        float64       `json:"ProbePrice"` // cost of one probe, in requests
 	Cancel           bool          // attempts may be cancelled
-	Hedging          bool          `json:"SecondCopies"` // a request may have two attempts in flight; informative, none is hedged
-	RetryAfter       bool          // rejections say how long the client should stay away
-	MaxRetryAfter    time.Duration // longest time that clients heed; 0: no hint is given, as with RetryAfter unset
-	MaxAttempts      int           // per request, the first included; less than 1 is taken as 1
-	Subscribe        bool          // endpoints are watched, and the watch has to be asked for
+	Hedging          bool          `json:"SecondCopies"` // a request may have two attempts in flight; informative, since requests are never hedged
+	RetryAfter       bool          // rejections carry a Retry-After hint
+	MaxRetryAfter    time.Duration // longest hint that clients respect; 0: no hint is given, as if RetryAfter were unset
+	MaxAttempts      int           // attempts per request, including the first; a value below 1 means 1
+	Subscribe        bool          // endpoints are watched, and the watch has to be requested
 	PollInterval     time.Duration `json:"AskWithin"` // longest time between polls of the endpoint list; informative
-	DrainGrace       time.Duration // how long a draining backend finishes what it has; informative
-	SlowStartShare   float64       `json:"ColdShare"` // least share of its capacity that a started backend has; outside (0, 1] it is taken as 1: none warms up
+	DrainGrace       time.Duration // time that a draining backend has to finish its requests; informative
+	SlowStartShare   float64       `json:"ColdShare"` // share of its capacity that a backend has at least when it has just started; a value outside (0, 1] means 1: no backend warms up
 	SlowStartTime    time.Duration `json:"ColdTime"`  // from start to full capacity
-	OverloadFactor   float64       // multiple of its present capacity at which a warming backend fails; 0: nothing is held back
-	OverloadTime     time.Duration // window over which that multiple is measured; 0: nothing is held back
+	OverloadFactor   float64       // multiple of its current capacity at which a warming backend fails; 0: no attempt is held back
+	OverloadTime     time.Duration // window over which that multiple is measured; 0: no attempt is held back
 	Counter          bool          // the shared counter may be called
-	CounterTimeout   time.Duration // of a call; answers slower than half of it count as slow; 0: all that take any time do
-	CounterCost      float64       `json:"CounterPrice"` // of a call, in requests; informative
-	MaxUnits         float64       `json:"MostUnits"`    // most units that one request counts; less than 1 is taken as 1
-	UnitsSettleLater bool          // units are an estimate until the first good answer; informative
+	CounterTimeout   time.Duration // timeout of a call; an answer that takes longer than half of it counts as slow; 0: every answer that takes any time does
+	CounterCost      float64       `json:"CounterPrice"` // cost of a call, in requests; informative
+	MaxUnits         float64       `json:"MostUnits"`    // maximum units of one request; a value below 1 means 1
+	UnitsSettleLater bool          // units are an estimate until the first successful answer; informative
 }
 
-// ErrBadSettings is the cause of every error about settings that no deployment can mean.
-var ErrBadSettings = errors.New("decision: bad settings")
+// ErrBadSettings is wrapped by every error about invalid settings.
+var ErrBadSettings = errors.New("decision: invalid settings")
 
-// SettingsError says what is wrong with the settings, and where. errors.Is with ErrBadSettings holds for it.
+// SettingsError describes an invalid setting and its place. It wraps ErrBadSettings.
 type SettingsError struct {
-	Place string // "classes", or "class" or "plan" and its position
+	Place string // "classes", or "class" or "plan" followed by its index
 	Cause string
 }
 
-// Error names the place and the cause.
+// Error returns a message with the place and the cause.
 func (e *SettingsError) Error() string {
 	return fmt.Sprintf("%v: %s: %s", ErrBadSettings, e.Place, e.Cause)
 }
 
-// Unwrap gives ErrBadSettings.
+// Unwrap returns ErrBadSettings.
 func (e *SettingsError) Unwrap() error { return ErrBadSettings }
 
-// validate returns a *SettingsError for settings that no deployment can mean.
+// validate returns a *SettingsError if the settings are invalid.
 func (s Settings) validate() error {
 	if len(s.Classes) == 0 {
-		return &SettingsError{Place: "classes", Cause: "there are none"}
+		return &SettingsError{Place: "classes", Cause: "no class is configured"}
 	}
 	for i, class := range s.Classes {
 		if anyNegativeOrNotFinite(class.PriorityWeight, class.LateShare, float64(class.LatencyObjective), float64(class.Deadline), float64(class.KeyTTL)) {
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// withDefaults gives a copy in which absent values have their meaning, and a last plan without limits, which is that of
-// requests whose plan was not described.
+// withDefaults returns a copy in which absent values are replaced by their defaults. It appends a plan without limits,
+// which applies to requests of unknown plans.
 func (s Settings) withDefaults() Settings {
 	if !(s.SlowStartShare > 0) || s.SlowStartShare > 1 {
 		s.SlowStartShare = 1
@@ -165,14 +165,14 @@
 	return s
 }
 
-// planIndex is the position of a plan in Plans, once they have their default. A position that is not there gives the
-// last plan, which has no limits; a negative one does too, since it wraps around to a large unsigned number.
+// planIndex returns the index of a plan in Plans after withDefaults. An index out of range gives the last plan, which
+// has no limits; so does a negative index, which wraps around to a large unsigned number.
 func (s *Settings) planIndex(plan PlanID) int { return int(min(uint(plan), uint(len(s.Plans)-1))) }
 
-// reportsInFlight tells whether load reports say how many requests a backend has in work.
+// reportsInFlight reports whether load reports contain the number of requests in progress at a backend.
 func (s *Settings) reportsInFlight() bool { return slices.Contains(s.LoadFields, FieldInFlight) }
 
-// anyNegativeOrNotFinite tells whether one of the values is negative, infinite or not a number.
+// anyNegativeOrNotFinite reports whether any of the values is negative, infinite or not a number.
 func anyNegativeOrNotFinite(values ...float64) bool {
 	return slices.ContainsFunc(values, func(x float64) bool { return !(x >= 0) || math.IsInf(x, 0) })
 }
--- a/decision/settings_test.go
+++ b/decision/settings_test.go
@@ -9,7 +9,7 @@
 	"sandyard/decision"
 )
 
-// Settings that no deployment can mean give an error with its place; those that merely leave things out do not, and work.
+// Invalid settings give an error with the place. Settings with absent values are valid and work.
 func TestBadSettings(t *testing.T) {
 	for _, c := range []struct {
 		place  string
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -5,49 +5,51 @@
 	"time"
 )
 
-// This file decides what a warming backend may get. A backend that started lately has a part of its capacity and fails
-// when all instances together send it several times that (Settings.OverloadFactor, within OverloadTime). It is bounded
-// twice: it is drawn for an attempt only as often as its capacity share says (balancer.go), and when it was drawn, a
-// token bucket must hold an attempt. The bucket fills at this instance's part of slowStartLoadShare of what makes the
-// backend fail, which follows from the service rate of a warm one, estimated from good answers. Without the bucket, a
-// fleet that is replaced at once would fail: where hardly another backend can be drawn, drawing less often holds
-// nothing back.
+// This file limits the attempts at a warming backend. A backend that has started recently has a part of its capacity,
+// and fails when all instances together send it several times as much (Settings.OverloadFactor, within OverloadTime).
+// Two mechanisms limit its load: it is drawn for an attempt only in proportion to its capacity share (balancer.go), and
+// after the draw, a token bucket must hold an attempt. The bucket fills at this instance's part of slowStartLoadShare
+// of the load at which the backend fails. That load follows from the service rate of a warm backend, which is estimated
+// from successful answers. Without the bucket, a fleet that is replaced at once would fail: if there are hardly any
+// other backends to draw, drawing a warming backend less often limits nothing.
 //
-// Rates are attempts per second of this instance, times are seconds.
+// Rates are in attempts per second of this instance, times in seconds.
 
 const (
-	// slowStartLoadShare is the share of what makes a warming backend fail that it is sent at most, by all instances.
+	// slowStartLoadShare is the maximum load that all instances together send to a warming backend, as a share of the
+	// load at which it fails.
 	slowStartLoadShare = 0.3
-	// confidenceMargin is the room left for chance, in standard deviations (roots of the number of attempts): where
-	// few attempts make a backend fail, their number and work by chance come to several times the mean.
+	// confidenceMargin is the margin for random variation, in standard deviations (square roots of the number of
+	// attempts): if few attempts make a backend fail, their number and work can reach several times the mean at random.
 	confidenceMargin = 4.0
 	// slowStartBurstShare is the bucket size, as a share of what the rate allows in OverloadTime.
 	slowStartBurstShare = 0.3
-	// workingBackendFactor times the share of good answers tells how far a backend counts as working: from one good
-	// answer in twelve on it does wholly. One that is only overloaded still gives many, one that hangs gives none.
+	// workingBackendFactor times the share of successful answers gives the degree to which a backend counts as working:
+	// from one successful answer in twelve it counts fully. A backend that is only overloaded still gives many
+	// successful answers, one that hangs gives none.
 	workingBackendFactor = 12.0
 )
 
-// serviceRateEstimator estimates the good answers per second that a warm backend gives this instance. It is a ratio of
-// two averages, not an average of ratios: a failing backend would make one of these as large as can be.
+// serviceRateEstimator estimates the successful answers per second that a warm backend gives this instance. The
+// estimate is a ratio of two averages and not an average of ratios, since one ratio could become arbitrarily large
+// because of a failing backend.
 type serviceRateEstimator struct {
-	throughput        movingAverage // good answers a second
-	effectiveCapacity movingAverage // warm working backends that gave them
-	value             float64       // their ratio, or what was known when it last was a measure
-	heldBackUntil     time.Duration // until when it is no measure, since warming backends were spared
+	throughput        movingAverage // successful answers per second
+	effectiveCapacity movingAverage // capacity that gave them, in warm working backends
+	value             float64       // ratio of the two; before heldBackUntil the last ratio, reduced by failures
+	heldBackUntil     time.Duration // throughput does not measure capacity before this time, since attempts were held back
 
-	slowStartCheckRate movingAverage // slowStartChecks a second
-	choiceRate         movingAverage // choicesMade a second
+	slowStartCheckRate movingAverage // slowStartChecks per second
+	choiceRate         movingAverage // choicesMade per second
 
 	// Counted in this control period.
-	slowStartChecks float64 // candidates that were asked about with tryAdmitWarming
+	slowStartChecks float64 // candidates that were checked with tryAdmitWarming
 	choicesMade     float64 // calls of chooseBackend
-	successes       float64 // attempts at backends that are up that ended with OK
-	attemptsEnded   float64 // attempts at backends that are up that ended
+	successes       float64 // attempts at backends in state Up that ended with OK
+	attemptsEnded   float64 // attempts at backends in state Up that ended
 }
 
-// newServiceRateEstimator begins with so low a rate that all instances together send a backend one attempt after the
-// other.
+// newServiceRateEstimator starts with a rate so low that all instances together send a backend one attempt at a time.
 func newServiceRateEstimator(settings Settings, now time.Duration) serviceRateEstimator {
 	average := newMovingAverage(minSamples, now)
 	estimator := serviceRateEstimator{throughput: average, effectiveCapacity: average, slowStartCheckRate: average, choiceRate: average}
@@ -58,8 +60,9 @@
 	return estimator
 }
 
-// endPeriod takes in a control period of so many seconds, in which the backends had this capacity. While attempts are
-// held back, the number of good answers is no measure: then only failures lower the rate.
+// endPeriod updates the estimate at the end of a control period of elapsed seconds. capacity is the capacity of the
+// backends in that period. While attempts are held back, the number of successful answers does not measure the
+// capacity, and only failures reduce the rate.
 func (e *serviceRateEstimator) endPeriod(capacity, elapsed float64, now time.Duration) {
 	e.slowStartCheckRate.add(e.slowStartChecks/elapsed, now)
 	e.choiceRate.add(e.choicesMade/elapsed, now)
@@ -77,24 +80,25 @@
 	e.attemptsEnded = 0
 }
 
-// recordEnd counts an attempt that ended at a backend that is up.
+// recordEnd counts an attempt that ended at a backend in state Up.
 func (e *serviceRateEstimator) recordEnd(outcome Outcome) {
 	e.attemptsEnded++
 	e.successes += indicator(outcome == OK)
 }
 
-// recentSlowStartCheckRate is the rate of checks, or that of this period where it is higher.
+// recentSlowStartCheckRate returns the average rate of checks, or that of the current period if it is higher.
 func (e *serviceRateEstimator) recentSlowStartCheckRate() float64 {
 	return max(e.slowStartCheckRate.value, e.slowStartChecks/controlPeriod.Seconds())
 }
 
-// recentChoiceRate is the rate of choices, or that of this period where it is higher.
+// recentChoiceRate returns the average rate of choices, or that of the current period if it is higher.
 func (e *serviceRateEstimator) recentChoiceRate() float64 {
 	return max(e.choiceRate.value, e.choicesMade/controlPeriod.Seconds())
 }
 
-// capacityShare is the share of its capacity that a backend is sure to have, 1 if it is warm. It counts as warming up
-// for OverloadTime longer, since what it was sent in that time still counts; the first call after that marks it as warm.
+// capacityShare returns the share of its capacity that a backend has at least, which is 1 for a warm backend. A backend
+// counts as warming up for OverloadTime after SlowStartTime, since the attempts of that window still count towards an
+// overload. The first call after that marks the backend as warm.
 func (g *Gateway) capacityShare(backend *backendRecord) float64 {
 	if !backend.warmingUp {
 		return 1
@@ -105,7 +109,7 @@
 	return g.settings.SlowStartShare + (1-g.settings.SlowStartShare)*progress
 }
 
-// totalCapacityShare is the sum over all backends that are up.
+// totalCapacityShare returns the sum of the capacity shares of all backends in state Up.
 func (g *Gateway) totalCapacityShare() float64 {
 	total := 0.0
 	for _, backend := range g.endpoints.up {
@@ -114,7 +118,7 @@
 	return total
 }
 
-// updateServiceRate ends a control period of so many seconds.
+// updateServiceRate updates the service rate at the end of a control period of elapsed seconds.
 func (g *Gateway) updateServiceRate(elapsed float64) {
 	capacity := 0.0
 	for _, backend := range g.endpoints.up {
@@ -123,9 +127,10 @@
 	g.serviceRate.endPeriod(capacity, elapsed, g.now)
 }
 
-// workingShare is how far a backend counts as working, 0 to 1, by the outcomes of all classes. Only the attempts get a
-// prior: that of the failures is added and subtracted again, which cancels but for rounding, and the difference is never
-// below 0. The arithmetic stays because recorded decisions depend on every digit.
+// workingShare returns the degree, 0 to 1, to which a backend counts as working, by the outcomes of all classes. Only
+// the attempts have a prior: the prior of the failures is added and subtracted again. The two cancel except for
+// rounding, and the difference is limited to 0 or more. The arithmetic must not change because recorded decisions
+// depend on every digit.
 func (backend *backendRecord) workingShare() float64 {
 	failures := failurePrior
 	attempts := 2 * failurePrior
@@ -136,9 +141,9 @@
 	return min(1, workingBackendFactor*(1-max(0, failures-failurePrior)/attempts))
 }
 
-// tryAdmitWarming tells whether a backend may get one more attempt now. It is called once for each time that a backend
-// is considered: it fills the backend's bucket and may draw a random number, and a refusal sets heldBackUntil. The
-// attempt itself is taken off the bucket by spendSlowStart.
+// tryAdmitWarming reports whether a backend may get one more attempt now. It must be called once each time a backend is
+// considered: it refills the backend's bucket, may draw a random number, and sets heldBackUntil if it refuses the
+// attempt. spendSlowStart deducts the attempt from the bucket.
 func (g *Gateway) tryAdmitWarming(backend *backendRecord) bool {
 	if !backend.warmingUp || g.settings.OverloadFactor <= 0 || g.settings.OverloadTime <= 0 {
 		return true
@@ -158,17 +163,17 @@
 	return true
 }
 
-// slowStartRate is the rate of attempts that this instance may send to a warming backend.
+// slowStartRate returns the rate of attempts that this instance may send to a warming backend.
 func (g *Gateway) slowStartRate(backend *backendRecord) float64 {
-	limit := g.settings.OverloadFactor * g.capacityShare(backend) * g.serviceRate.value   // this instance's part of what makes it fail
-	attempts := limit * float64(g.settings.Instances) * g.settings.OverloadTime.Seconds() // of all instances in the window
-	// The number of attempts n for which n and confidenceMargin roots of n come to what makes it fail is (root/2)^2.
+	limit := g.settings.OverloadFactor * g.capacityShare(backend) * g.serviceRate.value   // this instance's part of the load at which the backend fails
+	attempts := limit * float64(g.settings.Instances) * g.settings.OverloadTime.Seconds() // attempts of all instances in the window
+	// The number of attempts n for which n + confidenceMargin*sqrt(n) equals attempts is (root/2)^2.
 	root := math.Sqrt(confidenceMargin*confidenceMargin+4*attempts) - confidenceMargin
-	return limit * min(slowStartLoadShare, root*root/4/max(attempts, leastDivisor))
+	return limit * min(slowStartLoadShare, root*root/4/max(attempts, minDivisor))
 }
 
-// refillSlowStart fills the bucket at the rate. A backend that has just started has an empty one, so that many
-// instances do not come at once.
+// refillSlowStart refills the bucket at the rate. The bucket of a backend that has just started is empty, so that many
+// instances do not send attempts at once.
 func (g *Gateway) refillSlowStart(backend *backendRecord, rate, maxTokens float64) {
 	refill := 0.0
 	if backend.slowStartRefilledAt > 0 {
@@ -177,13 +182,14 @@
 	backend.slowStartTokens = min(maxTokens, backend.slowStartTokens+refill)
 }
 
-// drawSlowStart decides by chance, where the bucket would never hold a whole attempt: the chance is what the rate
-// brings in the time since the backend was last considered. So as many go as the rate allows, however seldom this
-// instance meets the backend. That time counts up to the usual one between two choices that meet it, and the first time
-// as that between two checks: many instances would otherwise come at once, after a lull, with what they saved up.
+// drawSlowStart decides at random if the bucket is too small to hold a whole attempt. The probability is the number of
+// attempts that the rate allows in the time since the backend was last considered. So the mean rate of attempts is the
+// allowed one, however rarely this instance considers the backend. The time is limited to the mean time between two
+// choices that draw the backend; the first time, it is estimated from the rate of checks instead. Otherwise many
+// instances would send the attempts that they accumulated during an idle time all at once.
 func (g *Gateway) drawSlowStart(backend *backendRecord, rate float64) {
 	elapsed := (g.now - backend.slowStartRefilledAt).Seconds()
-	between := g.totalCapacityShare() / g.capacityShare(backend) // mean number of choices from one that draws it to the next
+	between := g.totalCapacityShare() / g.capacityShare(backend) // mean number of choices between two that draw the backend
 	if backend.slowStartRefilledAt == 0 {
 		elapsed = between / g.serviceRate.recentSlowStartCheckRate()
 	} else {
@@ -193,8 +199,8 @@
 	backend.slowStartThreshold = 1
 }
 
-// spendSlowStart takes an attempt off the bucket. The next threshold is drawn, so that instances whose buckets fill
-// alike do not send at the same moment.
+// spendSlowStart deducts an attempt from the bucket. It draws the next threshold at random, so that instances whose
+// buckets fill at the same rate do not send at the same time.
 func (g *Gateway) spendSlowStart(backend *backendRecord) {
 	if !backend.warmingUp {
 		return
