--- a/decision/slowstart_fleet_test.go
+++ b/decision/slowstart_fleet_test.go
@@ -11,20 +11,20 @@
 	"sandyard/decision"
 )
 
-// warmUpScenario is a fleet under whose traffic some backends restart at once, as a burst begins.
+// warmUpScenario is a fleet in which some backends restart at the same time, while a burst of traffic begins.
 type warmUpScenario struct {
-	instances, backends, returning int
-	leaving                        int // warm backends that go as the others return
-	overloadFactor, slowStartShare float64
-	overloadTime, slowStartTime    time.Duration
-	warmsByWork                    bool // backends warm up by the work they do rather than by time
-	load, burst                    float64
-	meanWork                       time.Duration // mean, on a warm core
-	maxInFlight                    int           // requests that a backend takes at a time
-	seed                           uint64
+	instances, backends, restarting int
+	removed                         int // warm backends that are removed when the others have restarted
+	overloadFactor, slowStartShare  float64
+	overloadTime, slowStartTime     time.Duration
+	warmsByWork                     bool // backends warm up with the work they do instead of with time
+	load, burst                     float64
+	meanWork                        time.Duration // mean time of a request on a warm core
+	maxInFlight                     int           // number of requests that a backend accepts at a time
+	seed                            uint64
 }
 
-// attemptEnd is an attempt's end to come.
+// attemptEnd is the scheduled end of an attempt.
 type attemptEnd struct {
 	at      time.Duration
 	driver  *driver
@@ -41,13 +41,13 @@
 func (h *attemptEnds) Push(x any)        { *h = append(*h, x.(attemptEnd)) }
 func (h *attemptEnds) Pop() any          { n := len(*h) - 1; x := (*h)[n]; *h = (*h)[:n]; return x }
 
-// backendModel is a backend of two cores.
+// backendModel is a model of a backend with two cores.
 type backendModel struct {
 	coreFreeAt   [2]time.Duration
 	inFlight     int
 	workDone     float64
 	warmingUp    bool
-	sentAt       []time.Duration // attempts in the window, with their work in terms of the mean
+	sentAt       []time.Duration // attempts in the window, with their work as a multiple of the mean
 	work         []float64
 	workInWindow float64
 	workSent     float64
@@ -55,41 +55,42 @@
 
 const (
 	fleetBegin   = time.Hour
-	fleetReturn  = fleetBegin + 6*time.Second // when backends return, and the burst begins
-	fleetEnd     = fleetReturn + 10*time.Second
+	fleetRestart = fleetBegin + 6*time.Second // when backends have restarted and the burst begins
+	fleetEnd     = fleetRestart + 10*time.Second
 	networkDelay = 2 * time.Millisecond // from an attempt's end at the backend to its end at the instance
 	customers    = 4000
 )
 
-// fleetSimulation is a run of a scenario.
+// fleetSimulation is the state of a run of a scenario.
 type fleetSimulation struct {
 	warmUpScenario
 	rng       *rand.Rand
 	instances []*driver
-	shares    []float64           // of the traffic by instance: uneven, and summed up
-	endpoints []decision.Endpoint // the first ones return
-	models    []backendModel      // of the backends, by number, from 1
+	shares    []float64           // cumulative shares of the traffic by instance, which are uneven
+	endpoints []decision.Endpoint // the first ones restart
+	models    []backendModel      // by number of the backend, from 1
 	ends      attemptEnds
-	returned  bool
-	worst     float64 // the most that a warming backend got in the window against what makes it fail
+	restarted bool
+	worst     float64 // highest load of a warming backend in the window, relative to the load at which it fails
 }
 
-// play runs the scenario. worst is the most that a warming backend got in the window against what makes it fail (at 1 it does);
-// used is the mean of what warming backends got, against the same without the margin for chance.
-func (scenario warmUpScenario) play(t *testing.T) (worst, used float64) {
+// run runs the scenario. worst is the highest load of a warming backend in the window, relative to the load at which it
+// fails (at 1 it fails). used is the mean load of the warming backends, relative to the load at which they fail without
+// the margin for random variation.
+func (scenario warmUpScenario) run(t *testing.T) (worst, used float64) {
 	simulation := scenario.start(t)
 	for now := fleetBegin; now < fleetEnd; {
 		now += time.Duration(simulation.rng.ExpFloat64() / simulation.requestRate() * float64(time.Second))
 		simulation.endAttemptsUntil(now)
-		if !simulation.returned && now >= fleetReturn {
-			simulation.returnBackends(now)
+		if !simulation.restarted && now >= fleetRestart {
+			simulation.restartBackends(now)
 		}
 		simulation.sendRequest(now)
 	}
-	return simulation.worst, simulation.workToReturned() / simulation.allowance()
+	return simulation.worst, simulation.workToRestarted() / simulation.allowance()
 }
 
-// start makes the instances, which know only the backends that do not return later.
+// start starts the instances, which at first know only the backends that do not restart.
 func (scenario warmUpScenario) start(t *testing.T) *fleetSimulation {
 	settings := basicSettings()
 	settings.SlowStartShare = scenario.slowStartShare
@@ -106,7 +107,7 @@
 		endpoints:      upEndpoints(backendIDs...),
 		models:         make([]backendModel, scenario.backends+1),
 	}
-	simulation.instances = startInstances(t, scenario.instances, settings, fleetBegin, sharedCounter{}.add, simulation.endpoints[scenario.returning:]...)
+	simulation.instances = startInstances(t, scenario.instances, settings, fleetBegin, sharedCounter{}.add, simulation.endpoints[scenario.restarting:]...)
 	sum := 0.0
 	for range simulation.instances {
 		sum += math.Exp(simulation.rng.NormFloat64() * 0.8)
@@ -115,44 +116,44 @@
 	return simulation
 }
 
-// warmRate is the number of requests of mean work that a warm backend does in a second.
+// warmRate returns the number of requests of mean work that a warm backend serves per second.
 func (scenario warmUpScenario) warmRate() float64 { return 2 / scenario.meanWork.Seconds() }
 
-// requestRate is the number of requests a second that all clients send now.
+// requestRate returns the number of requests per second that all clients send now.
 func (s *fleetSimulation) requestRate() float64 {
 	switch {
-	case !s.returned:
-		return s.load * s.warmRate() * float64(s.backends-s.returning)
-	case s.leaving > 0: // those that leave give their work to the others
-		return s.load * s.warmRate() * float64(s.backends-s.returning) * s.burst
+	case !s.restarted:
+		return s.load * s.warmRate() * float64(s.backends-s.restarting)
+	case s.removed > 0: // the remaining backends take over the load of the removed ones
+		return s.load * s.warmRate() * float64(s.backends-s.restarting) * s.burst
 	default:
-		return s.load * s.warmRate() * float64(s.backends-s.leaving) * s.burst
+		return s.load * s.warmRate() * float64(s.backends-s.removed) * s.burst
 	}
 }
 
-// warmth is the share of its capacity that a backend has.
-func (scenario warmUpScenario) warmth(model *backendModel, now time.Duration) float64 {
+// capacityShare returns the share of its full capacity that a backend has.
+func (scenario warmUpScenario) capacityShare(model *backendModel, now time.Duration) float64 {
 	if !model.warmingUp {
 		return 1
 	}
-	workToWarm := scenario.warmRate() * scenario.slowStartTime.Seconds() / 2 // work until a backend is warm, where that decides
+	workToWarm := scenario.warmRate() * scenario.slowStartTime.Seconds() / 2 // work after which a backend is warm, for warmsByWork
 	progress := model.workDone / workToWarm
-	if !scenario.warmsByWork || now-fleetReturn >= scenario.slowStartTime {
-		progress = (now - fleetReturn).Seconds() / scenario.slowStartTime.Seconds()
+	if !scenario.warmsByWork || now-fleetRestart >= scenario.slowStartTime {
+		progress = (now - fleetRestart).Seconds() / scenario.slowStartTime.Seconds()
 	}
 	return scenario.slowStartShare + (1-scenario.slowStartShare)*min(1, progress)
 }
 
-// returnBackends restarts the backends that return, and takes away those that leave.
-func (s *fleetSimulation) returnBackends(now time.Duration) {
-	s.returned = true
-	for i := range s.returning {
+// restartBackends adds the restarted backends and removes those that leave the fleet.
+func (s *fleetSimulation) restartBackends(now time.Duration) {
+	s.restarted = true
+	for i := range s.restarting {
 		s.models[i+1].warmingUp = true
-		s.endpoints[i].Started = fleetReturn
+		s.endpoints[i].Started = fleetRestart
 	}
 	for _, driver := range s.instances {
 		driver.advanceTo(now)
-		driver.handle(decision.EndpointsChanged{Full: true, Endpoints: s.endpoints[:len(s.endpoints)-s.leaving]})
+		driver.handle(decision.EndpointsChanged{Full: true, Endpoints: s.endpoints[:len(s.endpoints)-s.removed]})
 	}
 }
 
@@ -171,14 +172,14 @@
 	driver.actions = driver.actions[:0]
 }
 
-// sendAttempt brings an attempt to its backend, which rejects it or puts it on the core that is free first.
+// sendAttempt delivers an attempt to its backend, which rejects it or runs it on the core that is free first.
 func (s *fleetSimulation) sendAttempt(driver *driver, id decision.RequestID, backend decision.BackendID) {
 	model := &s.models[backend]
 	now := driver.now
 	work := s.rng.ExpFloat64()
-	warmth := s.warmth(model, now)
+	capacityShare := s.capacityShare(model, now)
 	if model.warmingUp {
-		s.recordWork(model, now, work, warmth)
+		s.recordWork(model, now, work, capacityShare)
 	}
 	if model.inFlight >= s.maxInFlight {
 		heap.Push(&s.ends, attemptEnd{now + networkDelay, driver, id, backend, decision.Rejected})
@@ -189,13 +190,13 @@
 	if model.coreFreeAt[1] < model.coreFreeAt[0] {
 		core = 1
 	}
-	model.coreFreeAt[core] = max(now, model.coreFreeAt[core]) + time.Duration(work*float64(s.meanWork)/warmth)
+	model.coreFreeAt[core] = max(now, model.coreFreeAt[core]) + time.Duration(work*float64(s.meanWork)/capacityShare)
 	model.workDone += work
 	heap.Push(&s.ends, attemptEnd{model.coreFreeAt[core] + networkDelay, driver, id, backend, decision.OK})
 }
 
-// recordWork notes what a warming backend is sent, and how near that comes to what makes it fail.
-func (s *fleetSimulation) recordWork(model *backendModel, now time.Duration, work, warmth float64) {
+// recordWork records the work that a warming backend is sent, and its ratio to the work at which the backend fails.
+func (s *fleetSimulation) recordWork(model *backendModel, now time.Duration, work, capacityShare float64) {
 	for len(model.sentAt) > 0 && model.sentAt[0] <= now-s.overloadTime {
 		model.workInWindow -= model.work[0]
 		model.sentAt, model.work = model.sentAt[1:], model.work[1:]
@@ -204,11 +205,11 @@
 	model.work = append(model.work, work)
 	model.workInWindow += work
 	model.workSent += work
-	n := s.overloadFactor * warmth * s.warmRate() * s.overloadTime.Seconds()
+	n := s.overloadFactor * capacityShare * s.warmRate() * s.overloadTime.Seconds()
 	s.worst = max(s.worst, model.workInWindow/(n+2*math.Sqrt(n)+2))
 }
 
-// endAttemptsUntil ends the attempts that are due, and sends those that follow.
+// endAttemptsUntil ends the attempts that are due, and sends their retries.
 func (s *fleetSimulation) endAttemptsUntil(at time.Duration) {
 	for len(s.ends) > 0 && s.ends[0].at <= at {
 		end := heap.Pop(&s.ends).(attemptEnd)
@@ -224,29 +225,30 @@
 	}
 }
 
-// workToReturned is the mean work that the backends which returned were sent.
-func (s *fleetSimulation) workToReturned() float64 {
+// workToRestarted returns the mean work that the restarted backends were sent.
+func (s *fleetSimulation) workToRestarted() float64 {
 	mean := 0.0
-	for i := range s.returning {
-		mean += s.models[i+1].workSent / float64(s.returning)
+	for i := range s.restarting {
+		mean += s.models[i+1].workSent / float64(s.restarting)
 	}
 	return mean
 }
 
-// allowance is the work that makes a backend fail, from its return to the end. One that warms up by its work is taken as
-// idle.
+// allowance returns the work at which a backend fails, summed from its restart to the end of the run. A backend that
+// warms up with its work is treated as idle.
 func (scenario warmUpScenario) allowance() float64 {
 	sum := 0.0
-	for at := fleetReturn; at < fleetEnd; at += 100 * time.Millisecond {
-		sum += scenario.overloadFactor * scenario.warmth(&backendModel{warmingUp: true}, at) * scenario.warmRate() * 0.1
+	for at := fleetRestart; at < fleetEnd; at += 100 * time.Millisecond {
+		sum += scenario.overloadFactor * scenario.capacityShare(&backendModel{warmingUp: true}, at) * scenario.warmRate() * 0.1
 	}
 	return sum
 }
 
-// What all instances together send warming backends, at any moment of the ramp, stays under what makes one fail, with chance; and
-// warming backends are not left idle, however thin the traffic is spread. Backends reject early in this model, so that instances
-// that know nothing of slow start make none fail here either: what the token bucket alone prevents is shown by
-// TestSlowStartLeavesMarginForChance and by the simulator's crowded days.
+// At any time of the slow start, the load that all instances together send to a warming backend stays below the load at
+// which it fails, including random variation. Warming backends are not left idle either, however thinly the traffic is
+// spread. Backends reject early in this model, so that instances without slow start make none of them fail either.
+// TestSlowStartLeavesMarginForChance and the crowded scenarios of the simulator show what only the token bucket
+// prevents.
 func TestSlowStartOverFleets(t *testing.T) {
 	for _, count := range []int{4, 20, 30, 300} {
 		worst, least := 0.0, math.Inf(1)
@@ -256,24 +258,24 @@
 				overloadTime: time.Duration(1000+rng.IntN(2000)) * time.Millisecond, slowStartTime: time.Duration(4+rng.IntN(10)) * time.Second,
 				warmsByWork: seed%2 == 1, load: 0.4 + 0.3*rng.Float64(), burst: 1.1 + 0.4*rng.Float64(), seed: seed,
 				meanWork: time.Duration(30+rng.IntN(100)) * time.Millisecond, maxInFlight: 6 + rng.IntN(16)}
-			d.returning = max(1, d.backends*(2+rng.IntN(6))/8)
-			if seed%4 == 3 { // hardly a warm one is left
-				d.returning, d.leaving = d.backends/2, d.backends-d.backends/2-rng.IntN(3)
+			d.restarting = max(1, d.backends*(2+rng.IntN(6))/8)
+			if seed%4 == 3 { // hardly any warm backend is left
+				d.restarting, d.removed = d.backends/2, d.backends-d.backends/2-rng.IntN(3)
 				d.overloadFactor, d.burst, d.meanWork, d.maxInFlight = 2+rng.Float64(), 1.5, 30*time.Millisecond, 8
 			}
-			if seed == 2 { // few servers return, and little pushes them over
-				d.returning, d.leaving, d.overloadFactor, d.slowStartShare, d.load, d.burst = d.backends/8, 0, 1.5, 0.2, 0.7, 1.4
+			if seed == 2 { // few backends restart, and little load makes them fail
+				d.restarting, d.removed, d.overloadFactor, d.slowStartShare, d.load, d.burst = d.backends/8, 0, 1.5, 0.2, 0.7, 1.4
 				d.meanWork, d.slowStartTime, d.overloadTime = 40*time.Millisecond, 10*time.Second, 2*time.Second
 			}
-			w, u := d.play(t)
+			w, u := d.run(t)
 			if w >= 1 {
-				t.Errorf("%+v: a warming backend got %.2f of what makes it fail", d, w)
+				t.Errorf("%+v: a warming backend got %.2f of the load at which it fails", d, w)
 			}
 			worst, least = max(worst, w), min(least, u)
 		}
-		t.Logf("%d instances: at most %.2f of what makes a warming backend fail; at least %.3f of it used", count, worst, least)
+		t.Logf("%d instances: at most %.2f of the load at which a warming backend fails; at least %.3f of it used", count, worst, least)
 		if least < 0.025 {
-			t.Errorf("%d instances: warming backends get %.3f of what they could serve", count, least)
+			t.Errorf("%d instances: warming backends get only %.3f of the load that they could serve", count, least)
 		}
 	}
 }
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -9,15 +9,15 @@
 	"sandyard/decision"
 )
 
-// A warming backend answers faster than all others, so its queue is always the shortest: it must get no more than its capacity
-// share still.
+// A warming backend answers faster than all others, so its queue is always the shortest. It must still get no more than
+// its capacity share.
 func TestWarmingBackendGetsItsShare(t *testing.T) {
 	set := basicSettings()
 	set.SlowStartTime = time.Hour // longer than the test
 	endpoints := upEndpoints(1, 2, 3, 4)
 	endpoints[3].Started = time.Hour
 	driver := startDriver(t, set, time.Hour, endpoints...)
-	got := playRequests(driver, 0, 1000, 5*time.Millisecond, func(s decision.BackendID) (time.Duration, decision.Outcome) {
+	got := sendRequests(driver, 0, 1000, 5*time.Millisecond, func(s decision.BackendID) (time.Duration, decision.Outcome) {
 		if s == 4 {
 			return time.Millisecond, decision.OK // its queue is always the shortest
 		}
@@ -25,13 +25,13 @@
 	})
 	all := got[1] + got[2] + got[3] + got[4]
 	if share := float64(got[4]) / float64(all); share > 3*0.2/3.2*1.1 { // drawn once in three choices by its capacity share
-		t.Errorf("warming backend got %.2f of %d", share, all)
+		t.Errorf("the warming backend got a share of %.2f of %d attempts", share, all)
 	}
 }
 
-// A fleet is replaced at one stroke: the only backend is warming up, and must not be sent all requests, but its share of what a
-// warm one served. With a warm one beside it nothing is rejected for it; where nothing is known yet, requests go out about one
-// after the other.
+// All backends are replaced at once: the only backend is warming up and must not get all requests, but its share of
+// what a warm backend served. With a warm backend beside it, no requests are rejected because of the slow start. If the
+// service rate is not known yet, requests are sent about one at a time.
 func TestFleetReplacedAtOnceIsNotOverloaded(t *testing.T) {
 	set := basicSettings()
 	set.SlowStartTime = time.Hour // longer than the test
@@ -46,17 +46,17 @@
 		driver := startDriver(t, set, time.Hour, endpoints[2])
 		good := func(decision.BackendID) (time.Duration, decision.Outcome) { return time.Millisecond, decision.OK }
 		if c.known {
-			playRequests(driver, 0, 1000, 5*time.Millisecond, good)
+			sendRequests(driver, 0, 1000, 5*time.Millisecond, good)
 		}
 		driver.handle(decision.EndpointsChanged{Full: true, Endpoints: endpoints[:1+c.warm]})
-		got := playRequests(driver, 0, 1000, 5*time.Millisecond, good)
+		got := sendRequests(driver, 0, 1000, 5*time.Millisecond, good)
 		if all := got[1] + got[2]; all < c.least || all > c.most {
-			t.Errorf("%s: %d of 1000 were sent", c.name, all)
+			t.Errorf("%s: %d of 1000 requests were sent", c.name, all)
 		}
 	}
 }
 
-// Where the settings do not say what makes a warming backend fail, nothing is held back.
+// If the settings do not define the load at which a warming backend fails, no attempt is held back.
 func TestReplacedFleetWithoutOverloadLimit(t *testing.T) {
 	for _, change := range []func(*decision.Settings){
 		func(s *decision.Settings) { s.OverloadFactor = 0 },
@@ -68,14 +68,15 @@
 		endpoints := upEndpoints(1)
 		endpoints[0].Started = time.Hour
 		driver := startDriver(t, set, time.Hour, endpoints...)
-		got := playRequests(driver, 0, 1000, 5*time.Millisecond, func(decision.BackendID) (time.Duration, decision.Outcome) { return time.Millisecond, decision.OK })
+		got := sendRequests(driver, 0, 1000, 5*time.Millisecond, func(decision.BackendID) (time.Duration, decision.Outcome) { return time.Millisecond, decision.OK })
 		if got[1] < 990 {
-			t.Errorf("%d of 1000 were sent", got[1])
+			t.Errorf("%d of 1000 requests were sent", got[1])
 		}
 	}
 }
 
-// Two hundred instances learn of a warming backend at once: their first attempts together stay near its capacity share.
+// When two hundred instances learn of a warming backend at the same time, their first attempts together must stay near
+// its capacity share.
 func TestWarmingBackendAndManyInstances(t *testing.T) {
 	endpoints := upEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
 	endpoints[9].Started = time.Hour
@@ -87,14 +88,15 @@
 			toWarming++
 		}
 	}
-	if toWarming > 12 { // 200 * 0.2/9.2 are 4, three times that where its queue looks shortest
-		t.Errorf("the warming one got %d of the first 200", toWarming)
+	if toWarming > 12 { // 200 * 0.2/9.2 are 4, three times that if its queue looks shortest
+		t.Errorf("the warming backend got %d of the first 200 attempts", toWarming)
 	}
 }
 
-// Where few attempts make a warming backend fail, it gets fewer still than its share of them, since chance decides how many come
-// together and what work they are: where five of mean work make it fail, hardly ever more than three come. Nor does the service
-// rate die away because little is sent: instances that hold back learn nothing.
+// If few attempts make a warming backend fail, it must get even fewer than their share, since the number of
+// simultaneous attempts and their work vary at random: if five attempts of mean work make it fail, there are rarely
+// more than three. The estimated service rate must not decay because little is sent: instances that hold attempts back
+// get no samples.
 func TestSlowStartLeavesMarginForChance(t *testing.T) {
 	set := basicSettings()
 	set.SlowStartShare, set.SlowStartTime, set.OverloadFactor, set.OverloadTime = 0.25, time.Hour, 2, time.Second
@@ -108,7 +110,7 @@
 	}
 	var inFlight []attempt
 	var sent []time.Duration
-	play := func(from, to, gap time.Duration) {
+	run := func(from, to, gap time.Duration) {
 		for at := from; at < to; at += gap {
 			driver := instances[rng.IntN(len(instances))]
 			driver.advanceTo(at)
@@ -124,7 +126,7 @@
 		}
 	}
 	const minute = time.Minute
-	play(time.Hour, time.Hour+minute, 100*time.Millisecond) // it serves ten a second
+	run(time.Hour, time.Hour+minute, 100*time.Millisecond) // it serves ten requests per second
 	endpoints := upEndpoints(1)
 	endpoints[0].Started = time.Hour + minute
 	for _, driver := range instances {
@@ -132,7 +134,7 @@
 		driver.handle(decision.EndpointsChanged{Full: true, Endpoints: endpoints})
 	}
 	sent = nil
-	play(time.Hour+minute, time.Hour+6*minute, 25*time.Millisecond)
+	run(time.Hour+minute, time.Hour+6*minute, 25*time.Millisecond)
 	over, window := 0, 0
 	for i, at := range sent {
 		for sent[window] <= at-time.Second {
@@ -143,6 +145,6 @@
 		}
 	}
 	if len(sent) < 90 || len(sent) > 300 || over > 5 {
-		t.Errorf("%d sent in 300 s, where one a second is meant; %d of them as the fourth or later in a second", len(sent), over)
+		t.Errorf("%d attempts in 300 s, want about one per second; %d of them were the fourth or later within a second", len(sent), over)
 	}
 }
--- a/decision/snapshot.go
+++ b/decision/snapshot.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// This file takes a gateway's state as data, table by table; restore.go has the other direction.
+// This file converts a gateway to a State, table by table. restore.go implements the other direction.
 
 func (a *movingAverage) state() AverageState {
 	return AverageState{Value: a.value, Weight: a.weight, Gap: a.gap, At: a.updatedAt}
@@ -29,12 +29,12 @@
 	}
 }
 
-// averages gives the estimator's averages in the order of State.Load.
+// averages returns the estimator's averages in the order of State.Load.
 func (l *loadEstimator) averages() [5]*movingAverage {
 	return [5]*movingAverage{&l.reportedInFlight, &l.reportedCPU, &l.latencyRatio, &l.queuePosition, &l.badShare}
 }
 
-// numbering gives things positions in the order in which they are first met.
+// numbering assigns indexes to values in the order in which they first occur.
 type numbering[T comparable] struct {
 	positions map[T]int
 	all       []T
@@ -61,19 +61,19 @@
 	return keys
 }
 
-// snapshotter turns pointers into positions while a state is taken.
+// snapshotter converts pointers to indexes while a snapshot is taken.
 type snapshotter struct {
 	customers numbering[*customerRecord]
 	backends  numbering[*backendRecord]
 	requests  numbering[*requestRecord]
 }
 
-// Snapshot is the gateway's state between two events. Only the goroutine that owns the gateway may call it; it takes
-// time in proportion to the customers and requests that are known. The error is that of the random source.
+// Snapshot returns the gateway's state between two events. Only the goroutine that owns the gateway may call it. It
+// takes time in proportion to the number of known customers and requests. The error is that of the random source.
 func (g *Gateway) Snapshot() (State, error) {
 	random, err := g.randomSource.MarshalBinary()
 	s := State{Random: random, Now: g.now, InFlight: g.load.inFlight}
-	if !g.settings.Counter { // where a counter is called, nothing goes by it
+	if !g.settings.Counter { // no rule uses it if the counter is used
 		s.StartedAt = g.startedAt
 	}
 	g.load.snapshot(&s)
@@ -88,7 +88,7 @@
 	g.counter.snapshot(&s, &positions)
 	s.SweepPosition = g.quotas.sweepPosition
 	g.endpoints.snapshot(&s, &positions)
-	// Requests refer to customers and backends, so these come last.
+	// Requests refer to customers and backends, so customers and backends are converted after them.
 	for _, request := range positions.requests.all {
 		s.Requests = append(s.Requests, request.state(&positions))
 	}
@@ -101,7 +101,8 @@
 	return s, err
 }
 
-// numberTables gives all that is in the tables its position; what only others refer to follows.
+// numberTables assigns indexes to all records in the tables. Records that are only referenced by others get theirs
+// later.
 func (p *snapshotter) numberTables(g *Gateway, s *State) {
 	for _, customer := range g.quotas.list {
 		p.customers.position(customer)
@@ -216,7 +217,7 @@
 		LastUsedAt:             customer.lastUsedAt,
 		RefilledAt:             customer.refilledAt,
 		Tokens:                 customer.tokens,
-		SplitDraw:              customer.splitDraw,
+		SplitThreshold:         customer.splitThreshold,
 		CeilingTokens:          customer.ceilingTokens,
 		CounterTotal:           customer.counterTotal,
 		CounterTotalAt:         customer.counterTotalAt,
--- a/decision/state.go
+++ b/decision/state.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// This file holds the form of a gateway's state as data, for traces, replays and inspection. Struct tags keep the names
-// under which recorded traces hold the fields; neither they nor the order of the fields may change. Positions in tables
-// stand for pointers; those that may be absent count from 1, and 0 is none.
+// This file defines the serializable state of a gateway, for traces, replays and inspection. Struct tags keep the field
+// names that recorded traces use; neither the tags nor the order of the fields may change. Pointers are represented as
+// indexes into tables. An index that may be absent counts from 1, and 0 means none.
 
-// State is a gateway's whole state between two events. It is taken with Snapshot and given to Restore of the same build.
+// State is the complete state of a gateway between two events. Snapshot returns it, and Restore of the same build
+// accepts it.
 type State struct {
-	Random                  []byte // of the random source
+	Random                  []byte // state of the random source
 	Now                     time.Duration
 	LoadSampledAt           time.Duration     `json:"Sampled"`
-	Load                    [5]AverageState   `json:"Sensor"` // requests in flight, processor use, latency ratio, queue position, bad share
+	Load                    [5]AverageState   `json:"Sensor"` // requests in flight, CPU utilization, latency ratio, queue position, bad share
 	Controllers             []ControllerState `json:"Loops"`
 	InsideShare             []AverageState    `json:"Lets"`    // by plan
 	ClassFailureRate        []AverageState    `json:"Failing"` // by class
@@ -34,65 +35,65 @@
 	CounterCallProbability  float64           `json:"Asking"`
 	CounterOverloadedAt     time.Duration     `json:"Crowded"`
 	InFlight                int               `json:"Open"`
-	StartedAt               time.Duration     `json:"Born,omitempty"` // of the gateway; 0 where a counter is called
+	StartedAt               time.Duration     `json:"Born,omitempty"` // start of the gateway; 0 if the counter is used
 	ProbeTurn               int               `json:"Turn"`
 	SweepPosition           int               `json:"Swept"`
 	WatchPending            bool              `json:"Subscribe"`
-	Customers               []CustomerState   // in the order of sweeping, then those that only others refer to
-	ListedCustomers         int               `json:"Roll"`    // how many of them are swept
-	PendingUseQueue         []int             `json:"Due"`     // customers
-	Backends                []BackendState    `json:"Servers"` // in the order of their numbers, then those that only others refer to
-	KnownBackends           int               `json:"Known"`   // how many of them are in the table
-	UpBackends              []int             `json:"List"`    // backends
-	Requests                []RequestState    // in the order of their numbers, then those that only others refer to
-	KnownRequests           int               `json:"Held"`  // how many of them are in the table
-	CounterCalls            []CallState       `json:"Calls"` // by name, then in order
+	Customers               []CustomerState   // in sweep order, then those that are only referenced by other records
+	ListedCustomers         int               `json:"Roll"`    // number of customers that are swept
+	PendingUseQueue         []int             `json:"Due"`     // indexes into Customers
+	Backends                []BackendState    `json:"Servers"` // by ID, then those that are only referenced by other records
+	KnownBackends           int               `json:"Known"`   // number of backends in the endpoint table
+	UpBackends              []int             `json:"List"`    // indexes into Backends
+	Requests                []RequestState    // by ID, then those that are only referenced by other records
+	KnownRequests           int               `json:"Held"`  // number of requests in the request table
+	CounterCalls            []CallState       `json:"Calls"` // by name, then in the order of the calls
 }
 
-// AverageState is a moving average.
+// AverageState is the state of a moving average.
 type AverageState struct {
 	Value  float64
 	Weight float64
 	Gap    float64       // seconds
-	At     time.Duration // of the last value
+	At     time.Duration // time of the last value
 }
 
-// ControllerState is the controller of one priority.
+// ControllerState is the state of the controller of one priority.
 type ControllerState struct {
 	AdmitRatio   float64 `json:"F"`
 	LastError    float64 `json:"Err"`
 	AdmittedWork float64 `json:"Work"`  // seconds of service
-	OfferedWork  float64 `json:"Asked"` // likewise
+	OfferedWork  float64 `json:"Asked"` // seconds of service
 }
 
-// CustomerState is a customer.
+// CustomerState is the state of a customer.
 type CustomerState struct {
 	ID                     string
-	Instances              float64 `json:"Spread"` // through which it comes in
+	Instances              float64 `json:"Spread"` // instances that receive the customer's requests
 	Plan                   int
 	UsesCounter            bool          `json:"Asks"`
 	PendingUseQueued       bool          `json:"Queued"`
 	LastUsedAt             time.Duration `json:"Used"`
 	RefilledAt             time.Duration `json:"At"`
-	Tokens                 float64       `json:"Level"`            // units left of this instance's split of the quota
-	SplitDraw              float64       `json:"Chance,omitempty"` // share of a request that Tokens must reach where the split is smaller than it
-	CeilingTokens          float64       `json:"Ceiling"`          // units left of its split of the ceiling
-	CounterTotal           float64       `json:"Total"`            // units, use at all instances, faded, as of CounterTotalAt
-	CounterTotalAt         time.Duration `json:"Heard"`            // 0: never
+	Tokens                 float64       `json:"Level"`            // remaining units of this instance's split of the quota
+	SplitThreshold         float64       `json:"Chance,omitempty"` // share of a request's units that Tokens must reach if the full split is smaller than the request
+	CeilingTokens          float64       `json:"Ceiling"`          // remaining units of this instance's split of the ceiling
+	CounterTotal           float64       `json:"Total"`            // units, decayed use at all instances at CounterTotalAt
+	CounterTotalAt         time.Duration `json:"Heard"`            // 0: the counter has given no total yet
 	OverQuotaUntil         time.Duration `json:"Next"`
 	CounterDistrustedUntil time.Duration `json:"Wary"`
-	PendingUse             float64       `json:"Fresh"` // units spent here that were not added to the counter yet
-	RecentDemand           float64       `json:"Seen"`  // units asked for here lately
+	PendingUse             float64       `json:"Fresh"` // units admitted by this instance that were not added to the counter yet
+	RecentDemand           float64       `json:"Seen"`  // units that were requested from this instance lately
 	PendingUseDueAt        time.Duration `json:"AddAt"`
 	InFlight               int           `json:"Open"` // attempts
 }
 
-// BackendState is a backend.
+// BackendState is the state of a backend.
 type BackendState struct {
 	Endpoint            Endpoint        `json:"Entry"`
-	InFlight            int             `json:"Open"` // own attempts
+	InFlight            int             `json:"Open"` // attempts of this instance
 	AnswerDueAt         time.Duration   `json:"Due"`
-	Slowness            float64         // relative to all backends
+	Slowness            float64         // latency per queue position, relative to all backends
 	Failures            []float64       `json:"Fails"` // by class
 	Attempts            []float64       `json:"N"`     // by class
 	OutcomesAt          []time.Duration `json:"HealthAt"`
@@ -103,11 +104,11 @@
 	SlowStartRefilledAt time.Duration   `json:"RoomAt"`
 }
 
-// RequestState is a request.
+// RequestState is the state of a request.
 type RequestState struct {
 	ID              RequestID
 	Class           ClassID
-	Customer        int // position
+	Customer        int // index into State.Customers
 	Units           float64
 	ArrivedAt       time.Duration `json:"Arrived"`
 	Deadline        time.Duration
@@ -115,44 +116,43 @@
 	MayHaveRun      bool `json:"Ran"`
 	Ended           bool
 	Streaming       bool
-	FirstRunBackend int           `json:"RanAt"` // position, from 1
+	FirstRunBackend int           `json:"RanAt"` // index into State.Backends, from 1
 	FirstRunSentAt  time.Duration `json:"RanSent"`
 	CounterName     string        `json:"Name"`
-	CounterWeight   float64       `json:"Weight"` // of a unit
+	CounterWeight   float64       `json:"Weight"` // weight of one unit
 	AddedToCounter  bool          `json:"Told"`
 	RejectReason    RejectReason  `json:"Why"`
 }
 
-// AttemptState is an attempt.
+// AttemptState is the state of an attempt.
 type AttemptState struct {
-	Backend       int           `json:"Server"` // position
+	Backend       int           `json:"Server"` // index into State.Backends
 	SentAt        time.Duration `json:"Sent"`
 	QueuePosition float64       `json:"Place"`
 	Open          bool          // in flight
 }
 
-// CallState is a call of the counter that was not answered yet.
+// CallState is a call of the counter that has not been answered yet.
 type CallState struct {
 	Name         string
-	Customer     int           // position
-	Request      int           // that waits for it: position, from 1
+	Customer     int           // index into State.Customers
+	Request      int           // the request that waits for the reply: index into State.Requests, from 1
 	UnitWeight   float64       `json:"Weight"`
 	PendingUnits float64       `json:"Units"`
 	SentAt       time.Duration `json:"At"`
 }
 
-// ErrStateMismatch is the cause of every error about a state that is not of the settings, or is broken.
-var ErrStateMismatch = errors.New("decision: a state that is not of these settings")
+// ErrStateMismatch is wrapped by every error about a state that does not match the settings or is corrupt.
+var ErrStateMismatch = errors.New("decision: state does not match the settings")
 
-// StateError says which part of a state can't be restored. errors.Is with ErrStateMismatch holds for it, and with the
-// cause if there is another.
+// StateError describes the part of a state that cannot be restored. It wraps ErrStateMismatch and Cause.
 type StateError struct {
 	Table string // field of State
-	Row   int    // position in it; -1: the whole
-	Cause error  // nil: it does not fit the settings or the other tables
+	Row   int    // index into the table; -1: the whole table
+	Cause error  // nil: the row or table does not match the settings or the other tables
 }
 
-// Error names the place and the cause.
+// Error returns a message with the place and the cause.
 func (e *StateError) Error() string {
 	text := fmt.Sprintf("%v: %s", ErrStateMismatch, e.Table)
 	if e.Row >= 0 {
@@ -164,7 +164,7 @@
 	return text
 }
 
-// Unwrap gives ErrStateMismatch and the cause, if there is one.
+// Unwrap returns ErrStateMismatch and the cause, if there is one.
 func (e *StateError) Unwrap() []error {
 	if e.Cause == nil {
 		return []error{ErrStateMismatch}
@@ -172,5 +172,5 @@
 	return []error{ErrStateMismatch, e.Cause}
 }
 
-// mismatch is an error about a row that does not fit; -1 stands for the whole table.
+// mismatch returns an error about a row that does not match; -1 means the whole table.
 func mismatch(table string, row int) error { return &StateError{Table: table, Row: row} }
--- a/decision/text.go
+++ b/decision/text.go
@@ -9,9 +9,10 @@
 //go:embed *.go
 var source embed.FS
 
-// This file gives the identity of the rules: package coreid makes a digest of the text, which traces hold.
+// This file provides the source text that identifies the rules: package coreid computes a digest of it, which traces
+// record.
 
-// Text is the package's own source without its tests, file by file in the order of their names: two builds with the
-// same text decide alike. Any edit changes the text and so the digest, even one of a comment. Files that are added are
-// taken in by themselves.
+// Text returns the source of this package without its tests, in the order of the file names. Two builds with the same
+// text make the same decisions. Every edit changes the text and the digest, even one in a comment. New files are
+// included automatically.
 func Text() string { return sourcetext.Join(source) }
