--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -6,7 +6,7 @@
 	"sandyard/decision"
 )
 
-// The wire's words for values, and what they mean.
+// The words of the wire for values, and their meanings.
 var (
 	endpointStates = map[string]decision.EndpointState{
 		"up":       decision.Up,
@@ -25,11 +25,11 @@
 	}
 )
 
-// markRetry is the bit of an arrival's marks that says that the client has tried before.
+// markRetry is the bit of a request's marks that is set if the client has tried before.
 const markRetry = 2
 
-// eventDecoders read the fields of a message after its instance, in the order of the wire, by the message's name. A
-// field that the decisions have no use for is read and dropped.
+// eventDecoders maps the name of a message to the function that reads the fields after its instance, in the order of
+// the wire. Fields that package decision does not use are read and discarded.
 var eventDecoders = map[string]func(*Reader, *fields) decision.Event{
 	"accept":           decodeArrival,
 	"left":             decodeDisconnect,
@@ -124,7 +124,7 @@
 	return decision.TimerFired{Timer: f.timer("token")}
 }
 
-// decodePeerMessage reads a message of another instance, which the decisions have no use for.
+// decodePeerMessage reads a message of another instance. It returns nil because package decision does not use it.
 func decodePeerMessage(_ *Reader, f *fields) decision.Event {
 	f.int("from")
 	return nil
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -12,14 +12,14 @@
 	"sandyard/internal/sitesettings"
 )
 
-// noTimer is the kind of a timer that the gateway has not set.
+// noTimer is the kind of a timer that the gateway did not set.
 const noTimer decision.TimerKind = -1
 
-// fields takes the parts of a line one by one, in the order of the wire, and keeps the first error. After an error the
-// values that it gives mean nothing.
+// fields reads the parts of a line one by one, in the order of the wire, and keeps the first error. After an error, the
+// returned values are meaningless.
 type fields struct {
 	line  int // in the input, from 1
-	last  int // index of the part taken last; 0 is the message's name
+	last  int // index of the part that was read last; 0 is the message's name
 	parts []string
 	err   error
 }
@@ -36,7 +36,7 @@
 	}
 }
 
-// take returns the next part; "" stands for an absent value.
+// take returns the next part, or "" for an absent value.
 func (f *fields) take(field string) string {
 	f.last++
 	if f.last >= len(f.parts) {
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// rest returns the parts that are not taken yet.
+// rest returns the parts that have not been read yet.
 func (f *fields) rest() []string {
 	if f.last+1 >= len(f.parts) {
 		return nil
@@ -57,16 +57,16 @@
 	return f.parts[f.last+1:]
 }
 
-// text returns the next part, which has to be there.
+// text returns the next part, which is required.
 func (f *fields) text(field string) string {
 	s := f.take(field)
 	if s == "" {
-		f.fail(field, s, "a text")
+		f.fail(field, s, "a non-empty text")
 	}
 	return s
 }
 
-// uint reads a whole number, 0 or more, in a base; it has to be there.
+// uint reads a whole number, 0 or more, in the given base. The value is required.
 func (f *fields) uint(field string, base int) uint64 {
 	s := f.take(field)
 	n, err := strconv.ParseUint(s, base, 64)
@@ -88,7 +88,7 @@
 	return decision.BackendID(n)
 }
 
-// int reads a whole number; absent is 0.
+// int reads a whole number; an absent value is 0.
 func (f *fields) int(field string) int {
 	s := f.take(field)
 	if s == "" {
@@ -101,7 +101,7 @@
 	return n
 }
 
-// float reads a finite number; absent is 0.
+// float reads a finite number; an absent value is 0.
 func (f *fields) float(field string) float64 {
 	s := f.take(field)
 	if s == "" {
@@ -116,7 +116,7 @@
 
 func (f *fields) millis(field string) time.Duration { return sitesettings.Millis(f.float(field)) }
 
-// bool reads 1 or 0; absent is false.
+// bool reads 1 or 0; an absent value is false.
 func (f *fields) bool(field string) bool {
 	switch s := f.take(field); s {
 	case "1":
@@ -128,7 +128,7 @@
 	return false
 }
 
-// load reads a load report; nil stands for an absent one.
+// load reads a load report; an absent report is nil.
 func (f *fields) load(field string) []float64 {
 	s := f.take(field)
 	if s == "" {
@@ -138,15 +138,15 @@
 	for _, p := range strings.Split(s, ",") {
 		x, ok := sitesettings.ParseNumber(p)
 		if !ok {
-			f.fail(field, s, "numbers set apart by commas")
+			f.fail(field, s, "numbers separated by commas")
 		}
 		out = append(out, x)
 	}
 	return out
 }
 
-// timer reads the token of a timer that Writer.Action printed. A token of another form is a timer of no kind, which the
-// gateway ignores.
+// timer reads the token of a timer as Writer.Action prints it. For a token of another form it returns a timer of kind
+// noTimer, which the gateway ignores.
 func (f *fields) timer(field string) decision.Timer {
 	s := f.text(field)
 	kind, id, ok := strings.Cut(s, ".")
@@ -158,7 +158,7 @@
 	return decision.Timer{Kind: decision.TimerKind(k), Request: decision.RequestID(n)}
 }
 
-// word reads one of the wire's words for a value.
+// word reads a value that the wire represents by one of the known words.
 func word[T any](f *fields, field string, known map[string]T) T {
 	s := f.take(field)
 	v, ok := known[s]
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -9,22 +9,22 @@
 	"sandyard/decision"
 )
 
-const bufferBytes = 1 << 16 // of input and output: batches may run to megabytes, most are a few KiB
+const bufferBytes = 1 << 16 // buffer size of input and output: a batch may have several megabytes, most have a few KiB
 
-// Reader parses batches. It belongs to one goroutine.
+// Reader parses batches. It is not safe for concurrent use.
 type Reader struct {
 	in    *bufio.Reader
-	line  int                         // that was read last, from 1
-	lists map[int][]decision.Endpoint // by their number, which the simulator uses again
+	line  int                         // number of the line that was read last, from 1
+	lists map[int][]decision.Endpoint // endpoint lists by number; the simulator reuses numbers
 }
 
-// NewReader reads batches from r.
+// NewReader returns a Reader that reads batches from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, bufferBytes), lists: map[int][]decision.Endpoint{}}
 }
 
-// Next returns the next batch, and blocks until all of it has come. io.EOF says that the input ended between batches; an
-// error of the input's form is a *LineError.
+// Next returns the next batch. It blocks until the batch has been read completely. The error is io.EOF if the input
+// ends between batches, and a *LineError if the input is malformed.
 func (r *Reader) Next() (Batch, error) {
 	var b Batch
 	f, err := r.nextLine()
@@ -55,7 +55,7 @@
 	}
 }
 
-// add takes one line of a batch in.
+// add parses one line of a batch and adds it to the batch.
 func (r *Reader) add(b *Batch, f *fields) error {
 	if f.name() == "census" {
 		return r.endpointList(f)
@@ -76,7 +76,8 @@
 	return &fields{line: r.line, parts: strings.Split(strings.TrimRight(s, "\r\n"), "\t")}, nil
 }
 
-// endpointList reads a numbered list. It replaces the one that had the number; events before it keep that one.
+// endpointList reads a numbered endpoint list. It replaces an earlier list with the same number; earlier events keep
+// the earlier list.
 func (r *Reader) endpointList(f *fields) error {
 	number, rows := f.int("roster-id"), f.int("rows-in")
 	if rows < 0 {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,7 +9,8 @@
 	"sandyard/internal/sitesettings"
 )
 
-// settings reads the settings of an init message: pairs of path=value, of which the last one of a path holds.
+// settings reads the settings of an init message, which are pairs of path=value. If a path is repeated, its last value
+// is used.
 func (f *fields) settings() decision.Settings {
 	pairs := map[string]string{}
 	for _, part := range f.rest() {
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -9,13 +9,13 @@
 	"sandyard/decision"
 )
 
-// initBatch is a batch that starts one instance with some settings.
+// initBatch returns a batch that starts one instance with the settings.
 func initBatch(settings ...string) string {
 	return "clock\t1\ninit\tdoor-0\t51\t" + strings.Join(settings, "\t") + "\nend\n"
 }
 
-// TestAcceptedSettings: the simulator adds keys over time and writes an absent value as "-". An unknown key is
-// ignored, an absent one has its default, and of a repeated one the last value holds.
+// TestAcceptedSettings: the simulator adds keys over time and writes an absent value as "-". An unknown key is ignored,
+// an absent key has its default, and the last value of a repeated key is used.
 func TestAcceptedSettings(t *testing.T) {
 	absent := decision.Settings{Instances: 1, MaxAttempts: 1, SlowStartShare: 1, MaxUnits: 1}
 	for _, c := range []struct {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestRefusedSettings: a fault names the line, the message, the setting, its value and what is expected; of several it
-// names the one that is read first.
+// TestRefusedSettings: the error for an invalid setting contains the line, the message, the setting, its value and the
+// expected form. If several settings are invalid, the error is about the one that is read first.
 func TestRefusedSettings(t *testing.T) {
 	for _, c := range []struct{ settings, want string }{
 		{"bare", `line 2: init: options: "bare": expected path=value`},
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package simwire is the adapter of the simulator's wire: lines of fields, separated by tabs. It parses batches of
-// messages into the events of package decision and prints actions. The wire's own words are known to this package alone;
-// it decides nothing.
+// Package simwire implements the simulator's wire protocol: lines of fields that are separated by tabs. It parses
+// batches of messages into the events of package decision and prints the actions. The words of the protocol are used
+// only in this package. It makes no decisions.
 package simwire
 
 import (
@@ -9,26 +9,26 @@
 	"sandyard/decision"
 )
 
-// Kind says what a Message is.
+// Kind is the kind of a Message.
 type Kind int
 
 // The kinds of messages.
 const (
-	Event Kind = iota // something happened
-	Start             // an instance starts, without a past
-	Stop              // an instance is killed and forgets everything
+	Event Kind = iota // an event for an instance
+	Start             // an instance starts without any state
+	Stop              // an instance is killed and loses its state
 )
 
 // Message is one line of a batch, for one instance.
 type Message struct {
 	Instance string
 	Kind     Kind
-	Event    decision.Event    // with Event; nil for one that means nothing to the decisions
-	Seed     uint64            // with Start
-	Settings decision.Settings // with Start
+	Event    decision.Event    // for kind Event; nil for a message that package decision does not use
+	Seed     uint64            // for kind Start
+	Settings decision.Settings // for kind Start
 }
 
-// Batch is what happened at one time.
+// Batch holds the messages of one time.
 type Batch struct {
 	Now      time.Duration // on the simulator's clock
 	Messages []Message     // in the order of the wire
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestEventsAreDecoded: every message of the wire becomes the event it stands for, with absent values as zero.
+// TestEventsAreDecoded: every message of the wire is decoded to its event, with absent values as zero.
 func TestEventsAreDecoded(t *testing.T) {
 	cases := []struct {
 		line string
@@ -62,7 +62,7 @@
 	}
 }
 
-// A list's number may be used again within a batch: the events before keep the list they named.
+// The number of an endpoint list may be reused within a batch: earlier events keep the list that they referred to.
 func TestEndpointListsResolveInOrder(t *testing.T) {
 	b := read(t, "clock\t1\ncensus\t0\t1\nrow\t-\t0\t0\t5\t0\tup\t1\ndirectory_update\td\trestored\t0\t1\n"+
 		"census\t0\t1\nrow\t6.5\t1\t0\t6\t2\tdraining\t2\ndirectory_update\td\tupdate\t0\t2\nend\n")
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestInitCarriesSettings: an instance starts with the seed and the settings of its init message.
+// TestInitCarriesSettings: an instance is started with the seed and the settings of its init message.
 func TestInitCarriesSettings(t *testing.T) {
 	b := read(t, "clock\t1\ninit\tdoor-0\t51\tme=1\tpeers-total=2\tnew.key=x\tservices.count=1\tservices.0.semantics=dedup\t"+
 		"services.0.dedup-scope=cell\tservices.0.aim-ms=600\tservices.0.value=2\tplans.count=1\tplans.0.refill=1.5\t"+
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestMalformedInputNamesLineAndField: the simulator ends a run on the first error, which has to say where the two sides
-// disagree.
+// TestMalformedInputNamesLineAndField: the simulator ends a run at the first error, so the error must name the line and
+// the field.
 func TestMalformedInputNamesLineAndField(t *testing.T) {
 	cases := []struct{ text, line, field string }{
 		{"tock\t1\n", "line 1", "tock"},
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestErrorsOfInputAreTyped: what runs instances on the wire can tell an input that broke off from one that is wrong, and
-// finds the line and the field without reading the message.
+// TestErrorsOfInputAreTyped: callers can distinguish a truncated input from a malformed one, and get the line and the
+// field from the error without parsing its text.
 func TestErrorsOfInputAreTyped(t *testing.T) {
 	next := func(text string) error {
 		_, err := NewReader(strings.NewReader(text)).Next()
@@ -143,22 +143,22 @@
 	}
 	var line *LineError
 	if err := next("clock\t1\ncensus\t0\t2\n"); !errors.Is(err, ErrInputEnded) || !errors.As(err, &line) || line.Line != 2 {
-		t.Errorf("an input that breaks off: %v", err)
+		t.Errorf("a truncated input: %v", err)
 	}
 	var message *UnexpectedMessageError
 	if err := next("clock\t1\nnews\td\nend\n"); !errors.As(err, &message) || message.Got != "news" || !errors.As(err, &line) || line.Line != 2 {
-		t.Errorf("a message that is none: %v", err)
+		t.Errorf("an unknown message: %v", err)
 	}
 	var field *diagnostic.FieldError
 	if err := next(initBatch("me=x")); !errors.As(err, &field) || *field != (diagnostic.FieldError{Field: "me", Value: "x", Want: "a whole number, 0 or more"}) {
-		t.Errorf("a setting that is no number: %v", err)
+		t.Errorf("a setting that is not a number: %v", err)
 	}
 	if err := next(""); err != io.EOF {
 		t.Errorf("an input that ends between batches: %v", err)
 	}
 }
 
-// TestActionsArePrinted: each action has the form of the wire, with times in milliseconds.
+// TestActionsArePrinted: each action is printed in the form of the wire, with times in milliseconds.
 func TestActionsArePrinted(t *testing.T) {
 	cases := []struct {
 		action decision.Action
@@ -186,7 +186,7 @@
 	}
 }
 
-// A timer comes back as it was set.
+// A timer token decodes to the timer that was set.
 func TestTimerTokenRoundTrip(t *testing.T) {
 	want := decision.Timer{Kind: decision.DeadlineTimer, Request: 0xfedcba9876543210}
 	var out strings.Builder
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -10,13 +10,13 @@
 	"sandyard/decision"
 )
 
-// Writer prints replies, one line for each action. It belongs to one goroutine.
+// Writer prints replies, one line per action. It is not safe for concurrent use.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter writes replies to w.
+// NewWriter returns a Writer that writes replies to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, bufferBytes)} }
 
-// Action prints one action of an instance. Nothing is written before Done, unless the reply is long.
+// Action prints one action of an instance. The output is buffered until Done, unless the buffer becomes full.
 func (w *Writer) Action(instance string, a decision.Action) {
 	switch a := a.(type) {
 	case decision.SendAttempt:
@@ -38,7 +38,7 @@
 	}
 }
 
-// Done ends a reply and writes it out; it may block, and returns the first error of writing.
+// Done ends a reply and flushes the buffer. It may block. It returns the first write error.
 func (w *Writer) Done() error {
 	w.line("done")
 	return w.out.Flush()
