--- a/decision/admission.go
+++ b/decision/admission.go
@@ -21,7 +21,7 @@
 
 const (
 	// controlPeriod is the time between two steps of the controllers: several service times, so that the effect of a
-	// step shows before the next one, and long enough that a fault lasts for few steps.
+	// step shows before the next one and there are few steps during a fault.
 	controlPeriod = 300 * time.Millisecond
 	// controlGainMargin is G of the paper (section 4), the factor by which the gain stays below the critical gain: a
 	// queue integrates, so a larger gain makes the admitted fraction oscillate.
@@ -46,8 +46,8 @@
 type piController struct {
 	admitRatio   float64 // admitted fraction of the customers, 0 to 1
 	lastError    float64
-	admittedWork float64 // work that was admitted lately, in seconds of service
-	offeredWork  float64 // work that was requested lately, in seconds of service
+	admittedWork float64 // work that was admitted recently, in seconds of service
+	offeredWork  float64 // work that was requested recently, in seconds of service
 }
 
 // update adjusts the admitted fraction for one period. available is the utilization that higher priorities leave, share
--- a/decision/attempt_test.go
+++ b/decision/attempt_test.go
@@ -24,10 +24,10 @@
 func TestRejectsRequestsThatWouldBeLate(t *testing.T) {
 	driver := startDriver(t, basicSettings(), 0, upEndpoints(1, 2)...)
 	for range 40 { // the gateway learns that attempts take 100 ms each
-		id, s, ok := driver.request("a", 0, 1)
+		id, backend, ok := driver.request("a", 0, 1)
 		driver.advance(100 * time.Millisecond)
 		if ok {
-			driver.endAttempt(id, s, decision.OK)
+			driver.endAttempt(id, backend, decision.OK)
 		}
 	}
 	sent := 0
--- a/decision/countersync_test.go
+++ b/decision/countersync_test.go
@@ -23,9 +23,9 @@
 	}
 	admit := func() (n int) {
 		for range 40 {
-			if id, s, sent := driver.request("a", 0, 2); sent {
+			if id, backend, sent := driver.request("a", 0, 2); sent {
 				n++
-				driver.endAttempt(id, s, decision.OK)
+				driver.endAttempt(id, backend, decision.OK)
 			}
 		}
 		return n
@@ -56,8 +56,8 @@
 				spike = 0
 			}
 		}
-		if id, s, ok := driver.request("a", 0, 2); ok {
-			driver.endAttempt(id, s, decision.OK)
+		if id, backend, ok := driver.request("a", 0, 2); ok {
+			driver.endAttempt(id, backend, decision.OK)
 			if driver.now > 10*time.Second {
 				late++
 			}
@@ -129,10 +129,10 @@
 			for at := time.Hour; at < time.Hour+time.Minute; at += time.Duration(float64(time.Second) / c.rate) {
 				driver := instances[rng.IntN(len(instances))]
 				driver.advanceTo(at)
-				if id, s, ok := driver.request("a", 0, 100); ok {
+				if id, backend, ok := driver.request("a", 0, 100); ok {
 					sent++
 					driver.advance(20 * time.Millisecond)
-					driver.endAttempt(id, s, decision.OK)
+					driver.endAttempt(id, backend, decision.OK)
 				}
 			}
 			if sent < c.min || sent > c.max {
@@ -159,8 +159,8 @@
 		for i := range 12 {
 			driver := instances[(round*12+i)%len(instances)]
 			driver.advanceTo(time.Hour + time.Duration(round)*100*time.Millisecond)
-			if id, s, ok := driver.request("a", 0, 40); ok {
-				inFlight = append(inFlight, attempt{driver, id, s})
+			if id, backend, ok := driver.request("a", 0, 40); ok {
+				inFlight = append(inFlight, attempt{driver, id, backend})
 			}
 		}
 		if len(inFlight) != 3 {
@@ -189,8 +189,8 @@
 			return decision.OK, sum
 		}
 		for i := range 64 {
-			if id, s, ok := driver.request(fmt.Sprint("c", i%8), 0, 2); ok {
-				driver.endAttempt(id, s, decision.OK)
+			if id, backend, ok := driver.request(fmt.Sprint("c", i%8), 0, 2); ok {
+				driver.endAttempt(id, backend, decision.OK)
 			}
 			driver.advance(10 * time.Millisecond)
 		}
--- a/decision/driver_test.go
+++ b/decision/driver_test.go
@@ -52,14 +52,14 @@
 // handle passes an event to the gateway and returns its actions, followed by the actions that replies of the counter
 // led to.
 func (d *driver) handle(e decision.Event) []decision.Action {
-	did := d.record(d.gateway.Handle(e, d.now))
-	for i := 0; i < len(did) && d.counter != nil; i++ {
-		if a, ok := did[i].(decision.AddToCounter); ok {
+	actions := d.record(d.gateway.Handle(e, d.now))
+	for i := 0; i < len(actions) && d.counter != nil; i++ {
+		if a, ok := actions[i].(decision.AddToCounter); ok {
 			o, total := d.counter(a)
-			did = append(did, d.record(d.gateway.Handle(decision.CounterReplied{Name: a.Name, Outcome: o, Total: total}, d.now))...)
+			actions = append(actions, d.record(d.gateway.Handle(decision.CounterReplied{Name: a.Name, Outcome: o, Total: total}, d.now))...)
 		}
 	}
-	return did
+	return actions
 }
 
 // advanceTo advances the time and fires timers in order.
@@ -86,7 +86,7 @@
 func (d *driver) advance(elapsed time.Duration) { d.advanceTo(d.now + elapsed) }
 
 // request sends a request to the gateway. sent is false if the gateway did not send an attempt at once.
-func (d *driver) request(customer string, class decision.ClassID, spread int) (id decision.RequestID, s decision.BackendID, sent bool) {
+func (d *driver) request(customer string, class decision.ClassID, spread int) (id decision.RequestID, backend decision.BackendID, sent bool) {
 	id = d.nextRequest
 	d.nextRequest++
 	for _, a := range d.handle(decision.RequestArrived{Request: id, Class: class, Customer: customer, TimeLeft: 2 * time.Second,
@@ -99,10 +99,10 @@
 }
 
 // endAttempt ends the latest attempt of a request.
-func (d *driver) endAttempt(id decision.RequestID, s decision.BackendID, o decision.Outcome) []decision.Action {
+func (d *driver) endAttempt(id decision.RequestID, backend decision.BackendID, o decision.Outcome) []decision.Action {
 	n := d.attemptsEnded[id]
 	d.attemptsEnded[id]++
-	return d.handle(decision.AttemptEnded{Request: id, Attempt: n, Backend: s, Outcome: o, Answered: o == decision.OK})
+	return d.handle(decision.AttemptEnded{Request: id, Attempt: n, Backend: backend, Outcome: o, Answered: o == decision.OK})
 }
 
 // upEndpoints lists backends that are up and started long ago.
@@ -160,10 +160,10 @@
 				driver.endAttempt(a.request, a.backend, a.outcome)
 			}
 		}
-		if id, s, ok := driver.request("a", class, 1); ok {
-			got[s]++
-			if took, o := behave(s); took > 0 {
-				inFlight = append(inFlight, attempt{id, s, driver.now + took, o})
+		if id, backend, ok := driver.request("a", class, 1); ok {
+			got[backend]++
+			if took, o := behave(backend); took > 0 {
+				inFlight = append(inFlight, attempt{id, backend, driver.now + took, o})
 			}
 		}
 	}
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -16,7 +16,7 @@
 		other := 3 - first
 		driver.handle(decision.EndpointsChanged{Endpoints: []decision.Endpoint{{Backend: other, State: state}}})
 		for range 30 {
-			if _, s, sent := driver.request("a", 0, 1); sent && s == other {
+			if _, backend, sent := driver.request("a", 0, 1); sent && backend == other {
 				t.Fatalf("sent an attempt to a backend in state %v", state)
 			}
 		}
@@ -33,7 +33,7 @@
 	}
 }
 
-// Backends that had drained before they were removed stayed in the table for ever. Both a change that removes such a
+// Backends that had drained before they were removed stayed in the table forever. Both a change that removes such a
 // backend and a full list without it must delete it.
 func TestDrainedBackendsAreForgotten(t *testing.T) {
 	for name, removal := range map[string]decision.EndpointsChanged{
--- a/decision/ewma.go
+++ b/decision/ewma.go
@@ -50,7 +50,7 @@
 }
 
 // current returns the mean, which decays towards 0 while no values arrive. A gateway that sheds every request gets no
-// reports; without the decay it would act on the last overload for ever and never send an attempt again.
+// reports; without the decay it would act on the last overload forever and never send an attempt again.
 func (a *movingAverage) current(now time.Duration) float64 {
 	return a.value * math.Exp(-(now-a.updatedAt).Seconds()/max(a.fadeTime, a.minSamples*a.gap))
 }
--- a/decision/gateway_test.go
+++ b/decision/gateway_test.go
@@ -27,9 +27,9 @@
 	run := func(from, to int) {
 		for i := from; i < to; i++ {
 			driver.advance(20 * time.Millisecond)
-			id, s, ok := driver.request(fmt.Sprint("customer", i), 0, 2)
+			id, backend, ok := driver.request(fmt.Sprint("customer", i), 0, 2)
 			if ok {
-				driver.endAttempt(id, s, decision.OK)
+				driver.endAttempt(id, backend, decision.OK)
 			}
 			delete(driver.attemptsEnded, id)
 			driver.actions = driver.actions[:0]
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -22,10 +22,10 @@
 		driver := startDriver(t, set, 0, upEndpoints(1, 2)...)
 		rejected := 0
 		for i := range 60 {
-			id, s, ok := driver.request(fmt.Sprint("c", i), 0, 1)
+			id, backend, ok := driver.request(fmt.Sprint("c", i), 0, 1)
 			driver.advance(c.latency)
 			if ok {
-				driver.handle(decision.AttemptEnded{Request: id, Backend: s, Outcome: decision.OK, Latency: c.latency, RoundTrip: c.roundTrip})
+				driver.handle(decision.AttemptEnded{Request: id, Backend: backend, Outcome: decision.OK, Latency: c.latency, RoundTrip: c.roundTrip})
 			} else {
 				rejected++
 			}
@@ -37,16 +37,16 @@
 }
 
 // After a report of a long queue, all requests are rejected, so no more reports arrive. The old report must not count
-// for ever.
+// forever.
 func TestOldQueueReportFades(t *testing.T) {
 	set := basicSettings()
 	set.LoadFields = []decision.LoadField{decision.FieldInFlight}
 	driver := startDriver(t, set, 0, upEndpoints(1, 2)...)
 	for range 12 {
-		id, s, ok := driver.request("a", 0, 1)
+		id, backend, ok := driver.request("a", 0, 1)
 		driver.advance(100 * time.Millisecond)
 		if ok {
-			driver.handle(decision.AttemptEnded{Request: id, Backend: s, Answered: true, Load: []float64{500}})
+			driver.handle(decision.AttemptEnded{Request: id, Backend: backend, Answered: true, Load: []float64{500}})
 		}
 	}
 	if _, _, ok := driver.request("a", 0, 1); ok {
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -10,8 +10,8 @@
 // A backend accepts requests but never answers. Overdue answers must divert requests before the attempts time out.
 func TestHangingBackendIsAvoided(t *testing.T) {
 	driver := startDriver(t, basicSettings(), 0, upEndpoints(1, 2, 3, 4)...)
-	got := sendRequests(driver, 1, 400, 100*time.Millisecond, func(s decision.BackendID) (time.Duration, decision.Outcome) {
-		if s == 1 {
+	got := sendRequests(driver, 1, 400, 100*time.Millisecond, func(backend decision.BackendID) (time.Duration, decision.Outcome) {
+		if backend == 1 {
 			return 0, decision.OK // never
 		}
 		return answersIn50ms()
@@ -24,8 +24,8 @@
 // A backend fails every request at once, so its queue is always the shortest and would attract all requests.
 func TestBackendWithFastErrorsIsAvoided(t *testing.T) {
 	driver := startDriver(t, basicSettings(), 0, upEndpoints(1, 2, 3, 4)...)
-	got := sendRequests(driver, 1, 400, 20*time.Millisecond, func(s decision.BackendID) (time.Duration, decision.Outcome) {
-		if s == 1 {
+	got := sendRequests(driver, 1, 400, 20*time.Millisecond, func(backend decision.BackendID) (time.Duration, decision.Outcome) {
+		if backend == 1 {
 			return time.Millisecond, decision.BackendError
 		}
 		return answersIn50ms()
@@ -54,8 +54,8 @@
 	set := basicSettings()
 	set.Instances = 100
 	driver := startDriver(t, set, 0, upEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
-	got := sendRequests(driver, 1, 400, 200*time.Millisecond, func(s decision.BackendID) (time.Duration, decision.Outcome) {
-		if s == 1 {
+	got := sendRequests(driver, 1, 400, 200*time.Millisecond, func(backend decision.BackendID) (time.Duration, decision.Outcome) {
+		if backend == 1 {
 			return 300 * time.Millisecond, decision.ConnectionReset
 		}
 		return answersIn50ms()
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -106,7 +106,7 @@
 	tokens         float64 // remaining units of the quota; may be negative after an admission at random
 	splitThreshold float64 // share of a request's units that tokens must reach if the full split is smaller than the request
 	ceilingTokens  float64 // remaining units of the ceiling
-	recentDemand   float64 // units that were requested from this instance lately
+	recentDemand   float64 // units that were requested from this instance recently
 
 	// The last reply of the shared counter.
 	counterTotal           float64       // decayed use at all instances at counterTotalAt
--- a/decision/quota_split_test.go
+++ b/decision/quota_split_test.go
@@ -28,9 +28,9 @@
 	// tokens there.
 	splitIdleTime = 60 * time.Second
 
-	// chanceDeviations is the number of standard deviations that a random sum may be off; about one in 16,000 is off by
+	// maxDeviations is the number of standard deviations that a random sum may be off; about one in 16,000 is off by
 	// more.
-	chanceDeviations = 4
+	maxDeviations = 4
 )
 
 // holdsRequest reports whether an instance's split of the burst holds a request. If so, no admission is random.
@@ -93,23 +93,23 @@
 	requested, admitted int
 	restarts            int
 	allowed             float64 // units that the quota allows over the fleet
-	tokensLeft          float64 // sum of the tokens after the last request at each instance
-	variance            float64 // of tokensLeft
+	remainingTokens     float64 // sum of the tokens after the last request at each instance
+	variance            float64 // of remainingTokens
 }
 
-func (s *splitSums) addLeft(b *splitBucket) {
+func (s *splitSums) addRemaining(b *splitBucket) {
 	if !b.hasRequested {
 		return
 	}
-	s.tokensLeft += b.tokens
+	s.remainingTokens += b.tokens
 	if !b.holdsRequest {
-		chance := b.tokens - math.Floor(b.tokens)
-		s.variance += chance * (1 - chance)
+		fraction := b.tokens - math.Floor(b.tokens)
+		s.variance += fraction * (1 - fraction)
 	}
 }
 
 // tolerance returns the random variation that is accepted for the sum of tokens.
-func (s *splitSums) tolerance() float64 { return chanceDeviations * math.Sqrt(s.variance) }
+func (s *splitSums) tolerance() float64 { return maxDeviations * math.Sqrt(s.variance) }
 
 // share returns the admitted share of what the quota and the traffic allow.
 func (s *splitSums) share() float64 {
@@ -155,7 +155,7 @@
 }
 
 func (f *splitFleet) restart(i int, at time.Duration) {
-	f.sums.addLeft(f.instances[i].bucket)
+	f.sums.addRemaining(f.instances[i].bucket)
 	f.sums.restarts++
 	f.start(i, at)
 }
@@ -187,7 +187,7 @@
 // stop adds the remaining tokens of all instances to the sums.
 func (f *splitFleet) stop() {
 	for _, instance := range f.instances {
-		f.sums.addLeft(instance.bucket)
+		f.sums.addRemaining(instance.bucket)
 	}
 }
 
@@ -252,13 +252,13 @@
 // checkAdmitted compares the admitted requests with the tokens that the splits accumulated, and with the quota.
 func (s *splitSums) checkAdmitted(t *testing.T, c splitCase) {
 	t.Helper()
-	accumulated := float64(s.admitted) + s.tokensLeft
+	accumulated := float64(s.admitted) + s.remainingTokens
 	t.Logf("%d requests, %d admitted: %.3f of what the quota allows; accumulated %.1f, tolerance %.1f", s.requested, s.admitted,
 		s.share(), accumulated, s.tolerance())
 	if s.admitted == 0 {
 		t.Error("no request was admitted")
 	}
-	if !c.holdsRequest() && math.Abs(s.tokensLeft) > s.tolerance() {
+	if !c.holdsRequest() && math.Abs(s.remainingTokens) > s.tolerance() {
 		t.Errorf("admitted %d, want %.1f, what the splits accumulated, within %.1f", s.admitted, accumulated, s.tolerance())
 	}
 	restartBurst := float64(s.restarts) * splitBurst / float64(c.instances)
@@ -290,7 +290,7 @@
 				cost := 1 + m*m*late
 				variance := 2*m*m*m*late - m*m*m*m*late*late
 				added := c.rate * splitTime.Seconds()
-				least := (added-float64(n)*(1+m))/cost - chanceDeviations*math.Sqrt(variance*added/(cost*cost*cost))
+				least := (added-float64(n)*(1+m))/cost - maxDeviations*math.Sqrt(variance*added/(cost*cost*cost))
 				t.Logf("admitted %.3f of the tokens that the quota added; long-run share %.3f, minimum for this time %.3f",
 					float64(sums.admitted)/added, 1/cost, least/added)
 				if float64(sums.admitted) < least {
@@ -340,7 +340,7 @@
 				}
 			}
 			// The remaining tokens at an instance have a variance of at most 1/4.
-			slack := c.rate*splitIdleTime.Seconds() + chanceDeviations*math.Sqrt(float64(n))/2
+			slack := c.rate*splitIdleTime.Seconds() + maxDeviations*math.Sqrt(float64(n))/2
 			most := splitBurst + c.rate*horizon.Seconds() + slack
 			if float64(sums.admitted) > most {
 				t.Errorf("admitted %d, want at most %.0f", sums.admitted, most)
--- a/decision/quota_test.go
+++ b/decision/quota_test.go
@@ -18,9 +18,9 @@
 	driver.counter = timesOut
 	sent := 0
 	for range 30 {
-		if id, s, ok := driver.request("a", 0, 2); ok {
+		if id, backend, ok := driver.request("a", 0, 2); ok {
 			sent++
-			driver.endAttempt(id, s, decision.OK)
+			driver.endAttempt(id, backend, decision.OK)
 		}
 	}
 	if sent != 3 {
@@ -58,9 +58,9 @@
 			sent := 0
 			for range 400 {
 				driver.advance(25 * time.Millisecond)
-				if id, s, ok := driver.request("a", 0, c.spread); ok {
+				if id, backend, ok := driver.request("a", 0, c.spread); ok {
 					sent++
-					driver.endAttempt(id, s, decision.OK)
+					driver.endAttempt(id, backend, decision.OK)
 				}
 			}
 			if sent < c.min || sent > c.max {
@@ -83,11 +83,11 @@
 		driver.advanceTo(at)
 		tokens = min(80, tokens+40*(at-last).Seconds())
 		last = at
-		if id, s, ok := driver.request("a", 0, 40); ok {
+		if id, backend, ok := driver.request("a", 0, 40); ok {
 			if tokens--; tokens < -8 {
 				t.Fatalf("the ceiling is exceeded by %v after %v", -tokens, at-time.Hour)
 			}
-			driver.endAttempt(id, s, decision.OK)
+			driver.endAttempt(id, backend, decision.OK)
 		}
 	}
 }
@@ -128,10 +128,10 @@
 	driver.counter = func(decision.AddToCounter) (decision.Outcome, float64) { return decision.Rejected, 0 }
 	sent := 0
 	for range 50 {
-		id, s, ok := driver.request("c", 0, 4)
+		id, backend, ok := driver.request("c", 0, 4)
 		if driver.advance(50 * time.Millisecond); ok {
 			sent++
-			driver.endAttempt(id, s, decision.OK)
+			driver.endAttempt(id, backend, decision.OK)
 		}
 		driver.advance(150 * time.Millisecond)
 	}
--- a/decision/response_test.go
+++ b/decision/response_test.go
@@ -12,10 +12,10 @@
 func TestDeadlineAnswersExactlyOnce(t *testing.T) {
 	for class, fail := range []int{0, 1} {
 		driver := startDriver(t, basicSettings(), 0, upEndpoints(1)...)
-		id, s, _ := driver.request("a", decision.ClassID(class), 1)
+		id, backend, _ := driver.request("a", decision.ClassID(class), 1)
 		driver.advance(2 * time.Second)
-		driver.endAttempt(id, s, decision.TimedOut)
-		driver.endAttempt(id, s, decision.OK) // a second, late report
+		driver.endAttempt(id, backend, decision.TimedOut)
+		driver.endAttempt(id, backend, decision.OK) // a second, late report
 		driver.handle(decision.ClientDisconnected{Request: id})
 		driver.advance(time.Minute)
 		if r, f := countActions[decision.Reject](driver.actions), countActions[decision.Fail](driver.actions); r != 1-fail || f != fail {
@@ -29,11 +29,11 @@
 	set := basicSettings()
 	set.Classes[0].Stream = true
 	driver := startDriver(t, set, 0, upEndpoints(1, 2)...)
-	id, s, _ := driver.request("a", 0, 1)
-	driver.handle(decision.StreamStarted{Request: id, Backend: s})
+	id, backend, _ := driver.request("a", 0, 1)
+	driver.handle(decision.StreamStarted{Request: id, Backend: backend})
 	driver.actions = nil
 	driver.advance(10 * time.Second)
-	driver.endAttempt(id, s, decision.ConnectionReset)
+	driver.endAttempt(id, backend, decision.ConnectionReset)
 	if n := countActions[decision.SendAttempt](driver.actions) + countActions[decision.CancelAttempt](driver.actions); n != 0 {
 		t.Errorf("%d attempts sent or cancelled while the answer was being streamed", n)
 	}
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -33,16 +33,16 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			driver := startDriver(t, basicSettings(), 0, upEndpoints(1, 2, 3)...)
-			id, s, _ := driver.request("a", c.class, 1)
+			id, backend, _ := driver.request("a", c.class, 1)
 			driver.advance(20 * time.Millisecond)
-			did := driver.endAttempt(id, s, c.outcome)
-			if n := countActions[decision.SendAttempt](did); n != c.sends {
+			actions := driver.endAttempt(id, backend, c.outcome)
+			if n := countActions[decision.SendAttempt](actions); n != c.sends {
 				t.Errorf("%d attempts, want %d", n, c.sends)
 			}
-			if n := countActions[decision.Reject](did); n != c.rejects {
+			if n := countActions[decision.Reject](actions); n != c.rejects {
 				t.Errorf("%d rejections, want %d", n, c.rejects)
 			}
-			if n := countActions[decision.Fail](did); n != c.fails {
+			if n := countActions[decision.Fail](actions); n != c.fails {
 				t.Errorf("%d failures, want %d", n, c.fails)
 			}
 		})
@@ -56,19 +56,19 @@
 	zone := map[decision.BackendID]int{1: 0, 2: 0, 3: 1, 4: 1}
 	for range 20 {
 		driver := startDriver(t, basicSettings(), 0, endpoints...)
-		id, s, _ := driver.request("a", 2, 1)
+		id, backend, _ := driver.request("a", 2, 1)
 		driver.advance(10 * time.Millisecond)
-		for _, a := range driver.endAttempt(id, s, decision.BackendError) {
-			if a, ok := a.(decision.SendAttempt); ok && zone[a.Backend] != zone[s] {
-				t.Fatalf("resent from zone %d to %d", zone[s], zone[a.Backend])
+		for _, a := range driver.endAttempt(id, backend, decision.BackendError) {
+			if a, ok := a.(decision.SendAttempt); ok && zone[a.Backend] != zone[backend] {
+				t.Fatalf("resent from zone %d to %d", zone[backend], zone[a.Backend])
 			}
 		}
 	}
 	driver := startDriver(t, basicSettings(), 0, endpoints...)
-	id, s, _ := driver.request("a", 2, 1)
+	id, backend, _ := driver.request("a", 2, 1)
 	driver.advance(1500 * time.Millisecond) // the key has expired
-	did := driver.endAttempt(id, s, decision.BackendError)
-	if countActions[decision.SendAttempt](did) != 0 || countActions[decision.Fail](did) != 1 {
-		t.Errorf("after the key's lifetime: %v, want a failure", did)
+	actions := driver.endAttempt(id, backend, decision.BackendError)
+	if countActions[decision.SendAttempt](actions) != 0 || countActions[decision.Fail](actions) != 1 {
+		t.Errorf("after the key's lifetime: %v, want a failure", actions)
 	}
 }
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -17,8 +17,8 @@
 	endpoints := upEndpoints(1, 2, 3, 4)
 	endpoints[3].Started = time.Hour
 	driver := startDriver(t, set, time.Hour, endpoints...)
-	got := sendRequests(driver, 0, 1000, 5*time.Millisecond, func(s decision.BackendID) (time.Duration, decision.Outcome) {
-		if s == 4 {
+	got := sendRequests(driver, 0, 1000, 5*time.Millisecond, func(backend decision.BackendID) (time.Duration, decision.Outcome) {
+		if backend == 4 {
 			return time.Millisecond, decision.OK // its queue is always the shortest
 		}
 		return 300 * time.Millisecond, decision.OK
@@ -84,7 +84,7 @@
 	toWarming := 0
 	for i, driver := range instances {
 		driver.advanceTo(time.Hour + time.Duration(i)*time.Millisecond)
-		if _, s, ok := driver.request(fmt.Sprint("c", i), 0, 1); ok && s == 10 {
+		if _, backend, ok := driver.request(fmt.Sprint("c", i), 0, 1); ok && backend == 10 {
 			toWarming++
 		}
 	}
@@ -119,8 +119,8 @@
 				inFlight[0].driver.endAttempt(inFlight[0].request, inFlight[0].backend, decision.OK)
 				inFlight = inFlight[1:]
 			}
-			if id, s, ok := driver.request(fmt.Sprint("c", rng.IntN(1000)), 0, 1); ok {
-				inFlight = append(inFlight, attempt{driver, id, s, at + 100*time.Millisecond})
+			if id, backend, ok := driver.request(fmt.Sprint("c", rng.IntN(1000)), 0, 1); ok {
+				inFlight = append(inFlight, attempt{driver, id, backend, at + 100*time.Millisecond})
 				sent = append(sent, at)
 			}
 		}
--- a/decision/state.go
+++ b/decision/state.go
@@ -83,7 +83,7 @@
 	OverQuotaUntil         time.Duration `json:"Next"`
 	CounterDistrustedUntil time.Duration `json:"Wary"`
 	PendingUse             float64       `json:"Fresh"` // units admitted by this instance that were not added to the counter yet
-	RecentDemand           float64       `json:"Seen"`  // units that were requested from this instance lately
+	RecentDemand           float64       `json:"Seen"`  // units that were requested from this instance recently
 	PendingUseDueAt        time.Duration `json:"AddAt"`
 	InFlight               int           `json:"Open"` // attempts
 }
