--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,5 +1,5 @@
 // Package quota describes the state of a customer's quota as one proxy instance sees it, from the state of package
-// decision. It makes no decisions: for a dry run it lets package decision handle a request on a copy of its state. It
+// decision. It makes no decisions: a dry run passes a request to package decision on a copy of its state. It
 // does no I/O.
 package quota
 
@@ -26,7 +26,7 @@
 	SplitCeilingTokens float64 `json:"split_ceiling"` // remaining units of this instance's split of the ceiling
 	CounterTotal       float64 `json:"total"`         // units, decayed use at all instances by the counter's last reply
 	CounterTotalAge    float64 `json:"heard_ago"`     // age of that reply; -1: there was none
-	RecentDemand       float64 `json:"asked_here"`    // units that were requested from this instance lately
+	RecentDemand       float64 `json:"asked_here"`    // units that were requested from this instance recently
 	PendingUse         float64 `json:"untold"`        // units admitted by this instance that were not added to the counter yet
 	InFlight           int     `json:"open"`          // attempts in flight
 	OverQuotaFor       float64 `json:"beyond_for"`    // seconds until the counter may be called again, if the customer was beyond its quota
