--- a/emulator/backend.go
+++ b/emulator/backend.go
@@ -1,6 +1,7 @@
-// Package emulator has the peers that a gateway is tried against: backends and the shared counter. They are models: pure
-// code that is handed times and bytes, without I/O, clocks or goroutines, with one owner each. Sockets and the simulator
-// run the same ones. Times count from an origin that the owner chooses; they must not go back.
+// Package emulator implements the peers that a gateway is tested against: backends and the shared counter. They are models
+// without I/O, clocks or goroutines: their owner, of which each has one, passes times and bytes to them. Package server runs
+// them on sockets, and the simulator runs the same code. Times are relative to an origin that the owner chooses, and must not
+// decrease.
 package emulator
 
 import (
@@ -11,62 +12,62 @@
 	"sandyard/fault"
 )
 
-// workStream keeps the draws of a backend's work apart from other uses of its seed.
+// workStream is the random stream of a backend's work, separate from other uses of the same seed.
 const workStream = 7
 
 // Job is a request as a backend sees it.
 type Job struct {
-	ID            string        // of the request, for the record
-	Key           string        // its idempotency key; "" for none
-	RequestedWork time.Duration // that the client asks for; 0: drawn
+	ID            string        // of the request, for events
+	Key           string        // idempotency key; "" for none
+	RequestedWork time.Duration // work that the client requests; 0: drawn at random
 
 	conn   *BackendConn
-	seq    uint64  // of the connection's requests
-	work   float64 // seconds on a warm core
+	seq    uint64  // number of the request on its connection
+	work   float64 // seconds on a core at full speed
 	endsAt time.Duration
 }
 
-// Conn returns the connection that the job came on.
+// Conn returns the connection on which the request arrived.
 func (j *Job) Conn() *BackendConn { return j.conn }
 
-// Backend is a backend: cores that work on a queue, in slow start at first if SlowStartTime is set, with faults to be set while it runs. Work in
-// progress keeps the end that it was given when the speed changes.
+// Backend is an emulated backend: cores that process a queue of requests. If SlowStartTime is set, it begins in slow start.
+// Faults can be set while it runs. A change of speed does not affect when work in progress ends.
 type Backend struct {
-	Facts func(Fact) // called with everything that happens; may be nil
+	OnEvent func(Event) // called for each event; may be nil
 
 	config       BackendConfig
 	rng          *rand.Rand
 	startedAt    time.Duration
 	queue        []*Job
 	running      []*Job // at most config.Cores
-	delayed      []*Job // done, but their responses are held back
+	delayed      []*Job // done; their responses are delayed by a fault
 	keyExpiry    map[string]time.Duration
 	nextKeySweep time.Duration
 
 	faults    map[fault.Verb]float64
-	stalledAt time.Duration // since when it stands still; 0: it does not
+	stalledAt time.Duration // when the current stall began; 0: not stalled
 
 	collapsed  bool
 	recentWork []arrivedWork    // within the last OverloadTime
-	slowdowns  []slowdownChange // during slow start, in the order of times
+	slowdowns  []slowdownChange // while canCollapse, ordered by time
 }
 
-// NewBackend starts a backend.
+// NewBackend returns a backend that starts at now.
 func NewBackend(c BackendConfig, now time.Duration) *Backend {
 	return &Backend{config: c.withDefaults(), rng: rand.New(rand.NewPCG(c.Seed, workStream)), startedAt: now,
 		keyExpiry: map[string]time.Duration{}, faults: map[fault.Verb]float64{}}
 }
 
-// Refuses reports whether connections are refused, and those there are closed.
-func (b *Backend) Refuses() bool { return b.collapsed || b.faulty(fault.Refuse) }
+// Refuses reports whether the backend refuses new connections and closes the open ones.
+func (b *Backend) Refuses() bool { return b.collapsed || b.hasFault(fault.Refuse) }
 
-// HasCollapsed reports whether the backend collapsed under load; it stays down.
+// HasCollapsed reports whether the backend has collapsed under load. A collapsed backend does not recover.
 func (b *Backend) HasCollapsed() bool { return b.collapsed }
 
-// InFlight returns how many requests the backend holds.
+// InFlight returns the number of requests that are queued, in progress or delayed.
 func (b *Backend) InFlight() int { return len(b.queue) + len(b.running) + len(b.delayed) }
 
-// accept takes a request in. The status is that of an immediate response, or 0 if the request is queued or in work.
+// accept accepts a request. It returns the status of an immediate response, or 0 if the request is queued or in progress.
 func (b *Backend) accept(now time.Duration, j *Job) (status int) {
 	b.emit(now, RequestReceived, j)
 	if share, ok := b.faults[fault.ServerErrors]; ok && b.rng.Float64() < share {
@@ -78,11 +79,11 @@
 			return 200
 		}
 	}
-	j.work = b.drawWork() // also where the client asks for some, so that later draws don't depend on it
+	j.work = b.drawWork() // even if the client requests some work, so that later draws don't depend on that
 	if j.RequestedWork > 0 {
 		j.work = j.RequestedWork.Seconds()
 	}
-	if b.overloads(now, j.work) { // what a full queue rejects was sent all the same
+	if b.recordArrival(now, j.work) { // before the check of the queue: rejected requests count as sent work, too
 		b.collapsed = true
 		b.emit(now, BackendCollapsed, j)
 		return 503
@@ -91,7 +92,7 @@
 		return 503
 	}
 	if j.Key != "" {
-		b.rememberKey(now, j.Key)
+		b.storeKey(now, j.Key)
 	}
 	if j.work == 0 && len(b.faults) == 0 && len(b.queue) == 0 {
 		b.emit(now, RequestExecuted, j)
@@ -102,18 +103,18 @@
 	return 0
 }
 
-// drawWork draws the work of a request in seconds, lognormal about the mean.
+// drawWork draws the work of a request in seconds, from a lognormal distribution with the configured mean.
 func (b *Backend) drawWork() float64 {
 	mean, variation := b.config.Work.Seconds(), b.config.WorkVariation
 	if variation <= 0 || mean == 0 {
 		return mean
 	}
-	variance := math.Log(1 + variation*variation) // of the work's logarithm
+	variance := math.Log(1 + variation*variation) // of the logarithm of the work
 	return mean * math.Exp(b.rng.NormFloat64()*math.Sqrt(variance)-variance/2)
 }
 
-// rememberKey keeps an idempotency key for KeyTTL, and forgets expired ones once in that time.
-func (b *Backend) rememberKey(now time.Duration, key string) {
+// storeKey stores an idempotency key for KeyTTL, and removes expired keys once per KeyTTL.
+func (b *Backend) storeKey(now time.Duration, key string) {
 	b.keyExpiry[key] = now + b.config.KeyTTL
 	if now < b.nextKeySweep {
 		return
@@ -126,9 +127,9 @@
 	}
 }
 
-// startJobs gives idle cores work.
+// startJobs starts queued jobs on idle cores.
 func (b *Backend) startJobs(now time.Duration) {
-	if b.faulty(fault.Hang) || b.stalledAt > 0 {
+	if b.hasFault(fault.Hang) || b.stalledAt > 0 {
 		return
 	}
 	for len(b.running) < b.config.Cores && len(b.queue) > 0 {
@@ -139,19 +140,19 @@
 	}
 }
 
-// Next returns when Advance has something to do; 0: nothing ends by itself.
+// Next returns when Advance must be called next; 0: nothing is due.
 func (b *Backend) Next() time.Duration {
 	if b.stalledAt > 0 || b.collapsed {
 		return 0
 	}
 	var next time.Duration
-	if !b.faulty(fault.Hang) {
+	if !b.hasFault(fault.Hang) {
 		next = earliestEnd(next, b.running)
 	}
 	return earliestEnd(next, b.delayed)
 }
 
-// earliestEnd returns the earliest of a time and the ends of jobs; 0 stands for none.
+// earliestEnd returns the earliest of t and the ends of jobs. A t of 0 stands for none.
 func earliestEnd(t time.Duration, jobs []*Job) time.Duration {
 	for _, j := range jobs {
 		if t == 0 || j.endsAt < t {
@@ -161,14 +162,15 @@
 	return t
 }
 
-// Advance ends what is due, in the order of ends. done is called for each job whose response is to be sent.
+// Advance finishes the jobs that are due, in the order in which they end. It calls done for each job whose response must be
+// sent.
 func (b *Backend) Advance(now time.Duration, done func(*Job)) {
 	if b.stalledAt > 0 || b.collapsed {
 		return
 	}
-	for !b.faulty(fault.Hang) {
+	for !b.hasFault(fault.Hang) {
 		b.startJobs(now)
-		j := b.takeEnded(now)
+		j := b.removeEnded(now)
 		if j == nil {
 			break
 		}
@@ -183,8 +185,8 @@
 	b.releaseDelayed(now, done)
 }
 
-// takeEnded removes the running job that ended first; nil if none has by now.
-func (b *Backend) takeEnded(now time.Duration) *Job {
+// removeEnded removes and returns the running job that ended first, or nil if none has ended by now.
+func (b *Backend) removeEnded(now time.Duration) *Job {
 	ended := -1
 	for i, j := range b.running {
 		if j.endsAt <= now && (ended < 0 || j.endsAt < b.running[ended].endsAt) {
@@ -211,7 +213,7 @@
 	}
 }
 
-// dropQueued drops the queued jobs of a closed connection; work that has begun goes on.
+// dropQueued drops the queued jobs of a closed connection. Jobs in progress continue.
 func (b *Backend) dropQueued(c *BackendConn) {
 	kept := b.queue[:0]
 	for _, j := range b.queue {
@@ -223,7 +225,7 @@
 	b.queue = kept
 }
 
-// loadReport returns what the backend reports: requests held, and the share of its cores in work.
+// loadReport returns the load that the backend reports: requests in flight, and the share of its cores that are busy.
 func (b *Backend) loadReport(now time.Duration) (inFlight, utilization float64) {
 	inFlight, utilization = float64(b.InFlight()), float64(len(b.running))/float64(b.config.Cores)
 	if factor, ok := b.faults[fault.FalseReports]; ok {
--- a/emulator/backend_test.go
+++ b/emulator/backend_test.go
@@ -18,20 +18,20 @@
 
 type recordedBackend struct {
 	*Backend
-	facts []Fact
+	events []Event
 }
 
 func newRecordedBackend(c BackendConfig) *recordedBackend {
 	b := &recordedBackend{}
 	c.Name = "b"
 	b.Backend = NewBackend(c, time.Second)
-	b.Facts = func(f Fact) { b.facts = append(b.facts, f) }
+	b.OnEvent = func(e Event) { b.events = append(b.events, e) }
 	return b
 }
 
-func (b *recordedBackend) count(k FactKind) (n int) {
-	for _, f := range b.facts {
-		if f.Kind == k {
+func (b *recordedBackend) count(k EventKind) (n int) {
+	for _, e := range b.events {
+		if e.Kind == k {
 			n++
 		}
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// A core that worked on two requests at once would hide queues from everything that is tried against the emulator. With one
-// core and one place in the queue, of three requests one works, one waits and one is rejected.
+// A core that worked on two requests at once would hide queueing from every test against the emulator. With one core and a
+// queue of one, of three requests one is in progress, one is queued and one is rejected.
 func TestBackendQueuesBeyondItsCores(t *testing.T) {
 	b := newRecordedBackend(BackendConfig{Cores: 1, Queue: 1, Work: 100 * time.Millisecond})
 	var conns []*BackendConn
@@ -59,16 +59,16 @@
 	}
 	b.advance(time.Second + 150*time.Millisecond)
 	if len(conns[0].Out) == 0 || len(conns[1].Out) != 0 {
-		t.Fatal("one core has worked on both, or on none")
+		t.Fatal("one core worked on both requests, or on neither")
 	}
 	b.advance(2 * time.Second)
 	if len(conns[1].Out) == 0 || b.count(RequestExecuted) != 2 {
-		t.Fatalf("ran %d", b.count(RequestExecuted))
+		t.Fatalf("%d requests executed", b.count(RequestExecuted))
 	}
 }
 
-// A fault that does less than its verb says proves nothing about who survives it. For each verb: what the client sees, and
-// whether the work took place.
+// A test with a fault proves nothing if the fault has less effect than its verb says. For each verb the test checks what the
+// client receives and whether the request was executed.
 func TestBackendFaults(t *testing.T) {
 	feed := func(v fault.Verb, value float64) (*recordedBackend, *BackendConn) {
 		b := newRecordedBackend(BackendConfig{Work: 10 * time.Millisecond})
@@ -95,26 +95,27 @@
 	b.Advance(10*time.Second, func(*Job) {})
 	b.advance(11 * time.Second)
 	if len(c.Out) == 0 {
-		t.Error("a hang that is over leaves its requests without a response")
+		t.Error("no response after the hang has ended")
 	}
 }
 
-// A repeat of an idempotency key must have no second effect while the key is remembered, and must run after that.
+// A repeat of an idempotency key must have no second effect while the key is stored, and must run after that.
 func TestIdempotencyKeyRunsOnceWithinItsTTL(t *testing.T) {
 	b := newRecordedBackend(BackendConfig{KeyTTL: time.Second})
 	c := b.NewConn()
 	c.Feed(time.Second, request("1", "k"))
 	c.Feed(1500*time.Millisecond, request("2", "k"))
 	if b.count(RequestExecuted) != 1 || b.count(RepeatDiscarded) != 1 {
-		t.Fatalf("%+v", b.facts)
+		t.Fatalf("%+v", b.events)
 	}
 	c.Feed(2500*time.Millisecond, request("3", "k"))
 	if b.count(RequestExecuted) != 2 {
-		t.Fatal("a key is remembered for ever")
+		t.Fatal("the key has not expired")
 	}
 }
 
-// A backend in slow start that is sent too much must collapse, or nothing would show that a gateway sends too much.
+// A backend in slow start must collapse when it is sent too much work. Otherwise no test would detect a gateway that sends
+// too much.
 func TestOverloadedBackendCollapsesInSlowStart(t *testing.T) {
 	b := newRecordedBackend(BackendConfig{Cores: 1, Queue: 1000, Work: 100 * time.Millisecond, SlowStartShare: 0.2, SlowStartTime: 10 * time.Second,
 		OverloadFactor: 2, OverloadTime: time.Second})
@@ -122,25 +123,25 @@
 		b.NewConn().Feed(time.Second, request("r", ""))
 	}
 	if n := b.count(RequestReceived); !b.HasCollapsed() || n < 3 || n > 6 {
-		t.Fatalf("collapsed %v after %d requests: 0.4 s of work in a second is its limit", b.HasCollapsed(), n)
+		t.Fatalf("collapsed %v after %d requests: the limit is 0.4 s of work in a second", b.HasCollapsed(), n)
 	}
 }
 
-// Backends that were slowed for some milliseconds once collapsed from work that was sent when they were fast, which nobody
-// could have held back. A slowdown counts once OverloadTime has passed, in which it could be noticed.
+// Backends that were slowed for some milliseconds once collapsed from work that was sent before the slowdown, which no gateway
+// could have avoided. A slowdown counts only after OverloadTime, in which a gateway can notice it.
 func TestSlowdownCountsForCollapseAfterOverloadTime(t *testing.T) {
 	for _, c := range []struct {
-		after     time.Duration // the slowdown began, until the requests come
+		after     time.Duration // from the start of the slowdown to the requests
 		collapsed bool
 	}{{500 * time.Millisecond, false}, {3 * time.Second, true}} {
 		b := newRecordedBackend(BackendConfig{Cores: 1, Queue: 1000, Work: 100 * time.Millisecond, SlowStartShare: 0.5, SlowStartTime: 10 * time.Second,
 			OverloadFactor: 2, OverloadTime: time.Second})
 		b.Set(time.Second, fault.Slow, 4, true)
-		for range 9 { // 0.9 s of work in a second; it could do 1.3 or more, slowed 0.4
+		for range 9 { // 0.9 s of work in a second; the limit is 1.0 s before the slowdown counts and 0.3 s after
 			b.NewConn().Feed(time.Second+c.after, request("r", ""))
 		}
 		if b.HasCollapsed() != c.collapsed {
-			t.Errorf("%v after it was slowed: collapsed %v", c.after, b.HasCollapsed())
+			t.Errorf("%v after the slowdown: collapsed %v", c.after, b.HasCollapsed())
 		}
 	}
 }
--- a/emulator/backendconn.go
+++ b/emulator/backendconn.go
@@ -9,36 +9,36 @@
 	"sandyard/internal/http1"
 )
 
-// maxPipelinedBytes bounds what a client may send behind a request that is in work.
+// maxPipelinedBytes bounds what a client may send behind a request in progress.
 const maxPipelinedBytes = 1 << 20
 
-// maxRequestedWork is in milliseconds: what a client may ask for in X-Work.
+// maxRequestedWork (milliseconds) bounds the work that a client may request in X-Work.
 const maxRequestedWork = 1e6
 
 // BackendConn is a connection to an emulated backend. It responds to one request at a time, in order.
 type BackendConn struct {
-	Out   []byte // for the peer, to be written and cut off by the owner
-	Close bool   // the connection is to be closed once Out is written,
-	Abort bool   // with a reset
+	Out   []byte // output for the peer: the owner writes and truncates it
+	Close bool   // the owner must close the connection once Out is written
+	Abort bool   // with Close: by a reset
 
 	backend   *Backend
 	reader    *http1.Reader
-	head      *http1.Head // of the request in work
-	busy      bool        // a request is in work or queued
-	pipelined []byte      // what came behind it
-	seq       uint64      // of the requests
+	head      *http1.Head // of the current request
+	busy      bool        // a request is in progress or queued
+	pipelined []byte      // bytes received behind that request
+	seq       uint64      // number of the current request
 	closed    bool
 }
 
-// NewConn begins a connection.
+// NewConn returns a new connection.
 func (b *Backend) NewConn() *BackendConn {
 	return &BackendConn{backend: b, reader: http1.NewRequests(http1.Limits{})}
 }
 
-// Busy reports whether a request is in work or queued, so that the connection is not idle.
+// Busy reports whether a request is in progress or queued, so that the connection is not idle.
 func (c *BackendConn) Busy() bool { return c.busy }
 
-// Feed takes bytes in.
+// Feed processes bytes from the peer.
 func (c *BackendConn) Feed(now time.Duration, in []byte) {
 	if c.busy {
 		if c.pipelined = append(c.pipelined, in...); len(c.pipelined) > maxPipelinedBytes {
@@ -73,12 +73,12 @@
 	c.pipelined = append(c.pipelined, in...)
 }
 
-// requestComplete takes a request to the backend. Two fields let a client say what it asks of the emulator: X-Request-Id
-// names the request in the record, X-Work is the work in milliseconds.
+// requestComplete passes a complete request to the backend. Two header fields are for the emulator: X-Request-Id identifies
+// the request in events, and X-Work is its work in milliseconds.
 func (c *BackendConn) requestComplete(now time.Duration) {
 	c.busy = true
-	if c.head.Path == "/load" { // a health check: no work to speak of
-		if !c.backend.faulty(fault.Hang) && c.backend.stalledAt == 0 {
+	if c.head.Path == "/load" { // a health check: negligible work
+		if !c.backend.hasFault(fault.Hang) && c.backend.stalledAt == 0 {
 			c.respond(now, 200)
 		}
 		return
@@ -109,7 +109,7 @@
 	}
 }
 
-// Closed notes that the connection is gone.
+// Closed tells the backend that the connection has been closed.
 func (c *BackendConn) Closed() {
 	if !c.closed {
 		c.closed = true
@@ -117,18 +117,18 @@
 	}
 }
 
-// bodyFiller is what the bodies of responses consist of.
+// bodyFiller is the content of response bodies.
 var bodyFiller = bytes.Repeat([]byte("clay and glaze, "), 4<<10)
 
-// extraResponse is what fault.ExtraResponse sends behind a response.
+// extraResponse is the unsolicited response that fault.ExtraResponse sends behind a response.
 const extraResponse = "HTTP/1.1 200 OK\r\nX-Answers: nobody\r\nContent-Length: 0\r\n\r\n"
 
-// respond ends the request in work with a response, or as a fault says.
+// respond ends the current request with a response, or in the way that a fault defines.
 func (c *BackendConn) respond(now time.Duration, status int) {
 	c.busy = false
 	c.seq++
 	b := c.backend
-	if b.faulty(fault.DropResponse) && status == 200 {
+	if b.hasFault(fault.DropResponse) && status == 200 {
 		c.Close = true
 		return
 	}
@@ -137,7 +137,7 @@
 	if c.head.Method != "HEAD" {
 		c.writeBody()
 	}
-	if b.faulty(fault.ExtraResponse) {
+	if b.hasFault(fault.ExtraResponse) {
 		c.Out = append(c.Out, extraResponse...)
 	}
 	if after, ok := b.faults[fault.ResetResponse]; ok && status == 200 {
@@ -146,8 +146,8 @@
 	}
 }
 
-// writeHead writes a response's head with the load report, the backend's name and the id of the request, so that a client
-// can tell whose response it got.
+// writeHead writes the head of a response with the load report, the backend's name and the id of the request. With the name
+// and the id a client can verify which response it received.
 func (c *BackendConn) writeHead(now time.Duration, status int) {
 	out := http1.AppendStatus(c.Out, status, http1.StatusText(status))
 	out = append(out, "Content-Type: text/plain\r\n"...)
--- a/emulator/backendfault.go
+++ b/emulator/backendfault.go
@@ -17,11 +17,11 @@
 		delete(b.faults, v)
 	}
 	if v == fault.Slow {
-		b.noteSlowdown(now, on)
+		b.recordSlowdown(now, on)
 	}
 }
 
-// setStalled stops or resumes the backend: what was in work goes on where it was.
+// setStalled stops or resumes the backend. Work in progress continues where it stopped.
 func (b *Backend) setStalled(now time.Duration, on bool) {
 	switch {
 	case on && b.stalledAt == 0:
@@ -36,9 +36,9 @@
 	}
 }
 
-func (b *Backend) faulty(v fault.Verb) bool { _, ok := b.faults[v]; return ok }
+func (b *Backend) hasFault(v fault.Verb) bool { _, ok := b.faults[v]; return ok }
 
-// slowdown returns how many times as long work takes as without a fault.
+// slowdown returns the factor by which a fault prolongs work; 1 without a fault.
 func (b *Backend) slowdown() float64 {
 	if factor, ok := b.faults[fault.Slow]; ok && factor > 0 {
 		return factor
--- a/emulator/config.go
+++ b/emulator/config.go
@@ -4,25 +4,25 @@
 
 // Defaults of a BackendConfig.
 const (
-	defaultCores    = 2                // so that requests run side by side and still queue
-	defaultQueue    = 24               // requests: twelve times what works at once
-	defaultKeyTTL   = 10 * time.Second // as long as clients retry, at the least
-	defaultBodySize = 64               // bytes: small beside a head
+	defaultCores    = 2                // so that requests run in parallel and still queue
+	defaultQueue    = 24               // requests: twelve times defaultCores
+	defaultKeyTTL   = 10 * time.Second // at least as long as clients retry
+	defaultBodySize = 64               // bytes: small compared with a head
 )
 
 // BackendConfig describes an emulated backend. The zero value of a field stands for its default.
 type BackendConfig struct {
 	Name           string
-	Cores          int           // that work at once; 2
-	Queue          int           // requests that wait beside those in work; beyond them 503 at once; 24
-	Work           time.Duration // mean work of a request on a warm core; 0 responds at once
+	Cores          int           // requests in progress at a time; 2
+	Queue          int           // requests that wait for a core; further ones get 503 at once; 24
+	Work           time.Duration // mean work of a request on a core at full speed; 0 responds at once
 	WorkVariation  float64       // coefficient of variation of the work; 0: none
-	SlowStartShare float64       // speed at the start, as a share of the warm one; 1
-	SlowStartTime  time.Duration // until it is warm; 0: it is warm at once
-	OverloadFactor float64       // it collapses when sent this multiple of its capacity within OverloadTime; 0: never
+	SlowStartShare float64       // speed at the start, as a share of the full speed; 1
+	SlowStartTime  time.Duration // time until full speed; 0: full speed at once
+	OverloadFactor float64       // the backend collapses when sent this multiple of its capacity within OverloadTime; 0: never
 	OverloadTime   time.Duration
-	KeyTTL         time.Duration // for which repeats of an idempotency key are discarded; 10 s
-	BodySize       int           // bytes of a response's body; 64
+	KeyTTL         time.Duration // how long repeats of an idempotency key are discarded; 10 s
+	BodySize       int           // size of a response body (bytes); 64
 	Seed           uint64
 }
 
--- a/emulator/counter.go
+++ b/emulator/counter.go
@@ -8,28 +8,28 @@
 	"sandyard/internal/resp"
 )
 
-// A counter can go back in time as far as it remembers changes.
+// Bounds on the history of changes, which limits how far a counter can be rolled back.
 const (
-	historyWindow  = 10 * time.Second // generated scripts go back 5 s at most
-	maxChanges     = 1 << 16          // bounds memory under load; older changes are forgotten
-	minTrimChanges = 1024             // fewer are not worth trimming
+	historyWindow  = 10 * time.Second // generated scripts roll back 5 s at most
+	maxChanges     = 1 << 16          // bounds memory under load; older changes are dropped
+	minTrimChanges = 1024             // a shorter history is not worth trimming
 )
 
-// sweepPeriod is how often expired totals are dropped.
+// sweepPeriod is the interval at which expired totals are removed.
 const sweepPeriod = time.Second
 
-// Counter is the shared counter: named totals that can be added to and that expire. It speaks as much of Redis as its
-// clients need: INCRBYFLOAT, PEXPIRE (with NX), PTTL, GET, DEL, DBSIZE, FLUSHALL, PING, ECHO, HELLO 2, CLIENT and SELECT 0.
+// Counter is the shared counter: named totals that can be incremented and that expire. It implements the Redis commands that
+// its clients need: INCRBYFLOAT, PEXPIRE (with NX), PTTL, GET, DEL, DBSIZE, FLUSHALL, PING, ECHO, HELLO 2, CLIENT and SELECT 0.
 type Counter struct {
-	Increments uint64 // INCRBYFLOATs that were counted
+	Increments uint64 // number of executed INCRBYFLOAT commands
 
 	totals    map[string]total
 	nextSweep time.Duration
 	faults    map[fault.Verb]float64
-	history   []totalChange // for Rollback, in the order of times
+	history   []totalChange // for Rollback, ordered by time
 
-	splitTotals map[string]total // what the other side of a split holds; nil while there is none
-	onSplitSide bool             // a command of the other side is carried out
+	splitTotals map[string]total // totals of the other side of a split; nil: no split
+	onSplitSide bool             // a command is being executed on the other side of a split
 }
 
 type total struct {
@@ -37,7 +37,7 @@
 	expires time.Duration // 0: never
 }
 
-// totalChange is what a total was before it was added to.
+// totalChange records the state of a total before an increment.
 type totalChange struct {
 	at       time.Duration
 	name     string
@@ -45,12 +45,12 @@
 	existed  bool
 }
 
-// NewCounter starts an empty counter.
+// NewCounter returns an empty counter.
 func NewCounter() *Counter {
 	return &Counter{totals: map[string]total{}, faults: map[fault.Verb]float64{}}
 }
 
-// Set begins or ends a fault. ResetTotals and Rollback happen at once; the value of Rollback is in milliseconds.
+// Set begins or ends a fault. ResetTotals and Rollback take effect at once. The value of Rollback is in milliseconds.
 func (c *Counter) Set(now time.Duration, v fault.Verb, value float64, on bool) {
 	switch {
 	case v == fault.ResetTotals && on:
@@ -70,26 +70,26 @@
 	}
 }
 
-func (c *Counter) faulty(v fault.Verb) bool { _, ok := c.faults[v]; return ok }
+func (c *Counter) hasFault(v fault.Verb) bool { _, ok := c.faults[v]; return ok }
 
-// Refuses reports whether connections are refused, and those there are closed.
-func (c *Counter) Refuses() bool { return c.faulty(fault.Refuse) }
+// Refuses reports whether the counter refuses new connections and closes the open ones.
+func (c *Counter) Refuses() bool { return c.hasFault(fault.Refuse) }
 
-// Stalled reports whether nothing is read.
-func (c *Counter) Stalled() bool { return c.faulty(fault.Stall) }
+// Stalled reports whether the counter processes no input.
+func (c *Counter) Stalled() bool { return c.hasFault(fault.Stall) }
 
-// Delay returns how much later than at once replies go out.
+// Delay returns by how much replies are delayed.
 func (c *Counter) Delay() time.Duration {
 	return time.Duration(c.faults[fault.Delay] * float64(time.Millisecond))
 }
 
-// Total returns a name's value, 0 if there is none.
+// Total returns the value of a name, or 0 if there is none.
 func (c *Counter) Total(now time.Duration, name string) float64 { return c.get(now, name).value }
 
-// Names returns how many names are held, expired ones that nobody has asked for included.
-func (c *Counter) Names() int { return len(c.totals) }
+// NameCount returns the number of stored names. It includes expired names that have not been removed yet.
+func (c *Counter) NameCount() int { return len(c.totals) }
 
-// get returns a total, and drops it if it has expired.
+// get returns a total. It removes the total if it has expired.
 func (c *Counter) get(now time.Duration, name string) total {
 	t, ok := c.totals[name]
 	if ok && t.expires > 0 && now >= t.expires {
@@ -99,7 +99,7 @@
 	return t
 }
 
-// sweep drops expired totals, once in sweepPeriod.
+// sweep removes expired totals, at most once per sweepPeriod.
 func (c *Counter) sweep(now time.Duration) {
 	if now < c.nextSweep {
 		return
@@ -110,8 +110,9 @@
 	}
 }
 
-// remember keeps what a total is before it changes. The other side of a split is dropped in the end and keeps nothing.
-func (c *Counter) remember(now time.Duration, name string) {
+// recordChange adds a total to the history before it changes. The other side of a split is discarded when the split ends, and
+// has no history.
+func (c *Counter) recordChange(now time.Duration, name string) {
 	if c.onSplitSide {
 		return
 	}
@@ -122,7 +123,7 @@
 	c.history = append(c.history, totalChange{now, name, previous, existed})
 }
 
-// rollBack undoes what was added since a time, as a counter does that is restored from a backup.
+// rollBack undoes the increments since a time, like the restore of a counter from a backup.
 func (c *Counter) rollBack(since time.Duration) {
 	for n := len(c.history); n > 0 && c.history[n-1].at >= since; n-- {
 		if change := c.history[n-1]; change.existed {
@@ -134,8 +135,8 @@
 	}
 }
 
-// onOtherSide carries out something on the other side of a split.
-func (c *Counter) onOtherSide(do func()) {
+// runOnSplitSide calls do with the totals of the other side of a split.
+func (c *Counter) runOnSplitSide(do func()) {
 	c.totals, c.splitTotals, c.onSplitSide = c.splitTotals, c.totals, true
 	do()
 	c.totals, c.splitTotals, c.onSplitSide = c.splitTotals, c.totals, false
@@ -143,18 +144,18 @@
 
 // CounterConn is a connection to an emulated counter.
 type CounterConn struct {
-	Out            []byte  // for the peer, to be written and cut off by the owner
-	Close          bool    // the connection is to be closed once Out is written
-	ClientPosition float64 // where its client stands among all, in [0,1): which side of a split it is on; set by the owner
+	Out            []byte  // output for the peer: the owner writes and truncates it
+	Close          bool    // the owner must close the connection once Out is written
+	ClientPosition float64 // position of the client among all, in [0,1): decides its side of a split; set by the owner
 
 	counter *Counter
 	reader  resp.Reader
 }
 
-// NewConn begins a connection.
+// NewConn returns a new connection.
 func (c *Counter) NewConn() *CounterConn { return &CounterConn{counter: c} }
 
-// Feed takes bytes in.
+// Feed processes bytes from the peer.
 func (c *CounterConn) Feed(now time.Duration, b []byte) {
 	for !c.Close {
 		n, v, complete, err := c.reader.Feed(b)
@@ -167,11 +168,11 @@
 		}
 		begin, counter := len(c.Out), c.counter
 		if counter.splitTotals != nil && c.ClientPosition < counter.faults[fault.Split] {
-			counter.onOtherSide(func() { c.command(now, v) })
+			counter.runOnSplitSide(func() { c.command(now, v) })
 		} else {
 			c.command(now, v)
 		}
-		if counter.faulty(fault.NoReply) {
+		if counter.hasFault(fault.NoReply) {
 			c.Out = c.Out[:begin]
 		}
 	}
@@ -182,7 +183,7 @@
 	c.Close = true
 }
 
-// command carries out a request and writes the reply.
+// command executes a command and appends the reply to Out.
 func (c *CounterConn) command(now time.Duration, v resp.Value) {
 	var args []string
 	for _, a := range v.Items {
--- a/emulator/countercommands.go
+++ b/emulator/countercommands.go
@@ -11,15 +11,15 @@
 	"sandyard/internal/resp"
 )
 
-// maxPrintedName bounds how much of a client's text an error repeats.
+// maxPrintedName (bytes) bounds how much of a client's text an error reply repeats.
 const maxPrintedName = 64
 
-// commandFunc carries out a command, whose name is the first of the arguments, and appends its reply.
+// commandFunc executes a command and appends its reply to out. args[0] is the name of the command.
 type commandFunc func(c *Counter, now time.Duration, out []byte, args []string) []byte
 
-// command is what the counter understands.
+// command describes a command of the counter.
 type command struct {
-	minArgs, maxArgs int // arguments, the name included; maxArgs 0: any number
+	minArgs, maxArgs int // number of arguments, the name included; maxArgs 0: any number
 	run              commandFunc
 }
 
@@ -38,7 +38,7 @@
 	"SELECT":      {2, 2, selectDatabase},
 }
 
-// run carries out a command and appends its reply.
+// run executes a command and appends its reply to out.
 func (c *Counter) run(now time.Duration, out []byte, args []string) []byte {
 	name := strings.ToUpper(args[0])
 	known, ok := commands[name]
@@ -55,14 +55,15 @@
 	return known.run(c, now, out, args)
 }
 
-// namePosition returns where a name stands among all, in [0,1).
+// namePosition returns a position of a name among all, in [0,1), by its hash.
 func namePosition(name string) float64 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return float64(h.Sum32()) / (1 << 32)
 }
 
-// printable returns a client's text as an error line may repeat it.
+// printable returns a client's text in a form that is safe in an error line: shortened, and with ? for other than printable
+// ASCII bytes.
 func printable(s string) string {
 	out := []byte(s[:min(len(s), maxPrintedName)])
 	for i := range out {
@@ -84,7 +85,7 @@
 		return resp.AppendError(out, "ERR value is not a valid float")
 	}
 	t.value = sum
-	c.remember(now, name)
+	c.recordChange(now, name)
 	c.totals[name] = t
 	c.Increments++
 	return resp.AppendBulk(out, formatTotal(sum))
--- a/emulator/facts.go
+++ b/emulator/facts.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Fact is something that happened at a backend, for those who check the rules.
-type Fact struct {
+// Event is something that happened at a backend. Invariant checks use events.
+type Event struct {
 	At      time.Duration
 	Backend string
-	Kind    FactKind
+	Kind    EventKind
 	ID      string // of the request
-	Key     string // its idempotency key; "" for none
+	Key     string // idempotency key; "" for none
 }
 
-// FactKind says what a Fact is. Its values are written to the records of emulated backends.
-type FactKind string
+// EventKind is the kind of an Event. Its values are written to the records of emulated backends.
+type EventKind string
 
-// The kinds of facts.
+// The kinds of events.
 const (
-	RequestReceived  FactKind = "received" // a request has arrived whole
-	RequestExecuted  FactKind = "ran"      // its effect took place
-	RepeatDiscarded  FactKind = "repeated" // it repeats an idempotency key and has no effect
-	BackendCollapsed FactKind = "fell"     // the backend collapsed under load with it
+	RequestReceived  EventKind = "received" // a complete request has arrived
+	RequestExecuted  EventKind = "ran"      // the request has taken effect
+	RepeatDiscarded  EventKind = "repeated" // the request repeats an idempotency key and has no effect
+	BackendCollapsed EventKind = "fell"     // the request made the backend collapse
 )
 
-func (b *Backend) emit(now time.Duration, k FactKind, j *Job) {
-	if b.Facts != nil {
-		b.Facts(Fact{At: now, Backend: b.config.Name, Kind: k, ID: j.ID, Key: j.Key})
+func (b *Backend) emit(now time.Duration, k EventKind, j *Job) {
+	if b.OnEvent != nil {
+		b.OnEvent(Event{At: now, Backend: b.config.Name, Kind: k, ID: j.ID, Key: j.Key})
 	}
 }
--- a/emulator/overload.go
+++ b/emulator/overload.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// A backend in slow start collapses when it is sent OverloadFactor times what it could do within OverloadTime.
+// A backend in slow start collapses when the work that it is sent within OverloadTime exceeds OverloadFactor times its capacity
+// in that time.
 
-// arrivedWork is work that a backend was sent.
+// arrivedWork is the work of a request that a backend was sent.
 type arrivedWork struct {
 	at      time.Duration
-	seconds float64 // on a warm core
+	seconds float64 // on a core at full speed
 }
 
-// slowdownChange is a change of how many times as long work takes.
+// slowdownChange is a change of the factor by which a fault prolongs work.
 type slowdownChange struct {
 	at     time.Duration
 	factor float64
 }
 
-// warmth returns how fast a core works without faults, as a share of a warm one.
-func (b *Backend) warmth(now time.Duration) float64 {
+// slowStartSpeed returns the speed of a core without faults, as a share of its full speed.
+func (b *Backend) slowStartSpeed(now time.Duration) float64 {
 	if b.config.SlowStartTime <= 0 {
 		return 1
 	}
@@ -25,17 +26,17 @@
 	return b.config.SlowStartShare + (1-b.config.SlowStartShare)*min(1, max(0, age))
 }
 
-// speed returns how fast a core works now, as a share of a warm one.
-func (b *Backend) speed(now time.Duration) float64 { return b.warmth(now) / b.slowdown() }
+// speed returns the speed of a core at now, as a share of its full speed.
+func (b *Backend) speed(now time.Duration) float64 { return b.slowStartSpeed(now) / b.slowdown() }
 
-// canCollapse reports whether the backend is still in the time in which too much work makes it collapse.
+// canCollapse reports whether too much work can make the backend collapse: during slow start and OverloadTime after it.
 func (b *Backend) canCollapse(now time.Duration) bool {
 	return now-b.startedAt < b.config.SlowStartTime+b.config.OverloadTime
 }
 
-// noteSlowdown keeps the history of slowdowns. One that begins counts after OverloadTime only, so that the backend does
-// not collapse from what was sent before anybody could notice that it is slow.
-func (b *Backend) noteSlowdown(now time.Duration, on bool) {
+// recordSlowdown adds the current slowdown to the history. The start of a slowdown counts only after OverloadTime, so that the
+// backend does not collapse from work that was sent before a gateway could notice that it is slow.
+func (b *Backend) recordSlowdown(now time.Duration, on bool) {
 	if !b.canCollapse(now) {
 		return
 	}
@@ -49,9 +50,9 @@
 	b.slowdowns = append(b.slowdowns, slowdownChange{at, b.slowdown()})
 }
 
-// overloads adds work that was sent, and reports whether the backend collapses: it compares what was sent within
-// OverloadTime with what the backend could do meanwhile, as if it had stood at its first speed before it started.
-func (b *Backend) overloads(now time.Duration, seconds float64) bool {
+// recordArrival adds the work of a request, in seconds, and reports whether the backend collapses: it compares the work sent
+// within OverloadTime with the backend's capacity in that time. For the time before the start it assumes the initial speed.
+func (b *Backend) recordArrival(now time.Duration, seconds float64) bool {
 	if b.config.OverloadFactor <= 0 || b.config.OverloadTime <= 0 || !b.canCollapse(now) {
 		b.recentWork, b.slowdowns = nil, nil
 		return false
@@ -66,7 +67,7 @@
 	return sum > b.config.OverloadFactor*b.capacity(now)*float64(b.config.Cores)
 }
 
-// capacity returns what a core could do in the last OverloadTime, in seconds of work on a warm core.
+// capacity returns how much work a core could do in the last OverloadTime, in seconds of work at full speed.
 func (b *Backend) capacity(now time.Duration) float64 {
 	from, sum := now-b.config.OverloadTime, 0.0
 	for i := len(b.slowdowns); i >= 0 && now > from; i-- {
@@ -75,7 +76,7 @@
 			since, factor = max(from, b.slowdowns[i-1].at), b.slowdowns[i-1].factor
 		}
 		if since < now {
-			sum += (b.warmth(since) + b.warmth(now)) / 2 * (now - since).Seconds() / factor
+			sum += (b.slowStartSpeed(since) + b.slowStartSpeed(now)) / 2 * (now - since).Seconds() / factor
 			now = since
 		}
 	}
--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -49,11 +49,11 @@
 
 // BackendFact is one line of an emulated backend's record.
 type BackendFact struct {
-	At      int64             `json:"at"` // Unix time in nanoseconds
-	Backend string            `json:"box"`
-	Kind    emulator.FactKind `json:"kind"`
-	ID      string            `json:"id,omitempty"`
-	Key     string            `json:"key,omitempty"`
+	At      int64              `json:"at"` // Unix time in nanoseconds
+	Backend string             `json:"box"`
+	Kind    emulator.EventKind `json:"kind"`
+	ID      string             `json:"id,omitempty"`
+	Key     string             `json:"key,omitempty"`
 }
 
 // Ready is the first line that an emulator prints.
@@ -112,9 +112,9 @@
 func (b emulateBackendCommand) Run(c *Console) error {
 	rec := newLineWriter(c.Out)
 	defer rec.close()
-	var facts func(emulator.Fact)
+	var facts func(emulator.Event)
 	if b.Record {
-		facts = func(f emulator.Fact) {
+		facts = func(f emulator.Event) {
 			rec.write(BackendFact{time.Now().UnixNano(), f.Backend, f.Kind, f.ID, f.Key})
 		}
 	}
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -109,11 +109,11 @@
 // recordFact hands a line of a backend's record to the auditor.
 func (d *Drill) recordFact(line []byte) {
 	var f struct {
-		At      int64             `json:"at"`
-		Backend string            `json:"box"`
-		Kind    emulator.FactKind `json:"kind"`
-		ID      string            `json:"id"`
-		Key     string            `json:"key"`
+		At      int64              `json:"at"`
+		Backend string             `json:"box"`
+		Kind    emulator.EventKind `json:"kind"`
+		ID      string             `json:"id"`
+		Key     string             `json:"key"`
 	}
 	if json.Unmarshal(line, &f) != nil || f.Kind == "" {
 		return
--- a/internal/server/emulatedbackend.go
+++ b/internal/server/emulatedbackend.go
@@ -7,19 +7,19 @@
 	"sandyard/fault"
 )
 
-// EmulatedBackend is package emulator's backend on a TCP socket.
+// EmulatedBackend runs package emulator's backend on a TCP socket.
 type EmulatedBackend struct {
 	emulatedServer
-	backend *emulator.Backend // mu guards it
-	timer   *time.Timer       // of the backend's next step
+	backend *emulator.Backend // guarded by mu
+	timer   *time.Timer       // runs advance when the backend's next job is due
 }
 
-// StartBackend starts a backend on an address (host:port). facts, if given, is called with what happens, under the
-// backend's lock: it must not block. Close ends the backend.
-func StartBackend(addr string, cfg emulator.BackendConfig, facts func(emulator.Fact)) (*EmulatedBackend, error) {
+// StartBackend starts a backend on an address (host:port). onEvent, which may be nil, is called for each event with the
+// backend's lock held: it must not block. Close stops the backend.
+func StartBackend(addr string, cfg emulator.BackendConfig, onEvent func(emulator.Event)) (*EmulatedBackend, error) {
 	b := &EmulatedBackend{emulatedServer: emulatedServer{startTime: time.Now(), conns: map[*emulatorConn]struct{}{}}}
 	b.backend = emulator.NewBackend(cfg, b.now())
-	b.backend.Facts = facts
+	b.backend.OnEvent = onEvent
 	b.timer = time.AfterFunc(time.Hour, b.advance) // scheduleAdvance sets its time
 	b.onAccept = func(ec *emulatorConn) { ec.backend = b.backend.NewConn() }
 	b.onDisconnect = func(ec *emulatorConn) { ec.backend.Closed() }
@@ -35,7 +35,8 @@
 	return b, nil
 }
 
-// Set begins a fault with a value, or ends it. It fails where the address can't be had again after a refusal.
+// Set begins a fault with a value, or ends it. It returns an error if the backend cannot listen on its address again when a
+// refusal ends.
 func (b *EmulatedBackend) Set(v fault.Verb, value float64, on bool) error {
 	b.mu.Lock()
 	b.backend.Set(b.now(), v, value, on)
@@ -47,13 +48,13 @@
 	return nil
 }
 
-// Close stops the backend: its connections close, and responses under way are lost. It waits for the goroutines.
+// Close stops the backend: its connections close, and pending responses are lost. It waits for the goroutines.
 func (b *EmulatedBackend) Close() {
 	b.timer.Stop()
 	b.close()
 }
 
-// advance completes the jobs that are due, and writes their responses. The timer runs it.
+// advance completes the jobs that are due and writes their responses. The timer calls it.
 func (b *EmulatedBackend) advance() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,7 +74,7 @@
 	b.scheduleAdvance()
 }
 
-// scheduleAdvance sets the timer; a backend that has collapsed refuses connections from then on. mu is held.
+// scheduleAdvance sets the timer. If the backend has collapsed, it closes the listener and resets all connections. mu is held.
 func (b *EmulatedBackend) scheduleAdvance() {
 	if b.backend.HasCollapsed() && b.listener != nil {
 		listener := b.listener
@@ -86,7 +87,7 @@
 	}
 }
 
-// write writes what a connection's state machine has for its client; mu is held.
+// write writes the output of a connection's state machine to its client. mu is held.
 func (b *EmulatedBackend) write(ec *emulatorConn) {
 	if len(ec.backend.Out) > 0 {
 		ec.socket.write(ec.backend.Out)
--- a/internal/server/rig_test.go
+++ b/internal/server/rig_test.go
@@ -22,7 +22,7 @@
 	"sandyard/internal/platform"
 )
 
-// newSocketPair is a connection to a peer; nothing reads on either side.
+// newSocketPair returns the two ends of a connection. Nothing reads from either end.
 func newSocketPair(t *testing.T) (*socket, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,23 +38,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := newSocket(c.(*net.TCPConn), 5*time.Second)
+	s, err := newSocket(c.(*net.TCPConn), 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.close(); p.Close() })
-	return l, p.(*net.TCPConn)
+	t.Cleanup(func() { s.close(); p.Close() })
+	return s, p.(*net.TCPConn)
 }
 
-// waitReadable waits until bytes, or an end, are there to be read.
-func waitReadable(t *testing.T, l *socket) {
+// waitReadable waits until bytes or the end of the stream can be read.
+func waitReadable(t *testing.T, s *socket) {
 	t.Helper()
-	if err := l.waitForInput(); err != nil {
+	if err := s.waitForInput(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// clientConnOf waits until the instance has accepted a client's connection, and returns its side of it.
+// clientConnOf waits until the instance has accepted a client's connection, and returns the instance's clientConn.
 func (r *gateway) clientConnOf(c net.Conn) *clientConn {
 	for ; ; runtime.Gosched() {
 		r.server.clientsMu.Lock()
@@ -68,8 +68,8 @@
 	}
 }
 
-// discoveryServer is discovery: it answers each watch with an empty line, and sends what send is given on the watch
-// that stands.
+// discoveryServer is a scripted discovery: it answers each watch with an empty line, and sends the texts from send on the
+// open watch.
 type discoveryServer struct {
 	addr     string
 	send     chan string
@@ -77,29 +77,30 @@
 }
 
 func startDiscovery(t *testing.T) *discoveryServer {
-	l := &discoveryServer{send: make(chan string), requests: make(chan string, 16)}
-	l.addr = startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
+	d := &discoveryServer{send: make(chan string), requests: make(chan string, 16)}
+	d.addr = startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		l.requests <- req.URL.String()
+		d.requests <- req.URL.String()
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-		gone := make(chan struct{})
-		go func() { io.Copy(io.Discard, in); close(gone) }()
+		disconnected := make(chan struct{})
+		go func() { io.Copy(io.Discard, in); close(disconnected) }()
 		for {
 			select {
-			case text := <-l.send:
+			case text := <-d.send:
 				fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
-			case <-gone:
+			case <-disconnected:
 				return
 			}
 		}
 	})
-	return l
+	return d
 }
 
-// startCounter is a counter of the platform's protocol: it adds up every call.
+// startCounter starts a counter that speaks the platform's protocol and executes every call. calls returns the number of
+// calls.
 func startCounter(t *testing.T) (addr string, calls func() int) {
 	var mu sync.Mutex
 	sum, n := map[string]float64{}, 0
@@ -129,7 +130,7 @@
 
 const readyRequest = "GET /ready HTTP/1.1\r\nHost: o\r\nConnection: close\r\n\r\n"
 
-// startNode starts an instance on the platform and waits until it is ready.
+// startNode starts an instance with a platform configuration and waits until it is ready.
 func startNode(t *testing.T, discovery, counter string, sockets int, backend string) *gateway {
 	t.Helper()
 	n, err := platform.ParseConfig(fmt.Appendf(nil, nodeConfig, discovery, counter, sockets, backend))
@@ -144,12 +145,12 @@
 	return r
 }
 
-// nodeRequest is a request of the platform's protocol.
+// nodeRequest returns a request in the platform's protocol.
 func nodeRequest(id int) string {
 	return fmt.Sprintf("GET /api?client=0000000000000001 HTTP/1.1\r\nHost: o\r\nX-Request-Id: %016x\r\nX-Class: look\r\nX-Tier: team\r\nX-Deadline-Ms: 4000\r\nX-Call-Terms: units=1,spread=2,first=0\r\n\r\n", id)
 }
 
-// startNamedBackend is a backend that answers with its name and the id of the request.
+// startNamedBackend starts a backend that answers with its name and the id of the request.
 func startNamedBackend(t *testing.T, name string) string {
 	return startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
 		for {
@@ -163,19 +164,19 @@
 	})
 }
 
-// requireServedBy fails unless a request is served by the backend of that name, by what the event loop has been handed so far:
-// a log record of the watch tells only that a list was handed over.
-func (r *gateway) requireServedBy(id int, by string) {
+// requireServedBy fails unless a request is served by the backend of that name once the event loop has handled all messages
+// queued so far: a log record of the watch only says that a list was posted.
+func (r *gateway) requireServedBy(id int, backend string) {
 	r.Helper()
 	r.waitForLoop()
 	resp := r.exchange(nodeRequest(id), 1)[0]
 	body, _ := io.ReadAll(resp.Body)
-	if want := fmt.Sprintf("%s %016x", by, id); resp.StatusCode != 200 || string(body) != want {
+	if want := fmt.Sprintf("%s %016x", backend, id); resp.StatusCode != 200 || string(body) != want {
 		r.Errorf("request %d: %d %q, want %q", id, resp.StatusCode, body, want)
 	}
 }
 
-// smallWindow makes a connection that takes little before it is read.
+// smallWindow sets a small receive buffer on a connection, for net.Dialer.Control.
 func smallWindow(_, _ string, c syscall.RawConn) error {
 	var err error
 	if e := c.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) }); e != nil {
@@ -193,7 +194,7 @@
   /feed: {get: {x-sandyard-class: feed, responses: {}}}
 `
 
-// gateway is an instance on TCP with what it needs, all in this process.
+// gateway is an instance on TCP, run in the test process.
 type gateway struct {
 	*testing.T
 	dir       string
@@ -202,27 +203,27 @@
 	stop      context.CancelFunc
 	served    chan error
 	server    *Server
-	logOffset int // in the log: what was written before a file was replaced tells nothing of that
-	// beforeServe, if set, is called when the instance listens, before it runs.
+	logOffset int // where waitForLog starts in the log: at the last replacement of a file
+	// beforeServe, if set, is called once the instance listens, before Serve.
 	beforeServe func()
 }
 
-// logBuffer keeps a log and lets a test wait for a record in it.
+// logBuffer stores a log, so that a test can wait for a record in it.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 	more chan struct{}
-	hold *logHold // nil: nobody is held
+	hold *logHold // nil: no goroutine is to be blocked
 }
 
-// logHold holds up the goroutine that logs the next record with a message.
+// logHold blocks the goroutine that logs the next record with a given message.
 type logHold struct {
 	message        string
 	held, released chan struct{}
 }
 
-// holdAt holds up the goroutine that logs the next record with a message, before it is written, until release is called;
-// held is closed once it does. Other goroutines log on.
+// holdAt blocks the goroutine that logs the next record with a given message, before the record is written, until release is
+// called. held is closed once the goroutine is blocked. Other goroutines can still log.
 func (l *logBuffer) holdAt(message string) (held <-chan struct{}, release func()) {
 	hold := &logHold{message: message, held: make(chan struct{}), released: make(chan struct{})}
 	l.mu.Lock()
@@ -231,7 +232,7 @@
 	return hold.held, sync.OnceFunc(func() { close(hold.released) })
 }
 
-// takeHold returns the hold that a record meets, once; nil: none.
+// takeHold removes and returns the hold for a record with a message, or returns nil if there is none.
 func (l *logBuffer) takeHold(message string) *logHold {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -243,7 +244,7 @@
 	return hold
 }
 
-// holdingHandler is a handler of log records that heeds the holds of a logBuffer. It holds no lock meanwhile.
+// holdingHandler is a log handler that applies the hold of a logBuffer. No lock is held while it blocks.
 type holdingHandler struct {
 	slog.Handler
 	log *logBuffer
@@ -269,20 +270,20 @@
 	return len(b), nil
 }
 
-// String is what has been logged.
+// String returns the text logged so far.
 func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// waitForLog waits until the log has a text, behind the last replacement of a file.
-func (r *gateway) waitForLog(what string) {
+// waitForLog waits until the log since the last replacement of a file contains a text.
+func (r *gateway) waitForLog(text string) {
 	r.Helper()
 	limit := time.After(10 * time.Second)
 	for {
 		r.log.mu.Lock()
-		found := strings.Contains(r.log.text.String()[r.logOffset:], what)
+		found := strings.Contains(r.log.text.String()[r.logOffset:], text)
 		r.log.mu.Unlock()
 		if found {
 			return
@@ -290,12 +291,12 @@
 		select {
 		case <-r.log.more:
 		case <-limit:
-			r.Fatalf("not logged: %s", what)
+			r.Fatalf("not logged: %s", text)
 		}
 	}
 }
 
-// endpointsYAML is the text of an endpoint file.
+// endpointsYAML returns the text of an endpoint file.
 func endpointsYAML(addrs ...string) string {
 	if len(addrs) == 0 {
 		return "boxes: []\n"
@@ -307,8 +308,8 @@
 	return s
 }
 
-// replaceFile replaces a file atomically. What was logged before that says nothing of the new one: waitForLog passes
-// over it.
+// replaceFile replaces a file atomically. After that waitForLog ignores older log records, which cannot be about the new
+// file.
 func (r *gateway) replaceFile(name, text string) {
 	r.Helper()
 	r.log.mu.Lock()
@@ -323,13 +324,13 @@
 	}
 }
 
-// startGateway starts an instance with a configuration of three classes, three customers and the given backends.
+// startGateway starts an instance with three classes, three customers and the given backends.
 func startGateway(t *testing.T, counter, limits string, backends ...string) *gateway {
 	t.Helper()
 	return startGatewayOf(t, gatewayText+counter+limits, backends...)
 }
 
-// gatewayText is the configuration of startGateway, without counter and limits.
+// gatewayText is the configuration used by startGateway, without counter and limits.
 const gatewayText = `
 openapi: api.yaml
 door: {number: 0, of: 3}
@@ -348,7 +349,7 @@
 log: {level: debug}
 `
 
-// startGatewayOf starts an instance with a configuration of its own.
+// startGatewayOf starts an instance with the given text of a configuration.
 func startGatewayOf(t *testing.T, text string, backends ...string) *gateway {
 	t.Helper()
 	r := &gateway{T: t, dir: t.TempDir(), log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
@@ -365,7 +366,7 @@
 	return r
 }
 
-// serve runs an instance until the test is over.
+// serve runs an instance until the end of the test.
 func (r *gateway) serve(cfg *config.Config, opt Options) {
 	r.Helper()
 	opt.Log = slog.New(holdingHandler{slog.NewTextHandler(r.log, &slog.HandlerOptions{Level: slog.LevelDebug}), r.log})
@@ -388,13 +389,13 @@
 	})
 }
 
-// startBackend starts an emulated backend for the time of the test.
-func startBackend(t *testing.T, c emulator.BackendConfig, facts func(emulator.Fact)) *EmulatedBackend {
+// startBackend starts an emulated backend, which is closed at the end of the test.
+func startBackend(t *testing.T, c emulator.BackendConfig, onEvent func(emulator.Event)) *EmulatedBackend {
 	t.Helper()
 	if c.Name == "" {
 		c.Name = "b"
 	}
-	b, err := StartBackend("127.0.0.1:0", c, facts)
+	b, err := StartBackend("127.0.0.1:0", c, onEvent)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -402,7 +403,7 @@
 	return b
 }
 
-// startScriptedPeer is a server that a test scripts by hand, one call of handle for each connection.
+// startScriptedPeer starts a server that calls handle for each connection.
 func startScriptedPeer(t *testing.T, handle func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -423,12 +424,12 @@
 	return ln.Addr().String()
 }
 
-// request is the text of a request; more is further header lines, each with its line end.
+// request returns the text of a request. more holds further header lines, each with its line end.
 func request(method, path, key, more string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: h\r\nX-Api-Key: " + key + "\r\n" + more + "\r\n"
 }
 
-// exchange sends bytes on a connection of its own and reads n responses.
+// exchange sends a text on a new connection and reads n responses.
 func (r *gateway) exchange(text string, n int) []*http.Response {
 	r.Helper()
 	conn, err := net.Dial("tcp", r.addr)
@@ -443,7 +444,7 @@
 	for range n {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			r.Fatalf("after %d answers: %v", len(out), err)
+			r.Fatalf("after %d responses: %v", len(out), err)
 		}
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
@@ -455,5 +456,5 @@
 	return out
 }
 
-// status sends a request on a connection of its own and returns the status of its response.
+// status sends a request on a new connection and returns the status of the response.
 func (r *gateway) status(text string) int { r.Helper(); return r.exchange(text, 1)[0].StatusCode }
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -47,7 +47,7 @@
 		s.checker.BackendStarted(b.name, s.now)
 	}
 	b.model = emulator.NewBackend(c, s.now)
-	b.model.Facts = b.recordFact
+	b.model.OnEvent = b.recordFact
 	b.conns = nil
 	b.host.alive, b.host.paused = true, false
 	b.host.accept = b.acceptConn
@@ -84,7 +84,7 @@
 	}
 }
 
-func (b *simBackend) recordFact(f emulator.Fact) {
+func (b *simBackend) recordFact(f emulator.Event) {
 	s := b.sim
 	s.logEvent(string(f.Kind) + " " + f.ID + " " + f.Backend)
 	s.digest(backendFact, nil, string(f.Kind), f.ID, f.Backend)
