--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// minAcceptBackoff is the first wait after the machine had no descriptor or memory for a connection: a response
-	// sooner than that gives one back. The wait doubles up to the most.
+	// minAcceptBackoff is the first delay after accept failed for lack of descriptors or memory: typically a
+	// response completes within this time and frees some. Each further failure doubles the delay, up to maxAcceptBackoff.
 	minAcceptBackoff = 5 * time.Millisecond
-	// maxAcceptBackoff bounds that wait: a client in the backlog still gets its answer within its usual timeout.
+	// maxAcceptBackoff bounds that delay, so that a client in the backlog is still answered within a typical client timeout.
 	maxAcceptBackoff = time.Second
-	// backlogTime is how long accepting goes on after the deadline of the listener: a deadline that has passed ends an
-	// accept although connections lie in the backlog, and those would be reset.
+	// backlogTime is how long the instance accepts connections after the listener's deadline. accept fails once the
+	// deadline has passed, even if the backlog holds connections, and closing the listener would reset those.
 	backlogTime = 50 * time.Millisecond
 )
 
-// accept takes connections until the listener ends. It stops while the queue of the event loop is half full, so that
-// clients wait in the backlog before any is rejected. Only Serve calls it.
+// accept accepts connections until the listener is closed or its deadline and backlogTime have passed. It pauses while the
+// event loop's queue is half full, so that clients wait in the backlog before any is rejected. Only Serve calls it.
 //
-// Its waits do not see a shutdown: connectionsCtx ends, at step 4, only after accept has returned. Each is bounded: the
-// backoff by maxAcceptBackoff, waitForClientSlot by clientSlotTimeout, waitForQueueSpace by how soon the event loop takes its queue.
+// A shutdown does not interrupt its waits, because connectionsCtx is cancelled in step 4, after accept has returned. Each
+// wait is bounded: the backoff by maxAcceptBackoff, waitForClientSlot by clientSlotTimeout, and waitForQueueSpace by the time
+// until the event loop takes its queue.
 func (s *Server) accept() error {
 	backoff, deadlinePassed := minAcceptBackoff, false
 	for {
@@ -35,7 +36,7 @@
 		case err == nil:
 			backoff = minAcceptBackoff
 			s.serveClient(conn)
-		case isShortage(err):
+		case isTemporaryAcceptError(err):
 			s.log.Warn("accept", "error", err, "again_in", backoff.String())
 			select {
 			case <-time.After(backoff):
@@ -53,8 +54,8 @@
 	}
 }
 
-// waitForQueueSpace returns when less than half of limits.queue messages wait for the event loop. That the loop, or
-// connectionsCtx, has ended would also end the wait, but both end only after accept, its one caller, has returned.
+// waitForQueueSpace waits until fewer than half of limits.queue messages are queued for the event loop. The end of the
+// loop or of connectionsCtx would also end the wait, but both come only after accept, the only caller, has returned.
 func (s *Server) waitForQueueSpace() {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
@@ -63,18 +64,20 @@
 	}
 }
 
-// isShortage reports errors of accept that pass: no descriptors or memory left, or a client that left the backlog.
-func isShortage(err error) bool {
-	for _, passing := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
-		if errors.Is(err, passing) {
+// isTemporaryAcceptError reports whether accept may succeed later: the process or the machine is out of descriptors or
+// memory, or a client disconnected while it was in the backlog.
+func isTemporaryAcceptError(err error) bool {
+	for _, temporary := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
+		if errors.Is(err, temporary) {
 			return true
 		}
 	}
 	return false
 }
 
-// serveClient starts the goroutine of an accepted connection, or rejects it where limits.connections are open and none
-// makes room. It waits for clientSlotTimeout at most, and counts the connection in shared.ClientConns until it is closed.
+// serveClient starts the goroutine of an accepted connection. It rejects the connection if limits.connections are open and
+// none of them can be evicted. It blocks for at most clientSlotTimeout. The connection counts in shared.ClientConns until it
+// is closed.
 func (s *Server) serveClient(conn *net.TCPConn) {
 	cc, err := s.newClientConn(conn)
 	if err != nil {
@@ -99,8 +102,9 @@
 	})
 }
 
-// makeRoomFor makes room for a connection beyond limits.connections, and reports whether there is any; else the connection
-// is rejected. One that was silent in the backlog for firstRequestTime is closed: it would be the first to make room.
+// makeRoomFor tries to evict an idle connection in favour of a new one beyond limits.connections, and reports whether the
+// new one may be served. Otherwise it rejects the new connection. A connection that sent nothing for firstRequestTime in the
+// backlog is closed without a response: it would be the first to be evicted.
 func (s *Server) makeRoomFor(cc *clientConn) bool {
 	age := tcpinfo.InputAge(cc.socket.raw)
 	if age >= firstRequestTime && !hasInput(cc.socket.raw) {
@@ -115,7 +119,8 @@
 	return false
 }
 
-// rejectClient answers a connection beyond the limit, or closes it unread where maxRejectedConnections are being answered.
+// rejectClient sends an error response on a connection beyond the limit. If maxRejectedConnections are already being
+// rejected, it closes the connection unread.
 func (s *Server) rejectClient(conn *net.TCPConn) {
 	if s.shared.ClientConns.Load() > int64(s.cfg.Limits.Connections)+maxRejectedConnections {
 		s.shared.ClientConns.Add(-1)
@@ -130,8 +135,9 @@
 	})
 }
 
-// rejectConnection writes a response and closes the connection. What the client has sent is read, a little and for
-// lingeringCloseTimeout at most: closing over unread bytes is a reset, which can take the response along.
+// rejectConnection writes a response and closes the connection. Before that it reads a limited amount of what the client
+// sent, for at most lingeringCloseTimeout: closing a socket with unread bytes resets the connection, and the client may then
+// lose the response.
 func rejectConnection(conn *net.TCPConn, response []byte) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(lingeringCloseTimeout))
@@ -140,7 +146,7 @@
 	}
 	conn.CloseWrite()
 	var unread [512]byte
-	for range rejectedReads {
+	for range maxRejectedReads {
 		if _, err := conn.Read(unread[:]); err != nil {
 			return
 		}
--- a/internal/server/backendconn.go
+++ b/internal/server/backendconn.go
@@ -13,20 +13,20 @@
 // backendConn is the TCP side of a connection to a backend. Its goroutine reads; the event loop writes and closes.
 type backendConn struct {
 	server       *Server
-	conn         *proxy.BackendConn // the instance's side
+	conn         *proxy.BackendConn // the instance's state of the connection
 	cancel       context.CancelFunc // of the dial
-	streamPermit chan bool          // buffered, capacity 1: whether the response that has started may stream, or is not wanted
-	received     responseReceived   // the one that may be queued; of the reading goroutine until it is posted
+	streamPermit chan bool          // buffered, capacity 1: whether the response that has started may be streamed
+	received     responseReceived   // the message that may be queued; used only by the reading goroutine until it is posted
 
-	// mu guards all below, and what responses holds.
+	// mu guards all fields below and the state of responses.
 	mu        sync.Mutex
 	responses *proxy.ResponseReader
 	socket    *socket         // nil until the dial has succeeded
-	exchange  *proxy.Exchange // whose response is awaited
-	closed    bool            // closed by the event loop, or its end was posted: nothing more is posted
+	exchange  *proxy.Exchange // the exchange whose response is awaited
+	closed    bool            // closed by the event loop, or the end of the connection was posted: nothing more is posted
 }
 
-// dialBackend starts the goroutine of a new connection, which dials for limits.connect-timeout at most.
+// dialBackend starts the goroutine of a new connection. The dial times out after limits.connect-timeout.
 func (s *Server) dialBackend(conn *proxy.BackendConn) {
 	ctx, cancel := context.WithTimeout(s.connectionsCtx, time.Duration(s.cfg.Limits.ConnectTimeout))
 	bc := &backendConn{server: s, conn: conn, cancel: cancel, responses: proxy.NewResponseReader(s.shared),
@@ -38,7 +38,7 @@
 	})
 }
 
-// dialTCP connects to an address (host:port). It blocks until ctx ends at most.
+// dialTCP connects to an address (host:port). It blocks until the connection is established or ctx ends.
 func dialTCP(ctx context.Context, addr string, writeTimeout time.Duration) (*socket, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -51,10 +51,10 @@
 	return socket, err
 }
 
-// run dials and reads until the connection ends.
+// run dials the backend and reads until the connection ends.
 func (bc *backendConn) run(ctx context.Context) {
 	socket, err := dialTCP(ctx, bc.conn.Addr, time.Duration(bc.server.cfg.Limits.WriteTimeout))
-	if !bc.begin(socket, err) {
+	if !bc.handleDialResult(socket, err) {
 		if err == nil {
 			socket.close()
 		}
@@ -68,15 +68,15 @@
 	}
 }
 
-// begin reports how the dial went, unless the event loop has closed the connection meanwhile. It reports whether there is a
-// connection to read.
-func (bc *backendConn) begin(socket *socket, err error) bool {
+// handleDialResult posts the result of the dial, unless the event loop has closed the connection in the meantime. It reports
+// whether the connection is established and must be read.
+func (bc *backendConn) handleDialResult(socket *socket, err error) bool {
 	bc.mu.Lock()
 	if bc.closed || err != nil {
-		reported := bc.closed
+		closedBefore := bc.closed
 		bc.closed = true
 		bc.mu.Unlock()
-		if !reported {
+		if !closedBefore {
 			bc.postLostRequestIncomplete()
 		}
 		return false
@@ -87,7 +87,7 @@
 	return true
 }
 
-// readOnce waits for bytes and hands on what came of them; false ends the connection.
+// readOnce waits for bytes and handles the result of the read. It returns false if the connection must be closed.
 func (bc *backendConn) readOnce(socket *socket) bool {
 	b, err := socket.read()
 	bc.mu.Lock()
@@ -96,7 +96,7 @@
 		return false
 	}
 	exchange := bc.exchange
-	if exchange == nil { // its end, or bytes without a request: it is of no use, and awaits no response
+	if exchange == nil { // the end of an idle connection, or bytes without a request: it cannot be used any more
 		bc.closed = true
 		bc.mu.Unlock()
 		bc.postLostRequestIncomplete()
@@ -104,10 +104,10 @@
 	}
 	response := bc.parseLocked(b, err)
 	bc.mu.Unlock()
-	return bc.handOn(exchange, response) && err == nil
+	return bc.handleResponse(exchange, response) && err == nil
 }
 
-// parseLocked feeds what a read returned to the state machine, and ends the exchange where its response is over.
+// parseLocked passes the result of a read to the state machine, and clears the exchange when its response has ended.
 func (bc *backendConn) parseLocked(b []byte, err error) proxy.Response {
 	var response proxy.Response
 	switch err {
@@ -127,9 +127,10 @@
 	return response
 }
 
-// handOn gives the event loop what it decides on, and the body of a streamed response to its client. It blocks while the
-// event loop has not permitted the stream, and while the client has too much to take. False ends the connection.
-func (bc *backendConn) handOn(exchange *proxy.Exchange, response proxy.Response) bool {
+// handleResponse posts a response to the event loop, or passes the body of a streamed response to its client. It blocks until
+// the event loop permits a stream, and while too many bytes are buffered for the client. It returns false if the connection
+// must be closed.
+func (bc *backendConn) handleResponse(exchange *proxy.Exchange, response proxy.Response) bool {
 	switch response.Kind {
 	case proxy.Complete:
 		bc.postResponse(response)
@@ -149,7 +150,7 @@
 	case proxy.Malformed:
 		if bc.socket.closeAndFlushed() {
 			bc.postResponse(response)
-		} else { // not all of the request was handed to the kernel: see write
+		} else { // not all of the request was handed to the kernel; see write
 			bc.postLostRequestIncomplete()
 		}
 		return false
@@ -166,7 +167,7 @@
 	}
 }
 
-// setStreamDeadline ends a stream from which nothing comes for limits.stream-silence.
+// setStreamDeadline sets a read deadline that ends a stream if the backend sends nothing for limits.stream-silence.
 func (bc *backendConn) setStreamDeadline() {
 	bc.socket.conn.SetReadDeadline(time.Now().Add(time.Duration(bc.server.cfg.Limits.StreamIdleTimeout)))
 }
@@ -180,13 +181,13 @@
 	bc.server.post(backendLostRequestIncomplete{bc.conn})
 }
 
-// write sends a request. Only the event loop calls it; it never blocks. A connection with unread bytes, which would be
-// taken for the response, or one that fails at once, before all of the request was handed to the kernel, is closed and
-// reported by backendLostRequestIncomplete. The attempt is counted as not run, also where a part of the request went out:
-// that assumes that backends act only on complete requests.
+// write sends a request. Only the event loop calls it; it never blocks. If the connection has unread bytes, which would be
+// taken for the response, or fails before all of the request was handed to the kernel, it is closed and reported by
+// backendLostRequestIncomplete. The attempt then counts as not run, even if a part of the request was sent. This assumes that
+// backends act only on complete requests.
 func (bc *backendConn) write(exchange *proxy.Exchange, request []byte) {
 	bc.mu.Lock()
-	if bc.closed { // its end is queued for the event loop, by backendLostRequestIncomplete
+	if bc.closed { // backendLostRequestIncomplete is queued for the event loop
 		bc.mu.Unlock()
 		return
 	}
@@ -204,7 +205,7 @@
 	}
 }
 
-// close closes the connection, or ends its dial; nothing more is posted of it. Only the event loop calls it; it never
+// close closes the connection or cancels its dial. Nothing more is posted about it. Only the event loop calls it; it never
 // blocks.
 func (bc *backendConn) close() {
 	bc.mu.Lock()
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// lingeringCloseTimeout is how long a client that still sends is read after its last response: some round trips.
+	// lingeringCloseTimeout is how long the server reads from a client that still sends after its last response: some round
+	// trips.
 	lingeringCloseTimeout = time.Second
-	// maxLingeringCloseBytes (256 KiB) bounds what is read then: what a client may have under way on a usual network.
+	// maxLingeringCloseBytes (256 KiB) bounds what is read in that time: what a client may have in flight on a typical network.
 	maxLingeringCloseBytes = 256 << 10
-	// maxUnwrittenClientBytes (64 KiB) is what is kept for a client that has not taken it. A streamed response pauses
-	// there, and so does the reading of further requests.
+	// maxUnwrittenClientBytes (64 KiB) is how many unwritten bytes are buffered for a slow client. Beyond it a streamed
+	// response pauses, and further requests are not read.
 	maxUnwrittenClientBytes = 64 << 10
-	// maxIdleOutputBytes (16 KiB) is the largest output buffer that a connection keeps between responses; thousands of idle
-	// connections would hold the memory of their largest response otherwise.
+	// maxIdleOutputBytes (16 KiB) is the largest output buffer that a connection keeps between responses. Without the bound,
+	// thousands of idle connections would each hold the memory of their largest response.
 	maxIdleOutputBytes = 16 << 10
 )
 
-// inThePast is a read deadline that ends a read at once, and all that follow.
-var inThePast = time.Unix(1, 0)
+// expiredDeadline is a read deadline that has passed: it ends the read in progress and all later ones at once.
+var expiredDeadline = time.Unix(1, 0)
 
-// clientConn is the TCP side of a client's connection. Its goroutine reads; whoever has something for the client (the
-// event loop, the reader of a backend that streams) writes.
+// clientConn is the TCP side of a client connection. Its own goroutine, the reader, reads. The event loop and, for a streamed
+// response, the reader of the backend connection write.
 //
-// Only the reader ends it: closing over bytes that were not read is a reset, which can take the last response along.
-// Others ask for the end by requestClose.
+// Only the reader closes the connection: closing a socket with unread bytes resets the connection, and the client may then
+// lose the last response. Other goroutines call requestClose.
 type clientConn struct {
 	server *Server
 	socket *socket
 
-	// mu guards all below, and what client holds.
+	// mu guards all fields below and the state of client.
 	mu             sync.Mutex
-	readable       sync.Cond // on mu: signalled when reading may go on
+	readable       sync.Cond // on mu: signalled when the reader may continue
 	client         *proxy.ClientConn
-	readDeadline   time.Duration // that is set at the socket; 0: none
-	closed         bool          // the last bytes are written, or the client has left: the reader is to close the socket
-	lingers        bool          // with closed: the reader first reads and drops what comes, for lingeringCloseTimeout
-	closeRequested bool          // the reader is to close the connection if no part of a request has been read
-	evicted        bool          // the reader closes it without lingering, to make room for a new client
+	readDeadline   time.Duration // the deadline set on the socket; 0: none
+	closed         bool          // the last bytes are written, or the client has disconnected: the reader must close the socket
+	linger         bool          // with closed: the reader first reads and discards input, for lingeringCloseTimeout
+	closeRequested bool          // the reader must close the connection if no part of a request has been read
+	evicted        bool          // the reader closes the connection without lingering, to make room for a new client
 }
 
-// newClientConn sets up an accepted connection; its run has not begun.
+// newClientConn creates the clientConn of an accepted connection. The caller starts run.
 func (s *Server) newClientConn(conn *net.TCPConn) (*clientConn, error) {
 	socket, err := newSocket(conn, time.Duration(s.cfg.Limits.WriteTimeout))
 	if err != nil {
@@ -59,7 +60,7 @@
 	return cc, nil
 }
 
-// run reads until the connection is over. It owns the connection's end.
+// run reads until the connection ends, and closes it.
 func (cc *clientConn) run() {
 	defer cc.socket.releaseBuffer()
 	defer cc.socket.close()
@@ -75,8 +76,8 @@
 	}
 }
 
-// prepareRead waits while more than maxUnwrittenClientBytes are kept for the client, sets the read deadline, and reports
-// whether the connection is to be closed instead of read.
+// prepareRead waits while more than maxUnwrittenClientBytes are buffered for the client, sets the read deadline, and reports
+// whether the connection must be closed instead of read.
 func (cc *clientConn) prepareRead() (closed bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -87,7 +88,7 @@
 	return cc.closed
 }
 
-// handleRead feeds what a read returned to the state machine; false: the client has disconnected.
+// handleRead passes the result of a read to the state machine. It returns false if the connection has ended.
 func (cc *clientConn) handleRead(b []byte, err error) bool {
 	now := cc.server.now()
 	cc.mu.Lock()
@@ -100,7 +101,7 @@
 	case isTimeout(err) && !cc.socket.closedOrFailed():
 		cc.readDeadline = 0
 		cc.server.expiredReads.Add(1)
-		cc.socket.clearReadDeadline() // a deadline that has passed would end every read from now on at once
+		cc.socket.clearReadDeadline() // an expired deadline would end every further read at once
 		cc.client.DeadlinePassed(now)
 		cc.advance(now, nil)
 	default:
@@ -113,9 +114,9 @@
 	return true
 }
 
-// closeIfIdle ends a connection that was asked to end, if no part of a request has been read by now. What has come and is
-// unread is read first: a request that came before the end is answered. mu is held, and the reader calls it, so that
-// nothing is read and then dropped.
+// closeIfIdle closes a connection after requestClose if no part of a request has been read. It first reads what has arrived:
+// a request that arrived before the close is answered. Only the reader calls it, with mu held, so that no bytes are read and
+// then discarded.
 func (cc *clientConn) closeIfIdle(now time.Duration) {
 	cc.closeRequested, cc.readDeadline = false, 0
 	cc.socket.clearReadDeadline()
@@ -133,20 +134,20 @@
 	cc.advance(now, nil)
 }
 
-// closeGracefully shuts the sending side and reads what the client still sends, within lingeringCloseTimeout and
-// maxLingeringCloseBytes. run closes the connection then. One whose response broke off is reset: the client must not take
-// the end for that of a response without a length.
+// closeGracefully closes the sending side and then reads and discards what the client still sends, within
+// lingeringCloseTimeout and maxLingeringCloseBytes. After that run closes the connection. If a response was aborted, the
+// connection is reset instead: the client must not mistake the close for the end of a response without a length.
 func (cc *clientConn) closeGracefully() {
 	cc.mu.Lock()
-	lingers := cc.lingers && !cc.evicted
-	resets := cc.client.MustReset()
+	linger := cc.linger && !cc.evicted
+	reset := cc.client.MustReset()
 	cc.mu.Unlock()
-	if resets {
+	if reset {
 		cc.socket.conn.SetLinger(0)
 		return
 	}
 	cc.socket.conn.CloseWrite()
-	if !lingers || cc.socket.closedOrFailed() {
+	if !linger || cc.socket.closedOrFailed() {
 		return
 	}
 	cc.socket.conn.SetReadDeadline(time.Now().Add(lingeringCloseTimeout))
@@ -159,8 +160,8 @@
 	}
 }
 
-// setReadDeadline sets the read deadline when the one that is set would come too late. One that comes too early ends a
-// read, and handleRead sets the next: so a busy connection sets none from request to request. mu is held.
+// setReadDeadline sets the socket's read deadline if none is set or the one that is set is too late. One that is too early is
+// left: when it passes, handleRead sets the next. A busy connection thus does not set a deadline for each request. mu is held.
 func (cc *clientConn) setReadDeadline() {
 	deadline := cc.client.Deadline()
 	if deadline != 0 && !cc.closeRequested && (cc.readDeadline == 0 || cc.readDeadline > deadline) {
@@ -169,8 +170,8 @@
 	}
 }
 
-// advance posts a request that the state machine has completed, writes what it has for the client, and goes on with
-// requests that came ahead, until nothing is left to do or the client takes no more. mu is held.
+// advance posts a request that the state machine has read completely, writes the state machine's output, and continues with
+// pipelined requests, until nothing is left to do or the client is slow to accept the output. mu is held.
 func (cc *clientConn) advance(now time.Duration, request *proxy.Exchange) {
 	for {
 		if request != nil {
@@ -180,8 +181,8 @@
 			cc.client.RejectOverload(now, request)
 		}
 		cc.writeOutput()
-		cc.logOwnResponses()                // a log that is held up must not hold up the response
-		if cc.socket.unwrittenBytes() > 0 { // flushed goes on
+		cc.logOwnResponses()                // after the write: a blocked log must not delay the response
+		if cc.socket.unwrittenBytes() > 0 { // flushed continues later
 			break
 		}
 		if cc.beginCloseIfFinished() {
@@ -199,7 +200,7 @@
 	cc.readable.Signal()
 }
 
-// logOwnResponses logs the responses that the connection has given without the instance. mu is held.
+// logOwnResponses logs the local responses that the connection sent without involving the instance. mu is held.
 func (cc *clientConn) logOwnResponses() {
 	if cc.server.debug {
 		for _, status := range cc.client.LocalStatuses {
@@ -209,7 +210,7 @@
 	cc.client.LocalStatuses = cc.client.LocalStatuses[:0]
 }
 
-// writeOutput writes what the state machine has for the client. mu is held.
+// writeOutput writes the state machine's output to the client. mu is held.
 func (cc *clientConn) writeOutput() {
 	if len(cc.client.Outgoing) == 0 {
 		return
@@ -221,22 +222,22 @@
 	}
 }
 
-// beginCloseIfFinished reports whether the connection is over, and then ends the read under way, or prepareRead's wait, so
-// that the reader closes it. mu is held, and nothing is unwritten.
+// beginCloseIfFinished reports whether the connection is finished. If so, it ends the read in progress or the wait in
+// prepareRead, so that the reader closes the connection. mu is held, and no bytes are unwritten.
 func (cc *clientConn) beginCloseIfFinished() bool {
-	closes, lingers := cc.client.Closing()
-	if !closes || len(cc.client.Outgoing) > 0 {
+	closing, linger := cc.client.Closing()
+	if !closing || len(cc.client.Outgoing) > 0 {
 		return false
 	}
 	if !cc.closed {
-		cc.closed, cc.lingers = true, lingers
-		cc.socket.conn.SetReadDeadline(inThePast)
+		cc.closed, cc.linger = true, linger
+		cc.socket.conn.SetReadDeadline(expiredDeadline)
 		cc.readable.Signal()
 	}
 	return true
 }
 
-// flushed goes on once a slow client has taken what was kept for it. The socket's flusher calls it.
+// flushed continues after a slow client has accepted the buffered bytes. The socket's flush goroutine calls it.
 func (cc *clientConn) flushed() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -248,27 +249,27 @@
 	cc.advance(cc.server.now(), nil)
 }
 
-// respond writes a whole response, and reports false for an exchange that has one, or whose client has left. closes says that
-// its head announces the connection's end. It does not block.
-func (cc *clientConn) respond(now time.Duration, exchange *proxy.Exchange, response []byte, closes bool) bool {
+// respond writes a complete response. It returns false if the exchange already has a response or its client has disconnected.
+// closeAfterResponse says that the response's head announces the close of the connection. It does not block.
+func (cc *clientConn) respond(now time.Duration, exchange *proxy.Exchange, response []byte, closeAfterResponse bool) bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	responded := cc.client.Respond(now, exchange, response, closes)
+	responded := cc.client.Respond(now, exchange, response, closeAfterResponse)
 	cc.advance(now, nil)
 	return responded
 }
 
-// startStream writes the beginning of a streamed response. closes says that only the connection's end can end it. It does
-// not block.
-func (cc *clientConn) startStream(now time.Duration, exchange *proxy.Exchange, beginning []byte, closes bool) {
+// startStream writes the beginning of a streamed response. closeAfterResponse says that the close of the connection marks the
+// end of the response. It does not block.
+func (cc *clientConn) startStream(now time.Duration, exchange *proxy.Exchange, beginning []byte, closeAfterResponse bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	cc.client.BeginResponse(exchange, beginning, closes)
+	cc.client.BeginResponse(exchange, beginning, closeAfterResponse)
 	cc.advance(now, nil)
 }
 
-// continueStream writes more of a streamed response, and blocks while the client has maxUnwrittenClientBytes or more to
-// take: the backend's connection is not read meanwhile. The reader of that connection calls it.
+// continueStream writes the next part of a streamed response, and blocks while maxUnwrittenClientBytes or more are buffered
+// for the client: the backend connection is not read in that time. The reader of the backend connection calls it.
 func (cc *clientConn) continueStream(now time.Duration, exchange *proxy.Exchange, part []byte) {
 	cc.mu.Lock()
 	cc.client.ContinueResponse(exchange, part)
@@ -285,7 +286,7 @@
 	cc.advance(now, nil)
 }
 
-// abortStream ends the connection of a streamed response that broke off. It does not block.
+// abortStream closes the client connection of a streamed response that was aborted. It does not block.
 func (cc *clientConn) abortStream(now time.Duration, exchange *proxy.Exchange) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -293,8 +294,8 @@
 	cc.advance(now, nil)
 }
 
-// requestClose asks the reader to close the connection if it is idle. A request that comes before that is answered. Any
-// goroutine may call it; it does not block.
+// requestClose tells the reader to close the connection if it is idle. A request that arrives before the close is answered.
+// Any goroutine may call it; it does not block.
 func (cc *clientConn) requestClose() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -304,6 +305,6 @@
 func (cc *clientConn) requestCloseLocked() {
 	if cc.client.Idle() && !cc.closed && !cc.closeRequested {
 		cc.closeRequested = true
-		cc.socket.conn.SetReadDeadline(inThePast)
+		cc.socket.conn.SetReadDeadline(expiredDeadline)
 	}
 }
--- a/internal/server/clientconn_test.go
+++ b/internal/server/clientconn_test.go
@@ -15,9 +15,8 @@
 	"sandyard/emulator"
 )
 
-// TestExpiredReadDeadlineEndsOneRead: a read deadline passed while a response was awaited, and was left in place: every
-// further read ended at once, and the reader spun on a processor until the response came. The deadline must end one
-// read.
+// TestExpiredReadDeadlineEndsOneRead: a read deadline passed while a response was awaited, and was not cleared. Every further
+// read ended at once, and the reader spun until the response arrived. An expired deadline must end only one read.
 func TestExpiredReadDeadlineEndsOneRead(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{Work: 300 * time.Millisecond}, nil)
 	r := startGateway(t, "", "limits: {first-timeout: 50ms}\n", b.Addr())
@@ -25,16 +24,16 @@
 		t.Fatalf("%d", s)
 	}
 	if n := r.server.expiredReads.Load(); n > 2 {
-		t.Errorf("%d reads ended by a deadline while one answer was awaited", n)
+		t.Errorf("%d reads ended at a deadline while one response was awaited", n)
 	}
 }
 
-// TestRequestDuringIdleCloseIsAnswered: a server that closes an idle connection can meet a request on its way, and its
-// client sees a reset. A request that comes while a connection is asked to close, read or not yet read, must be
-// answered before it closes.
+// TestRequestDuringIdleCloseIsAnswered: when a server closes an idle connection while a request is in flight, the client sees
+// a reset. A request that arrives while the close of its connection is requested must be answered before the connection
+// closes, whether it has been read or not.
 func TestRequestDuringIdleCloseIsAnswered(t *testing.T) {
-	count, _ := startCounter(t)
-	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
+	counter, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, counter, 64, startNamedBackend(t, "a"))
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -44,11 +43,11 @@
 	cc := r.clientConnOf(c)
 	for id := 1; id <= 3; id++ {
 		cc.mu.Lock()
-		if id == 3 { // the reader wakes before the bytes are there
+		if id == 3 { // the reader wakes before the bytes arrive
 			cc.requestCloseLocked()
 		}
 		io.WriteString(c, nodeRequest(id))
-		if id == 2 { // the reader has the bytes, or will find them
+		if id == 2 { // the reader has the bytes or is about to read them
 			cc.requestCloseLocked()
 		}
 		cc.mu.Unlock()
@@ -62,13 +61,13 @@
 	}
 	cc.requestClose()
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection that is asked to close: %v", err)
+		t.Errorf("an idle connection after requestClose: %v", err)
 	}
 }
 
-// TestLingeringCloseDeliversLastResponse: a connection that is closed over unread bytes is reset, and the client's
-// kernel then drops what it has not handed over yet. Bytes behind the last request, while a part of its response is on
-// its way, must not take the response along.
+// TestLingeringCloseDeliversLastResponse: closing a socket with unread bytes resets the connection, and the client's kernel
+// then discards data that the client has not read. A client that sends bytes after its last request, while the response is
+// still being delivered, must receive the whole response.
 func TestLingeringCloseDeliversLastResponse(t *testing.T) {
 	body := strings.Repeat("x", 60<<10)
 	backend := startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
@@ -77,8 +76,8 @@
 			in.ReadByte()
 		}
 	})
-	count, _ := startCounter(t)
-	r := startNode(t, startDiscovery(t).addr, count, 64, backend)
+	counter, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, counter, 64, backend)
 	d := net.Dialer{Control: smallWindow}
 	c, err := d.Dial("tcp", r.addr)
 	if err != nil {
@@ -87,7 +86,7 @@
 	defer c.Close()
 	io.WriteString(c, strings.Replace(nodeRequest(1), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
 	cc := r.clientConnOf(c)
-	for done := false; !done; runtime.Gosched() { // the answer is the kernel's, most of it not taken
+	for done := false; !done; runtime.Gosched() { // the kernel has the response, most of which the client has not read
 		cc.mu.Lock()
 		done = cc.closed
 		cc.mu.Unlock()
@@ -102,8 +101,8 @@
 	}
 }
 
-// TestAdmitsWithinQuotaAndRejectsBeyond: a customer with a burst of 3 sends 6 requests: three are served, the rest
-// rejected with 429, and another customer is not affected.
+// TestAdmitsWithinQuotaAndRejectsBeyond: a customer with a burst of 3 sends 6 requests. Three are served and the rest are
+// rejected with 429. Another customer is not affected.
 func TestAdmitsWithinQuotaAndRejectsBeyond(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
 	r := startGateway(t, "", "", b.Addr())
@@ -118,12 +117,12 @@
 		t.Errorf("%s", body)
 	}
 	if s := r.status(request("GET", "/look", "ka", "")); s != 200 {
-		t.Errorf("another studio: %d", s)
+		t.Errorf("another customer: %d", s)
 	}
 }
 
-// TestPipelinedRequestsAreAnsweredInOrder: 100 requests come in one write, one of them for an unknown route. All
-// responses must come, in order.
+// TestPipelinedRequestsAreAnsweredInOrder: a client sends 100 requests in one write, one of them for an unknown route. It must
+// receive all responses in order.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{Work: time.Millisecond}, nil)
 	r := startGateway(t, "", "", b.Addr())
@@ -131,13 +130,13 @@
 		strings.Repeat(request("GET", "/look", "ka", ""), 39)
 	for i, resp := range r.exchange(text, 100) {
 		if want := map[bool]int{true: 404, false: 200}[i == 60]; resp.StatusCode != want {
-			t.Errorf("answer %d: %d", i, resp.StatusCode)
+			t.Errorf("response %d: %d", i, resp.StatusCode)
 		}
 	}
 }
 
-// TestLargeResponsesAndSlowClients: a response far larger than what is held must arrive whole. A client that takes
-// nothing of one must hold up nobody else, and is disconnected after limits.write-timeout.
+// TestLargeResponsesAndSlowClients: a response far larger than the buffers must arrive completely. A client that does not read
+// its response must not delay others, and is disconnected after limits.write-timeout.
 func TestLargeResponsesAndSlowClients(t *testing.T) {
 	const size = 16 << 20
 	b := startBackend(t, emulator.BackendConfig{BodySize: size}, nil)
@@ -153,25 +152,25 @@
 	}
 	defer conn.Close()
 	io.WriteString(conn, request("GET", "/look", "ka", ""))
-	if _, err := io.ReadFull(conn, make([]byte, 1000)); err != nil { // its answer flows
+	if _, err := io.ReadFull(conn, make([]byte, 1000)); err != nil { // the response has started
 		t.Fatal(err)
 	}
 	r.replaceFile("boxes.yaml", endpointsYAML(small.Addr()))
 	r.waitForLog("boxes=1")
 	for range 20 {
 		if s := r.status(request("GET", "/look", "ka", "")); s != 200 {
-			t.Errorf("beside a slow reader: %d", s)
+			t.Errorf("request during a slow client's response: %d", s)
 		}
 	}
 	r.waitForLog("client took too long")
 	conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if n, err := io.Copy(io.Discard, conn); err == nil && n >= size-1000 {
-		t.Errorf("a reader that takes nothing got %d bytes", n)
+		t.Errorf("a client that stopped reading got %d bytes", n)
 	}
 }
 
-// TestClientDisconnectCancelsTheAttempt: a client disconnects while its request is at a backend. The attempt is
-// cancelled: the connection to the backend closes.
+// TestClientDisconnectCancelsTheAttempt: a client disconnects while a backend processes its request. The attempt must be
+// cancelled by closing the connection to the backend.
 func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
 	got, closed := make(chan struct{}), make(chan struct{})
 	addr := startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
@@ -191,8 +190,8 @@
 	<-closed
 }
 
-// TestMalformedRequestsReachNoBackend: requests that two readers could frame differently, or that are too long, are
-// rejected with the status that says why. No byte of them may reach a backend.
+// TestMalformedRequestsReachNoBackend: requests that two parsers could frame differently, or that are too long, are rejected
+// with a status for the reason. No byte of them may reach a backend.
 func TestMalformedRequestsReachNoBackend(t *testing.T) {
 	var seen atomic.Int64
 	addr := startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
--- a/internal/server/connserver.go
+++ b/internal/server/connserver.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// connServer serves the connections of a listener, each in a goroutine of its own, up to a limit. The admin socket and the
-// fault control are served so.
+// connServer serves a limited number of connections of a listener, each in its own goroutine. The admin socket and the fault
+// control use it.
 type connServer struct {
 	listener   net.Listener
-	limit      int            // connections that are open at a time; more are closed unread
+	limit      int            // open connections at a time; further ones are closed unread
 	serve      func(net.Conn) // called once for each connection, which is closed when it returns
 	goroutines sync.WaitGroup // of the accept loop and of the connections
 
@@ -18,7 +18,7 @@
 	closed bool
 }
 
-// startConnServer accepts connections until close is called.
+// startConnServer starts a connServer, which accepts connections until close is called.
 func startConnServer(listener net.Listener, limit int, serve func(net.Conn)) *connServer {
 	s := &connServer{listener: listener, limit: limit, serve: serve, open: map[net.Conn]struct{}{}}
 	s.goroutines.Go(s.accept)
@@ -43,7 +43,7 @@
 	}
 }
 
-// admit registers a connection; false: as many as may be are open, or the server was closed.
+// admit registers a connection. It returns false if the limit is reached or the server was closed.
 func (s *connServer) admit(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/server/counterconn.go
+++ b/internal/server/counterconn.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// maxUnwrittenCounterBytes (4 MiB) is how many bytes of calls a counter may leave untaken: far more than are under way
-	// in any interval of its time-out. The connection is closed there.
+	// maxUnwrittenCounterBytes (4 MiB) is how many unwritten bytes of calls are buffered for a counter: far more than are sent
+	// within its timeout. Beyond it the connection is closed.
 	maxUnwrittenCounterBytes = 4 << 20
-	// minCounterDialTimeout keeps a short limits.connect-timeout, meant for backends nearby, from cutting off a counter
-	// that is further away.
+	// minCounterDialTimeout is a lower bound on the dial timeout of the counter. A short limits.connect-timeout is meant for
+	// nearby backends and must not cut off a counter that is farther away.
 	minCounterDialTimeout = time.Second
 )
 
@@ -21,13 +21,12 @@
 	server *Server
 	cancel context.CancelFunc // of the dial
 
-	mu     sync.Mutex // guards all below
+	mu     sync.Mutex // guards all fields below
 	socket *socket    // nil until the dial has succeeded
-	closed bool       // by the event loop
+	closed bool       // closed by the event loop
 }
 
-// dialCounter starts the goroutine of a new connection, which takes the place of the one before. Only the event loop
-// calls it.
+// dialCounter starts the goroutine of a new connection, which replaces the previous one. Only the event loop calls it.
 func (s *Server) dialCounter(addr string) {
 	timeout := max(minCounterDialTimeout, time.Duration(s.cfg.Limits.ConnectTimeout))
 	ctx, cancel := context.WithTimeout(s.connectionsCtx, timeout)
@@ -39,7 +38,8 @@
 	})
 }
 
-// run dials and reads until the connection ends. Its end is posted also after close: the event loop drops it then.
+// run dials the counter and reads until the connection ends. It posts the end even after close; the event loop then drops the
+// message.
 func (c *counterConn) run(ctx context.Context, addr string) {
 	defer c.server.post(counterDisconnected{c})
 	socket, err := dialTCP(ctx, addr, time.Duration(c.server.cfg.Limits.WriteTimeout))
@@ -66,8 +66,8 @@
 	}
 }
 
-// write writes calls. Only the event loop calls it, after counterConnected; it never blocks. A counter that takes nothing is
-// disconnected.
+// write writes calls. Only the event loop calls it, after counterConnected; it never blocks. If the counter does not read, the
+// connection is closed once more than maxUnwrittenCounterBytes are buffered.
 func (c *counterConn) write(calls []byte) {
 	c.mu.Lock()
 	socket := c.socket
@@ -77,7 +77,7 @@
 	}
 }
 
-// close closes the connection, or ends its dial. Only the event loop calls it; it never blocks.
+// close closes the connection or cancels its dial. Only the event loop calls it; it never blocks.
 func (c *counterConn) close() {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -2,50 +2,54 @@
 
 import "time"
 
-// The budget of descriptors:
+// Budget of file descriptors:
 //
 //	holder                          at most                       bounded by
 //	client connections              limits.connections            waitForClientSlot
-//	clients that are rejected       maxRejectedConnections        rejectClient
+//	clients being rejected          maxRejectedConnections        rejectClient
 //	connections to backends         limits.lines                  proxy/pool.go, which closes idle ones to make room
-//	counter, watch of discovery     one each; two as one moves    the event loop, endpointWatch
+//	counter, watch of discovery     one each; two while one moves the event loop, endpointWatch
 //	admin socket                    maxAdminConns                 connServer.admit
 //	listeners, log, trace file,     one each
 //	watch of the endpoint file
 //
-// At the limit of clients an idle connection makes room for a new one. Where the process has no descriptors all the same,
-// accepting waits (accept.go), and a dial fails as an attempt that was never sent.
+// At limits.connections an idle client connection is evicted in favour of a new one. If the process runs out of descriptors
+// nevertheless, accept waits (accept.go), and a dial fails as an attempt that was never sent.
 const (
-	// maxRejectedConnections is how many connections beyond limits.connections get a response at a time; more are closed
-	// unread. Each costs a descriptor and a goroutine for lingeringCloseTimeout.
+	// maxRejectedConnections is how many connections beyond limits.connections can receive an error response at a time;
+	// further ones are closed unread. Each uses a descriptor and a goroutine for up to lingeringCloseTimeout.
 	maxRejectedConnections = 16
-	// rejectedReads is how often such a connection is read, 512 bytes at a time: a request's head, not a body.
-	rejectedReads = 16
-	// minIdleTime is how long a connection must have been idle after a response to be evicted: a client that sends its
-	// next request sooner does not find its connection closed.
+	// maxRejectedReads is the largest number of reads from a rejected connection, 512 bytes each: enough for the head of a
+	// request, not for a body.
+	maxRejectedReads = 16
+	// minIdleTime is how long a connection must have been idle after a response before it may be evicted, so that a client
+	// that sends its next request sooner does not find its connection closed.
 	minIdleTime = 2 * time.Second
-	// firstRequestTime is how long a new connection has for the first byte of a request before it may be evicted: some
-	// round trips, and no more, since silent connections cost an attacker nothing.
+	// firstRequestTime is how long a new connection is protected from eviction while no byte of a request has arrived: some round
+	// trips, and no more, since silent connections cost an attacker nothing.
 	firstRequestTime = 150 * time.Millisecond
-	// clientSlotTimeout is how long a connection waits for an eviction, the backlog included; others wait there meanwhile.
+	// clientSlotTimeout is how long a new connection waits for an eviction, including its time in the backlog. Other new
+	// connections wait in the backlog in that time.
 	clientSlotTimeout = 300 * time.Millisecond
-	// clientSlotPoll is how often the number of connections is checked meanwhile: an evicted connection closes within a few milliseconds.
+	// clientSlotPoll is the interval at which the number of connections is checked during that wait: an evicted connection
+	// closes within a few milliseconds.
 	clientSlotPoll = 5 * time.Millisecond
-	// neverRequestedRank puts connections of which no request was handed to the instance before all others, in the order of
-	// eviction. Requests that got a local response don't count.
-	neverRequestedRank = time.Hour
+	// neverRequestedRankOffset is subtracted from the rank of a connection without a request that was handed to the instance,
+	// so that it is evicted before all others. Requests that got a local response don't count.
+	neverRequestedRankOffset = time.Hour
 )
 
-// waitForClientSlot evicts an idle connection to make room for a new one, and waits for a time at most until there is room
-// or one is on its way out; it looks once at least. The accept loop calls it; connections that come meanwhile wait in the
-// backlog. A shutdown does not cut the wait short: connectionsCtx ends only after the accept loop has returned.
+// waitForClientSlot waits for at most limit until fewer connections are open or an idle one is evicted, and reports whether
+// the new connection may be served. It checks at least once. The accept loop calls it; further connections wait in the
+// backlog in that time. A shutdown does not interrupt the wait: connectionsCtx is cancelled only after the accept loop has
+// returned.
 func (s *Server) waitForClientSlot(limit time.Duration) bool {
 	for range max(1, limit/clientSlotPoll) {
 		over := s.shared.ClientConns.Load() - int64(s.cfg.Limits.Connections)
 		if over <= 0 {
 			return true
 		}
-		// One that is evicted closes in a moment, or turns out to be in use: half of maxRejectedConnections may wait for that.
+		// An evicted connection closes soon, or turns out to be in use. Half of maxRejectedConnections may wait for that.
 		if over <= maxRejectedConnections/2 && s.evictIdleClient() {
 			return true
 		}
@@ -58,10 +62,10 @@
 	return false
 }
 
-// evictIdleClient asks one idle connection to close, and reports whether there is one: one of which no request
-// was handed to the instance yet, or else the one that has been idle for longest.
+// evictIdleClient requests the close of one idle connection and reports whether there is one. It prefers connections without
+// a request that was handed to the instance, and among equals the one that has been idle for longest.
 func (s *Server) evictIdleClient() bool {
-	candidate := s.leastUsefulClient()
+	candidate := s.evictionCandidate()
 	if candidate == nil {
 		return false
 	}
@@ -72,7 +76,7 @@
 	return true
 }
 
-func (s *Server) leastUsefulClient() *clientConn {
+func (s *Server) evictionCandidate() *clientConn {
 	s.clientsMu.Lock()
 	defer s.clientsMu.Unlock()
 	var candidate *clientConn
@@ -87,7 +91,7 @@
 	return candidate
 }
 
-// evictionRank reports whether a connection may be evicted; the one of the lowest rank is evicted first.
+// evictionRank returns the rank of a connection in the order of eviction, lowest first, and whether it may be evicted.
 func (cc *clientConn) evictionRank(now time.Duration) (rank time.Duration, evictable bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -98,5 +102,5 @@
 	if requested {
 		return since, now-since >= minIdleTime
 	}
-	return since - neverRequestedRank, now-since >= firstRequestTime
+	return since - neverRequestedRankOffset, now-since >= firstRequestTime
 }
--- a/internal/server/descriptors_test.go
+++ b/internal/server/descriptors_test.go
@@ -13,13 +13,13 @@
 	"sandyard/emulator"
 )
 
-// TestSilentClientsAreEvictedAtTheLimit: connections that send nothing, twice as many as there may be, must not keep a
+// TestSilentClientsAreEvictedAtTheLimit: twice as many silent connections as limits.connections allows must not prevent a
 // client from being served.
 func TestSilentClientsAreEvictedAtTheLimit(t *testing.T) {
-	count, _ := startCounter(t)
-	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
-	most := r.server.cfg.Limits.Connections
-	for range 2 * most {
+	counter, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, counter, 64, startNamedBackend(t, "a"))
+	limit := r.server.cfg.Limits.Connections
+	for range 2 * limit {
 		c, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -29,38 +29,38 @@
 	r.requireServedBy(1, "a")
 }
 
-// TestNewClientsAreNotEvictedAtOnce: a connection that has just come must not be evicted for having sent nothing yet;
-// after firstRequestTime it may be.
+// TestNewClientsAreNotEvictedAtOnce: a new connection that has not sent anything must not be evicted before firstRequestTime.
+// After that it may be.
 func TestNewClientsAreNotEvictedAtOnce(t *testing.T) {
-	count, _ := startCounter(t)
-	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
-	began := time.Now()
+	counter, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, counter, 64, startNamedBackend(t, "a"))
+	start := time.Now()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	for here := 0; here == 0; runtime.Gosched() {
+	for accepted := 0; accepted == 0; runtime.Gosched() {
 		r.server.clientsMu.Lock()
-		here = len(r.server.clients)
+		accepted = len(r.server.clients)
 		r.server.clientsMu.Unlock()
 	}
-	if r.server.evictIdleClient() && time.Since(began) < firstRequestTime {
-		t.Fatal("closed at once")
+	if r.server.evictIdleClient() && time.Since(start) < firstRequestTime {
+		t.Fatal("evicted before firstRequestTime")
 	}
-	for !r.server.evictIdleClient() { // in the end it makes room
+	for !r.server.evictIdleClient() { // it may be evicted in the end
 		runtime.Gosched()
 	}
 }
 
-// TestIdleClientsAreEvictedAtTheLimit: connections that are idle after a response, as many as there may be, and that
-// never close by themselves, must keep no client from being served. There are never more than the limit and those that
-// are being rejected.
+// TestIdleClientsAreEvictedAtTheLimit: limits.connections connections that stay open and idle after a response must not
+// prevent new clients from being served. The number of connections must not exceed the limit by more than
+// maxRejectedConnections.
 func TestIdleClientsAreEvictedAtTheLimit(t *testing.T) {
-	count, _ := startCounter(t)
-	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
-	most := r.server.cfg.Limits.Connections
-	ask := func(id int) (*http.Response, error) {
+	counter, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, counter, 64, startNamedBackend(t, "a"))
+	limit := r.server.cfg.Limits.Connections
+	send := func(id int) (*http.Response, error) {
 		c, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -69,31 +69,31 @@
 		io.WriteString(c, nodeRequest(id))
 		return http.ReadResponse(bufio.NewReader(c), nil)
 	}
-	for id := range most {
-		if resp, err := ask(id); err != nil || resp.StatusCode != 200 {
+	for id := range limit {
+		if resp, err := send(id); err != nil || resp.StatusCode != 200 {
 			t.Fatal(resp, err)
 		}
 	}
-	last := time.Now()
-	for time.Since(last) < minIdleTime { // all of them have rested
+	lastResponse := time.Now()
+	for time.Since(lastResponse) < minIdleTime { // until all of them may be evicted
 		runtime.Gosched()
 	}
-	for id := range most {
-		if resp, err := ask(1000 + id); err != nil || resp.StatusCode != 200 {
+	for id := range limit {
+		if resp, err := send(1000 + id); err != nil || resp.StatusCode != 200 {
 			t.Fatal(resp, err)
 		}
-		if n := r.server.shared.ClientConns.Load(); n > int64(most)+maxRejectedConnections {
-			t.Fatalf("%d connections, %d may be", n, most)
+		if n := r.server.shared.ClientConns.Load(); n > int64(limit)+maxRejectedConnections {
+			t.Fatalf("%d connections, the limit is %d", n, limit)
 		}
 	}
 }
 
-// TestConnectionLimit: a connection beyond limits.connections is answered with 503; when others have closed, the next
-// is served.
+// TestConnectionLimit: a connection beyond limits.connections gets 503. Once other connections have closed, the next one is
+// served.
 func TestConnectionLimit(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
 	r := startGateway(t, "", "limits: {connections: 2}\n", b.Addr())
-	var held []net.Conn
+	var open []net.Conn
 	for range 2 {
 		c, err := net.Dial("tcp", r.addr)
 		if err != nil {
@@ -103,7 +103,7 @@
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, c)
+		open = append(open, c)
 	}
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
@@ -114,11 +114,11 @@
 	if err != nil || resp.StatusCode != 503 {
 		t.Fatalf("%v %v", resp, err)
 	}
-	for _, c := range held {
+	for _, c := range open {
 		c.Close()
 	}
 	s := 503
-	for i := 0; i < 10000 && s == 503; i++ { // until the instance has seen that they are closed
+	for i := 0; i < 10000 && s == 503; i++ { // until the instance has noticed that they are closed
 		s = r.status(request("GET", "/look", "ka", ""))
 	}
 	if s != 200 {
@@ -126,21 +126,21 @@
 	}
 }
 
-// TestDescriptorsExhausted: the process has no descriptor left for a new connection. Open connections must be served
-// on, and the new one when there are descriptors again.
+// TestDescriptorsExhausted: the process has no file descriptor left for a new connection. Open connections must still be
+// served, and the new one once descriptors are available again.
 func TestDescriptorsExhausted(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
 	r := startGateway(t, "", "", b.Addr())
 	request := request("GET", "/look", "ka", "")
-	old, err := net.Dial("tcp", r.addr)
+	existing, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer old.Close()
-	in := bufio.NewReader(old)
-	ask := func() int {
-		io.WriteString(old, request)
-		old.SetReadDeadline(time.Now().Add(10 * time.Second))
+	defer existing.Close()
+	in := bufio.NewReader(existing)
+	send := func() int {
+		io.WriteString(existing, request)
+		existing.SetReadDeadline(time.Now().Add(10 * time.Second))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -148,28 +148,28 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode
 	}
-	if s := ask(); s != 200 {
+	if s := send(); s != 200 {
 		t.Fatal(s)
 	}
-	var was syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &was); err != nil {
+	var original syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &original); err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.Dial("tcp", r.addr) // the socket to be refused a descriptor at the other end
+	c, err := net.Dial("tcp", r.addr) // a connection that is accepted while descriptors are available
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	io.WriteString(c, request)
 	http.ReadResponse(bufio.NewReader(c), nil)
-	next, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0) // before there are none
+	next, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0) // while descriptors are available
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer syscall.Close(next)
-	now := was
-	now.Cur = 3
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &now); err != nil {
+	reduced := original
+	reduced.Cur = 3
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &reduced); err != nil {
 		t.Fatal(err)
 	}
 	port := r.server.Addr().(*net.TCPAddr).Port
@@ -178,16 +178,16 @@
 		syscall.Write(next, []byte(request))
 		r.waitForLog("msg=accept")
 	}
-	served := ask()
-	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)
+	status := send()
+	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &original)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if served != 200 {
-		t.Errorf("on a connection that is there: %d", served)
+	if status != 200 {
+		t.Errorf("on the existing connection: %d", status)
 	}
 	var buf [12]byte
 	if n, err := syscall.Read(next, buf[:]); err != nil || string(buf[:n]) != "HTTP/1.1 200" {
-		t.Errorf("after descriptors are back: %q %v", buf[:n], err)
+		t.Errorf("after descriptors are available again: %q %v", buf[:n], err)
 	}
 }
--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -175,7 +175,7 @@
 	defer socket.releaseBuffer()
 	w.input.socket.Store(socket)
 	defer w.input.socket.Store(nil)
-	stop := context.AfterFunc(ctx, func() { socket.conn.SetReadDeadline(inThePast) }) // what has come is still read
+	stop := context.AfterFunc(ctx, func() { socket.conn.SetReadDeadline(expiredDeadline) }) // what has come is still read
 	defer stop()
 	socket.write(fmt.Appendf(nil, "GET /v1/endpoints?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n\r\n", w.version, address))
 	body := newWatchBody(ctx, &w.input, socket, func() { // nothing has changed since the version that is held
@@ -268,7 +268,7 @@
 func (b *watchBody) readSocket() ([]byte, error) {
 	b.socket.conn.SetReadDeadline(time.Now().Add(watchSilenceTimeout))
 	if b.ctx.Err() != nil {
-		b.socket.conn.SetReadDeadline(inThePast)
+		b.socket.conn.SetReadDeadline(expiredDeadline)
 		if b.lastReads++; b.lastReads > maxLastReads {
 			return nil, errWatchEnded
 		}
--- a/internal/server/emulated.go
+++ b/internal/server/emulated.go
@@ -9,39 +9,40 @@
 	"sandyard/proxy"
 )
 
-// emulatorWriteTimeout is how long an emulated server lets its peer take 64 KiB: longer than any time-out of a gateway, so
-// that the gateway is the one to give up.
+// emulatorWriteTimeout is how long the peer of an emulated server may take to accept 64 KiB. It is longer than any timeout of
+// a gateway, so that the gateway gives up first.
 const emulatorWriteTimeout = 10 * time.Second
 
-// emulatorConn is a connection that an emulated server has accepted; backend or counter is set, by the server's kind.
+// emulatorConn is a connection that an emulated server has accepted. Either backend or counter is set, depending on the kind
+// of server.
 type emulatorConn struct {
 	socket  *socket
 	backend *emulator.BackendConn
 	counter *emulator.CounterConn
 }
 
-// emulatedServer is what the emulated backend and counter have in common: a listener that the refuse fault takes away, and
-// connections, each with a goroutine that reads. mu is held through a read's work: it guards the state machines, too.
+// emulatedServer is the common part of the emulated backend and counter: a listener, which the refuse fault closes, and
+// connections, each with a goroutine that reads. mu also guards the state machines: it is held while bytes are processed.
 type emulatedServer struct {
 	startTime  time.Time
 	goroutines sync.WaitGroup // of the listener, the connections and delayed writes
 
-	// Set before listen, and called with mu held.
+	// The callbacks are set before listen and called with mu held.
 	onAccept     func(*emulatorConn)
 	onBytes      func(*emulatorConn, []byte)
 	onDisconnect func(*emulatorConn)
 
-	mu       sync.Mutex       // guards all below; comes before socket.mu
-	addr     string           // host:port of the first listener, and of all that follow it
+	mu       sync.Mutex       // guards all fields below; taken before socket.mu
+	addr     string           // host:port of the first listener, reused by later ones
 	listener *net.TCPListener // nil: connections are refused
 	conns    map[*emulatorConn]struct{}
 	closed   bool
 }
 
-// now is the time of the state machines.
+// now returns the time of the state machines' clock.
 func (s *emulatedServer) now() time.Duration { return proxy.Start + time.Since(s.startTime) }
 
-// Addr is the address (host:port) on which the emulated server listens, or did before it refused connections.
+// Addr returns the address (host:port) on which the emulated server listens, or listened before it refused connections.
 func (s *emulatedServer) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +86,7 @@
 	}
 }
 
-// admit registers a connection; false: its listener was closed after it was accepted.
+// admit registers a connection. It returns false if the listener was closed after it had accepted the connection.
 func (s *emulatedServer) admit(ec *emulatorConn, listener *net.TCPListener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +121,7 @@
 	return true
 }
 
-// setRefusing closes the listener and resets all connections, or listens again at the same address.
+// setRefusing closes the listener and resets all connections, or listens again on the same address.
 func (s *emulatedServer) setRefusing(on bool) error {
 	s.mu.Lock()
 	listener, addr := s.listener, s.addr
@@ -138,14 +139,14 @@
 	return nil
 }
 
-// resetConns resets all connections; mu is held. Their readers take them from conns.
+// resetConns resets all connections. Their readers remove them from conns. mu is held.
 func (s *emulatedServer) resetConns() {
 	for ec := range s.conns {
 		ec.socket.reset()
 	}
 }
 
-// close ends the listener and all connections, and waits for their goroutines.
+// close closes the listener and all connections, and waits for their goroutines.
 func (s *emulatedServer) close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/server/emulated_test.go
+++ b/internal/server/emulated_test.go
@@ -8,22 +8,22 @@
 	"github.com/redis/go-redis/v9"
 )
 
-// TestEmulatedCounterSpeaksRedis: the emulated counter must satisfy a Redis client that knows nothing of this project.
+// TestEmulatedCounterSpeaksRedis: the emulated counter must work with an unmodified Redis client.
 func TestEmulatedCounterSpeaksRedis(t *testing.T) {
-	k, err := StartCounter("127.0.0.1:0")
+	counter, err := StartCounter("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Close()
+	defer counter.Close()
 	ctx := context.Background()
-	c := redis.NewClient(&redis.Options{Addr: k.Addr(), MaxRetries: -1})
+	c := redis.NewClient(&redis.Options{Addr: counter.Addr(), MaxRetries: -1})
 	defer c.Close()
 	pipe := c.Pipeline()
 	sum := pipe.IncrByFloat(ctx, "a", 2.5)
 	nx := pipe.ExpireNX(ctx, "a", 0)
 	_ = nx
 	if _, err := pipe.Exec(ctx); err == nil {
-		t.Error("EXPIRE is not offered, and should be said so")
+		t.Error("EXPIRE is not supported and must return an error")
 	}
 	if sum.Val() != 2.5 {
 		t.Errorf("%v", sum)
@@ -50,6 +50,6 @@
 		t.Error(err)
 	}
 	if err := c.IncrByFloat(ctx, "a", 1e308).Err(); err == nil {
-		t.Error("an overflow is taken")
+		t.Error("an overflow is accepted")
 	}
 }
--- a/internal/server/emulatedcounter.go
+++ b/internal/server/emulatedcounter.go
@@ -11,26 +11,27 @@
 	"sandyard/fault"
 )
 
-// goldenRatioConjugate spreads the positions of any number of clients evenly over 0 to 1.
+// goldenRatioConjugate is the step between the positions of successive clients: its multiples, taken modulo 1, spread evenly
+// over 0 to 1 for any number of clients.
 var goldenRatioConjugate = (math.Sqrt(5) - 1) / 2
 
-// EmulatedCounter is package emulator's shared counter on a TCP socket.
+// EmulatedCounter runs package emulator's shared counter on a TCP socket.
 type EmulatedCounter struct {
 	emulatedServer
-	counter    *emulator.Counter  // mu guards it
-	accepted   float64            // connections; mu guards it
+	counter    *emulator.Counter  // guarded by mu
+	accepted   float64            // number of accepted connections; guarded by mu
 	ctx        context.Context    // of delayed writes
 	stop       context.CancelFunc // of ctx
-	stallEnded sync.Cond          // on mu: signalled when a stall ends, or the counter
+	stallEnded sync.Cond          // on mu: signalled when a stall ends or the counter is closed
 }
 
-// StartCounter starts a counter on an address (host:port). Close ends it.
+// StartCounter starts a counter on an address (host:port). Close stops it.
 func StartCounter(addr string) (*EmulatedCounter, error) {
 	c := &EmulatedCounter{emulatedServer: emulatedServer{startTime: time.Now(), conns: map[*emulatorConn]struct{}{}},
 		counter: emulator.NewCounter()}
 	c.stallEnded.L = &c.mu
 	c.ctx, c.stop = context.WithCancel(context.Background())
-	c.onAccept = c.begin
+	c.onAccept = c.initConn
 	c.onDisconnect = func(*emulatorConn) {}
 	c.onBytes = c.handleCalls
 	if err := c.listen(addr); err != nil {
@@ -39,14 +40,15 @@
 	return c, nil
 }
 
-// begin gives a connection a client position of its own: a socket does not tell which instance it comes from. mu is held.
-func (c *EmulatedCounter) begin(ec *emulatorConn) {
+// initConn assigns a client position to each connection, since a socket does not tell which instance it comes from. mu is
+// held.
+func (c *EmulatedCounter) initConn(ec *emulatorConn) {
 	ec.counter = c.counter.NewConn()
 	_, ec.counter.ClientPosition = math.Modf(c.accepted * goldenRatioConjugate)
 	c.accepted++
 }
 
-// handleCalls waits for the end of a stall and answers calls, at once or after the delay that is set. mu is held.
+// handleCalls waits until a stall ends, then replies to calls at once or after the delay of the delay fault. mu is held.
 func (c *EmulatedCounter) handleCalls(ec *emulatorConn, in []byte) {
 	for c.counter.Stalled() && !c.closed {
 		c.stallEnded.Wait()
@@ -65,7 +67,7 @@
 	}
 }
 
-// writeLater writes after a delay; writes of one connection keep their order as long as the delay stays the same.
+// writeLater writes b after a delay. Writes on one connection keep their order as long as the delay stays the same.
 func (c *EmulatedCounter) writeLater(ec *emulatorConn, b []byte, delay time.Duration) {
 	c.goroutines.Go(func() {
 		timer := time.NewTimer(delay)
@@ -78,14 +80,15 @@
 	})
 }
 
-// Total is the value under a name, in units.
+// Total returns the value of a name, in units.
 func (c *EmulatedCounter) Total(name string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counter.Total(c.now(), name)
 }
 
-// Set begins a fault with a value, or ends it. It fails where the address can't be had again after a refusal.
+// Set begins a fault with a value, or ends it. It returns an error if the counter cannot listen on its address again when a
+// refusal ends.
 func (c *EmulatedCounter) Set(v fault.Verb, value float64, on bool) error {
 	c.mu.Lock()
 	c.counter.Set(c.now(), v, value, on)
@@ -97,7 +100,7 @@
 	return nil
 }
 
-// Close stops the counter: its connections close, and delayed answers are lost. It waits for the goroutines.
+// Close stops the counter: its connections close, and delayed replies are lost. It waits for the goroutines.
 func (c *EmulatedCounter) Close() {
 	c.stop()
 	c.mu.Lock()
--- a/internal/server/faultcontrol.go
+++ b/internal/server/faultcontrol.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// maxFaultControlConns is how many connections a fault control takes; a script or an engineer needs one.
+	// maxFaultControlConns is how many connections a fault control serves at a time; a script or an engineer needs one.
 	maxFaultControlConns = 16
-	// maxFaultCommand (bytes) bounds a command; the longest verb with a number is far shorter.
+	// maxFaultCommand is the maximum size of a command (bytes); the longest verb with a number is far shorter.
 	maxFaultCommand = 256
-	// faultCommandTimeout bounds the dial of a fault control, and a command with its reply.
+	// faultCommandTimeout bounds the dial of a fault control, and separately a command with its reply.
 	faultCommandTimeout = 2 * time.Second
 )
 
-// ErrFaultCommand is returned by SendFaultCommand, wrapped, where the emulator has rejected a command.
+// ErrFaultCommand is the error, for errors.Is, that SendFaultCommand returns if the emulator rejects a command.
 var ErrFaultCommand = errors.New("the fault command is rejected")
 
-// rejectedFaultCommand is an emulator's reply other than "ok". It is ErrFaultCommand.
+// rejectedFaultCommand is an emulator's reply other than "ok". errors.Is matches it with ErrFaultCommand.
 type rejectedFaultCommand struct{ reply string }
 
 func (e rejectedFaultCommand) Error() string        { return e.reply }
@@ -35,8 +35,9 @@
 	Set(v fault.Verb, value float64, on bool) error
 }
 
-// ServeFaultControl listens on an address (host:port) for commands that set a target's faults, one a line: "set slow 3",
-// "clear slow". Each is answered "ok" or "error: ...". The function returned stops it and waits for its end.
+// ServeFaultControl listens on an address (host:port) for commands that set a target's faults, one per line: "set slow 3",
+// "clear slow". The reply to each is "ok" or "error: ...". stop closes the listener and all connections and waits for their
+// goroutines.
 func ServeFaultControl(addr string, target FaultTarget) (listening net.Addr, stop func(), err error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -46,7 +47,7 @@
 	return listener.Addr(), connections.close, nil
 }
 
-// serveFaultCommands answers the commands of a connection, one by one, until it ends.
+// serveFaultCommands executes the commands of a connection, one by one, until it ends.
 func serveFaultCommands(conn net.Conn, target FaultTarget) {
 	commands := bufio.NewScanner(conn)
 	commands.Buffer(make([]byte, maxFaultCommand), maxFaultCommand)
@@ -78,8 +79,8 @@
 	return fmt.Errorf("%q: expected set or clear", word)
 }
 
-// SendFaultCommand sends a command to a fault control at an address (host:port) and waits for its reply, for
-// faultCommandTimeout at most. A command that the emulator rejects is ErrFaultCommand.
+// SendFaultCommand sends a command to the fault control at an address (host:port) and waits at most faultCommandTimeout for
+// the reply. If the emulator rejects the command, the error is ErrFaultCommand.
 func SendFaultCommand(addr, command string) error {
 	conn, err := net.DialTimeout("tcp", addr, faultCommandTimeout)
 	if err != nil {
--- a/internal/server/faultcontrol_test.go
+++ b/internal/server/faultcontrol_test.go
@@ -6,8 +6,8 @@
 	"sandyard/emulator"
 )
 
-// TestFaultControl: a fault that is set over the control address shows at the emulated backend, and ends when it is
-// cleared; malformed commands are rejected.
+// TestFaultControl: a fault that is set through the fault control affects the emulated backend until it is cleared. Malformed
+// commands are rejected.
 func TestFaultControl(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
 	addr, stop, err := ServeFaultControl("127.0.0.1:0", b)
@@ -31,7 +31,7 @@
 	}
 	for _, bad := range []string{"set", "set slow", "set nonsense", "what", "set slow x", "clear"} {
 		if SendFaultCommand(addr.String(), bad) == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,34 +1,35 @@
-// Package server is the runtime of a gateway instance on TCP: it carries bytes between sockets and the state machines of
-// package proxy, keeps the time and owns the goroutines. It decides nothing about a request.
+// Package server runs a gateway instance on TCP sockets. It moves bytes between the sockets and the state machines of package
+// proxy, provides the clock and the timers, and owns the goroutines. It makes no decisions about requests.
 //
-// Each goroutine but the last three has one owner, which waits for its end:
+// Each goroutine except the last three has one owner, which waits for it to end:
 //
 //	goroutine                     started by             ends with
 //	event loop                    Serve                  step 3 of the shutdown (see shutdown.go)
-//	accept loop                   Serve                  the listener: its deadline or its end
+//	accept loop                   Serve                  the listener: its deadline or its closing
 //	endpoint watch                Serve                  step 4
-//	stop of accepting             Serve                  the context of Serve
+//	stopAccepting                 Serve                  the context of Serve
 //	client connection, reading    accept loop            its client, its last response, or step 5
-//	client over the limit         accept loop            its rejection: lingeringCloseTimeout at most, or step 4
+//	client over the limit         accept loop            its rejection (lingeringCloseTimeout at most), or step 4
 //	backend connection, reading   event loop             its backend, CloseBackend, or step 4
 //	counter connection, reading   event loop             the counter, CloseCounter, or step 3
-//	reading of the endpoint file  endpoint watch, loop   the end of the reading
+//	read of the endpoint file     endpoint watch, loop   the end of the read
 //	admin socket                  startAdmin             step 7
 //	admin connection              admin socket           its one response, adminTimeout at most, or step 7
 //	trace recorder                startWriting           step 8
-//	socket, flushing              a write                all bytes written, or the socket's end
-//	canceller of a watch          endpoint watch         the end of its watch, or another address of discovery
+//	socket, flushing              a write                all bytes written, or the socket's closing or failure
+//	canceller of a watch          endpoint watch         the end of its watch, or a change of discovery's address
 //	end of the wait for a list    endpoint watch         discovery's silence, or the end of the watch
-//	reload at SIGHUP              command "node"         the end of Serve, or of the reload that is under way then
+//	reload at SIGHUP              command "node"         the end of Serve, or of a reload in progress at that time
 //
-// The event loop alone owns proxy.Instance; all others hand it messages (message.go). The state machine of a connection
-// belongs to whoever holds that connection's mu.
+// Only the event loop uses proxy.Instance; all other goroutines send it messages (message.go). The state machine of a
+// connection is guarded by that connection's mu.
 //
-// Locks. Server.clientsMu comes before clientConn.mu, that before Server.queueMu and socket.mu; backendConn.mu comes before
-// socket.mu. The event loop holds no lock while it decides, and takes one connection's mu at a time while it carries out
-// an effect. Server.endpointsFileMu, held through the reading of a file, and adminServer.snapshotMu come before
-// Server.queueMu. Under recorder.mu, endpointWatch.mu, connServer.mu and counterConn.mu no other lock is taken. None but
-// endpointsFileMu and snapshotMu is held while its holder waits for a peer, a file or the event loop.
+// Lock order: Server.clientsMu is taken before clientConn.mu, which is taken before Server.queueMu and socket.mu.
+// backendConn.mu is taken before socket.mu. The event loop holds no lock while it makes decisions, and takes the mu of one
+// connection at a time while it carries out an effect. Server.endpointsFileMu, which is held during the read of a file, and
+// adminServer.snapshotMu are taken before Server.queueMu. No other lock is taken under recorder.mu, endpointWatch.mu,
+// connServer.mu and counterConn.mu. Only endpointsFileMu and snapshotMu are held while their holder waits for a peer, a file
+// or the event loop.
 package server
 
 import (
@@ -53,26 +54,26 @@
 	cfg              *config.Config
 	shared           *proxy.Shared
 	log              *slog.Logger
-	debug            bool              // whether log takes debug records; cached, since every response logs one
+	debug            bool              // whether debug records are enabled in log; cached, since every response logs one
 	backendAddresses map[string]string // by endpoint name; see Options
-	startTime        time.Time         // when it was built, with its monotonic reading
+	startTime        time.Time         // when it was created, with a monotonic clock reading
 	startedAt        time.Duration     // the same instant on the instance's clock
 	listener         *net.TCPListener
 	discovery        *endpointWatch // nil: the endpoint list is a file
 	recorder         *recorder      // nil: nothing is recorded
 
-	// instance and counter belong to the event loop from the start of Serve on.
+	// Only the event loop uses the fields of this block once Serve has started.
 	instance       *proxy.Instance
-	counter        *counterConn  // nil: there is no connection, not even one that is being made
-	maxLateness    time.Duration // of the event loop's timers
+	counter        *counterConn  // nil: not connected, and no dial in progress
+	maxLateness    time.Duration // longest delay of a timer in the event loop
 	recentLateness recentLateness
 	endpoints      endpointRecord
 
-	connectionsCtx    context.Context // ends at step 4 of the shutdown
+	connectionsCtx    context.Context // cancelled in step 4 of the shutdown
 	cancelConnections context.CancelFunc
-	goroutines        sync.WaitGroup // of connections, of the endpoint watch and of readings of the endpoint file
+	goroutines        sync.WaitGroup // of connections, of the endpoint watch and of reads of the endpoint file
 
-	expiredReads atomic.Int64 // reads of clients that ended by their deadline
+	expiredReads atomic.Int64 // reads from clients that ended at their deadline
 
 	shuttingDown     atomic.Bool // from step 1 of the shutdown on
 	shutdownDeadline time.Time   // set at step 1, before the accept loop ends
@@ -80,42 +81,43 @@
 	// queueMu guards the queue of the event loop and its state.
 	queueMu       sync.Mutex
 	queue         []message
-	endpointQueue []message     // of the endpoint list, which go ahead of those in queue
-	loopIdle      bool          // the loop waits for wakeLoop
-	loopEnded     bool          // messages are dropped
-	queueSpace    sync.Cond     // on queueMu: signalled when accepting may go on
+	endpointQueue []message     // messages about the endpoint list, which are handled before those in queue
+	loopIdle      bool          // the loop waits on wakeLoop
+	loopEnded     bool          // the loop has ended: messages are dropped
+	queueSpace    sync.Cond     // on queueMu: signalled when the accept loop may continue
 	wakeLoop      chan struct{} // buffered, capacity 1: one wake-up covers all messages queued until then
 
-	endpointsQueued   atomic.Bool   // endpointQueue has messages; set and cleared under queueMu
-	endpointsQueuedAt time.Duration // when the first of them was queued; of queueMu
+	endpointsQueued   atomic.Bool   // endpointQueue is not empty; set and cleared under queueMu
+	endpointsQueuedAt time.Duration // when the first message in endpointQueue was queued; guarded by queueMu
 
-	endpointsFileMu   sync.Mutex // held through a reading of the endpoint file, so that readings are handed over in their order
-	endpointsFileText []byte     // of the last reading; of endpointsFileMu
-	endpointsFileRead bool       // the last reading got a text; of endpointsFileMu
+	endpointsFileMu   sync.Mutex // held during a read of the endpoint file, so that the results are posted in the order of reads
+	endpointsFileText []byte     // content at the last read; guarded by endpointsFileMu
+	endpointsFileRead bool       // the last read succeeded; guarded by endpointsFileMu
 
 	clientsMu sync.Mutex // guards clients
 	clients   map[*clientConn]struct{}
 }
 
-// Options are what a server is given beside its configuration.
+// Options are the settings of a server that are not part of its configuration.
 type Options struct {
-	// Seed is that of the random numbers of all decisions.
+	// Seed is the seed of the random numbers used in decisions.
 	Seed uint64
-	// Log takes the log. It must be set.
+	// Log receives the log records. It must be set.
 	Log *slog.Logger
-	// BackendAddresses replace the addresses of an endpoint file (host:port), by endpoint name; those of discovery stand.
+	// BackendAddresses override addresses of an endpoint file (host:port), by endpoint name. Addresses that come from
+	// discovery are not overridden.
 	BackendAddresses map[string]string
-	// Protocol is the protocol of clients, backends and counter; nil: the one that the configuration describes.
+	// Protocol is the protocol of clients, backends and counter; nil selects the one that the configuration describes.
 	Protocol protocol.Protocol
-	// DiscoveryAddress (host:port) is where the endpoint list is watched; empty: the list is the file that the
-	// configuration names.
+	// DiscoveryAddress (host:port) is where the endpoint list is watched. If it is empty, the list is read from the file
+	// that the configuration names.
 	DiscoveryAddress string
-	// EndpointsVersion is the version of the endpoint list in the configuration, from which a watch of discovery goes on.
+	// EndpointsVersion is the version of the endpoint list in the configuration, from which a watch of discovery resumes.
 	EndpointsVersion uint64
 }
 
-// Listen builds a gateway instance that listens on an address (host:port); clients wait in the backlog until Serve runs.
-// It fails where the settings can't be taken, the address is not free, or the folder of traces can't be written.
+// Listen creates a gateway instance that listens on an address (host:port). Clients wait in the backlog until Serve runs.
+// It fails if the settings are invalid, if it cannot listen on the address, or if the trace folder is not writable.
 func Listen(cfg *config.Config, addr string, opt Options) (*Server, error) {
 	s := newServer(cfg, opt)
 	var err error
@@ -162,18 +164,18 @@
 	return s
 }
 
-// Addr is the address on which the instance listens.
+// Addr returns the address on which the instance listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// now is the instance's time since 1970: a customer's use is kept at the counter by time, so that all instances must have
-// one time. From the start on it follows the monotonic clock: steps of the machine's clock don't change it.
+// now returns the time of the instance's clock, since 1970. The counter keeps a customer's usage by time, so all instances
+// must share one time base. After the start the clock follows the monotonic clock: steps of the system clock do not affect it.
 func (s *Server) now() time.Duration { return s.startedAt + time.Since(s.startTime) }
 
-// clockOrigin is the instant at which now was zero.
+// clockOrigin returns the instant at which the instance's clock was zero.
 func (s *Server) clockOrigin() time.Time { return s.startTime.Add(-s.startedAt) }
 
-// Serve runs the instance until ctx ends, shuts it down in the order that shutdown.go gives, and returns nil. It returns
-// an error where the admin socket can't be had, or the listener fails.
+// Serve runs the instance until ctx is cancelled, shuts it down in the order described in shutdown.go, and returns nil. It
+// returns an error if the admin socket cannot be opened or the listener fails.
 func (s *Server) Serve(ctx context.Context) error {
 	defer s.cancelConnections()
 	defer s.listener.Close()
--- a/internal/server/socket.go
+++ b/internal/server/socket.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	// readSize (16 KiB) is how much is read at once: a head of usual size with a small body.
+	// readSize (16 KiB) is the size of a read buffer: a head of typical size with a small body fits.
 	readSize = 16 << 10
-	// flushChunk (64 KiB) is how much a peer has to take within a write timeout: a slow peer that takes some is not cut off.
+	// flushChunk (64 KiB) is how much a peer must accept within a write timeout, so that a slow peer that makes progress is
+	// not disconnected.
 	flushChunk = 64 << 10
 )
 
 var readBuffers = sync.Pool{New: func() any { b := make([]byte, readSize); return &b }}
 
-// socket is a TCP connection that is written without blocking: what the kernel does not take at once is kept, and a
-// goroutine writes it. It is read into borrowed buffers that are held only while there is something to read, so that an
-// idle connection costs none.
+// socket is a TCP connection with non-blocking writes: bytes that the kernel does not accept at once are buffered, and a
+// goroutine writes them. Reads use pooled buffers that are held only while there is input, so that an idle connection holds
+// none.
 //
-// One goroutine reads: read, readAvailable, releaseBuffer. All other methods may be called by any.
+// Only one goroutine, the reader, may call read, readAvailable and releaseBuffer. Any goroutine may call the other methods.
 type socket struct {
 	conn         *net.TCPConn
 	raw          syscall.RawConn
-	writeTimeout time.Duration // for the peer to take flushChunk
+	writeTimeout time.Duration // for the peer to accept flushChunk bytes
 
-	// mu guards all below, but for the fields of the reading goroutine.
+	// mu guards all fields below except those of the reader.
 	mu            sync.Mutex
-	onFlushed     func()    // called, without locks held, when what was kept is written or lost; nil: nothing is
+	onFlushed     func()    // called without locks held when the buffered bytes are written or lost; may be nil
 	writeProgress sync.Cond // on mu: signalled when unwritten shrinks, flushing ends or the socket fails
 	unwritten     []byte
-	flushing      bool // a goroutine writes what is unwritten
+	flushing      bool // a goroutine writes the unwritten bytes
 	failed        bool // closed, or a write has failed: nothing more is written
-	incomplete    bool // it failed, and not all that it was given was handed to the kernel
+	incomplete    bool // the socket failed before all bytes passed to write were handed to the kernel
 	tryWriteFunc  func(fd uintptr) bool
-	writeSource   []byte // of the write under way, with its result
+	writeSource   []byte // of the write in progress; its result follows
 	writeCount    int
 	writeError    error
 
-	// Of the reading goroutine.
+	// Used only by the reader.
 	tryReadFunc func(fd uintptr) bool
-	readBuffer  *[]byte // nil: none is borrowed
-	readCount   int     // the result of the read under way
+	readBuffer  *[]byte // from readBuffers; nil: none is held
+	readCount   int     // the result of the read in progress
 	readError   error
 }
 
@@ -60,7 +61,8 @@
 	return s, nil
 }
 
-// tryRead reads what is there, and reports whether the read is over: false, nothing is there. The buffer is given back then.
+// tryRead makes one non-blocking read and reports whether the read is done. If there is no input, it returns the buffer to
+// the pool and reports false.
 func (s *socket) tryRead(fd uintptr) bool {
 	if s.readBuffer == nil {
 		s.readBuffer = readBuffers.Get().(*[]byte)
@@ -79,11 +81,13 @@
 	}
 }
 
-// waitForInput waits until bytes, an end or an error are there to be read, until the read deadline at most, and leaves them there.
+// waitForInput waits, at most until the read deadline, until bytes, the end of the stream or an error can be read. It
+// consumes nothing.
 func (s *socket) waitForInput() error { return s.raw.Read(fdHasInput) }
 
-// read waits for bytes, until the read deadline at most. They are good until the next call of read, readAvailable or
-// releaseBuffer. The end of the peer's sending is io.EOF; a deadline that passes is an error that isTimeout reports.
+// read waits for bytes, at most until the read deadline. The bytes are valid until the next call of read, readAvailable or
+// releaseBuffer. It returns io.EOF when the peer has closed its sending side, and an error for which isTimeout is true when
+// the deadline has passed.
 func (s *socket) read() ([]byte, error) {
 	s.releaseBuffer()
 	s.readCount, s.readError = 0, nil
@@ -99,7 +103,8 @@
 	return (*s.readBuffer)[:s.readCount], nil
 }
 
-// readAvailable reads what is there without waiting: nil, there is nothing. The bytes are good as those of read.
+// readAvailable reads bytes without waiting. It returns nil if no bytes are available. The bytes are valid as long as those
+// of read.
 func (s *socket) readAvailable() []byte {
 	s.releaseBuffer()
 	s.readCount, s.readError = 0, nil
@@ -110,7 +115,7 @@
 	return (*s.readBuffer)[:s.readCount]
 }
 
-// releaseBuffer gives the borrowed buffer back. The reading goroutine calls it when it has done with the last read.
+// releaseBuffer returns the read buffer to the pool. The reader calls it when it has processed the last read.
 func (s *socket) releaseBuffer() {
 	if s.readBuffer != nil {
 		readBuffers.Put(s.readBuffer)
@@ -118,8 +123,8 @@
 	}
 }
 
-// consumeUnexpectedByte reports whether a byte, the end of the peer's sending or an error is there to be read, while
-// nothing is expected. A byte that is there is consumed: the connection is of no use then. It does not wait.
+// consumeUnexpectedByte reports whether a byte, the end of the stream or an error can be read although no input is
+// expected. It consumes the byte: the connection cannot be used after that. It does not wait.
 func (s *socket) consumeUnexpectedByte() bool {
 	nothing := false
 	err := s.raw.Control(func(fd uintptr) {
@@ -130,7 +135,7 @@
 	return err != nil || !nothing
 }
 
-// clearReadDeadline takes the read deadline back, unless it is there because writing has failed.
+// clearReadDeadline removes the read deadline, unless the socket has failed and the deadline is there to wake the reader.
 func (s *socket) clearReadDeadline() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +144,7 @@
 	}
 }
 
-// tryWrite writes what the kernel takes at once. It is always over: the rest is flush's.
+// tryWrite writes as many bytes as the kernel accepts at once. It always reports true (done): flush writes the rest.
 func (s *socket) tryWrite(fd uintptr) bool {
 	for {
 		n, err := syscall.Write(int(fd), s.writeSource[s.writeCount:])
@@ -157,8 +162,8 @@
 	}
 }
 
-// write hands bytes to the kernel as far as it takes them and keeps the rest. It never blocks. incomplete reports that the
-// connection failed before all of b was handed to the kernel; a part of it may have been.
+// write hands as many bytes to the kernel as it accepts and buffers the rest. It never blocks. incomplete reports that the
+// connection failed before all of b was handed to the kernel; a part of b may have been handed over.
 func (s *socket) write(b []byte) (incomplete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,12 +186,13 @@
 	if s.writeCount < len(b) {
 		s.unwritten = append(s.unwritten, b[s.writeCount:]...)
 		s.flushing = true
-		go s.flush() // ends within writeTimeout of the last chunk, or with close
+		go s.flush() // ends at close, or when a chunk takes longer than writeTimeout
 	}
 	return false
 }
 
-// flush writes what was kept. It ends when all is written, the peer takes too long over flushChunk, or the socket closes.
+// flush writes the buffered bytes. It returns when all are written, when the peer does not accept flushChunk bytes within
+// writeTimeout, or when the socket is closed.
 func (s *socket) flush() {
 	s.mu.Lock()
 	for len(s.unwritten) > 0 && !s.failed {
@@ -217,24 +223,24 @@
 func (s *socket) failLocked() {
 	s.failed = true
 	s.writeProgress.Broadcast()
-	s.conn.SetReadDeadline(inThePast) // the reader finds out
+	s.conn.SetReadDeadline(expiredDeadline) // wakes the reader
 }
 
-// unwrittenBytes is how many bytes are kept.
+// unwrittenBytes returns the number of buffered bytes.
 func (s *socket) unwrittenBytes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.unwritten)
 }
 
-// closedOrFailed reports whether a write has failed, or the socket was closed.
+// closedOrFailed reports whether a write has failed or the socket was closed.
 func (s *socket) closedOrFailed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failed
 }
 
-// waitUnwrittenBelow waits until less than n bytes are kept or the socket has failed.
+// waitUnwrittenBelow waits until fewer than n bytes are buffered or the socket has failed.
 func (s *socket) waitUnwrittenBelow(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,7 +249,7 @@
 	}
 }
 
-// closeAndFlushed closes the socket and reports whether the kernel had taken all that it was handed.
+// closeAndFlushed closes the socket and reports whether all bytes passed to write were handed to the kernel.
 func (s *socket) closeAndFlushed() bool {
 	s.close()
 	s.mu.Lock()
@@ -254,7 +260,7 @@
 	return !s.incomplete
 }
 
-// closeAfterFlush closes the connection when all that it was handed is written. It does not wait.
+// closeAfterFlush closes the connection once all buffered bytes are written. It does not wait.
 func (s *socket) closeAfterFlush() {
 	s.mu.Lock()
 	flushing := s.flushing
@@ -267,13 +273,13 @@
 	}
 }
 
-// reset closes the connection with a reset; what the peer has not read by then may be lost.
+// reset closes the connection with a reset; the peer may lose bytes that it has not read by then.
 func (s *socket) reset() {
 	s.conn.SetLinger(0)
 	s.close()
 }
 
-// close closes the connection; what was kept is lost.
+// close closes the connection and discards the buffered bytes.
 func (s *socket) close() {
 	s.mu.Lock()
 	s.failed = true
@@ -282,5 +288,5 @@
 	s.conn.Close()
 }
 
-// isTimeout reports an error of a read, write or accept whose deadline has passed.
+// isTimeout reports whether a read, write or accept failed because its deadline has passed.
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/server/socketinput.go
+++ b/internal/server/socketinput.go
@@ -2,7 +2,7 @@
 
 import "syscall"
 
-// hasInput reports whether something is there to be read, an end or an error included, and leaves it there.
+// hasInput reports whether bytes, the end of the stream or an error can be read. It consumes nothing.
 func hasInput(raw syscall.RawConn) bool {
 	found := true
 	raw.Control(func(fd uintptr) { found = fdHasInput(fd) })
@@ -16,14 +16,14 @@
 	return err != syscall.EAGAIN
 }
 
-// hasUnreadBytes reports whether bytes are there to be read on a connection; nil: there is none. It does not wait. An end or an
-// error alone, which hasInput counts as well, is not.
+// hasUnreadBytes reports whether a connection has unread bytes. Unlike hasInput it does not count the end of the stream or an
+// error. s may be nil: there is no connection. It does not wait.
 func hasUnreadBytes(s *socket) bool {
 	if s == nil {
 		return false
 	}
 	found := false
-	s.raw.Control(func(fd uintptr) { // an error: the watch has ended
+	s.raw.Control(func(fd uintptr) { // fails only if the socket is closed
 		var b [1]byte
 		n, _, _ := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		found = n > 0
--- a/internal/server/unread_test.go
+++ b/internal/server/unread_test.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestInstanceServesThoughDiscoveryIsOdd: while a message of discovery lies unread no attempt begins. What isn't such a message
-// must not look like one for longer: an instance would reject all requests though all is well.
-func TestInstanceServesThoughDiscoveryIsOdd(t *testing.T) {
-	for name, disturb := range map[string]func(rig *drainRig){
+// TestUnusualDiscoveryInputDoesNotStopRequests: no attempt begins while a message of discovery is unread. Input that is not such
+// a message must not count as one for long, or the instance would reject all requests without need.
+func TestUnusualDiscoveryInputDoesNotStopRequests(t *testing.T) {
+	for name, send := range map[string]func(rig *drainRig){
 		"a message of which half has come": func(rig *drainRig) {
 			writeChunk(rig.watch, `{"seq":8,"whole":false,"ho`)
 		},
@@ -46,7 +46,7 @@
 		t.Run(strings.ReplaceAll(name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
 			rig := startDrainRig(t)
-			disturb(rig)
+			send(rig)
 			time.Sleep(2 * testDrainGrace)
 			for id := 1; id <= 5; id++ {
 				if status := rig.status(nodeRequest(id)); status != 200 {
@@ -57,7 +57,7 @@
 	}
 }
 
-// refusingAddress is an address at which connections are refused.
+// refusingAddress returns an address at which connections are refused.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,14 +68,14 @@
 	return listener.Addr().String()
 }
 
-// waitClosedByPeer waits until the kernel has taken in that the peer has reset a connection.
+// waitClosedByPeer waits until the kernel has processed the peer's reset of a connection.
 func waitClosedByPeer(t *testing.T, socket *socket) {
 	t.Helper()
 	const stateClosed = 7 // TCP_CLOSE
 	state := uint8(0)
 	for limit := time.Now().Add(orderTimeout); state != stateClosed; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("the connection's state: %d", state)
+			t.Fatalf("connection state: %d", state)
 		}
 		socket.raw.Control(func(fd uintptr) {
 			info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestUnreadBytesSurviveReset: a watch that is reset behind a notice still has it to be read.
+// TestUnreadBytesSurviveReset: bytes that arrived before a reset of the watch must still be readable.
 func TestUnreadBytesSurviveReset(t *testing.T) {
 	const notice = "notice"
 	socket, discovery := newSocketPair(t)
@@ -97,7 +97,7 @@
 	discovery.Close()
 	waitClosedByPeer(t, socket)
 	if !hasUnreadBytes(socket) {
-		t.Error("nothing lies unread")
+		t.Error("no unread bytes")
 	}
 	input := watchInput{now: func() time.Duration { return time.Hour }}
 	if b, err := input.read(socket); string(b) != notice || err != nil {
