--- a/fault/fault.go
+++ b/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault is the one vocabulary for what can go wrong: each verb is defined here, and means the same for emulators on
-// sockets and in the simulator. Scripts and control connections hold verbs in the words that are their values.
+// Package fault defines the verbs of fault injection. Each verb means the same for emulators on sockets and in the simulator.
+// Scripts and control connections contain verbs as their string values.
 package fault
 
 import (
@@ -12,106 +12,108 @@
 	"time"
 )
 
-// Verb says what goes wrong.
+// Verb is a kind of fault.
 type Verb string
 
-// Faults of backends; some are also of the counter.
+// Faults of backends. Some also apply to the counter.
 const (
-	// Slow makes work take value times as long.
+	// Slow prolongs work by the factor value.
 	Slow Verb = "slow"
-	// Hang takes requests and neither works on nor responds to them.
+	// Hang accepts requests but neither executes nor answers them.
 	Hang Verb = "hang"
-	// ResetResponse does the work and resets the connection after value bytes of the response.
+	// ResetResponse executes requests and resets the connection after value bytes of the response.
 	ResetResponse Verb = "reset"
-	// DropResponse does the work and closes the connection without a response.
+	// DropResponse executes requests and closes the connection without a response.
 	DropResponse Verb = "lose"
-	// ServerErrors responds 500 at once, without work, to a share of the requests, value.
+	// ServerErrors answers a share of the requests, value, with 500 at once, without executing them.
 	ServerErrors Verb = "fault"
-	// Refuse refuses connections and closes those there are; of the counter, too.
+	// Refuse refuses new connections and closes the open ones. It also applies to the counter.
 	Refuse Verb = "refuse"
-	// ExtraResponse follows each response with another that nobody asked for.
+	// ExtraResponse sends an unsolicited response after each response.
 	ExtraResponse Verb = "trail"
-	// FalseReports makes load reports value times the truth; below 0 they are what no backend can have.
+	// FalseReports multiplies the values of load reports by value. With a negative value the reports are impossible.
 	FalseReports Verb = "lie"
-	// Stall stops everything, which goes on where it was; of the counter, too.
+	// Stall stops all processing, which resumes where it stopped when the fault ends. It also applies to the counter.
 	Stall Verb = "stall"
-	// Delay holds responses back for value milliseconds; of the counter, too.
+	// Delay delays responses by value milliseconds. It also applies to the counter.
 	Delay Verb = "delay"
 )
 
 // Faults of the counter.
 const (
-	// NoReply counts calls and does not reply.
+	// NoReply executes calls but does not reply.
 	NoReply Verb = "silent"
-	// ResetTotals drops all totals, at once.
+	// ResetTotals removes all totals, at once.
 	ResetTotals Verb = "empty"
-	// Rollback takes totals back to what they were value milliseconds ago, at once.
+	// Rollback restores all totals to their values of value milliseconds ago, at once.
 	Rollback Verb = "old"
-	// PartialOutage refuses calls for a share of the names, value.
+	// PartialOutage refuses calls for a share, value, of the names.
 	PartialOutage Verb = "part"
-	// Split has a share of the instances, value, served by a copy that does not see the others; it is dropped at the end.
+	// Split serves a share, value, of the instances from a separate copy of the totals, which is discarded when the fault ends.
 	Split Verb = "split"
-	// InvalidReplies replies with something else than the protocol; in the simulator only.
+	// InvalidReplies sends replies that violate the protocol. It exists in the simulator only.
 	InvalidReplies Verb = "garble"
 )
 
 // Faults of processes and of the endpoint list.
 const (
-	// Kill ends the process at once and restarts it after the duration; a backend is in slow start then.
+	// Kill ends the process at once and restarts it after the duration. A restarted backend is in slow start.
 	Kill Verb = "kill"
-	// Drain lists a backend as draining, and removes it after the duration, but not before the drain grace is over; its
-	// process ends some time later.
+	// Drain lists a backend as draining, and removes it from the list after the duration, but not before the end of the drain
+	// grace. Its process ends some time later.
 	Drain Verb = "drain"
-	// Replace does the same, and lists a replacement in slow start when the backend is removed.
+	// Replace does the same as Drain, and lists a replacement in slow start when it removes the backend.
 	Replace Verb = "replace"
-	// Vanish removes the target from the list without notice; its process ends some time later.
+	// Vanish removes the target from the list without notice. Its process ends some time later.
 	Vanish Verb = "leave"
-	// Pause suspends the process while the network goes on; in the simulator only.
+	// Pause suspends the process while the network continues. It exists in the simulator only.
 	Pause Verb = "pause"
-	// DescriptorLimit leaves an instance value descriptors for connections; in the simulator only.
+	// DescriptorLimit limits an instance to value descriptors for connections. It exists in the simulator only.
 	DescriptorLimit Verb = "descriptors"
-	// TornEndpointFile replaces the endpoint list half-written, and repairs it after the duration; in the simulator only.
+	// TornEndpointFile replaces the endpoint list by a half-written one, and repairs it after the duration. It exists in the
+	// simulator only.
 	TornEndpointFile Verb = "torn"
 )
 
-// Faults of the network, in the simulator only. The target is a process, for all its links, or two: "door-1/box-2".
+// Faults of the network, in the simulator only. The target is a process, for all its links, or a pair of processes for the link
+// between them: "door-1/box-2".
 const (
-	// Partition lets nothing pass, either way.
+	// Partition blocks traffic in both directions.
 	Partition Verb = "partition"
-	// OneWayPartition lets nothing pass from the first to the second.
+	// OneWayPartition blocks traffic from the first process to the second.
 	OneWayPartition Verb = "oneway"
-	// AddedLatency adds value milliseconds, each way.
+	// AddedLatency adds value milliseconds of latency in each direction.
 	AddedLatency Verb = "lag"
-	// Throttle passes value bytes a second, each way.
+	// Throttle limits the bandwidth to value bytes per second in each direction.
 	Throttle Verb = "throttle"
-	// NotAccepting leaves connections waiting to be accepted.
+	// NotAccepting stops the accepting of connections, which wait in the backlog.
 	NotAccepting Verb = "deaf"
 )
 
 // Faults of traffic.
 const (
-	// Surge multiplies the usual traffic of a plan or customer, or all, by value.
+	// Surge multiplies the usual traffic of a plan, of a customer or of all customers by value.
 	Surge Verb = "surge"
-	// MoveTraffic moves customers' traffic to other instances of theirs, at once.
+	// MoveTraffic moves customers' traffic to others of their instances, at once.
 	MoveTraffic Verb = "move"
-	// ClientsAbort has a share of the clients, value, leave before their response.
+	// ClientsAbort makes a share, value, of the clients disconnect before their response.
 	ClientsAbort Verb = "quit"
-	// SlowClients has a share of the clients, value, send and read slowly.
+	// SlowClients makes a share, value, of the clients send and read slowly.
 	SlowClients Verb = "drip"
-	// InvalidRequests has a share of the clients, value, send what is no request.
+	// InvalidRequests makes a share, value, of the clients send bytes that are not a valid request.
 	InvalidRequests Verb = "noise"
 )
 
-// Targets of events that are no name of a process, plan or customer.
+// Targets of events other than the name of a process, plan or customer.
 const (
-	TargetAll       = "*"       // all of the verb's kind
+	TargetAll       = "*"       // all targets of the kind that the verb applies to
 	TargetBackends  = "boxes"   // all backends
 	TargetInstances = "doors"   // all proxy instances
 	TargetCounter   = "keeper"  // the shared counter
-	TargetClients   = "clients" // of links only: the host of all clients
+	TargetClients   = "clients" // the host of all clients; only in links
 )
 
-// verbs lists all verbs, in the order in which an error names them.
+// verbs lists all verbs, in the order used in error messages.
 var verbs = []Verb{Slow, Hang, ResetResponse, DropResponse, ServerErrors, Refuse, ExtraResponse, FalseReports, Stall, NoReply, Delay, ResetTotals,
 	Rollback, PartialOutage, Split, Kill, Drain, Replace, Vanish, Surge, MoveTraffic, ClientsAbort, SlowClients, InvalidRequests, Partition,
 	OneWayPartition, AddedLatency, Throttle, NotAccepting, Pause, DescriptorLimit, TornEndpointFile, InvalidReplies}
@@ -120,29 +122,29 @@
 var verbsWithValue = []Verb{Slow, FalseReports, Delay, Rollback, PartialOutage, Split, Surge, ClientsAbort, SlowClients, InvalidRequests,
 	AddedLatency, Throttle, DescriptorLimit}
 
-// maxValue is the largest value of any verb: beyond it a product of times would overflow.
+// maxValue is the largest value of any verb. With larger values the multiplication of times would overflow.
 const maxValue = 1e9
 
 // Event is one fault of a script.
 type Event struct {
 	At       time.Duration // since the start of the script
-	Duration time.Duration // 0: until the end, or for verbs without duration
+	Duration time.Duration // 0: until the end of the script, or for verbs without duration
 	Verb     Verb
 	Target   string // the name of a process, plan or customer, two processes for a link, or one of the targets above
 	Value    float64
 }
 
-// What can be wrong with a fault's text; a ParseError wraps one of them.
+// Errors of Parse. A ParseError wraps one of them.
 var (
 	ErrUnknownVerb  = errors.New("unknown verb")
 	ErrMissingValue = errors.New("a value is missing")
 	ErrInvalidValue = errors.New("not a value of this verb")
 )
 
-// ParseError is a text that is no fault.
+// ParseError is the error of a text that is not a valid fault.
 type ParseError struct {
 	Verb  string // the text's first word
-	Value string // the rest, if that is what is wrong
+	Value string // the rest of the text, if Err is ErrInvalidValue
 	Err   error  // ErrUnknownVerb, ErrMissingValue or ErrInvalidValue
 }
 
@@ -156,10 +158,10 @@
 	return e.Verb + ": " + e.Err.Error()
 }
 
-// Unwrap returns the kind of mistake.
+// Unwrap returns Err.
 func (e *ParseError) Unwrap() error { return e.Err }
 
-// Parse reads the short form of a verb with its value, as emulators take it: "slow 3", "hang", "reset 10". The error is a
+// Parse parses the short form of a verb with its value, as emulators accept it: "slow 3", "hang", "reset 10". The error is a
 // *ParseError.
 func Parse(text string) (Verb, float64, error) {
 	word, rest, hasValue := strings.Cut(strings.TrimSpace(text), " ")
@@ -180,7 +182,7 @@
 	return verb, value, nil
 }
 
-// defaultValue is the value of a verb that is written without one.
+// defaultValue returns the value of a verb that is written without one.
 func defaultValue(v Verb) float64 {
 	if v == ServerErrors {
 		return 1 // all requests
--- a/fault/fault_test.go
+++ b/fault/fault_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A fault that is read as another, or with another value, makes a script prove something else than it says.
+// If a fault were parsed as another verb or with another value, a script would not test what it says.
 func TestParseReadsVerbAndValue(t *testing.T) {
 	for text, want := range map[string]struct {
 		verb  Verb
@@ -25,7 +25,7 @@
 	}
 }
 
-// Mistakes are told apart by errors.Is, and name what was wrong.
+// errors.Is distinguishes the errors of Parse, and their texts name the invalid part.
 func TestParseErrorsSayWhatIsWrong(t *testing.T) {
 	for _, c := range []struct {
 		text string
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -2,26 +2,26 @@
 
 // The chunked transfer coding (RFC 9112 section 7.1).
 
-// Bounds on the framing of chunks, so that a sender can't make a reader work without sending a body.
+// Bounds on the framing of chunks, so that a sender cannot make a reader work without sending a body.
 const (
 	maxChunkSizeLine   = 256       // bytes of the line before a chunk, extensions and line end included
-	maxExcessFraming   = 16 << 10  // bytes of framing beyond what bodies in chunks of ordinary size have, as in net/http
-	maxChunkSize       = 1<<62 - 1 // bytes of a chunk; sums of two still fit an int64
+	maxExcessFraming   = 16 << 10  // bytes of framing in excess of the allowance of countFraming, as in net/http
+	maxChunkSize       = 1<<62 - 1 // bytes of a chunk; the sum of two fits in an int64
 	maxChunkSizeDigits = 15        // hexadecimal digits of a chunk size, leading zeros included
 )
 
-// Framing that a chunk may have, beyond which it is counted as excess (see countFraming).
+// Framing that is allowed for a chunk; more is counted as excess (see countFraming).
 const (
-	chunkLineEnds        = 2 * len(crlf) // bytes: behind the size line and behind the chunk
+	chunkLineEnds        = 2 * len(crlf) // bytes: after the size line and after the chunk
 	chunkFramingAllowed  = 16            // bytes for each chunk
 	framingAllowedByByte = 2             // bytes for each byte of the chunk
 )
 
-// forbiddenTrailers are the fields that frame or route a message, which must not come behind it (RFC 9110 section 6.5.1):
-// a parser that merges trailers into the head would read another message.
+// forbiddenTrailers are the fields that frame or route a message, which must not be in trailers (RFC 9110 section 6.5.1): a
+// parser that merges trailers into the head would see a different message.
 var forbiddenTrailers = [...]string{"Content-Length", "Transfer-Encoding", "Host", "Connection", "Trailer"}
 
-// readChunkSize takes the line before a chunk in. incomplete reports that it has not all come.
+// readChunkSize reads the line before a chunk. incomplete reports that the line is not complete.
 func (r *Reader) readChunkSize(b []byte) (used int, incomplete bool, err *Error) {
 	used, line, err := r.collectChunkLine(b, maxChunkSizeLine)
 	if err != nil || line == nil {
@@ -39,7 +39,7 @@
 	return used, false, nil
 }
 
-// readChunkEnd takes the line end behind a chunk in. incomplete reports that it has not all come.
+// readChunkEnd reads the line end after a chunk. incomplete reports that it is not complete.
 func (r *Reader) readChunkEnd(b []byte) (used int, incomplete bool, err *Error) {
 	used, line, err := r.collectChunkLine(b, len(crlf))
 	if err != nil || line == nil {
@@ -50,8 +50,8 @@
 	return used, false, nil
 }
 
-// collectChunkLine takes a line of chunk framing of at most limit bytes in, and returns it without its end; nil while it is
-// not complete. A CR or LF alone might end the line for another parser, and is refused.
+// collectChunkLine reads a line of chunk framing of at most limit bytes. It returns the line without its end, or nil while the
+// line is not complete. A bare CR or LF is refused, because another parser might take it for the end of the line.
 func (r *Reader) collectChunkLine(b []byte, limit int) (used int, line []byte, err *Error) {
 	for i, c := range b {
 		length := len(r.buf)
@@ -73,7 +73,7 @@
 	return len(b), nil, nil
 }
 
-// parseChunkSize reads the line before a chunk: the size in bytes, in hexadecimal digits, and extensions, which are skipped
+// parseChunkSize parses the line before a chunk: the size in bytes, in hexadecimal digits, and extensions, which are ignored
 // (RFC 9112 section 7.1.1).
 func parseChunkSize(line []byte) (int64, *Error) {
 	size, digits := int64(0), 0
@@ -109,9 +109,9 @@
 	return 0, false
 }
 
-// countFraming bounds the framing of a chunked body. A sender that pads its chunks with extensions makes the reader work for
-// nothing: what framing exceeds the body by, with 16 bytes and twice the chunk's size allowed for each chunk, is counted and
-// bounded, as in net/http.
+// countFraming bounds the framing of a chunked body, since a sender that pads chunks with extensions makes the reader work
+// without sending a body. For each chunk, 16 bytes plus twice the size of the chunk are allowed. Framing in excess of that is
+// counted over the body and bounded, as in net/http.
 func (r *Reader) countFraming(lineLength int, size int64) *Error {
 	framing := int64(lineLength + chunkLineEnds)
 	allowed := chunkFramingAllowed + framingAllowedByByte*size
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// beginChunk makes ready for a chunk, or for the trailers behind the last one, whose size is 0.
+// beginChunk prepares the reader for a chunk, or for the trailers after the last chunk, whose size is 0.
 func (r *Reader) beginChunk(size int64) {
 	r.bodyLeft = size
 	if size > 0 {
@@ -133,7 +133,7 @@
 	r.lineStart = 0
 }
 
-// readTrailers takes the trailers of a chunked body in (RFC 9112 section 7.1.2), with the empty line that ends them.
+// readTrailers reads the trailers of a chunked body (RFC 9112 section 7.1.2), including the empty line that ends them.
 func (r *Reader) readTrailers(b []byte) (used int, part Part, err *Error) {
 	used, done, err := r.collectLines(b, r.limits.Trailers, badRequest("trailers that are too large"))
 	if err != nil || !done {
--- a/internal/http1/error.go
+++ b/internal/http1/error.go
@@ -2,16 +2,16 @@
 
 import "errors"
 
-// Error is the error of a message that can't be accepted. A Reader returns it as *Error, for errors.As.
+// Error is the error of a message that is not acceptable. A Reader returns it as *Error, for errors.As.
 type Error struct {
-	Status int    // the status code that a server owes the sender, 4xx or 5xx (RFC 9110 section 15)
-	Reason string // what was found, for the log
+	Status int    // the status code for the server's response, 4xx or 5xx (RFC 9110 section 15)
+	Reason string // what is wrong with the message; also appears in the detail of the server's response
 }
 
-// Error returns the reason, with the name of the package before it.
+// Error returns the reason, prefixed with the name of the package.
 func (e *Error) Error() string { return "http1: " + e.Reason }
 
-// badRequest returns the error of a message that is malformed, or that two parsers could read differently.
+// badRequest returns the error of a message that is malformed or that two parsers could interpret differently.
 func badRequest(reason string) *Error { return &Error{statusBadRequest, reason} }
 
 // ErrTruncated is the error of a connection that ended within a message (RFC 9112 section 8).
--- a/internal/http1/fields.go
+++ b/internal/http1/fields.go
@@ -2,14 +2,15 @@
 
 import "strings"
 
-// Field is one line of a head or of trailers (RFC 9110 section 5). Its name keeps the case it came in; its value has no
-// white space around it.
+// Field is one field line of a head or of trailers (RFC 9110 section 5). The name keeps its original case; the value has no
+// surrounding white space.
 type Field struct{ Name, Value string }
 
-// EqualName reports whether two field names are the same: they match in any case (RFC 9110 section 5.1).
+// EqualName reports whether two field names are equal, ignoring case (RFC 9110 section 5.1).
 func EqualName(a, b string) bool { return equalFold(a, b) }
 
-// equalFold compares ASCII names without folding through Unicode, where K and the Kelvin sign are alike.
+// equalFold reports whether two ASCII names are equal, ignoring case. It does not use Unicode folding, in which K equals the
+// Kelvin sign.
 func equalFold(a, b string) bool {
 	if len(a) != len(b) {
 		return false
@@ -26,14 +27,14 @@
 	return true
 }
 
-// caseBit is the bit that a lower-case ASCII letter has set and its upper-case letter has not.
+// caseBit is the bit that is set in a lower-case ASCII letter and clear in its upper-case letter.
 const caseBit = 0x20
 
 func isLowerLetter(c byte) bool { return c >= 'a' && c <= 'z' }
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// tokenBytes holds the bytes of a token (RFC 9110 section 5.6.2).
+// tokenBytes is the set of bytes that are allowed in a token (RFC 9110 section 5.6.2).
 var tokenBytes = func() (set [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		set[c] = true
@@ -58,7 +59,7 @@
 	return s != ""
 }
 
-// isFieldValue reports whether s may be a field's value: no control byte but the tab (RFC 9110 section 5.5).
+// isFieldValue reports whether s may be a field value: no control byte except the tab (RFC 9110 section 5.5).
 func isFieldValue(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < ' ' && c != '\t' || c == del {
@@ -68,19 +69,19 @@
 	return true
 }
 
-// del is the control byte above the printable ASCII bytes.
+// del is the control byte DEL, which follows the printable ASCII bytes.
 const del = 0x7f
 
-// whitespace holds the optional white space around values and list members, OWS (RFC 9110 section 5.6.3).
+// whitespace contains the bytes of optional white space (OWS) around values and list members (RFC 9110 section 5.6.3).
 const whitespace = " \t"
 
-// parseFieldLines reads the field lines of a whole head, which ends in an empty line.
+// parseFieldLines parses the field lines of a complete head, which ends with an empty line.
 func parseFieldLines(lines string) ([]Field, *Error) {
 	lines = strings.TrimSuffix(lines, crlf)
 	return appendFieldLines(make([]Field, 0, strings.Count(lines, "\n")), lines)
 }
 
-// appendFieldLines reads lines, each ended by CRLF, and appends them to fields (RFC 9112 section 5).
+// appendFieldLines parses field lines, each ended by CRLF, and appends the fields to fields (RFC 9112 section 5).
 func appendFieldLines(fields []Field, lines string) ([]Field, *Error) {
 	for lines != "" {
 		line, rest, _ := strings.Cut(lines, crlf)
@@ -94,8 +95,8 @@
 	return fields, nil
 }
 
-// parseFieldLine reads one line without its end. It refuses what a recipient might forgive but another parser might read
-// otherwise: folded lines (RFC 9112 section 5.2) and white space before the colon (section 5.1).
+// parseFieldLine parses one field line without its end. It refuses syntax that a lenient parser accepts but another might
+// interpret differently: folded lines (RFC 9112 section 5.2) and white space before the colon (section 5.1).
 func parseFieldLine(line string) (Field, *Error) {
 	if line[0] == ' ' || line[0] == '\t' {
 		return Field{}, badRequest("a folded line")
@@ -104,7 +105,7 @@
 	if !ok {
 		return Field{}, badRequest("a field without a colon")
 	}
-	if !isToken(name) { // a space before the colon included
+	if !isToken(name) { // also refuses a space before the colon
 		return Field{}, badRequest("a field name that is no token")
 	}
 	value = strings.Trim(value, whitespace)
@@ -114,7 +115,7 @@
 	return Field{name, value}, nil
 }
 
-// hasListMember reports whether a comma-separated list holds a token, in any case (RFC 9110 section 5.6.1).
+// hasListMember reports whether a comma-separated list contains a token, ignoring case (RFC 9110 section 5.6.1).
 func hasListMember(list, token string) bool {
 	for list != "" {
 		var member string
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// resolveFraming reads from the fields how long the body is and whether the connection persists (RFC 9112 sections 6 and
-// 9.3). Fields that leave room for two readings are refused.
+// resolveFraming determines from the fields the length of the body and whether the connection persists (RFC 9112 sections 6
+// and 9.3). Ambiguous fields are refused.
 func (h *Head) resolveFraming(request bool) *Error {
 	h.Close = h.Minor == 0
 	h.Length = 0
@@ -34,14 +34,14 @@
 	return h.setTransferCoding(codings)
 }
 
-// setContentLength reads a Content-Length (RFC 9110 section 8.6). A second one is refused even where it is the same, and
-// so is a list.
+// setContentLength parses a Content-Length field (RFC 9110 section 8.6). A second field is refused even if its value is the
+// same, and so is a list.
 func (h *Head) setContentLength(value string) *Error {
 	if h.hasContentLength {
 		return badRequest("more than one Content-Length")
 	}
 	length, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || !isDigit(value[0]) { // a sign is none of the field's grammar
+	if err != nil || !isDigit(value[0]) { // ParseInt accepts a sign, the field's grammar does not
 		return badRequest("a Content-Length that is no number")
 	}
 	h.Length = length
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// joinCodings adds the value of a Transfer-Encoding field to those before it, as one list (RFC 9110 section 5.3).
+// joinCodings appends the value of a Transfer-Encoding field to those of earlier ones, as one list (RFC 9110 section 5.3).
 func (h *Head) joinCodings(codings, value string) string {
 	if h.hasTransferEncoding {
 		codings += ","
@@ -58,7 +58,8 @@
 	return codings + value
 }
 
-// setPersistence reads the options of a Connection field (RFC 9112 section 9.3). HTTP/1.0 closes unless it says keep-alive.
+// setPersistence parses the options of a Connection field (RFC 9112 section 9.3). HTTP/1.0 connections close unless keep-alive
+// is among them.
 func (h *Head) setPersistence(options string) {
 	if hasListMember(options, "close") {
 		h.Close = true
@@ -69,7 +70,7 @@
 	}
 }
 
-// setExpectation reads an Expect field (RFC 9110 section 10.1.1). HTTP/1.0 clients are not sent 100.
+// setExpectation parses an Expect field (RFC 9110 section 10.1.1). HTTP/1.0 clients do not get 100.
 func (h *Head) setExpectation(value string) *Error {
 	if !equalFold(value, "100-continue") {
 		return &Error{statusExpectationFailed, "an expectation other than 100-continue"}
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// setTransferCoding takes the transfer codings of a message, of which chunked alone is offered (RFC 9112 sections 6.1 and
-// 6.3). A message with Content-Length too, or in HTTP/1.0, might be framed otherwise by another parser, and is refused.
+// setTransferCoding handles the transfer codings of a message. Only chunked is supported (RFC 9112 sections 6.1 and 6.3). A
+// message that also has Content-Length, or is HTTP/1.0, is refused, because another parser might frame it differently.
 func (h *Head) setTransferCoding(codings string) *Error {
 	switch {
 	case h.hasContentLength:
@@ -95,13 +96,13 @@
 	return nil
 }
 
-// resolveResponseBody settles the length of a response's body where its status, or the request's method, decides it (RFC
+// resolveResponseBody determines the length of a response's body where it depends on the status or the request's method (RFC
 // 9112 section 6.3).
 func (h *Head) resolveResponseBody(method string) *Error {
 	if h.Status == statusSwitchingProtocols {
 		return badRequest("a switch of protocols that nobody asked for")
 	}
-	bodiless := h.isInterim() || h.Status == statusNoContent // Transfer-Encoding is not allowed either (section 6.1)
+	bodiless := h.isInterim() || h.Status == statusNoContent // Transfer-Encoding is not allowed in these responses (section 6.1)
 	if bodiless && h.hasTransferEncoding {
 		return badRequest("Transfer-Encoding where there is no body")
 	}
@@ -116,5 +117,5 @@
 	return nil
 }
 
-// isInterim reports whether a response is followed by the final one (1xx, RFC 9110 section 15.2).
+// isInterim reports whether a response is interim, that is, followed by the final one (1xx, RFC 9110 section 15.2).
 func (h *Head) isInterim() bool { return h.Status < statusOK }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -8,30 +8,31 @@
 // crlf ends every line of a head and of chunk framing (RFC 9112 section 2.2).
 const crlf = "\r\n"
 
-// Head is a start line with its fields, and what they say of the body. It is immutable once a Reader has returned it.
+// Head is a start line with its fields, and the properties of the body that follow from them. It is immutable once a Reader
+// has returned it.
 type Head struct {
 	Method, Target string // of a request
 	Path, Query    string // of a request's target; Path is "*" for OPTIONS *
-	Authority      string // of a request: the host that it names
+	Authority      string // of a request: the host, with the port if there is one
 	Status         int    // of a response
 	Reason         string // of a response
 	Minor          int    // HTTP/1.Minor: 0 or 1
 	Fields         []Field
 	Length         int64 // of the body in bytes; or Chunked or UntilClose
-	Close          bool  // the sender won't use the connection after this message
-	Continue       bool  // a request that waits for 100 (RFC 9110 section 10.1.1)
+	Close          bool  // the connection does not persist after this message
+	Continue       bool  // of a request: the client waits for 100 (RFC 9110 section 10.1.1)
 
 	hasTransferEncoding bool
 	hasContentLength    bool
 }
 
-// Lengths of bodies that no field states in bytes.
+// Values of Length for bodies without a stated length.
 const (
 	Chunked    = -1 // the last chunk ends the body (RFC 9112 section 7.1)
 	UntilClose = -2 // the end of the connection ends the body (RFC 9112 section 6.3, item 8)
 )
 
-// Get returns the value of the first field of a name, and whether there is one; names match in any case.
+// Get returns the value of the first field with a name, and whether there is one. Case is ignored.
 func (h *Head) Get(name string) (string, bool) {
 	for i := range h.Fields {
 		if equalFold(h.Fields[i].Name, name) {
@@ -41,8 +42,8 @@
 	return "", false
 }
 
-// Nominated reports whether a Connection field of the head names another field as its own, which is then not passed on
-// (RFC 9110 section 7.6.1).
+// Nominated reports whether a Connection field of the head lists another field as a connection option. Such a field is not
+// forwarded (RFC 9110 section 7.6.1).
 func (h *Head) Nominated(name string) bool {
 	for i := range h.Fields {
 		if equalFold(h.Fields[i].Name, "Connection") && hasListMember(h.Fields[i].Value, name) {
@@ -52,7 +53,7 @@
 	return false
 }
 
-// parseRequest reads a whole head of a request, which ends in an empty line.
+// parseRequest parses the complete head of a request, which ends with an empty line.
 func parseRequest(raw string) (*Head, *Error) {
 	line, lines, _ := strings.Cut(raw, crlf)
 	h := &Head{}
@@ -73,7 +74,7 @@
 	return h, nil
 }
 
-// parseRequestLine reads method, target and version, with one space between them (RFC 9112 section 3).
+// parseRequestLine parses method, target and version, separated by single spaces (RFC 9112 section 3).
 func (h *Head) parseRequestLine(line string) *Error {
 	method, rest, hasTarget := strings.Cut(line, " ")
 	target, version, hasVersion := strings.Cut(rest, " ")
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// parseVersion reads the version of HTTP, which must be 1.0 or 1.1 (RFC 9112 section 2.3).
+// parseVersion parses the HTTP version, which must be 1.0 or 1.1 (RFC 9112 section 2.3).
 func (h *Head) parseVersion(version string) *Error {
 	const form = "HTTP/D.D" // D: a digit
 	const major, point, minor = 5, 6, 7
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// parseResponse reads a whole head of a response to a request of the given method.
+// parseResponse parses the complete head of a response to a request with the given method.
 func parseResponse(raw, method string) (*Head, *Error) {
 	line, lines, _ := strings.Cut(raw, crlf)
 	h := &Head{}
@@ -129,7 +130,7 @@
 	return h, nil
 }
 
-// parseStatusLine reads version, status code and reason phrase; the phrase may be missing (RFC 9112 section 4).
+// parseStatusLine parses version, status code and reason phrase. The phrase may be missing (RFC 9112 section 4).
 func (h *Head) parseStatusLine(line string) *Error {
 	version, rest, _ := strings.Cut(line, " ")
 	if err := h.parseVersion(version); err != nil {
@@ -142,12 +143,12 @@
 	if !isFieldValue(reason) {
 		return badRequest("a control byte in the status line")
 	}
-	h.Status, _ = strconv.Atoi(code) // three digits are a number
+	h.Status, _ = strconv.Atoi(code) // three digits always parse
 	h.Reason = reason
 	return nil
 }
 
-// isStatusCode reports whether s is three digits, the first not 0 (RFC 9110 section 15).
+// isStatusCode reports whether s consists of three digits of which the first is not 0 (RFC 9110 section 15).
 func isStatusCode(s string) bool {
 	return len(s) == 3 && isDigit(s[0]) && s[0] != '0' && isDigit(s[1]) && isDigit(s[2])
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -13,13 +13,13 @@
 	"pgregory.net/rapid"
 )
 
-// partWriter writes down the parts that a Reader returns, with Data joined.
+// partWriter formats the parts that a Reader returns, with consecutive Data joined.
 type partWriter struct {
 	out  strings.Builder
 	body []byte
 }
 
-// flush writes the body so far as one piece.
+// flush writes the body received so far as one piece.
 func (w *partWriter) flush() {
 	if len(w.body) > 0 {
 		fmt.Fprintf(&w.out, "data %q\n", w.body)
@@ -41,7 +41,7 @@
 	}
 }
 
-// writeError adds the error of Feed, behind the body so far.
+// writeError adds an error of Feed, after the body received so far.
 func (w *partWriter) writeError(err error) {
 	w.flush()
 	var e *Error
@@ -49,7 +49,7 @@
 	fmt.Fprintf(&w.out, "error %d %s\n", e.Status, e.Reason)
 }
 
-// partsOf feeds text in pieces that end at cuts and writes down what comes of it; Data is joined.
+// partsOf feeds text to a Reader in pieces that end at cuts, and returns a listing of the parts, with consecutive Data joined.
 func partsOf(r *Reader, text []byte, cuts []int, eof bool) string {
 	var w partWriter
 	at := 0
@@ -83,13 +83,13 @@
 	return w.out.String()
 }
 
-// accepted stands in the place of a status for a request that is accepted.
+// accepted is used in place of a status for requests that are accepted.
 const accepted = 0
 
 // longText is longer than a request line or a line of chunk framing may be.
 var longText = strings.Repeat("x", 9000)
 
-// requestCases are requests with the status that refuses them, or accepted.
+// requestCases are requests with the status of their refusal, or accepted.
 var requestCases = []struct {
 	name, text string
 	status     int
@@ -153,8 +153,9 @@
 	{"expectation", "POST / HTTP/1.1\r\nHost: h\r\nExpect: miracles\r\nContent-Length: 1\r\n\r\na", 417},
 }
 
-// An attacker sends a request that the gateway and a backend read differently, and smuggles a second one in it. A request
-// that two parsers could read differently must be refused, with its status, and however its bytes arrive.
+// Request smuggling: an attacker sends a request that the gateway and a backend parse differently, and hides a second request
+// in it. A request that two parsers could interpret differently must be refused with the right status, no matter how its bytes
+// are split.
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	for _, c := range requestCases {
 		got := partsOf(NewRequests(Limits{}), []byte(c.text), nil, false)
@@ -172,8 +173,8 @@
 	}
 }
 
-// The length of a response's body follows from its status, its fields and the request's method. A reader that settles it
-// otherwise takes bytes of one response for the next one. Each case names what must come of its text.
+// The length of a response body follows from the status, the fields and the request's method. A reader that gets it wrong takes
+// bytes of one response for the next one. want is a text that the listing of the parts must contain.
 func TestResponseBodyLength(t *testing.T) {
 	for _, c := range []struct{ name, method, text, want string }{
 		{"length", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", "end"},
@@ -197,7 +198,8 @@
 	}
 }
 
-// A connection ended within a message, before or behind its head. The caller can tell this from a malformed message.
+// A connection ends within a message, before or after the end of its head. The caller must be able to distinguish this from a
+// malformed message.
 func TestEndWithinMessageIsErrTruncated(t *testing.T) {
 	for _, text := range []string{"GET / HT", "\r\n", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nab"} {
 		r := NewRequests(Limits{})
@@ -208,7 +210,7 @@
 	}
 }
 
-// The bytes of a stream arrive cut at any place, as the network and the sender have it. The parts are the same.
+// The network and the sender may split a stream at any byte. The parts must not depend on that.
 func TestPartsDoNotDependOnSplits(t *testing.T) {
 	pieces := []string{"GET / HTTP/1.1\r\n", "POST /a?b=c HTTP/1.1\r\n", "Host: h\r\n", "Content-Length: 5\r\n", "hello",
 		"Transfer-Encoding: chunked\r\n", "\r\n", "5\r\nhello\r\n", "0\r\n\r\n", "0\r\nT: v\r\n\r\n", "a;x=y\r\n0123456789\r\n",
@@ -228,9 +230,9 @@
 	})
 }
 
-// readOne reads one message. ok is false where the reader refuses it, or it is cut off or, of a response, interim. rest are
-// the bytes behind it.
-func readOne(r *Reader, text []byte) (head *Head, body, rest []byte, ok bool) {
+// readMessage reads one message and returns the bytes after it as rest. ok is false if the reader refuses the message, if it is
+// truncated, or if it is an interim response.
+func readMessage(r *Reader, text []byte) (head *Head, body, rest []byte, ok bool) {
 	rest = text
 	for {
 		n, p, err := r.Feed(rest)
@@ -255,14 +257,15 @@
 	}
 }
 
-// isURLError reports whether net/http refuses a request for a target or method that this package leaves to the routes.
+// isURLError reports whether net/http refuses a request because of its target or method. This package checks only their bytes
+// and leaves the rest to package routes.
 func isURLError(err error) bool {
 	text := err.Error()
 	return strings.Contains(text, "parse") || strings.Contains(text, "invalid URI") || strings.Contains(text, "invalid method")
 }
 
-// FuzzRequest compares the reader with net/http: what it accepts, net/http must accept with the same end. Refusing more
-// than net/http does is allowed.
+// FuzzRequest compares the reader with net/http: net/http must accept every request that the reader accepts, with the same end
+// of the message. The reader may refuse more than net/http does.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{"GET / HTTP/1.1\r\nHost: h\r\n\r\n", "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET",
 		"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;e\r\nabc\r\n0\r\nT: v\r\n\r\n",
@@ -270,14 +273,14 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		head, body, rest, ok := readOne(NewRequests(Limits{}), text)
+		head, body, rest, ok := readMessage(NewRequests(Limits{}), text)
 		if ok {
 			compareRequest(t, text, head, body, rest)
 		}
 	})
 }
 
-// compareRequest fails if net/http reads an accepted request otherwise.
+// compareRequest fails if net/http parses an accepted request differently.
 func compareRequest(t *testing.T, text []byte, head *Head, body, rest []byte) {
 	t.Helper()
 	in := bufio.NewReaderSize(bytes.NewReader(text), len(text)+16)
@@ -286,11 +289,11 @@
 		if isURLError(err) {
 			return
 		}
-		t.Fatalf("taken, but net/http says %v: %q", err, text)
+		t.Fatalf("accepted, but net/http returns %v: %q", err, text)
 	}
 	got, err := io.ReadAll(req.Body)
 	if err != nil {
-		t.Fatalf("taken, but net/http's body says %v: %q", err, text)
+		t.Fatalf("accepted, but net/http's body returns %v: %q", err, text)
 	}
 	if !bytes.Equal(got, body) || req.Method != head.Method || req.Close != head.Close && head.Minor == 1 {
 		t.Fatalf("body %q, net/http %q; method %q, %q; close %v, %v: %q", body, got, head.Method, req.Method, head.Close, req.Close, text)
@@ -301,7 +304,7 @@
 	}
 }
 
-// FuzzResponse does the same for responses. Interim ones are left out: net/http's reader stops at them.
+// FuzzResponse does the same for responses. It ignores interim responses, at which net/http's reader stops.
 func FuzzResponse(f *testing.F) {
 	for _, s := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
 		"HTTP/1.0 404 No\r\n\r\nbye", "HTTP/1.1 204 x\r\n\r\n"} {
@@ -310,20 +313,20 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r := NewResponses(Limits{})
 		r.Expect("GET")
-		head, body, _, ok := readOne(r, text)
+		head, body, _, ok := readMessage(r, text)
 		if ok {
 			compareResponse(t, text, head, body)
 		}
 	})
 }
 
-// compareResponse fails if net/http reads an accepted response otherwise.
+// compareResponse fails if net/http parses an accepted response differently.
 func compareResponse(t *testing.T, text []byte, head *Head, body []byte) {
 	t.Helper()
 	req, _ := http.NewRequest("GET", "http://h/", nil)
 	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), req)
 	if err != nil {
-		t.Fatalf("taken, but net/http says %v: %q", err, text)
+		t.Fatalf("accepted, but net/http returns %v: %q", err, text)
 	}
 	got, err := io.ReadAll(resp.Body)
 	if err != nil || !bytes.Equal(got, body) || resp.StatusCode != head.Status {
--- a/internal/http1/limits.go
+++ b/internal/http1/limits.go
@@ -1,16 +1,16 @@
 package http1
 
-// Limits bound what a Reader keeps of a message before it is refused, so that a sender can't fill the gateway's memory.
-// Zero stands for the default, and so does a negative value.
+// Limits bound the parts of a message that a Reader buffers, so that a sender cannot exhaust the gateway's memory. Zero and
+// negative values stand for the default.
 type Limits struct {
-	RequestLine int // bytes of a request line: 414 beyond; default 8 KiB
-	Head        int // bytes of a head: 431 beyond; default 32 KiB
-	Fields      int // fields in a head: 431 beyond; default 128
-	Trailers    int // bytes of trailers: 400 beyond; default 4 KiB
+	RequestLine int // bytes of a request line: 414 if exceeded; default 8 KiB
+	Head        int // bytes of a head: 431 if exceeded; default 32 KiB
+	Fields      int // fields in a head: 431 if exceeded; default 128
+	Trailers    int // bytes of trailers: 400 if exceeded; default 4 KiB
 }
 
-// Defaults of Limits. RFC 9112 section 3 recommends 8000 bytes at least for a request line; the others are several times
-// what browsers and the usual client libraries send.
+// Defaults of Limits. RFC 9112 section 3 recommends at least 8000 bytes for a request line. The others are several times what
+// browsers and common client libraries send.
 const (
 	defaultRequestLine = 8 << 10  // bytes
 	defaultHead        = 32 << 10 // bytes
@@ -28,9 +28,9 @@
 	}
 }
 
-func positiveOr(value, otherwise int) int {
+func positiveOr(value, fallback int) int {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/http1/lines.go
+++ b/internal/http1/lines.go
@@ -2,8 +2,8 @@
 
 import "bytes"
 
-// collectLines takes lines up to and with an empty one into r.buf; done reports that it has come. Beyond limit bytes it
-// returns tooLong. What is too long is found by the count of bytes alone, so that it does not depend on how they were split.
+// collectLines appends lines to r.buf, up to and including an empty one; done reports that the empty line is complete. Beyond
+// limit bytes it returns tooLong. The check depends only on the number of bytes, not on how they were split.
 func (r *Reader) collectLines(b []byte, limit int, tooLong *Error) (used int, done bool, err *Error) {
 	for used < len(b) {
 		limit, tooLong := r.lineLimit(limit, tooLong)
@@ -12,7 +12,7 @@
 			return used, false, tooLong
 		}
 		n := bytes.IndexByte(rest, '\n') + 1
-		if n == 0 { // the line's end has not come
+		if n == 0 { // the line is not complete
 			r.buf = append(r.buf, rest...)
 			used += len(rest)
 			continue
@@ -27,8 +27,8 @@
 	return used, false, nil
 }
 
-// lineLimit returns the bound on the bytes in r.buf, and the error beyond it: for the first line of a request, that of
-// request lines if it is the smaller.
+// lineLimit returns the limit on the bytes in r.buf and the error for exceeding it. In the request line, the limit on request
+// lines applies if it is smaller.
 func (r *Reader) lineLimit(limit int, tooLong *Error) (int, *Error) {
 	inRequestLine := r.state == stateHead && !r.response && r.lineStart == 0
 	if inRequestLine && r.limits.RequestLine < limit {
@@ -37,8 +37,9 @@
 	return limit, tooLong
 }
 
-// endLine checks the line that ends r.buf; empty reports that it is the one that ends a head or trailers. A line that does
-// not end in CRLF, or holds a CR elsewhere, might be split otherwise by another parser (RFC 9112 section 2.2).
+// endLine checks the last line in r.buf, which is complete. empty reports that it is the empty line, which ends a head or
+// trailers. A line that does not end with CRLF, or contains another CR, is refused, because another parser might split it
+// differently (RFC 9112 section 2.2).
 func (r *Reader) endLine() (empty bool, err *Error) {
 	line, ok := bytes.CutSuffix(r.buf[r.lineStart:], []byte(crlf))
 	if !ok {
@@ -51,14 +52,14 @@
 		return true, nil
 	}
 	r.lineCount++
-	if r.lineCount > r.limits.Fields+1 { // and the start line
+	if r.lineCount > r.limits.Fields+1 { // one more for the start line
 		return false, &Error{statusHeaderFieldsTooLarge, "too many fields"}
 	}
 	r.lineStart = len(r.buf)
 	return false, nil
 }
 
-// resetLines makes r.buf ready for other lines.
+// resetLines prepares r.buf for the next lines.
 func (r *Reader) resetLines() {
 	r.buf = r.buf[:0]
 	r.lineStart = 0
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -1,25 +1,25 @@
 package http1
 
-// Kind says what a Part is.
+// Kind is the kind of a Part.
 type Kind int
 
 // The kinds of parts.
 const (
-	More    Kind = iota // nothing yet: all bytes were used
+	More    Kind = iota // no part: all bytes were used, and more are needed
 	HeadEnd             // Part.Head is complete
-	Data                // Part.Data is body; valid until the next call
-	End                 // the message is complete; Part.Trailers came after a chunked body
+	Data                // Part.Data is a piece of the body; valid until the next call
+	End                 // the message is complete; Part.Trailers holds the trailers of a chunked body
 )
 
 // Part is a piece of a message.
 type Part struct {
 	Kind     Kind
 	Head     *Head   // of HeadEnd
-	Data     []byte  // of Data: not empty, and part of the slice given to Feed
+	Data     []byte  // of Data: not empty; a part of the slice passed to Feed
 	Trailers []Field // of End
 }
 
-// state is where a Reader stands in a message.
+// state is a Reader's position in a message.
 type state int
 
 // The states of a Reader.
@@ -29,18 +29,18 @@
 	stateBodyUntilClose              // in a body that ends with the connection
 	stateChunkSize                   // in the line before a chunk
 	stateChunk                       // in a chunk
-	stateChunkEnd                    // in the line end behind a chunk
-	stateTrailers                    // behind the last chunk
-	stateEnd                         // the message is complete, and End is to be returned
+	stateChunkEnd                    // in the line end after a chunk
+	stateTrailers                    // after the last chunk
+	stateEnd                         // the message is complete, and End is returned next
 	stateFailed                      // an error was returned
 )
 
-// maxKeptBuffer is the largest buffer, in bytes, that a Reader keeps for the next head: a large head is rare, and its
-// buffer would be held as long as the connection lasts.
+// maxKeptBuffer is the largest buffer (bytes) that a Reader keeps for the next head. Large heads are rare, and their buffers
+// would otherwise be held until the connection ends.
 const maxKeptBuffer = 4 << 10
 
-// Reader parses what comes on a connection. However the same bytes are split over calls, the parts are the same, but for
-// where Data is cut. It belongs to one goroutine at a time, and no method blocks.
+// Reader parses the bytes of a connection. The parts do not depend on how the bytes are split over calls, except for the
+// boundaries of Data. Only one goroutine may use a Reader at a time, and no method blocks.
 type Reader struct {
 	limits           Limits
 	response         bool   // it reads responses
@@ -49,26 +49,26 @@
 	buf              []byte // the unfinished line or head
 	lineStart        int    // of a head or trailers: where the unfinished line begins in buf
 	lineCount        int    // of a head or trailers: complete lines in buf
-	skippedEmptyLine bool   // one before the message
-	bodyLeft         int64  // of a body or chunk: bytes that have not come
+	skippedEmptyLine bool   // an empty line before the message was skipped
+	bodyLeft         int64  // of a body or chunk: bytes that have not been received
 	excessFraming    int64  // of a chunked body: see countFraming
-	err              *Error // what every further call returns
+	err              *Error // returned by every further call
 }
 
-// NewRequests returns a reader of what clients send.
+// NewRequests returns a reader of requests.
 func NewRequests(l Limits) *Reader { return &Reader{limits: l.withDefaults()} }
 
-// NewResponses returns a reader of what servers send. Expect must be called before each response.
+// NewResponses returns a reader of responses. Expect must be called before each response.
 func NewResponses(l Limits) *Reader { return &Reader{limits: l.withDefaults(), response: true} }
 
-// Expect names the method of the request that the next response answers, which decides whether it has a body.
+// Expect sets the method of the request that the next response answers. The method affects whether the response has a body.
 func (r *Reader) Expect(method string) { r.method = method }
 
-// Idle reports whether the reader stands between messages with nothing begun.
+// Idle reports whether the reader is between messages and has received no part of the next one.
 func (r *Reader) Idle() bool { return r.state == stateHead && len(r.buf) == 0 && !r.skippedEmptyLine }
 
-// Feed takes bytes in and returns how many it used and the next part. Call it with the rest until the part's kind is More.
-// The error is an *Error, and final: every call after it returns the same.
+// Feed processes bytes and returns how many it used and the next part. The caller must call it with the rest until the kind of
+// the part is More. The error is an *Error and final: every later call returns the same error.
 func (r *Reader) Feed(b []byte) (int, Part, error) {
 	if r.err != nil {
 		return 0, Part{}, r.err
@@ -83,8 +83,8 @@
 	return n, part, nil
 }
 
-// EOF reports that no more bytes come. It returns End for a body that lasts until then (RFC 9112 section 6.3, item 8), More
-// between messages, and ErrTruncated within a message or after an error of Feed.
+// EOF tells the reader that the stream has ended. It returns End for a body that ends with the connection (RFC 9112 section
+// 6.3, item 8), More between messages, and ErrTruncated within a message or after an error of Feed.
 func (r *Reader) EOF() (Part, error) {
 	switch {
 	case r.state == stateBodyUntilClose:
@@ -96,7 +96,8 @@
 	return Part{}, ErrTruncated
 }
 
-// feed is Feed for a reader that has not failed. It goes from state to state until one gives a part or lacks bytes.
+// feed implements Feed for a reader that has not failed. It runs the state machine until a state returns a part or needs more
+// bytes.
 func (r *Reader) feed(b []byte) (used int, part Part, err *Error) {
 	for {
 		n, part, done, err := r.step(b[used:])
@@ -107,7 +108,7 @@
 	}
 }
 
-// step takes bytes in for the current state. done is false where the state has changed and the next can go on with the
+// step processes bytes in the current state. done is false if the state has changed and the new state can continue with the
 // rest.
 func (r *Reader) step(b []byte) (used int, part Part, done bool, err *Error) {
 	switch r.state {
@@ -139,14 +140,14 @@
 	}
 }
 
-// readSizedData takes bytes of a body or chunk whose size is known, as far as it goes.
+// readSizedData reads bytes of a body or chunk of known size, up to its end.
 func (r *Reader) readSizedData(b []byte) (int, Part) {
 	n := int(min(int64(len(b)), r.bodyLeft))
 	r.bodyLeft -= int64(n)
 	return dataPart(b[:n])
 }
 
-// dataPart returns bytes as a part of the body, and More where there are none.
+// dataPart returns bytes as a part of the body, or More if there are none.
 func dataPart(b []byte) (int, Part) {
 	if len(b) == 0 {
 		return 0, Part{}
@@ -154,7 +155,7 @@
 	return len(b), Part{Kind: Data, Data: b}
 }
 
-// endData leaves a body or chunk all of whose bytes have come.
+// endData changes the state after the last byte of a body or chunk.
 func (r *Reader) endData() {
 	if r.state == stateFixedBody {
 		r.state = stateEnd
@@ -163,7 +164,7 @@
 	r.state = stateChunkEnd
 }
 
-// readHead takes a head in. One empty line before a request is skipped (RFC 9112 section 2.2).
+// readHead reads a head. One empty line before a request is skipped (RFC 9112 section 2.2).
 func (r *Reader) readHead(b []byte) (used int, part Part, err *Error) {
 	for {
 		n, done, err := r.collectLines(b[used:], r.limits.Head, &Error{statusHeaderFieldsTooLarge, "a head that is too large"})
@@ -186,7 +187,7 @@
 	}
 }
 
-// finishHead parses the collected head and makes ready for its body.
+// finishHead parses the collected head and prepares the reader for the body.
 func (r *Reader) finishHead() (*Head, *Error) {
 	raw := string(r.buf)
 	r.resetHead()
@@ -208,7 +209,7 @@
 	return head, nil
 }
 
-// resetHead makes ready for the lines behind a head.
+// resetHead prepares the reader for the lines that follow a head.
 func (r *Reader) resetHead() {
 	if cap(r.buf) > maxKeptBuffer {
 		r.buf = nil
@@ -218,7 +219,7 @@
 	r.skippedEmptyLine = false
 }
 
-// parseHead reads a whole head of a request or a response.
+// parseHead parses the complete head of a request or response.
 func (r *Reader) parseHead(raw string) (*Head, *Error) {
 	if r.response {
 		return parseResponse(raw, r.method)
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -1,9 +1,9 @@
 package http1
 
-// Status codes that decide how a message is read, or that errors of this package carry (RFC 9110 section 15).
+// Status codes that affect the parsing of a message, or that errors of this package use (RFC 9110 section 15).
 const (
 	statusSwitchingProtocols     = 101
-	statusOK                     = 200 // the first that is not interim (1xx)
+	statusOK                     = 200 // the first code that is not interim (1xx)
 	statusNoContent              = 204
 	statusNotModified            = 304
 	statusBadRequest             = 400
@@ -14,10 +14,10 @@
 	statusHTTPVersionUnsupported = 505
 )
 
-// unknownReason is the reason phrase of a status without one here; clients ignore the phrase (RFC 9112 section 4).
+// unknownReason is the reason phrase of a status that is not in reasons. Clients ignore the phrase (RFC 9112 section 4).
 const unknownReason = "Status"
 
-// reasons are the reason phrases of the statuses that the gateway answers with itself (RFC 9110 section 15, RFC 6585).
+// reasons maps the statuses of the gateway's local responses to reason phrases (RFC 9110 section 15, RFC 6585).
 var reasons = map[int]string{
 	100: "Continue",
 
@@ -45,7 +45,7 @@
 	505: "HTTP Version Not Supported",
 }
 
-// StatusText returns the reason phrase of a status that the gateway answers with itself, and "Status" for any other.
+// StatusText returns the reason phrase of a status that the gateway uses in local responses, and "Status" for any other.
 func StatusText(status int) string {
 	if reason, ok := reasons[status]; ok {
 		return reason
--- a/internal/http1/target.go
+++ b/internal/http1/target.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// resolveTarget takes the target apart and settles which host is meant (RFC 9112 sections 3.2 and 3.3).
+// resolveTarget parses the target and determines the host of the request (RFC 9112 sections 3.2 and 3.3).
 func (h *Head) resolveTarget() *Error {
 	host, hasHost, err := h.hostField()
 	if err != nil {
@@ -23,7 +23,7 @@
 			return err
 		}
 		if hasHost && !equalFold(h.Authority, host) {
-			return otherHostError()
+			return hostMismatchError()
 		}
 	}
 	if strings.IndexByte(pathAndQuery, '#') >= 0 {
@@ -33,12 +33,12 @@
 	return nil
 }
 
-// otherHostError returns the error of a target whose host is none, or not that of Host: two parsers could route it
-// differently.
-func otherHostError() *Error { return badRequest("a target that names another host than Host") }
+// hostMismatchError returns the error of a target whose host is missing, invalid or different from Host: two parsers could
+// route it differently.
+func hostMismatchError() *Error { return badRequest("a target that names another host than Host") }
 
-// hostField returns the value of Host, and whether there is one. More than one is refused, and none in HTTP/1.1 (RFC 9112
-// section 3.2).
+// hostField returns the value of the Host field, and whether there is one. More than one Host is refused, and in HTTP/1.1 also
+// none (RFC 9112 section 3.2).
 func (h *Head) hostField() (host string, present bool, err *Error) {
 	count := 0
 	for i := range h.Fields {
@@ -56,8 +56,8 @@
 	return host, count == 1, nil
 }
 
-// splitAbsoluteForm splits a target in absolute form into its host and its path with the query (RFC 9112 section 3.2.2).
-// An empty path is "/" (RFC 9110 section 4.2.3).
+// splitAbsoluteForm splits a target in absolute form into the host and the path with the query (RFC 9112 section 3.2.2). An
+// empty path becomes "/" (RFC 9110 section 4.2.3).
 func splitAbsoluteForm(target string) (authority, pathAndQuery string, err *Error) {
 	scheme, rest, ok := strings.Cut(target, "://")
 	if !ok || !equalFold(scheme, "http") && !equalFold(scheme, "https") {
@@ -69,7 +69,7 @@
 	}
 	authority, pathAndQuery = rest[:end], rest[end:]
 	if authority == "" || !isHost(authority) {
-		return "", "", otherHostError()
+		return "", "", hostMismatchError()
 	}
 	if pathAndQuery == "" || pathAndQuery[0] == '?' {
 		pathAndQuery = "/" + pathAndQuery
@@ -77,8 +77,8 @@
 	return authority, pathAndQuery, nil
 }
 
-// isHost reports whether s can be a host with an optional port (RFC 9110 section 7.2), or is empty. User names in it are
-// refused (RFC 9110 section 4.2.4).
+// isHost reports whether s is empty or can be a host with an optional port (RFC 9110 section 7.2). A user name is not allowed
+// (RFC 9110 section 4.2.4).
 func isHost(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if !isHostByte(s[i]) {
@@ -88,8 +88,8 @@
 	return true
 }
 
-// isHostByte reports whether a host with a port may hold a byte (RFC 3986 section 3.2.2): those of tokens, but for four
-// that no URI has in its host, and the colon and the brackets around an IPv6 address.
+// isHostByte reports whether a byte is allowed in a host with a port (RFC 3986 section 3.2.2): the bytes of tokens, except four
+// that are not allowed in the host of a URI, and the colon and the brackets of an IPv6 address.
 func isHostByte(c byte) bool {
 	switch c {
 	case ':', '[', ']':
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// IsHopByHop reports whether a field belongs to one connection only and is not passed on (RFC 9110 section 7.6.1), as are
-// those of the framing and Expect, which the gateway settles for each connection. The fields that Connection nominates are
-// found with Nominated. It compares only names of the same length, as it is asked for every field of every message.
+// IsHopByHop reports whether a field applies to one connection only and is not forwarded (RFC 9110 section 7.6.1). It includes
+// the fields of framing and Expect, which the gateway handles for each connection. Nominated finds the fields that Connection
+// lists. IsHopByHop is called for every field of every message, so it compares only names of the same length.
 func IsHopByHop(name string) bool {
 	switch len(name) {
 	case 2:
@@ -29,8 +29,8 @@
 	return false
 }
 
-// AppendField appends one field line (RFC 9112 section 5) and returns the extended buffer, as all functions here do. The
-// name and value must hold no line end.
+// AppendField appends one field line (RFC 9112 section 5) and, like all functions of this file, returns the extended buffer.
+// The name and value must not contain a line end.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -38,18 +38,18 @@
 	return append(b, '\r', '\n')
 }
 
-// AppendFields appends those fields of h that go beyond this connection (RFC 9110 section 7.6.1), except those for whose
-// name skip returns true; a nil skip leaves none out.
+// AppendFields appends the fields of h that are not hop-by-hop (RFC 9110 section 7.6.1), except those for whose name skip
+// returns true. skip may be nil.
 func AppendFields(b []byte, h *Head, skip func(name string) bool) []byte {
-	nominates := false
+	hasConnectionField := false
 	for i := range h.Fields {
 		if equalFold(h.Fields[i].Name, "Connection") {
-			nominates = true
+			hasConnectionField = true
 		}
 	}
 	for i := range h.Fields {
 		field := &h.Fields[i]
-		if IsHopByHop(field.Name) || nominates && h.Nominated(field.Name) || skip != nil && skip(field.Name) {
+		if IsHopByHop(field.Name) || hasConnectionField && h.Nominated(field.Name) || skip != nil && skip(field.Name) {
 			continue
 		}
 		b = AppendField(b, field.Name, field.Value)
@@ -57,14 +57,14 @@
 	return b
 }
 
-// AppendLength appends a Content-Length of n bytes (RFC 9110 section 8.6).
+// AppendLength appends a Content-Length field for n bytes (RFC 9110 section 8.6).
 func AppendLength(b []byte, n int64) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, n, 10)
 	return append(b, '\r', '\n')
 }
 
-// AppendStatus appends a status line of HTTP/1.1 (RFC 9112 section 4).
+// AppendStatus appends an HTTP/1.1 status line (RFC 9112 section 4).
 func AppendStatus(b []byte, status int, reason string) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -73,7 +73,8 @@
 	return append(b, '\r', '\n')
 }
 
-// AppendChunk appends one chunk (RFC 9112 section 7.1); an empty one would end the body and is left out.
+// AppendChunk appends one chunk (RFC 9112 section 7.1). It appends nothing if data is empty, since an empty chunk would end the
+// body.
 func AppendChunk(b, data []byte) []byte {
 	if len(data) == 0 {
 		return b
@@ -84,8 +85,8 @@
 	return append(b, '\r', '\n')
 }
 
-// AppendLastChunk ends a chunked body: it appends the last chunk and the trailers, hop-by-hop fields left out (RFC 9112
-// sections 7.1 and 7.1.2).
+// AppendLastChunk ends a chunked body: it appends the last chunk and the trailers, without hop-by-hop fields (RFC 9112 sections
+// 7.1 and 7.1.2).
 func AppendLastChunk(b []byte, trailers []Field) []byte {
 	b = append(b, '0', '\r', '\n')
 	for _, field := range trailers {
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestFreeAddressStaysFree: an outgoing connection got the port that had been found free, and the process that was to listen on it
-// could not start.
+// TestFreeAddressStaysFree: an outgoing connection took the port that had been found free, and the process that should listen
+// on it could not start.
 func TestFreeAddressStaysFree(t *testing.T) {
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,9 +21,10 @@
 	listener.Close()
 }
 
-// connectFromFreePort connects to a peer from the port of a free address, which it returns, as the kernel does by chance.
+// connectFromFreePort connects to a peer from the port of a free address, as the kernel does by chance, and returns that
+// address.
 func connectFromFreePort(t *testing.T, peer string) (address string) {
-	const tries = 100 // other connections of the machine may have the port at 127.0.0.1
+	const tries = 100 // another connection of the machine may use the port at 127.0.0.1
 	for range tries {
 		address, err := FreeAddress()
 		if err != nil {
--- a/internal/resp/append.go
+++ b/internal/resp/append.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// AppendCommand appends a command to b: an array of bulk strings, its name first (RESP, "Sending commands to a Redis
-// server"). It returns the extended buffer, as all functions here do.
+// AppendCommand appends a command to b: an array of bulk strings, the command's name first (RESP, "Sending commands to a Redis
+// server"). Like all functions of this file it returns the extended buffer.
 func AppendCommand(b []byte, args ...string) []byte {
 	b = append(b, '*')
 	b = strconv.AppendInt(b, int64(len(args)), 10)
@@ -14,7 +14,7 @@
 	return b
 }
 
-// AppendBulk appends a bulk string, which may hold any bytes (RESP, "Bulk strings").
+// AppendBulk appends a bulk string, which may contain any bytes (RESP, "Bulk strings").
 func AppendBulk(b []byte, s string) []byte {
 	b = append(b, '$')
 	b = strconv.AppendInt(b, int64(len(s)), 10)
@@ -30,14 +30,14 @@
 	return append(b, '\r', '\n')
 }
 
-// AppendSimple appends a status such as OK, which must not hold a line end (RESP, "Simple strings").
+// AppendSimple appends a status such as OK, which must not contain a line end (RESP, "Simple strings").
 func AppendSimple(b []byte, status string) []byte {
 	b = append(b, '+')
 	b = append(b, status...)
 	return append(b, '\r', '\n')
 }
 
-// AppendError appends an error reply. Its text begins with its code, such as ERR, and must not hold a line end (RESP,
+// AppendError appends an error reply. The text begins with a code, such as ERR, and must not contain a line end (RESP,
 // "Simple errors").
 func AppendError(b []byte, text string) []byte {
 	b = append(b, '-')
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Bounds on what a peer can make a Reader hold. The counter's replies, and the commands that the emulator's counter reads,
-// are far below them.
+// Bounds on the memory that a peer can make a Reader use. The replies of the counter, and the commands that the emulated counter
+// reads, are far below them.
 const (
 	MaxLine  = 512       // bytes of a line, its end included
 	MaxBulk  = 512 << 10 // bytes of a bulk string
@@ -21,31 +21,31 @@
 // nullLength is the length of a bulk string or array that stands for null in version 2.
 const nullLength = -1
 
-// Errors of a Reader. Both are final: where the next value begins is not known, so that the connection can't be used again.
+// Errors of a Reader. Both are final: the start of the next value is not known, so the connection cannot be used again.
 var (
-	// ErrSyntax is the error of bytes that are no value of RESP.
+	// ErrSyntax is the error of bytes that are not a valid RESP value.
 	ErrSyntax = errors.New("resp: not a value of the protocol")
 	// ErrSize is the error of a line, bulk string or array beyond its bound.
 	ErrSize = errors.New("resp: a value beyond its bound")
 )
 
-// partialArray is an array whose items have not all come.
+// partialArray is an array of which some items have not been received.
 type partialArray struct {
 	array        Value
 	missingItems int // at least 1
 }
 
-// Reader parses a stream into values. The zero value is ready for use. However the same bytes are split over calls of Feed,
-// the values are the same. A Reader belongs to one goroutine at a time, and no method blocks.
+// Reader parses a stream into values. The zero value is ready for use. The values do not depend on how the bytes are split
+// over calls of Feed. Only one goroutine may use a Reader at a time, and no method blocks.
 type Reader struct {
 	buf        []byte         // the unfinished line or bulk string
-	bulkLeft   int            // bytes that the bulk string still lacks, its CRLF included; 0 in a line
-	openArrays []partialArray // the arrays around the next value, the innermost last
-	err        error          // what every further call returns
+	bulkLeft   int            // missing bytes of the bulk string, its CRLF included; 0 in a line
+	openArrays []partialArray // the arrays that contain the next value, the innermost last
+	err        error          // returned by every further call
 }
 
-// Feed takes bytes in. It returns how many of them it used and, where whole is true, the next value; call it with the rest
-// until whole is false. The error is ErrSyntax or ErrSize; every call after it returns the same.
+// Feed processes bytes. It returns how many of them it used and, if whole is true, the next value. The caller must call it with
+// the rest until whole is false. The error is ErrSyntax or ErrSize; every later call returns the same error.
 func (r *Reader) Feed(b []byte) (used int, value Value, whole bool, err error) {
 	if r.err != nil {
 		return 0, Value{}, false, r.err
@@ -68,14 +68,14 @@
 	return used, Value{}, false, nil
 }
 
-// fail makes err the result of every further call, and releases what was held.
+// fail makes every further call return err, and releases the buffers.
 func (r *Reader) fail(err error) {
 	r.err = err
 	r.buf = nil
 	r.openArrays = nil
 }
 
-// readElement takes bytes up to the end of a line or bulk string. complete is true where they end a value that is not an
+// readElement reads bytes up to the end of a line or bulk string. complete is true if they complete a value other than an
 // array, or an empty array.
 func (r *Reader) readElement(b []byte) (used int, value Value, complete bool, err error) {
 	if r.bulkLeft > 0 {
@@ -84,7 +84,7 @@
 	return r.readLine(b)
 }
 
-// readBulk takes bytes of a bulk string and its CRLF (RESP, "Bulk strings").
+// readBulk reads bytes of a bulk string and its CRLF (RESP, "Bulk strings").
 func (r *Reader) readBulk(b []byte) (used int, value Value, complete bool, err error) {
 	used = min(r.bulkLeft, len(b))
 	r.buf = append(r.buf, b[:used]...)
@@ -101,8 +101,8 @@
 	return used, value, true, nil
 }
 
-// readLine takes bytes up to the end of a line, and parses it once it has come. What is too long is found by the count of
-// bytes alone, so that it does not depend on how they were split.
+// readLine reads bytes up to the end of a line, and parses the line once it is complete. The length check depends only on the
+// number of bytes, not on how they were split.
 func (r *Reader) readLine(b []byte) (used int, value Value, complete bool, err error) {
 	for i, c := range b {
 		r.buf = append(r.buf, c)
@@ -118,8 +118,8 @@
 	return len(b), Value{}, false, nil
 }
 
-// parseLine reads a line that ends in LF: a simple value, or the length of a bulk string or array, whose contents are then
-// awaited. complete is true where the line is the whole value.
+// parseLine parses a line that ends in LF: a simple value, or the length of a bulk string or array, whose content follows.
+// complete is true if the line is the whole value.
 func (r *Reader) parseLine(line []byte) (value Value, complete bool, err error) {
 	if len(line) < 1+lineEnd || line[len(line)-lineEnd] != '\r' {
 		return Value{}, false, ErrSyntax
@@ -141,7 +141,7 @@
 	return Value{}, false, ErrSyntax
 }
 
-// parseInteger reads the text of an integer, which a plus sign may precede (RESP, "Integers").
+// parseInteger parses the text of an integer, which may begin with a plus sign (RESP, "Integers").
 func parseInteger(text string) (value Value, complete bool, err error) {
 	number, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return Value{Type: Integer, Int: number}, true, nil
 }
 
-// parseNull reads the text of a null of version 3, which is empty (RESP, "Nulls").
+// parseNull parses the text of a null of version 3, which is empty (RESP, "Nulls").
 func parseNull(text string) (value Value, complete bool, err error) {
 	if text != "" {
 		return Value{}, false, ErrSyntax
@@ -158,7 +158,7 @@
 	return Value{Type: Null}, true, nil
 }
 
-// parseLength reads the length of a bulk string or array. A length of -1 stands for null (RESP, "Null bulk strings", "Null
+// parseLength parses the length of a bulk string or array. A length of -1 stands for null (RESP, "Null bulk strings", "Null
 // arrays"), and an empty array is complete with its length.
 func (r *Reader) parseLength(kind Type, text string) (value Value, complete bool, err error) {
 	length, err := strconv.Atoi(text)
@@ -177,7 +177,7 @@
 	return Value{}, false, r.openArray(length)
 }
 
-// openBulk awaits a bulk string of a length in bytes, with its CRLF.
+// openBulk begins a bulk string of a length in bytes, which is followed by CRLF.
 func (r *Reader) openBulk(length int) error {
 	if length > MaxBulk {
 		return ErrSize
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// openArray awaits an array of a number of items, at least one.
+// openArray begins an array of a number of items, at least one.
 func (r *Reader) openArray(items int) error {
 	if items > MaxItems || len(r.openArrays) >= maxDepth {
 		return ErrSize
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// closeArrays adds a complete value to the innermost array that awaits one, if any. An array that it completes is added to
-// the next one in the same way. whole is true where the result is a value of the stream itself.
+// closeArrays adds a complete value to the innermost open array, if any. An array that is complete then is added to the array
+// around it in the same way. whole is true if the result is not inside an open array.
 func (r *Reader) closeArrays(value Value) (result Value, whole bool) {
 	for len(r.openArrays) > 0 {
 		innermost := &r.openArrays[len(r.openArrays)-1]
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,6 +1,6 @@
-// Package resp is the Redis serialization protocol, RESP: version 2 with the null of version 3. It holds an incremental
-// reader of values and functions that append them to a buffer. It opens no connection, reads no clock and starts no
-// goroutine. Section names in comments are those of the specification,
+// Package resp implements the Redis serialization protocol, RESP: version 2 with the null of version 3. It has an incremental
+// reader of values and functions that append values to a buffer. It opens no connections, reads no clock and starts no
+// goroutines. Section names in comments are those of the specification,
 // https://redis.io/docs/latest/develop/reference/protocol-spec/.
 package resp
 
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// Type is the first byte of a value, which says what it is (RESP, "RESP protocol description").
+// Type is the first byte of a value, which determines its type (RESP, "RESP protocol description").
 type Type byte
 
 // The types of values.
@@ -17,21 +17,21 @@
 	SimpleString Type = '+' // a status without a line end, such as OK
 	SimpleError  Type = '-' // an error reply: its code, a space and a text
 	Integer      Type = ':' // a signed 64-bit integer
-	BulkString   Type = '$' // any bytes, with their count before them
-	Array        Type = '*' // values, with their count before them
+	BulkString   Type = '$' // any bytes, preceded by their number
+	Array        Type = '*' // values, preceded by their number
 	Null         Type = '_' // no value: the null of version 3, or a bulk string or array of length -1 of version 2
 )
 
-// Value is one complete value. It shares no memory with the buffer that it was read from, and may be kept.
+// Value is one complete value. It shares no memory with the buffer from which it was read, so it may be retained.
 type Value struct {
 	Type  Type
 	Str   string  // of a SimpleString, SimpleError and BulkString
 	Int   int64   // of an Integer
-	Items []Value // of an Array, in their order
+	Items []Value // of an Array, in order
 }
 
-// Float returns the number that a value carries: an Integer, or a BulkString or SimpleString that is the text of one, as
-// INCRBYFLOAT replies. ok is false for any other value, and for an infinity or NaN.
+// Float returns the number in a value: an Integer, or a BulkString or SimpleString with the text of a number, such as the reply
+// to INCRBYFLOAT. ok is false for any other value, and for infinity and NaN.
 func (v Value) Float() (number float64, ok bool) {
 	switch v.Type {
 	case Integer:
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// valuesOf feeds text in pieces that end at cuts and writes down the values, up to an error.
+// valuesOf feeds text to a Reader in pieces that end at cuts, and returns a listing of the values up to the first error.
 func valuesOf(text []byte, cuts []int) string {
 	var r Reader
 	var out strings.Builder
@@ -36,7 +36,7 @@
 	return out.String()
 }
 
-// The bytes of a stream arrive cut at any place, as the network and the sender have it. The values are the same.
+// The network and the sender may split a stream at any byte. The values must not depend on that.
 func TestValuesDoNotDependOnSplits(t *testing.T) {
 	pieces := []string{"+OK\r\n", "-ERR x\r\n", ":12\r\n", "$3\r\nabc\r\n", "$-1\r\n", "*2\r\n", "*0\r\n", "*-1\r\n", "_\r\n", "$0\r\n\r\n",
 		"$3\r\n", "abc", "\r\n", "\n", ":x\r\n", "*9999999\r\n", "$99999999\r\n"}
@@ -49,7 +49,7 @@
 	})
 }
 
-// A command with any bytes in its arguments, line ends included, is read as it was written.
+// A command with any bytes in its arguments, including line ends, must be read as it was written.
 func TestCommandsReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		args := rapid.SliceOfN(rapid.String(), 1, 6).Draw(t, "args")
@@ -65,8 +65,8 @@
 	})
 }
 
-// A peer sends what is no RESP, or announces more than a Reader may hold. It gets ErrSyntax or ErrSize before the memory is
-// reserved.
+// A peer sends bytes that are not RESP, or announces more than the bounds of a Reader. Feed must return ErrSyntax or ErrSize
+// before it allocates the memory.
 func TestMalformedAndOversizedValuesAreRefused(t *testing.T) {
 	for _, s := range []string{"$600000\r\n", "*2000\r\n", strings.Repeat("*1\r\n", 10), "+" + strings.Repeat("x", 600)} {
 		if got := valuesOf([]byte(s), nil); !strings.Contains(got, ErrSize.Error()) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// FuzzReader compares a stream read at once with the same read byte by byte.
+// FuzzReader compares the values of a stream that is read at once with those of the same stream read byte by byte.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("*2\r\n$3\r\nabc\r\n:1\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
