--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// minAcceptBackoff is the first delay after accept failed for lack of descriptors or memory: typically a
-	// response completes within this time and frees some. Each further failure doubles the delay, up to maxAcceptBackoff.
+	// minAcceptBackoff is the first delay after accept failed for lack of descriptors or memory: typically a response
+	// completes within this time and frees some. Each further failure doubles the delay, up to maxAcceptBackoff.
 	minAcceptBackoff = 5 * time.Millisecond
 	// maxAcceptBackoff bounds that delay, so that a client in the backlog is still answered within a typical client timeout.
 	maxAcceptBackoff = time.Second
--- a/internal/server/connserver.go
+++ b/internal/server/connserver.go
@@ -13,7 +13,7 @@
 	serve      func(net.Conn) // called once for each connection, which is closed when it returns
 	goroutines sync.WaitGroup // of the accept loop and of the connections
 
-	mu     sync.Mutex // guards all below
+	mu     sync.Mutex // guards all fields below
 	open   map[net.Conn]struct{}
 	closed bool
 }
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -8,7 +8,7 @@
 //	client connections              limits.connections            waitForClientSlot
 //	clients being rejected          maxRejectedConnections        rejectClient
 //	connections to backends         limits.lines                  proxy/pool.go, which closes idle ones to make room
-//	counter, watch of discovery     one each; two while one moves the event loop, endpointWatch
+//	counter, watch of discovery     one each; two during a move   the event loop, endpointWatch
 //	admin socket                    maxAdminConns                 connServer.admit
 //	listeners, log, trace file,     one each
 //	watch of the endpoint file
@@ -25,8 +25,8 @@
 	// minIdleTime is how long a connection must have been idle after a response before it may be evicted, so that a client
 	// that sends its next request sooner does not find its connection closed.
 	minIdleTime = 2 * time.Second
-	// firstRequestTime is how long a new connection is protected from eviction while no byte of a request has arrived: some round
-	// trips, and no more, since silent connections cost an attacker nothing.
+	// firstRequestTime is how long a new connection must have been open before it may be evicted without having sent a byte: some
+	// round trips, and no more, since silent connections cost an attacker nothing.
 	firstRequestTime = 150 * time.Millisecond
 	// clientSlotTimeout is how long a new connection waits for an eviction, including its time in the backlog. Other new
 	// connections wait in the backlog in that time.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -4,14 +4,14 @@
 // Each goroutine except the last three has one owner, which waits for it to end:
 //
 //	goroutine                     started by             ends with
-//	event loop                    Serve                  step 3 of the shutdown (see shutdown.go)
+//	event loop                    Serve                  step 4 of the shutdown (see shutdown.go)
 //	accept loop                   Serve                  the listener: its deadline or its closing
 //	endpoint watch                Serve                  step 4
 //	stopAccepting                 Serve                  the context of Serve
 //	client connection, reading    accept loop            its client, its last response, or step 5
 //	client over the limit         accept loop            its rejection (lingeringCloseTimeout at most), or step 4
 //	backend connection, reading   event loop             its backend, CloseBackend, or step 4
-//	counter connection, reading   event loop             the counter, CloseCounter, or step 3
+//	counter connection, reading   event loop             the counter, CloseCounter, or step 4
 //	read of the endpoint file     endpoint watch, loop   the end of the read
 //	admin socket                  startAdmin             step 7
 //	admin connection              admin socket           its one response, adminTimeout at most, or step 7
@@ -49,7 +49,7 @@
 	"sandyard/proxy"
 )
 
-// Server is one gateway instance on TCP. Listen builds it; Serve runs it once.
+// Server is one gateway instance on TCP. Listen creates it; Serve runs it once.
 type Server struct {
 	cfg              *config.Config
 	shared           *proxy.Shared
