--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -109,7 +109,7 @@
 		if rule.Cases == 0 {
 			seen = "not exercised"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.2f\t%s\n", rule.Name, seen, rule.Count, rule.Nearest, rule.Of)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.2f\t%s\n", rule.Name, seen, rule.Count, rule.Nearest, rule.Limit)
 	}
 	fmt.Fprintln(w, "\nplan\ttries\tserved\tof them late\trefused\tfailed\tlost\tcut\tno door\tworth served")
 	for _, p := range r.Plans {
--- a/internal/cli/hunt.go
+++ b/internal/cli/hunt.go
@@ -78,7 +78,7 @@
 		return json.NewEncoder(c.Out).Encode(newHuntResult(best, o, rule, runs, time.Since(begun)))
 	}
 	fmt.Fprintf(c.Out, "%d runs in %v; nearest to breaking \"%s\": %.3f of the limit, %s\n", runs, time.Since(begun).Round(time.Second), simulation.RuleNames()[rule],
-		o.Nearness(rule), o.Verdict.Rules[rule].Of)
+		o.Nearness(rule), o.Verdict.Rules[rule].Limit)
 	return r.writeScript(c, best, o, rule, opt)
 }
 
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -125,7 +125,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "rule\tcases\tviolations\tnearest\tof")
 	for _, r := range o.Verdict.Rules {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%.2f\t%s\n", r.Name, r.Cases, r.Count, r.Nearest, r.Of)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%.2f\t%s\n", r.Name, r.Cases, r.Count, r.Nearest, r.Limit)
 	}
 	fmt.Fprintln(w, "\nplan\ttries\tserved\tof them late\trefused\tfailed\tlost\tcut\tno door\tleft")
 	for _, p := range o.Verdict.Plans {
--- a/internal/drill/evidence.go
+++ b/internal/drill/evidence.go
@@ -62,7 +62,7 @@
 		u := &unanswered[i]
 		from := d.origin.Add(time.Duration(u.SentAt) * time.Millisecond)
 		until := d.origin.Add(time.Duration(u.EndedAt)*time.Millisecond + recordsMargin)
-		u.ProcessorWait = d.processorWaits.Between(u.Instance, time.Duration(u.SentAt)*time.Millisecond,
+		u.ProcessorWait = d.processorWaits.WaitTime(u.Instance, time.Duration(u.SentAt)*time.Millisecond,
 			time.Duration(u.EndedAt)*time.Millisecond).Milliseconds()
 		u.InstanceRecords = logRecords(filepath.Join(d.dir, fmt.Sprintf("door-%d.log", u.Instance)), u.ClientAddr, from, until, d.origin)
 	}
--- a/internal/exposure/exposure.go
+++ b/internal/exposure/exposure.go
@@ -1,9 +1,9 @@
-// Package exposure reads the logs that the instances of a play have left, and tells how often the play met the crossing of a
-// shutdown with a change of the endpoint list: a play that did not meet it shows nothing about drains.
+// Package exposure reads the logs that the instances of a run have left and reports how often the run reached the race
+// between a shutdown and a change of the endpoint list. A run that did not reach the race shows nothing about drains.
 //
-// All instances of a play log by one clock and number the versions of the list alike. That a notice has come is known from the
-// first instance that read it: an instance that does not follow the list any more logs none, and the same notices count for
-// it. Addresses of endpoints are an instance's own.
+// All instances of a run log by the same clock and use the same version numbers for the list. The arrival of a notice is
+// taken from the first instance that read it: an instance that no longer follows the list logs no notices, and is measured
+// by those of the others. Endpoint addresses belong to one instance: at another, the same address can be another backend.
 package exposure
 
 import (
@@ -17,10 +17,10 @@
 	"time"
 )
 
-// maxRecordBytes bounds a line of a log: a record names each endpoint of a message.
+// maxRecordBytes bounds a line of a log. A record names each endpoint of a message.
 const maxRecordBytes = 1 << 20
 
-// Log records of an instance; docs/on-call.md lists them.
+// Messages of an instance's log records; docs/on-call.md lists them.
 const (
 	recordStart           = "listening"
 	recordShutdown        = "shutting down"
@@ -30,35 +30,37 @@
 	recordEnd             = "stopped"
 )
 
-// Play is what the logs of a play show.
-type Play struct {
+// Run is what the logs of a run show.
+type Run struct {
 	Name      string `json:"play"`
 	Processes int    `json:"processes"`
-	// Attempts that began after the process was told to end; of them, those that began after a notice that came since then;
-	// of those, the ones later than the grace after it: with a list that stood still, each could have broken the rule.
+	// ShutdownAttempts counts the attempts that began after the process was signalled to stop. AfterNotice counts those of
+	// them that began after a notice that arrived since the signal, and AfterGrace those that began later than the drain
+	// grace after it. With an outdated endpoint list, each attempt in AfterGrace could have broken the rule.
 	ShutdownAttempts int `json:"shutdown_attempts"`
 	AfterNotice      int `json:"after_notice"`
 	AfterGrace       int `json:"after_grace"`
-	// Attempts that began while a message of discovery that had been read waited for the event loop.
+	// Unhandled counts attempts that began while a message of discovery had been read and waited for the event loop.
 	Unhandled int `json:"unhandled"`
-	// Attempts outside of shutdowns by a list that discovery had not confirmed for longer than its heartbeats allow.
+	// OldList counts attempts outside of shutdowns that used a list which discovery had not confirmed for longer than its
+	// heartbeat interval allows.
 	OldList int `json:"old_list"`
-	// Of the logged attempts: the greatest age of the list, and that of the 99th of a hundred.
-	GreatestAge time.Duration `json:"greatest_age_ns"`
-	Age99       time.Duration `json:"age99_ns"`
-	// GreatestLateness of an attempt after it was decided to begin.
-	GreatestLateness time.Duration `json:"greatest_lateness_ns"`
-	// ClosestAttempt is the least time between a notice that an instance read and the last logged attempt of that instance at
-	// an endpoint that the notice names, before or after; -1: no attempt at such an endpoint was logged.
+	// MaxLoggedAge and AgeP99 are the maximum and the 99th percentile of the age of the list at logged attempts.
+	MaxLoggedAge time.Duration `json:"greatest_age_ns"`
+	AgeP99       time.Duration `json:"age99_ns"`
+	// MaxAttemptDelay is the longest time between the decision to begin an attempt and its beginning.
+	MaxAttemptDelay time.Duration `json:"greatest_lateness_ns"`
+	// ClosestAttempt is the shortest time between a notice that an instance read and a logged attempt of that instance,
+	// before or after the notice, at an endpoint that the notice names; -1: no attempt at such an endpoint was logged.
 	ClosestAttempt time.Duration `json:"closest_attempt_ns"`
-	// LatestAttempt is the greatest time after such a notice at which an attempt at an endpoint that it names began, before
+	// LatestAttempt is the longest time after such a notice at which an attempt at an endpoint that it names began, before
 	// the endpoint's address could be in use again; -1: none began after a notice.
 	LatestAttempt time.Duration `json:"latest_attempt_ns"`
-	// EverGreatestAge is the greatest age of the list at any attempt, logged or not, of the processes that ended in order.
-	EverGreatestAge time.Duration `json:"ever_greatest_age_ns"`
+	// MaxAge is the maximum age of the list at any attempt, logged or not, of the processes that shut down in order.
+	MaxAge time.Duration `json:"ever_greatest_age_ns"`
 }
 
-// none stands for a time that did not come up.
+// none is the value of a duration for which no event was logged.
 const none = time.Duration(-1)
 
 // attempt is a logged attempt of a process.
@@ -66,43 +68,43 @@
 	instance   string
 	at         time.Time
 	address    string
-	shutdownAt time.Time // of its process; zero: it was not told to end yet
+	shutdownAt time.Time // when its process was signalled to stop; zero: not yet
 }
 
-// notice is a message of discovery that took endpoints out of use at an instance.
+// notice is a message of discovery that took endpoints of an instance out of use.
 type notice struct {
 	instance  string
 	at        time.Time // when the instance read it
 	addresses []string
 }
 
-// reader collects what the logs of a play hold.
+// reader collects the records of the logs of a run.
 type reader struct {
-	play      Play
+	run       Run
 	attempts  []attempt
 	notices   []notice
-	firstRead map[string]time.Time // of notices, by the version of the list
+	firstRead map[string]time.Time // when a notice was first read, by the version of the list
 	ages      []time.Duration
 }
 
-// ReadFolder reads the logs (*.log) of a play in a folder. grace is the drain grace of the deployment; reuse is how long after
-// a notice an endpoint's address may be in use by another process.
-func ReadFolder(folder string, grace, reuse time.Duration) (Play, error) {
+// ReadFolder reads the logs (*.log) of a run from a folder. grace is the drain grace of the deployment; reuse is how long
+// after a notice another process may have the endpoint's address.
+func ReadFolder(folder string, grace, reuse time.Duration) (Run, error) {
 	names, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil {
-		return Play{}, err
+		return Run{}, err
 	}
 	if len(names) == 0 {
-		return Play{}, fmt.Errorf("%s: no *.log", folder)
+		return Run{}, fmt.Errorf("%s: no *.log", folder)
 	}
-	r := reader{play: Play{Name: filepath.Base(folder)}, firstRead: map[string]time.Time{}}
+	r := reader{run: Run{Name: filepath.Base(folder)}, firstRead: map[string]time.Time{}}
 	for _, name := range names {
 		if err := r.readFile(name); err != nil {
-			return Play{}, err
+			return Run{}, err
 		}
 	}
 	r.summarize(grace, reuse)
-	return r.play, nil
+	return r.run, nil
 }
 
 func (r *reader) readFile(name string) error {
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// readLog reads the log of an instance, in which several processes may follow each other.
+// readLog reads the log of an instance. It can hold the records of several processes, one after the other.
 func (r *reader) readLog(instance string, log io.Reader) error {
 	var shutdownAt time.Time
 	scanner := bufio.NewScanner(log)
@@ -130,7 +132,7 @@
 		switch entry.message {
 		case recordStart:
 			shutdownAt = time.Time{}
-			r.play.Processes++
+			r.run.Processes++
 		case recordShutdown:
 			shutdownAt = entry.at
 		case recordShutdownAttempt, recordOldListAttempt:
@@ -138,7 +140,7 @@
 		case recordDeparted:
 			r.addNotice(instance, entry)
 		case recordEnd:
-			r.play.EverGreatestAge = max(r.play.EverGreatestAge, entry.millis("max_list_age_ms"))
+			r.run.MaxAge = max(r.run.MaxAge, entry.millis("max_list_age_ms"))
 		}
 	}
 	return scanner.Err()
@@ -147,12 +149,12 @@
 func (r *reader) addAttempt(instance string, entry logRecord, shutdownAt time.Time) {
 	r.attempts = append(r.attempts, attempt{instance, entry.at, entry.fields["addr"], shutdownAt})
 	r.ages = append(r.ages, entry.millis("confirmed_ms_ago"))
-	r.play.GreatestLateness = max(r.play.GreatestLateness, entry.millis("late_ms"))
+	r.run.MaxAttemptDelay = max(r.run.MaxAttemptDelay, entry.millis("late_ms"))
 	if read, ok := entry.fields["read_seq"]; ok && read != entry.fields["seq"] {
-		r.play.Unhandled++
+		r.run.Unhandled++
 	}
 	if entry.message == recordOldListAttempt {
-		r.play.OldList++
+		r.run.OldList++
 	}
 }
 
@@ -166,53 +168,54 @@
 	}
 }
 
-// summarize fills the play's figures from what was collected.
+// summarize computes the run's figures from the collected records.
 func (r *reader) summarize(grace, reuse time.Duration) {
 	for _, attempt := range r.attempts {
 		if attempt.shutdownAt.IsZero() {
 			continue
 		}
-		r.play.ShutdownAttempts++
+		r.run.ShutdownAttempts++
 		if r.beganAfterNotice(attempt, 0) {
-			r.play.AfterNotice++
+			r.run.AfterNotice++
 		}
 		if r.beganAfterNotice(attempt, grace) {
-			r.play.AfterGrace++
+			r.run.AfterGrace++
 		}
 	}
 	r.findClosest(reuse)
 	if len(r.ages) > 0 {
 		slices.Sort(r.ages)
-		r.play.GreatestAge = r.ages[len(r.ages)-1]
-		r.play.Age99 = r.ages[(len(r.ages)-1)*99/100]
+		r.run.MaxLoggedAge = r.ages[len(r.ages)-1]
+		r.run.AgeP99 = r.ages[(len(r.ages)-1)*99/100]
 	}
 }
 
-// beganAfterNotice reports whether an attempt began later than a time after a notice that came since the signal to stop.
-func (r *reader) beganAfterNotice(a attempt, later time.Duration) bool {
+// beganAfterNotice reports whether an attempt began more than a delay after a notice that arrived since the signal to stop.
+func (r *reader) beganAfterNotice(a attempt, delay time.Duration) bool {
 	for _, firstRead := range r.firstRead {
-		if firstRead.After(a.shutdownAt) && a.at.Sub(firstRead) > later {
+		if firstRead.After(a.shutdownAt) && a.at.Sub(firstRead) > delay {
 			return true
 		}
 	}
 	return false
 }
 
-// findClosest finds the attempts that came closest to, and latest after, a notice that names their endpoint.
+// findClosest finds the attempt closest in time to a notice that names its endpoint, and the latest one after such a notice.
 func (r *reader) findClosest(reuse time.Duration) {
-	r.play.ClosestAttempt, r.play.LatestAttempt = none, none
+	r.run.ClosestAttempt, r.run.LatestAttempt = none, none
 	for _, notice := range r.notices {
 		for _, address := range notice.addresses {
 			closest, latest := r.attemptsAt(address, notice, reuse)
-			r.play.LatestAttempt = max(r.play.LatestAttempt, latest)
-			if closest != none && (r.play.ClosestAttempt == none || closest < r.play.ClosestAttempt) {
-				r.play.ClosestAttempt = closest
+			r.run.LatestAttempt = max(r.run.LatestAttempt, latest)
+			if closest != none && (r.run.ClosestAttempt == none || closest < r.run.ClosestAttempt) {
+				r.run.ClosestAttempt = closest
 			}
 		}
 	}
 }
 
-// attemptsAt returns how close to a notice, and how late after it, an attempt of its instance at an address began.
+// attemptsAt returns the shortest time between a notice and an attempt of its instance at an address, and the longest time
+// after the notice at which such an attempt began.
 func (r *reader) attemptsAt(address string, notice notice, reuse time.Duration) (closest, latest time.Duration) {
 	closest, latest = none, none
 	for _, attempt := range r.attempts {
@@ -228,13 +231,13 @@
 	return closest, latest
 }
 
-// Print writes the play's line.
-func (p Play) Print(out io.Writer) error {
+// Print writes the run's figures as one line.
+func (r Run) Print(out io.Writer) error {
 	_, err := fmt.Fprintf(out, "%s: %d processes, %d attempts after SIGTERM, %d of them after a notice, %d later than the grace after it; "+
-		"closest to a notice %s, latest after one %s; list confirmed %s before (99 of 100), %s at most, %s at any attempt; "+
-		"%d beside an unhandled message, %d by an old list, %s late at most\n",
-		p.Name, p.Processes, p.ShutdownAttempts, p.AfterNotice, p.AfterGrace, timeText(p.ClosestAttempt), timeText(p.LatestAttempt),
-		timeText(p.Age99), timeText(p.GreatestAge), timeText(p.EverGreatestAge), p.Unhandled, p.OldList, timeText(p.GreatestLateness))
+		"closest to a notice %s, latest after one %s; age of the list %s (99th percentile), %s at most, %s at any attempt; "+
+		"%d while a message was unhandled, %d by an old list, begun %s late at most\n",
+		r.Name, r.Processes, r.ShutdownAttempts, r.AfterNotice, r.AfterGrace, timeText(r.ClosestAttempt), timeText(r.LatestAttempt),
+		timeText(r.AgeP99), timeText(r.MaxLoggedAge), timeText(r.MaxAge), r.Unhandled, r.OldList, timeText(r.MaxAttemptDelay))
 	return err
 }
 
--- a/internal/exposure/exposure_test.go
+++ b/internal/exposure/exposure_test.go
@@ -10,9 +10,9 @@
 	"sandyard/internal/exposure"
 )
 
-// The logs of a play: one instance follows the list through its shutdown, the other stopped following it when it was told to
-// end, and has another backend at an address that departs at the first. A line of another form and the prefix of a bench's clock
-// are passed over.
+// The logs of a run. One instance follows the list through its shutdown. The other stopped following it at its signal to stop,
+// and has another backend at an address that departs at the first instance. The reader must ignore a line that is no record
+// and the clock that a bench writes before a record.
 const (
 	followingLog = `0.020 time=2026-12-03T15:00:00.000Z level=INFO msg=listening addr=127.0.0.1:1 name=following
 time=2026-12-03T15:00:01.000Z level=INFO msg="endpoints departed" seq=3 addrs=[127.0.0.1:30] read_ms_ago=0 arrived_ms_ago=0
@@ -43,15 +43,15 @@
 	return folder
 }
 
-// A play without a broken rule was taken for evidence although no attempt of it had met a change of the endpoint list: the
-// crossing is counted, also for an instance that logs no notices any more.
-func TestExposureCountsCrossing(t *testing.T) {
+// A run without violations was taken for evidence although none of its attempts had raced with a change of the endpoint list.
+// The race is counted, also for an instance that no longer logs notices.
+func TestExposureCountsAttemptsAfterNotice(t *testing.T) {
 	folder := writeLogs(t, map[string]string{"n0.log": followingLog, "n1.log": frozenLog})
 	got, err := exposure.ReadFolder(folder, time.Second, 2*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := exposure.Play{
+	want := exposure.Run{
 		Name:             filepath.Base(folder),
 		Processes:        3,
 		ShutdownAttempts: 4,
@@ -59,12 +59,12 @@
 		AfterGrace:       2,
 		Unhandled:        1,
 		OldList:          1,
-		GreatestAge:      2600 * time.Millisecond,
-		Age99:            2500 * time.Millisecond,
-		GreatestLateness: 30 * time.Millisecond,
+		MaxLoggedAge:     2600 * time.Millisecond,
+		AgeP99:           2500 * time.Millisecond,
+		MaxAttemptDelay:  30 * time.Millisecond,
 		ClosestAttempt:   100 * time.Millisecond,
 		LatestAttempt:    100 * time.Millisecond,
-		EverGreatestAge:  1900 * time.Millisecond,
+		MaxAge:           1900 * time.Millisecond,
 	}
 	if got != want {
 		t.Errorf("%+v, want %+v", got, want)
@@ -75,14 +75,14 @@
 	}
 }
 
-// A play that met nothing must not look like one that did.
-func TestExposureOfQuietPlay(t *testing.T) {
+// A run that did not reach the race must not look like one that did.
+func TestExposureOfRunWithoutRace(t *testing.T) {
 	quiet := strings.Split(followingLog, "\n")[0]
 	got, err := exposure.ReadFolder(writeLogs(t, map[string]string{"n0.log": quiet}), time.Second, time.Second)
 	if err != nil || got.AfterNotice != 0 || got.ClosestAttempt >= 0 || got.LatestAttempt >= 0 {
 		t.Errorf("%v %+v", err, got)
 	}
 	if _, err := exposure.ReadFolder(t.TempDir(), time.Second, time.Second); err == nil {
-		t.Error("a folder without logs is taken for a play")
+		t.Error("a folder without logs is accepted as a run")
 	}
 }
--- a/internal/exposure/logrecord.go
+++ b/internal/exposure/logrecord.go
@@ -13,7 +13,7 @@
 	fields  map[string]string // the other keys
 }
 
-// parseRecord reads a line; what stands before its first "time=" is passed over. False: it is no record.
+// parseRecord parses a line from its first "time=" on. It returns false if the line is no record.
 func parseRecord(text string) (logRecord, bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 {
@@ -27,7 +27,7 @@
 	return logRecord{at: at, message: fields["msg"], fields: fields}, true
 }
 
-// parseFields reads pairs key=value, of which a value with spaces is quoted. It ends where the text has another form.
+// parseFields parses key=value pairs; a value with spaces is quoted. It stops at text of another form.
 func parseFields(text string) map[string]string {
 	fields := map[string]string{}
 	for text = strings.TrimSpace(text); text != ""; text = strings.TrimLeft(text, " ") {
@@ -46,7 +46,7 @@
 	return fields
 }
 
-// millis is a field that counts milliseconds; 0 if it is not there.
+// millis returns a field in milliseconds, or 0 if it is missing.
 func (r logRecord) millis(key string) time.Duration {
 	count, _ := strconv.ParseInt(r.fields[key], 10, 64)
 	return time.Duration(count) * time.Millisecond
--- a/internal/lateness/lateness.go
+++ b/internal/lateness/lateness.go
@@ -1,5 +1,6 @@
-// Package lateness measures how late processes run on a busy machine: a ticking goroutine of this process, and how long the
-// threads of others wait for a processor. By it a late checker, a late machine and a late program under test are told apart.
+// Package lateness measures scheduling delays on a busy machine: how late a ticking goroutine of this process runs, and how
+// long the threads of other processes wait for a processor. The figures distinguish a late checker, a late machine and a late
+// program under test.
 package lateness
 
 import (
@@ -13,48 +14,48 @@
 )
 
 const (
-	// tick is how often this process looks at its own lateness.
+	// tick is how often this process measures its own delay.
 	tick = 5 * time.Millisecond
-	// notable is what is kept.
-	notable = 20 * time.Millisecond
-	// waitTick is how often the waits of other processes are looked at.
+	// minDelay is the shortest delay that is recorded.
+	minDelay = 20 * time.Millisecond
+	// waitTick is how often the waits of other processes are measured.
 	waitTick = 100 * time.Millisecond
 )
 
-// Delay is a time by which something came late, in milliseconds.
+// Delay is one scheduling delay, in milliseconds.
 type Delay struct {
 	At   int64 `json:"at"`   // since the origin of the clock
-	Late int64 `json:"late"` // for a process: what its threads waited for a processor within waitTick, added up
+	Late int64 `json:"late"` // length of the delay; for a process: the sum of its threads' waits for a processor within waitTick
 }
 
-// Monitor keeps when its ticking goroutine ran late. It is read after the end of its watch.
+// Monitor records when its ticking goroutine ran late. Delays may be read once the monitor has stopped.
 type Monitor struct {
 	Delays []Delay
 }
 
-// Start begins to watch; the function that it returns ends that. now is the clock by which delays are kept.
+// Start starts the monitor and returns the function that stops it. now is the clock of Delay.At.
 func (m *Monitor) Start(now func() time.Duration) (stop func()) {
 	last := now()
 	return every(tick, func() {
 		at := now()
-		if late := at - last - tick; late >= notable {
+		if late := at - last - tick; late >= minDelay {
 			m.Delays = append(m.Delays, Delay{At: at.Milliseconds(), Late: late.Milliseconds()})
 		}
 		last = at
 	})
 }
 
-// Worst is the greatest delay within a time.
-func Worst(delays []Delay, from, until time.Duration) (worst time.Duration) {
+// Max returns the longest delay between two times.
+func Max(delays []Delay, from, until time.Duration) (longest time.Duration) {
 	for _, delay := range delays {
 		if delay.At >= from.Milliseconds() && delay.At <= until.Milliseconds() {
-			worst = max(worst, time.Duration(delay.Late)*time.Millisecond)
+			longest = max(longest, time.Duration(delay.Late)*time.Millisecond)
 		}
 	}
-	return worst
+	return longest
 }
 
-// Sum adds up the delays within a time.
+// Sum returns the sum of the delays between two times.
 func Sum(delays []Delay, from, until time.Duration) (sum time.Duration) {
 	for _, delay := range delays {
 		if delay.At >= from.Milliseconds() && delay.At <= until.Milliseconds() {
@@ -64,18 +65,18 @@
 	return sum
 }
 
-// ProcessMonitor keeps how long the threads of processes wait for a processor: they could run, and the machine ran others.
+// ProcessMonitor records how long the runnable threads of processes wait for a processor while the machine runs others.
 type ProcessMonitor struct {
-	Waits map[int][]Delay // by number in the list of processes; read after the end of the watch
+	Waits map[int][]Delay // by index in the list of processes; may be read once the monitor has stopped
 }
 
-// Start begins to watch the processes that pids lists; the function that it returns ends that.
+// Start starts to monitor the processes that pids lists and returns the function that stops it.
 func (m *ProcessMonitor) Start(now func() time.Duration, pids func() []int) (stop func()) {
 	m.Waits = map[int][]Delay{}
 	before := map[int]time.Duration{} // by process
 	return every(waitTick, func() {
 		for i, pid := range pids() {
-			total := threadsWaited(pid)
+			total := threadWaitTime(pid)
 			if last, ok := before[pid]; ok && total > last {
 				m.Waits[i] = append(m.Waits[i], Delay{At: now().Milliseconds(), Late: (total - last).Milliseconds()})
 			}
@@ -84,12 +85,12 @@
 	})
 }
 
-// Between adds up the waits of a process within a time, and to the end of the tick in which it ends.
-func (m *ProcessMonitor) Between(i int, from, until time.Duration) time.Duration {
+// WaitTime returns the sum of the waits of a process between two times, up to the end of the tick in which until lies.
+func (m *ProcessMonitor) WaitTime(i int, from, until time.Duration) time.Duration {
 	return Sum(m.Waits[i], from, until+waitTick)
 }
 
-// every calls a function at an interval, in a goroutine that ends with stop.
+// every calls a function at an interval, in a goroutine that stop ends.
 func every(interval time.Duration, do func()) (stop func()) {
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -111,9 +112,9 @@
 	})
 }
 
-// threadsWaited is how long the threads of a process have waited for a processor since they began; 0 where the kernel does
-// not tell.
-func threadsWaited(pid int) (sum time.Duration) {
+// threadWaitTime returns how long the threads of a process have waited for a processor since they started, or 0 where the
+// kernel does not report it.
+func threadWaitTime(pid int) (sum time.Duration) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, file := range files {
 		text, err := os.ReadFile(file)
--- a/internal/simulation/quiescence.go
+++ b/internal/simulation/quiescence.go
@@ -16,7 +16,7 @@
 
 // checkQuiescent checks that nothing is left once all is quiet, and that service had recovered.
 func (s *Sim) checkQuiescent() {
-	s.checker.Overdue(s.now)
+	s.checker.TimeOutUnanswered(s.now)
 	for _, inst := range s.instances {
 		if !inst.host.alive {
 			continue
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -203,6 +203,6 @@
 func (r *run) isUnjudged(v Violation) bool {
 	at := v.At + r.record.termAt
 	from, until := at-disturbanceSpan, at+disturbanceSpan
-	disturbance := max(lateness.Worst(r.own.Delays, from, until), lateness.Worst(r.waits.Waits[0], from, until))
+	disturbance := max(lateness.Max(r.own.Delays, from, until), lateness.Max(r.waits.Waits[0], from, until))
 	return v.excess > 0 && v.excess <= disturbance
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -219,7 +219,7 @@
 	report.Unread = r.record.unread
 	report.Unsettled = r.unsettledAttempts()
 	report.EndedAfter = (r.record.endedAt - r.record.termAt).Seconds()
-	report.OwnDelay = lateness.Worst(r.own.Delays, 0, r.record.endedAt).Milliseconds()
+	report.OwnDelay = lateness.Max(r.own.Delays, 0, r.record.endedAt).Milliseconds()
 	report.Waited = lateness.Sum(r.waits.Waits[0], 0, r.record.endedAt).Milliseconds()
 	return report
 }
--- a/internal/tcpinfo/tcpinfo.go
+++ b/internal/tcpinfo/tcpinfo.go
@@ -1,4 +1,4 @@
-// Package tcpinfo asks the kernel about TCP connections, for what a process that runs late can't tell by its own clock.
+// Package tcpinfo reads TCP_INFO of connections: times that a process which runs late can't take from its own clock.
 package tcpinfo
 
 import (
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// InputAge is how long ago the last bytes of the peer came or, where none have, how long ago the connection was made: both
-// may be well before they are seen here, above all behind others in the listener's backlog. It is 0 where the kernel does not
-// tell.
+// InputAge returns the time since the last bytes of the peer arrived or, if none have, since the connection was established.
+// Both can be long before this process notices them, above all while the connection waits in the listener's backlog. It
+// returns 0 where the kernel does not report it.
 func InputAge(raw syscall.RawConn) time.Duration {
 	age := time.Duration(0)
 	raw.Control(func(fd uintptr) { // an error leaves the age at 0
--- a/invariant/auditor.go
+++ b/invariant/auditor.go
@@ -1,7 +1,7 @@
-// Package invariant checks the five rules on what crossed the wire: what clients asked and were answered, what backends
-// received and ran, what the endpoint list said and when. It never looks into a gateway. It is pure; sockets and
-// simulation feed the same checker. A Checker takes facts in the order of their times; an Auditor takes them in any order,
-// as from several processes. Each has one owner.
+// Package invariant checks the five rules against the traffic on the wire: the requests and responses of clients, what
+// backends received and ran, and what the endpoint list said and when. It never reads the state of a gateway. It does no I/O;
+// runs on sockets and simulated runs feed the same checker. A Checker takes facts in the order of their times. An Auditor
+// takes them in any order, as several processes deliver them. Neither is safe for concurrent use.
 package invariant
 
 import (
@@ -10,27 +10,28 @@
 	"time"
 )
 
-// overdueTime is how long after the last fact the requests without an end are judged: far beyond all timeouts.
-const overdueTime = time.Hour
+// unansweredTimeout is how long after the last fact the requests without an end count as timed out: far beyond all client
+// timeouts.
+const unansweredTimeout = time.Hour
 
-// precedence orders facts that share a time, so that what must be known before a request is judged comes first.
+// precedence orders facts of the same time, so that facts on which the judgement of a request depends come first.
 type precedence int
 
 const (
-	stateChange precedence = iota // and requests as they are sent
+	stateChange precedence = iota // also the sending of a request
 	arrival
 	effect
 	ending
 )
 
-// fact is something noted, to be handed to a Checker in the order of times.
+// fact is a recorded event that is passed to a Checker in the order of times.
 type fact struct {
 	at         time.Duration
 	precedence precedence
 	apply      func(*Checker)
 }
 
-// Auditor collects facts that come in any order, as from several processes.
+// Auditor collects facts in any order, as several processes deliver them.
 type Auditor struct {
 	limits   Limits
 	facts    []fact
@@ -38,61 +39,61 @@
 	outcomes map[string]Outcome
 }
 
-// New begins an audit.
+// New returns an empty Auditor.
 func New(l Limits) *Auditor { return &Auditor{limits: l, outcomes: map[string]Outcome{}} }
 
 func (a *Auditor) record(at time.Duration, p precedence, apply func(*Checker)) {
 	a.facts = append(a.facts, fact{at, p, apply})
 }
 
-// RequestSent notes that a client sent a request.
+// RequestSent records that a client sent a request.
 func (a *Auditor) RequestSent(r Request) {
 	a.requests = append(a.requests, &r)
 	a.record(r.SentAt, stateChange, func(c *Checker) { c.RequestSent(r) })
 }
 
-// RequestEnded notes how a request ended.
+// RequestEnded records how a request ended.
 func (a *Auditor) RequestEnded(o Outcome) {
 	a.outcomes[o.ID] = o
 	a.record(o.At, ending, func(c *Checker) { c.RequestEnded(o) })
 }
 
-// RequestReceived notes a request that arrived whole at a backend.
+// RequestReceived records a request that arrived complete at a backend.
 func (a *Auditor) RequestReceived(r Receipt) {
 	a.record(r.At, arrival, func(c *Checker) { c.RequestReceived(r) })
 }
 
-// RequestExecuted notes an effect at a backend.
+// RequestExecuted records an effect at a backend.
 func (a *Auditor) RequestExecuted(e Execution) {
 	a.record(e.At, effect, func(c *Checker) { c.RequestExecuted(e) })
 }
 
-// BackendCollapsed notes that a backend collapsed under load.
+// BackendCollapsed records that a backend collapsed under load.
 func (a *Auditor) BackendCollapsed(backend string, at time.Duration) {
 	a.record(at, effect, func(c *Checker) { c.BackendCollapsed(backend, at) })
 }
 
-// EndpointRemoved notes that all instances were notified that a backend is draining or removed.
+// EndpointRemoved records that all instances were notified that a backend is draining or removed.
 func (a *Auditor) EndpointRemoved(backend string, at time.Duration) {
 	a.record(at, stateChange, func(c *Checker) { c.EndpointRemoved(AllInstances, backend, at) })
 }
 
-// BackendStarted notes a backend's cold start.
+// BackendStarted records a backend's cold start.
 func (a *Auditor) BackendStarted(backend string, at time.Duration) {
 	a.record(at, stateChange, func(c *Checker) { c.BackendStarted(backend, at) })
 }
 
-// InstanceDown notes that an instance was killed, and InstanceUp that it runs again.
+// InstanceDown records that an instance was killed; InstanceUp records that it runs again.
 func (a *Auditor) InstanceDown(instance int, at time.Duration) {
 	a.record(at, stateChange, func(c *Checker) { c.InstanceDown(instance, at) })
 }
 
-// InstanceUp ends InstanceDown.
+// InstanceUp records that an instance that was down runs again.
 func (a *Auditor) InstanceUp(instance int, at time.Duration) {
 	a.record(at, stateChange, func(c *Checker) { c.InstanceUp(instance, at) })
 }
 
-// Verdict judges what was noted. Requests without an end are judged as if their clients had waited in vain.
+// Verdict judges the recorded facts. Requests without an end are judged as if their clients had timed out.
 func (a *Auditor) Verdict() Verdict {
 	slices.SortStableFunc(a.facts, func(x, y fact) int {
 		return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.precedence, y.precedence))
@@ -103,6 +104,6 @@
 		f.apply(c)
 		last = f.at
 	}
-	c.Overdue(last + overdueTime)
+	c.TimeOutUnanswered(last + unansweredTimeout)
 	return Judge(c, Summarize(a.requests, a.outcomes))
 }
--- a/invariant/auditor_test.go
+++ b/invariant/auditor_test.go
@@ -16,8 +16,8 @@
 	return Request{ID: id, Operation: id, Customer: "s", Plan: "p", Idempotency: r, Units: 1, Timeout: time.Second, LatencyObjective: time.Second, Value: 1}
 }
 
-// A rule whose check sees nothing would pass every run. For each rule there are runs that keep it, in which nothing may be
-// found, and runs that break it, in which each violation must be counted once.
+// A check that finds nothing would pass every run. For each rule there are runs that keep it, in which the check must find
+// nothing, and runs that break it, in which it must count each violation once.
 func TestCheckerFindsViolationsOfEachRule(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -129,14 +129,14 @@
 		x.Plan = "school"
 		a.RequestSent(x)
 		a.RequestReceived(Receipt{x.ID, "b", time.Duration(i) * gap, 0, 0})
-		a.RequestReceived(Receipt{x.ID, "c", time.Duration(i) * gap, 0, 0}) // a retry draws nothing
+		a.RequestReceived(Receipt{x.ID, "c", time.Duration(i) * gap, 0, 0}) // a retry uses no more units
 	}
 }
 
 func TestSlowStartNearnessIsShareOfCollapseLoad(t *testing.T) {
 	a := New(limits())
 	a.BackendStarted("b", 0)
-	for i := range 8 { // 0.8 s of work in a second, where 4 x 0.2 x 2 = 1.6 s makes it collapse
+	for i := range 8 { // 0.8 s of work in a second; 4 x 0.2 x 2 = 1.6 s make it collapse
 		x := request(string(rune('a'+i)), Idempotent)
 		x.Work = 100 * ms
 		a.RequestSent(x)
@@ -153,8 +153,8 @@
 	}
 }
 
-// A check that exempts too much sees nothing: an instance could break a rule whenever the reason for an exemption is about.
-// Each exempted case must be counted by its reason, and a violation that hides behind the reason must be found all the same.
+// With too wide an exemption, an instance could break a rule unnoticed whenever the reason for the exemption applies. Each
+// exempted case must be counted under its reason, and a violation in a similar situation must still be found.
 func TestExemptionsAreCountedAndHideNoViolation(t *testing.T) {
 	later := func(d time.Duration) Request {
 		x := request("1", IdempotentByKey)
@@ -171,7 +171,7 @@
 				a.InstanceDown(0, 90*ms)
 				a.RequestEnded(Outcome{"1", ConnectionBroken, 100 * ms, 0})
 			},
-			func(a *Auditor) { // sent to the process after
+			func(a *Auditor) { // sent to the new process
 				a.InstanceDown(0, 90*ms)
 				a.InstanceUp(0, 100*ms)
 				a.RequestSent(later(200 * ms))
@@ -221,15 +221,15 @@
 		c.exempted(a)
 		c.violating(b)
 		if v := a.Verdict(); v.Violations != 0 || v.Exemptions[c.reason] != 1 {
-			t.Errorf("%s: %d violations, excuses %v", c.reason, v.Violations, v.Exemptions)
+			t.Errorf("%s: %d violations, exemptions %v", c.reason, v.Violations, v.Exemptions)
 		}
 		if v := b.Verdict(); v.Violations == 0 {
-			t.Errorf("a violation hides behind %q", c.reason)
+			t.Errorf("a violation is exempted as %q", c.reason)
 		}
 	}
 }
 
-// A late response has a share of its value; a response in time to a retry of the same operation adds the rest.
+// A late response earns a share of its value; a response in time to a retry of the same operation earns the rest.
 func TestSummaryCountsShareOfValueForLateResponses(t *testing.T) {
 	first, second := request("a", Idempotent), request("b", Idempotent)
 	first.Operation, second.Operation = "o", "o"
--- a/invariant/checker.go
+++ b/invariant/checker.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Checker judges facts as they happen: they must come in the order of their times, from one goroutine. A violation is
-// reported at once. Memory is bounded by the requests that were noted.
+// Checker judges facts as they happen: they must be passed in the order of their times, from one goroutine. It reports a
+// violation at once. Its memory grows with the number of requests.
 type Checker struct {
 	// OnViolation, if set, is called with each violation.
 	OnViolation func(rule int, what string)
@@ -16,8 +16,8 @@
 	requests   map[string]*requestRecord // by id
 	exemptions map[string]int            // by reason
 
-	lastChange  map[int]time.Duration // by instance: when it last went down or came up
-	unavailable map[int]bool          // by instance: killed, or paused
+	lastChange  map[int]time.Duration // by instance: when it last went down or up
+	unavailable map[int]bool          // by instance: killed or paused
 
 	executions       map[string]Execution // of operations that are not idempotent
 	removedAt        map[instanceBackend]time.Duration
@@ -27,7 +27,7 @@
 	aboveCeilingSeen map[string]bool    // customers counted as a case of Ceilings
 }
 
-// requestRecord is a request with what became of it.
+// requestRecord is a request with its outcome and receipts.
 type requestRecord struct {
 	Request
 	ended         bool
@@ -40,7 +40,7 @@
 // answered reports whether the client has had its final response.
 func (r *requestRecord) answered() bool { return r.ended && r.outcome.Ending.answered() }
 
-// NewChecker begins a check.
+// NewChecker returns a Checker that has seen no facts.
 func NewChecker(l Limits) *Checker {
 	return &Checker{
 		limits:           l,
@@ -58,10 +58,10 @@
 	}
 }
 
-// Rules returns what was found so far, by rule.
+// Rules returns the findings so far, by rule.
 func (c *Checker) Rules() []Rule { return c.rules[:] }
 
-// Violations returns how many were found so far.
+// Violations returns the number of violations found so far.
 func (c *Checker) Violations() (n int) {
 	for i := range c.rules {
 		n += c.rules[i].Count
@@ -78,13 +78,13 @@
 
 func (c *Checker) exempt(reason string) { c.exemptions[reason]++ }
 
-// RequestSent notes that a client sent a request.
+// RequestSent records that a client sent a request.
 func (c *Checker) RequestSent(r Request) {
 	c.requests[r.ID] = &requestRecord{Request: r}
 	c.countCeilingCase(r)
 }
 
-// RequestEnded notes how a request ended. Ends of unknown requests, and second ends, are ignored.
+// RequestEnded records how a request ended. It ignores unknown requests and requests that have already ended.
 func (c *Checker) RequestEnded(o Outcome) {
 	r := c.requests[o.ID]
 	if r == nil || r.ended {
@@ -96,7 +96,7 @@
 	c.checkResponse(r)
 }
 
-// RequestReceived notes a request that arrived whole at a backend.
+// RequestReceived records a request that arrived complete at a backend.
 func (c *Checker) RequestReceived(rc Receipt) {
 	c.checkDrain(rc)
 	r := c.requests[rc.ID]
@@ -115,19 +115,19 @@
 	c.checkSlowStart(rc, r.Work.Seconds())
 }
 
-// RequestExecuted notes an effect at a backend.
+// RequestExecuted records an effect at a backend.
 func (c *Checker) RequestExecuted(e Execution) {
 	if r := c.requests[e.ID]; r != nil && r.Idempotency == NotIdempotent {
 		c.checkExecution(r, e)
 	}
 }
 
-// InstanceDown notes that an instance was killed.
+// InstanceDown records that an instance was killed.
 func (c *Checker) InstanceDown(instance int, at time.Duration) {
 	c.lastChange[instance], c.unavailable[instance] = at, true
 }
 
-// InstanceUp notes that an instance runs again. The new process knows nothing of what the old one was notified of.
+// InstanceUp records that an instance runs again. Notifications of the old process do not count for the new one.
 func (c *Checker) InstanceUp(instance int, at time.Duration) {
 	c.lastChange[instance], c.unavailable[instance] = at, false
 	for k := range c.removedAt {
@@ -137,13 +137,13 @@
 	}
 }
 
-// InstancePaused notes that an instance's process was suspended, or resumed: it can't know of what reaches it meanwhile.
+// InstancePaused records that an instance's process was suspended or resumed. A suspended process can't react to anything.
 func (c *Checker) InstancePaused(instance int, at time.Duration, paused bool) {
 	c.lastChange[instance], c.unavailable[instance] = at, paused
 }
 
-// Overdue ends all requests without an end as timed out; for the close of a run.
-func (c *Checker) Overdue(now time.Duration) {
+// TimeOutUnanswered ends all requests without an end as timed out. It is called at the end of a run.
+func (c *Checker) TimeOutUnanswered(now time.Duration) {
 	for _, r := range c.requests {
 		if !r.ended {
 			c.RequestEnded(Outcome{ID: r.ID, Ending: ClientTimedOut, At: now})
--- a/invariant/duplicate.go
+++ b/invariant/duplicate.go
@@ -1,10 +1,11 @@
 package invariant
 
 // Rule NoDuplicate: an operation that is not idempotent runs at most once, and not at all if it was rejected with the
-// promise that a retry is harmless; a keyed one is repeated only while, and where, its key is remembered.
+// promise that a retry is harmless. A request with an idempotency key is repeated only while its key is remembered, and only
+// where it is.
 
-// countDuplicateCase counts a case of the rule: a request reached a backend and its client did not get the response, or it
-// reached a second one.
+// countDuplicateCase counts a case of the rule: a request reached a backend and was not served, or it reached backends more
+// than once.
 func (c *Checker) countDuplicateCase(r *requestRecord) {
 	if r.Idempotency == Idempotent || r.receipts == 0 || r.duplicateCase {
 		return
@@ -15,7 +16,7 @@
 	}
 }
 
-// checkPromise checks that a request that ran is not rejected, which promises that a retry is harmless.
+// checkPromise checks that a request that ran was not rejected: a rejection promises that a retry is harmless.
 func (c *Checker) checkPromise(r *requestRecord) {
 	if r.outcome.Ending != Rejected || r.Idempotency != NotIdempotent {
 		return
@@ -25,10 +26,10 @@
 	}
 }
 
-// checkExecution checks that an operation that is not idempotent has one effect at most, and none after its rejection.
+// checkExecution checks that an operation that is not idempotent has at most one effect, and none after its rejection.
 func (c *Checker) checkExecution(r *requestRecord, e Execution) {
 	if first, again := c.executions[r.Operation]; again {
-		c.rules[NoDuplicate].approach(2)
+		c.rules[NoDuplicate].noteLimitUse(2)
 		c.violation(NoDuplicate, "unsafe %s ran as %s at %s and as %s at %s", r.Operation, first.ID, first.Backend, e.ID, e.Backend)
 	} else {
 		c.executions[r.Operation] = e
@@ -38,12 +39,12 @@
 	}
 }
 
-// checkKeyedRepeat checks that a keyed request is repeated while its key is remembered, in the cell that remembers it. The
-// time of sending counts: no instance can foresee a network that holds it up.
+// checkKeyedRepeat checks that a request with an idempotency key is repeated only while its key is remembered, and in the cell
+// that remembers it. The time of sending counts, since an instance can't foresee delays of the network.
 func (c *Checker) checkKeyedRepeat(r *requestRecord, rc Receipt) {
 	first := r.firstReceipt
 	later := rc.sentAt() - first.At
-	c.rules[NoDuplicate].approach(float64(later) / float64(max(1, c.limits.KeyTTL)))
+	c.rules[NoDuplicate].noteLimitUse(float64(later) / float64(max(1, c.limits.KeyTTL)))
 	if later > c.limits.KeyTTL+c.limits.Slack {
 		c.violation(NoDuplicate, "keyed %s reached %s and was sent %v later, when its key may be forgotten, to %s", rc.ID, first.Backend, later, rc.Backend)
 	} else if rc.At > first.At+c.limits.KeyTTL+c.limits.Slack {
--- a/invariant/facts.go
+++ b/invariant/facts.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Idempotency is what a request's class says about running it more than once.
+// Idempotency states whether requests of a class may run more than once.
 type Idempotency uint8
 
 // The classes of idempotency.
@@ -15,31 +15,31 @@
 	NotIdempotent
 )
 
-// Request is one request of a client, with an id of its own. A client's retry is another Request with the same Operation.
+// Request is one request of a client. Its ID is unique; a client's retry is another Request with the same Operation.
 type Request struct {
 	ID               string
-	Operation        string // the same for all requests by which a client tries to get one thing done
+	Operation        string // the same for a request and its client's retries of it
 	Customer         string
 	Plan             string
 	Idempotency      Idempotency
-	Units            float64       // drawn from the customer's quota
+	Units            float64       // taken from the customer's quota
 	Work             time.Duration // service time on a warm core of a backend
 	Instance         int           // proxy instance that it was sent to
 	SentAt           time.Duration
-	Timeout          time.Duration // after which the client gives up
+	Timeout          time.Duration // of the client
 	Value            float64       // of a response within LatencyObjective
 	LateShare        float64       // share of Value that a later response still has
 	LatencyObjective time.Duration
 }
 
-// Ending says how a request ended for its client.
+// Ending is how a request ended for its client.
 type Ending uint8
 
-// The endings. Their numbers are part of recorded digests; those up to Failed had a final response.
+// The endings. Their numbers are part of recorded digests. Those up to Failed include a final response.
 const (
-	// Served is a success.
+	// Served is a successful response.
 	Served Ending = iota
-	// Rejected is a refusal that promises that a retry is harmless.
+	// Rejected is a rejection, which promises that a retry is harmless.
 	Rejected
 	// Failed is an error response without that promise.
 	Failed
@@ -49,7 +49,7 @@
 	NotAccepted
 	// ClientTimedOut is a request without a response within its timeout.
 	ClientTimedOut
-	// ClientLeft is a client that went away by itself, before its timeout.
+	// ClientLeft is a client that disconnected before its timeout.
 	ClientLeft
 )
 
@@ -61,15 +61,15 @@
 	ID        string
 	Ending    Ending
 	At        time.Duration
-	Responses int // complete responses that came; more than one is a violation
+	Responses int // complete responses received; more than one is a violation
 }
 
-// Receipt is a request that has arrived whole at a backend.
+// Receipt is the arrival of a complete request at a backend.
 type Receipt struct {
 	ID, Backend string
 	At          time.Duration
-	Instance    int           // that sent it; removals that it was notified of count, and those of AllInstances
-	SentAt      time.Duration // 0 if unknown; the network may hold up what was sent in time
+	Instance    int           // that sent it; its notices of removal count, and those of AllInstances
+	SentAt      time.Duration // 0 if unknown; the network may delay what was sent in time
 }
 
 // sentAt returns when the request was sent, or when it was received if that is unknown.
@@ -89,19 +89,20 @@
 // AllInstances stands for every proxy instance.
 const AllInstances = -1
 
-// Limits are the figures that the rules compare with.
+// Limits are the limits that the rules check.
 type Limits struct {
-	DrainGrace     time.Duration               // in which a removed backend may still be sent requests
-	Slack          time.Duration               // allowed between where something happens and where it is noted
-	KeyTTL         time.Duration               // for which backends remember an idempotency key
-	SlowStartShare float64                     // of its warm capacity that a backend has when it starts
-	SlowStartTime  time.Duration               // until a backend is warm
-	OverloadFactor float64                     // a warming backend collapses when sent this multiple of its capacity
-	OverloadTime   time.Duration               // for this long
+	DrainGrace     time.Duration               // how long a removed backend may still be sent requests
+	Slack          time.Duration               // allowed between an event and its recording elsewhere
+	KeyTTL         time.Duration               // how long backends remember an idempotency key
+	SlowStartShare float64                     // share of its warm capacity that a backend has when it starts
+	SlowStartTime  time.Duration               // from the start of a backend until it is warm
+	OverloadFactor float64                     // multiple of its capacity at which a warming backend collapses
+	OverloadTime   time.Duration               // how long the overload lasts until it collapses
 	Cores          float64                     // of a backend
 	Ceilings       map[string]Ceiling          // by plan
 	CellOf         func(backend string) string // the cell within which repeats of a key are discarded; nil: all backends are one cell
 }
 
-// Ceiling is a plan's hard limit: units a second, the burst above it, and the slack that a distributed limiter may add.
+// Ceiling is a plan's hard limit: the rate (units per second), the burst above it (units), and the slack (units) allowed to a
+// distributed limiter.
 type Ceiling struct{ Rate, Burst, Slack float64 }
--- a/invariant/response.go
+++ b/invariant/response.go
@@ -1,9 +1,10 @@
 package invariant
 
-// Rule OneResponse: each request that an instance accepted has exactly one final response before its client gives up, and
-// nothing is sent to a backend on its behalf afterwards.
+// Rule OneResponse: each request that an instance accepted gets exactly one final response before its client times out, and
+// nothing is sent to a backend for it afterwards.
 
-// checkResponse checks the end of a request. What a killed or suspended instance held is its client's to retry.
+// checkResponse checks the end of a request. Requests in flight at a killed or suspended instance are exempt: their clients
+// have to retry them.
 func (c *Checker) checkResponse(r *requestRecord) {
 	o := r.outcome
 	switch {
@@ -30,11 +31,11 @@
 	case taken > r.Timeout+c.limits.Slack:
 		c.violation(OneResponse, "%s at door %d: answered %v after its client gave up", r.ID, r.Instance, taken-r.Timeout)
 	default:
-		rule.approach(float64(taken) / float64(max(1, r.Timeout)))
+		rule.noteLimitUse(float64(taken) / float64(max(1, r.Timeout)))
 	}
 }
 
-// downDuring reports whether the request's instance was killed or suspended at some time since the request was sent.
+// downDuring reports whether the request's instance was killed or suspended at any time since the request was sent.
 func (c *Checker) downDuring(r *requestRecord) bool {
 	changed, ok := c.lastChange[r.Instance]
 	return ok && (c.unavailable[r.Instance] || changed >= r.SentAt)
--- a/invariant/rules.go
+++ b/invariant/rules.go
@@ -12,28 +12,28 @@
 	ruleCount
 )
 
-// maxReported bounds the violations of a rule that are kept in words, so that a broken run does not fill memory; the rest
-// are counted.
+// maxReported bounds the violations of a rule that are kept as text, so that a broken run does not fill memory. The others are
+// only counted.
 const maxReported = 20
 
-// Rule is what was found about one rule.
+// Rule holds the findings on one rule.
 type Rule struct {
 	Name       string   `json:"name"`
-	Cases      int      `json:"cases"`      // situations in which it could have been broken
-	Violations []string `json:"violations"` // at most maxReported, in words
-	Count      int      `json:"count"`      // of violations
-	Nearest    float64  `json:"nearest"`    // the most that was made of the limit, as a share of it
-	Of         string   `json:"of"`         // what the limit is
+	Cases      int      `json:"cases"`      // situations in which the rule could have been broken
+	Violations []string `json:"violations"` // texts of at most maxReported violations
+	Count      int      `json:"count"`      // number of violations
+	Nearest    float64  `json:"nearest"`    // the largest part of the limit that was used (1: all of it)
+	Limit      string   `json:"of"`         // what the limit is
 }
 
-// newRules returns the rules before anything was found.
+// newRules returns the rules without findings.
 func newRules() [ruleCount]Rule {
 	return [ruleCount]Rule{
-		OneResponse: {Name: "no request is lost", Of: "the client's patience"},
-		NoDuplicate: {Name: "no effect happens twice", Of: "the time that keys are remembered"},
-		Draining:    {Name: "drains are kept", Of: "the grace"},
-		SlowStart:   {Name: "cold boxes are not pushed over", Of: "the load that pushes one over"},
-		Ceilings:    {Name: "ceilings are kept", Of: "the burst and its slack"},
+		OneResponse: {Name: "no request is lost", Limit: "the client's patience"},
+		NoDuplicate: {Name: "no effect happens twice", Limit: "the time that keys are remembered"},
+		Draining:    {Name: "drains are kept", Limit: "the grace"},
+		SlowStart:   {Name: "cold boxes are not pushed over", Limit: "the load that pushes one over"},
+		Ceilings:    {Name: "ceilings are kept", Limit: "the burst and its slack"},
 	}
 }
 
@@ -43,11 +43,11 @@
 	}
 }
 
-// approach notes how much was made of the rule's limit, as a share of it.
-func (r *Rule) approach(share float64) { r.Nearest = max(r.Nearest, share) }
+// noteLimitUse records which share of the rule's limit was used.
+func (r *Rule) noteLimitUse(share float64) { r.Nearest = max(r.Nearest, share) }
 
-// Reasons for which a check exempts a case that by its facts alone could be held against a rule. They are printed with
-// the counts of exempted cases.
+// Reasons for which a check exempts a case that would otherwise count as a violation. They are printed with the numbers of
+// exempted cases.
 const (
 	exemptNotAccepted      = "no answer: not accepted"
 	exemptClientLeft       = "no answer: its client left"
--- a/invariant/verdict.go
+++ b/invariant/verdict.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Verdict is what a run came to.
+// Verdict is the result of the checks of a run.
 type Verdict struct {
-	Rules        []Rule        `json:"rules"` // by the rules' numbers
+	Rules        []Rule        `json:"rules"` // indexed by the constants OneResponse to Ceilings
 	Plans        []PlanSummary `json:"plans"` // by name
 	Violations   int           `json:"violations"`
 	NotExercised []string      `json:"not_exercised"` // names of rules without a case
-	// Exemptions counts, by reason, the cases that by their facts alone could have been held against a rule.
+	// Exemptions counts, by reason, the cases that would otherwise count as violations.
 	Exemptions map[string]int `json:"excuses,omitempty"`
 }
 
@@ -23,7 +23,7 @@
 	return v
 }
 
-// PlanSummary counts what became of the requests of a plan's customers.
+// PlanSummary counts the outcomes of the requests of a plan's customers.
 type PlanSummary struct {
 	Plan         string
 	Requests     int `json:"Tries"`
@@ -35,13 +35,14 @@
 	Broken       int     `json:"Cut"`
 	NotAccepted  int     `json:"NoDoor"`
 	Abandoned    int     `json:"Left"`
-	ValueOffered float64 `json:"WorthAsked"`  // of the operations that clients wanted
-	ValueServed  float64 `json:"WorthServed"` // of them; a late response has the share that its class states
+	ValueOffered float64 `json:"WorthAsked"`  // of the operations that clients requested
+	ValueServed  float64 `json:"WorthServed"` // of them; a late response counts for the share that its class states
 
 	servedShare map[string]float64 // by operation: the share of its value that was served
 }
 
-// Summarize counts what became of requests, by plan in the order of names. A request without an outcome has timed out.
+// Summarize counts the outcomes of requests by plan, in the order of plan names. A request without an outcome counts as timed
+// out.
 func Summarize(requests []*Request, outcomes map[string]Outcome) []PlanSummary {
 	byName := map[string]*PlanSummary{}
 	var names []string
@@ -95,7 +96,7 @@
 	}
 }
 
-// serve counts a success. Of several for one operation the best counts.
+// serve counts a success. Of several successes for one operation the one with the largest share counts.
 func (p *PlanSummary) serve(r *Request, o Outcome) {
 	p.Served++
 	share := 1.0
