--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -1,5 +1,5 @@
-// Package mutation has the mutations that the simulator is tried against: each takes one guard of the proxy or of the decision
-// package away, as a change of the source that a build overlays. Nothing of it is in a normal build.
+// Package mutation holds the mutations that the simulator must find. Each one removes a guard of package proxy or of package
+// decision by an edit of the source that is applied as a build overlay. Normal builds contain no mutation.
 package mutation
 
 import (
@@ -18,48 +18,48 @@
 //go:embed list.yaml
 var list []byte
 
-// CostOnly as the rule of a Mutation says that no rule can see it: it costs value served, or calls to the counter.
+// CostOnly is the Rule of a Mutation that breaks no rule: it costs value served or calls to the counter.
 const CostOnly = "worth"
 
-// What can be wrong with the list.
+// Errors in the list.
 var (
-	// ErrList is a list whose entries don't fit together.
+	// ErrList is a list whose entries are inconsistent.
 	ErrList = errors.New("mutants")
-	// ErrStaleEdit is an edit whose old text does not stand in its file exactly once: the source has moved on and the
-	// list has not.
+	// ErrStaleEdit is an edit whose old text does not occur exactly once in its file: the source has changed and the list
+	// has not.
 	ErrStaleEdit = errors.New("stale edit")
 )
 
-// Mutation is a planted mistake.
+// Mutation is a deliberate fault in the source.
 type Mutation struct {
 	Name       string   `yaml:"name"`
-	Guards     string   `yaml:"guards"`  // what the guard that is taken away protects
-	Rule       string   `yaml:"rule"`    // that sees its absence, or CostOnly
-	Because    string   `yaml:"because"` // why no rule sees it alone, where none does
-	With       []string `yaml:"with"`    // names of mutations that are made together with it
-	Script     string   `yaml:"script"`  // a file in the simulator's testdata that finds it
-	CostScript string   `yaml:"day"`     // of CostOnly: a file there in whose runs the guard matters
+	Guards     string   `yaml:"guards"`  // what the removed guard ensures
+	Rule       string   `yaml:"rule"`    // rule that is broken without the guard, or CostOnly
+	Because    string   `yaml:"because"` // why the mutation alone breaks no rule, if it breaks none
+	With       []string `yaml:"with"`    // names of mutations that are applied together with it
+	Script     string   `yaml:"script"`  // file in the simulator's testdata whose runs find it
+	CostScript string   `yaml:"day"`     // for CostOnly: file there in whose runs the guard makes a difference
 	Edits      []Edit   `yaml:"edits"`
 }
 
-// Edit replaces a piece of a file's text that stands there once.
+// Edit replaces a text that occurs exactly once in a file.
 type Edit struct {
-	File string `yaml:"file"` // from the root of the module
+	File string `yaml:"file"` // path from the root of the module
 	Old  string `yaml:"old"`
 	New  string `yaml:"new"`
 }
 
-// listError is a mistake in the list; errors.Is finds ErrList.
+// listError is an error in the list. It matches ErrList.
 type listError struct{ text string }
 
 func (e listError) Error() string        { return ErrList.Error() + ": " + e.text }
 func (e listError) Is(target error) bool { return target == ErrList }
 
-// StaleEditError is an edit that does not fit the source; errors.Is finds ErrStaleEdit.
+// StaleEditError is an edit that does not fit the source. It matches ErrStaleEdit.
 type StaleEditError struct {
 	Mutation string
 	Edit     Edit
-	Count    int // how many times the old text stands in the file
+	Count    int // how many times the old text occurs in the file
 }
 
 func (e *StaleEditError) Error() string {
@@ -69,8 +69,8 @@
 // Is reports whether the target is ErrStaleEdit.
 func (e *StaleEditError) Is(target error) bool { return target == ErrStaleEdit }
 
-// List returns all mutations, each with the edits of those that it names in With, which stand before it in the list. The error, if any, is a
-// diagnostic.Problems or ErrList.
+// List returns all mutations. The edits of each include those of the mutations named in its With, which precede it in the
+// list. An error is a diagnostic.Problems or matches ErrList.
 func List() ([]Mutation, error) {
 	var file struct {
 		Mutants []Mutation `yaml:"mutants"`
@@ -102,8 +102,8 @@
 	return file.Mutants, nil
 }
 
-// Apply returns the changed texts of the files that a mutation changes, by their names below the module's root. The error
-// is a *StaleEditError, or that of a file that can't be read.
+// Apply returns the new texts of the files that a mutation changes, by their paths from the module's root. An error is a
+// *StaleEditError or the error of reading a file.
 func (m Mutation) Apply(root string) (map[string]string, error) {
 	texts := map[string]string{}
 	for _, e := range m.Edits {
@@ -123,8 +123,8 @@
 	return texts, nil
 }
 
-// Overlay writes the changed files into a folder, and the file for go build's -overlay that puts them in the place of
-// the originals, whose path it returns.
+// Overlay writes the changed files into a folder, with a JSON file for go build's -overlay that replaces the originals by
+// them. It returns the path of the JSON file.
 func (m Mutation) Overlay(root, dir string) (string, error) {
 	texts, err := m.Apply(root)
 	if err != nil {
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -12,8 +12,8 @@
 	"sandyard/internal/simulation"
 )
 
-// A mutation that no longer fits the source would be skipped, and its guard would be without a check. Each must apply to the
-// source as it is and leave what parses; its rule must be one that runs are held to, and its scripts must be there.
+// A mutation that no longer fits the source would be skipped, and nothing would check its guard. Each mutation must apply to the
+// current source and leave files that parse. Its rule must be one that runs are checked against, and its scripts must exist.
 func TestMutationsApplyToTheSource(t *testing.T) {
 	all, err := List()
 	if err != nil {
@@ -32,7 +32,7 @@
 			}
 		}
 		if !slices.Contains(rules, m.Rule) {
-			t.Errorf("%s: no rule is called %q", m.Name, m.Rule)
+			t.Errorf("%s: there is no rule %q", m.Name, m.Rule)
 		}
 		if m.Guards == "" {
 			t.Errorf("%s: does not say what it guards", m.Name)
@@ -46,15 +46,15 @@
 			}
 		}
 		if m.CostScript != "" && m.Rule != CostOnly {
-			t.Errorf("%s: a script for its cost, though a rule sees it", m.Name)
+			t.Errorf("%s: has a script for its cost, although its rule is not CostOnly", m.Name)
 		}
 	}
 	if len(all) < 30 {
-		t.Errorf("%d mutations only", len(all))
+		t.Errorf("only %d mutations", len(all))
 	}
 }
 
-// When the source moves on and the list does not, that must be an error that names the file, not a mutation without effect.
+// If the source changes and the list does not, Apply must return an error that names the file, not a mutation without effect.
 func TestStaleEditIsAnError(t *testing.T) {
 	m := Mutation{Name: "x", Edits: []Edit{{File: "mutation.go", Old: "no such text, except here", New: ""}}}
 	if _, err := m.Apply("."); !errors.Is(err, ErrStaleEdit) || !strings.Contains(err.Error(), "mutation.go has 0 times") {
--- a/internal/mutation/typecheck_test.go
+++ b/internal/mutation/typecheck_test.go
@@ -17,15 +17,15 @@
 	"testing"
 )
 
-// listedPackage is what go list says of a package.
+// listedPackage is the output of go list for a package.
 type listedPackage struct {
 	ImportPath string
 	Dir        string
 	Export     string   // file with the export data of the compiled package
-	GoFiles    []string // without the tests, in Dir
+	GoFiles    []string // without tests, in Dir
 }
 
-// listPackages lists the packages in folders below the module's root, and all that they import, by import path.
+// listPackages lists the packages in folders below the module's root and all packages that they import, by import path.
 func listPackages(t *testing.T, folders []string) map[string]listedPackage {
 	t.Helper()
 	args := []string{"list", "-export", "-deps", "-json=ImportPath,Dir,Export,GoFiles"}
@@ -61,7 +61,7 @@
 	return packages
 }
 
-// mutationChecker type-checks packages with files replaced.
+// mutationChecker type-checks packages in which files are replaced.
 type mutationChecker struct {
 	files     *token.FileSet
 	packages  map[string]listedPackage // by import path
@@ -77,7 +77,7 @@
 	return checker
 }
 
-// check type-checks the package in a folder, with the texts in place of the files of these names from the root.
+// check type-checks the package in a folder. texts replaces files, by their paths from the root.
 func (c *mutationChecker) check(folder string, texts map[string]string) error {
 	listed := c.packages["sandyard/"+folder]
 	var parsed []*ast.File
@@ -92,7 +92,7 @@
 	return err
 }
 
-// parse parses a file's new text, or the file as it is if there is none.
+// parse parses the new text of a file, or the original file if there is none.
 func (c *mutationChecker) parse(name, text string) (*ast.File, error) {
 	if text != "" {
 		return parser.ParseFile(c.files, name, text, parser.SkipObjectResolution)
@@ -105,7 +105,7 @@
 	return file, err
 }
 
-// foldersOf gives the folders of the files that mutations change, sorted.
+// foldersOf returns the folders of the files that mutations change, sorted.
 func foldersOf(mutations ...Mutation) []string {
 	var folders []string
 	for _, m := range mutations {
@@ -117,9 +117,8 @@
 	return slices.Compact(folders)
 }
 
-// A mutation that does not compile is found by no run of the simulator, since there is none: an edit of the source that
-// leaves a variable unused under a mutation would go unseen until the mutations are next run. Each
-// changed package is therefore type-checked here.
+// A mutation that does not compile can't be run: a change of the source that leaves a variable unused under a mutation would go
+// unnoticed until the mutations are next run. This test therefore type-checks each changed package.
 func TestMutationsTypeCheck(t *testing.T) {
 	all, err := List()
 	if err != nil {
