--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -20,41 +20,42 @@
 	"sandyard/quota"
 )
 
-// The admin socket: a unix socket that its owner alone may open, by which tools inspect an instance and change nothing.
-// The protocol is HTTP/1.1 by our own parser, versioned by its paths:
+// The admin socket is a unix socket that only its owner may open. Tools use it to inspect an instance; it changes nothing.
+// The protocol is HTTP/1.1, parsed by package http1 and versioned by its paths:
 //
 //	GET /v1/identity                     core, configuration, instance
-//	GET /v1/studio?name=S                what the decision package knows of a customer
-//	GET /v1/counted?name=S               under which name the counter has its use, and where the counter is
-//	GET /v1/would?name=S&units=N         what would be decided now, by a copy of the state
-//	GET /v1/match?method=M&target=T&...  what becomes of a request before it is decided on (see proxy.Inspection)
+//	GET /v1/studio?name=S                state of a customer in the decision package
+//	GET /v1/counted?name=S               name under which the counter counts a customer's use, and address of the counter
+//	GET /v1/would?name=S&units=N         what the instance would decide now, by a copy of its state
+//	GET /v1/match?method=M&target=T&...  how a request is parsed and matched before the decision (see proxy.Inspection)
 //
-// Its cost to requests is bounded: a customer is looked up between two events; a copy of the state is taken at most once
+// Its cost to requests is bounded: a customer is inspected between two events, and a copy of the state is taken at most once
 // in minSnapshotInterval, for all tools together, and used outside the event loop.
 const (
-	// maxAdminConns is how many tools may be connected; each costs a descriptor.
+	// maxAdminConns bounds the connections of tools. Each costs a descriptor.
 	maxAdminConns = 8
-	// adminTimeout bounds a request with its response; a tool sends its request at once.
+	// adminTimeout bounds a request and its response. A tool sends its request at once.
 	adminTimeout = 5 * time.Second
-	// minSnapshotInterval keeps copies of the state, each of which holds up the event loop, to a few a second.
+	// minSnapshotInterval limits copies of the state, each of which delays the event loop, to a few per second.
 	minSnapshotInterval = 250 * time.Millisecond
-	// takeoverTimeout is how long a socket file is tried for a process that listens there.
+	// takeoverTimeout bounds the dial that checks whether another process listens on the socket file.
 	takeoverTimeout = time.Second
-	// maxAdminRequestTarget and maxAdminHead bound a request (bytes): a target holds the header fields of one that is matched.
+	// maxAdminRequestTarget and maxAdminHead bound a request (bytes). The target of /v1/match holds the header fields of the
+	// request to match.
 	maxAdminRequestTarget = 16 << 10
 	maxAdminHead          = 20 << 10
-	// maxInspectedUnits bounds the units of /v1/would: beyond it no plan reaches.
+	// maxInspectedUnits bounds the units of /v1/would. It is more than any plan allows.
 	maxInspectedUnits = 1e9
 )
 
-// ErrAdminSocketInUse is returned by Serve, wrapped, where another process listens on the admin socket.
+// ErrAdminSocketInUse is wrapped in the error of Serve if another process listens on the admin socket.
 var ErrAdminSocketInUse = errors.New("another process listens there")
 
 // adminServer answers the requests of the admin socket.
 type adminServer struct {
 	server *Server
 
-	snapshotMu   sync.Mutex // held while a copy of the state is waited for and used: one at a time
+	snapshotMu   sync.Mutex // held while waiting for a copy of the state and using it, so that there is one at a time
 	lastSnapshot time.Time
 }
 
@@ -73,7 +74,7 @@
 	return adminResponse{status, adminError{fmt.Sprintf(format, args...)}}
 }
 
-// stoppingResponse is the response where the event loop has ended.
+// stoppingResponse returns the response if the event loop has ended.
 func stoppingResponse() adminResponse { return adminFailure(503, "the front door is ending") }
 
 // Identity is the response to /v1/identity.
@@ -84,16 +85,16 @@
 	Of       int    `json:"of"`
 }
 
-// CounterEntry is the response to /v1/counted: where the shared counter has a customer's use. Names change with time; it
-// holds as of the instance's last event.
+// CounterEntry is the response to /v1/counted: where the shared counter counts a customer's use. The name changes with time;
+// it is the one at the instance's last event.
 type CounterEntry struct {
-	Known       bool    `json:"known"` // seen lately, and shared with other instances
+	Known       bool    `json:"known"` // the customer was seen recently, and other instances share its quota
 	Name        string  `json:"name"`
-	Weight      float64 `json:"weight"` // of a unit that is used now
-	CounterAddr string  `json:"keeper"` // host:port; empty: there is none
+	Weight      float64 `json:"weight"` // what a unit used now counts
+	CounterAddr string  `json:"keeper"` // host:port; empty: no counter
 }
 
-// startAdmin serves the admin socket, if one is configured, until the function returned is called.
+// startAdmin serves the admin socket, if one is configured, until the returned function is called.
 func (s *Server) startAdmin() (stop func(), err error) {
 	path := s.cfg.AdminSocket()
 	if path == "" {
@@ -109,7 +110,7 @@
 	return connections.close, nil
 }
 
-// listenUnix takes over the socket file of a process that has ended, never that of one that listens.
+// listenUnix listens on a socket file. It takes over the file of a process that has ended, never that of one that still listens.
 func listenUnix(path string) (net.Listener, error) {
 	listener, err := listenPrivately(path)
 	if !errors.Is(err, syscall.EADDRINUSE) {
@@ -125,15 +126,15 @@
 	return listenPrivately(path)
 }
 
-// listenPrivately listens on a socket file that is its owner's alone from the first moment on: a mode that is set later
-// leaves a moment in which others can connect. The mask is the whole process's meanwhile; it can only make a file more private.
+// listenPrivately listens on a socket file that only its owner can open from the beginning: if the mode were set later, others
+// could connect before. The umask applies to the whole process meanwhile; it can only make other files more private.
 func listenPrivately(path string) (net.Listener, error) {
 	old := syscall.Umask(0o177)
 	defer syscall.Umask(old)
 	return net.Listen("unix", path)
 }
 
-// serve answers one request; tools need no more.
+// serve answers one request per connection; tools need no more.
 func (a *adminServer) serve(c net.Conn) {
 	c.SetDeadline(time.Now().Add(adminTimeout))
 	requests := http1.NewRequests(http1.Limits{RequestLine: maxAdminRequestTarget, Head: maxAdminHead})
@@ -171,7 +172,7 @@
 	c.Write(append(append(out, body...), '\n'))
 }
 
-// respond is the routes of the admin socket.
+// respond routes a request to its handler and returns the response.
 func (a *adminServer) respond(head *http1.Head) adminResponse {
 	query, err := parseQuery(head.Query)
 	if err != nil {
@@ -200,33 +201,33 @@
 	return a.inspectDecision(customer, query["units"])
 }
 
-// inspectCustomer is /v1/studio.
+// inspectCustomer handles /v1/studio.
 func (a *adminServer) inspectCustomer(customer *config.Customer) adminResponse {
 	var view quota.View
-	asked := a.runInLoop(func(instance *proxy.Instance, now time.Duration) {
+	ran := a.runInLoop(func(instance *proxy.Instance, now time.Duration) {
 		state, known := instance.Gateway().Customer(customer.Name)
 		view = quota.Inspect(a.server.cfg.Settings, customer.Plan, customer.Name, state, known, now)
 	})
-	if !asked {
+	if !ran {
 		return stoppingResponse()
 	}
 	return adminResponse{200, view}
 }
 
-// inspectCounter is /v1/counted.
+// inspectCounter handles /v1/counted.
 func (a *adminServer) inspectCounter(customer *config.Customer) adminResponse {
 	entry := CounterEntry{CounterAddr: a.server.cfg.Counter.Address}
-	asked := a.runInLoop(func(instance *proxy.Instance, _ time.Duration) {
+	ran := a.runInLoop(func(instance *proxy.Instance, _ time.Duration) {
 		entry.Name, entry.Weight, entry.Known = instance.Gateway().CounterName(customer.Name)
 	})
-	if !asked {
+	if !ran {
 		return stoppingResponse()
 	}
 	return adminResponse{200, entry}
 }
 
-// inspectDecision is /v1/would: what a copy of the instance's state decides on a request of some units, 1 if none are
-// given. It waits for its turn, and until minSnapshotInterval after the copy before.
+// inspectDecision handles /v1/would: it returns what a copy of the instance's state decides on a request for a number of units,
+// 1 by default. It waits for other calls to finish, and until minSnapshotInterval after the previous copy.
 func (a *adminServer) inspectDecision(customer *config.Customer, unitsText string) adminResponse {
 	units, err := parseUnits(unitsText)
 	if err != nil {
@@ -240,11 +241,11 @@
 	a.lastSnapshot = time.Now()
 	var state decision.State
 	var at time.Duration
-	asked := a.runInLoop(func(instance *proxy.Instance, now time.Duration) {
+	ran := a.runInLoop(func(instance *proxy.Instance, now time.Duration) {
 		state, err = instance.Gateway().Snapshot()
 		at = now
 	})
-	if !asked {
+	if !ran {
 		return stoppingResponse()
 	}
 	if err != nil {
@@ -268,7 +269,7 @@
 	return units, nil
 }
 
-// runInLoop runs an inspection in the event loop and waits for it; false: the loop has ended.
+// runInLoop runs an inspection in the event loop and waits for its end. It returns false if the loop has ended.
 func (a *adminServer) runInLoop(inspect inspection) bool {
 	done := make(chan struct{})
 	queued := a.server.post(inspection(func(instance *proxy.Instance, now time.Duration) {
@@ -286,7 +287,7 @@
 	}
 }
 
-// parseQuery parses the pairs of a query string; of a name that stands twice the last one holds.
+// parseQuery parses the pairs of a query string. If a name occurs twice, the last value counts.
 func parseQuery(s string) (map[string]string, error) {
 	query := map[string]string{}
 	for pair := range strings.SplitSeq(s, "&") {
@@ -300,7 +301,7 @@
 	return query, nil
 }
 
-// unescapePercent decodes percent escapes. Unlike net/url it takes every byte.
+// unescapePercent decodes percent escapes. Unlike net/url it accepts every byte.
 func unescapePercent(s string) (string, error) {
 	out := make([]byte, 0, len(s))
 	for i := 0; i < len(s); i++ {
--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -16,12 +16,12 @@
 	"sandyard/proxy"
 )
 
-// TestAdminSocket: tools inspect an instance that serves, two at once; hostile requests and a socket file that a killed
-// process left behind do no harm, and inspecting costs a customer nothing.
+// TestAdminSocket checks that two tools can inspect a serving instance at the same time, that malformed requests and the socket
+// file of a killed process do no harm, and that an inspection uses none of a customer's quota.
 func TestAdminSocket(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
 	path := filepath.Join(t.TempDir(), "a.sock")
-	old, err := net.Listen("unix", path) // of a process that is gone
+	old, err := net.Listen("unix", path) // of a process that has ended
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	old.Close()
 	r := startGateway(t, fmt.Sprintf("admin: {socket: %q}\n", path), "", b.Addr())
 	r.waitForLog("admin socket")
-	ask := func(text string) string {
+	send := func(text string) string {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Error(err)
@@ -41,7 +41,7 @@
 		got, _ := io.ReadAll(c)
 		return string(got)
 	}
-	get := func(p string) string { return ask("GET " + p + " HTTP/1.1\r\nHost: a\r\n\r\n") }
+	get := func(p string) string { return send("GET " + p + " HTTP/1.1\r\nHost: a\r\n\r\n") }
 	for range 2 {
 		r.status(request("GET", "/look", "kb", ""))
 	}
@@ -67,16 +67,16 @@
 		{Method: "GET", Target: "/look", Customer: "nobody"}, {Method: "GET", Target: "/look"}, {Method: "G T", Target: "/\r\n\r\n"}, {}} {
 		want, _ := json.Marshal(l.Run(r.server.cfg))
 		if got := get("/v1/match?" + l.Query()); !strings.HasSuffix(got, "\r\n\r\n"+string(want)+"\n") {
-			t.Errorf("%+v: %s, from files %s", l, got, want)
+			t.Errorf("%+v: %s, want %s", l, got, want)
 		}
 	}
 	if s := r.status(request("GET", "/look", "kb", "")); s != 200 {
-		t.Errorf("looking has cost the studio its third unit: %d", s)
+		t.Errorf("the inspections used the third unit of the customer's quota: %d", s)
 	}
 	for text, want := range map[string]string{"GET /v1/studio?name=nobody HTTP/1.1\r\nHost: a\r\n\r\n": "404", "POST /v1/identity HTTP/1.1\r\nHost: a\r\n\r\n": "405",
 		"GET /v2/studio HTTP/1.1\r\nHost: a\r\n\r\n": "404", "nonsense\r\n\r\n": "400", "GET /v1/would?name=b&units=x HTTP/1.1\r\nHost: a\r\n\r\n": "400",
 		"GET /v1/studio?name=%zz HTTP/1.1\r\nHost: a\r\n\r\n": "400"} {
-		if got := ask(text); !strings.HasPrefix(got, "HTTP/1.1 "+want) {
+		if got := send(text); !strings.HasPrefix(got, "HTTP/1.1 "+want) {
 			t.Errorf("%q: %s", text, got)
 		}
 	}
--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -19,29 +19,29 @@
 	"sandyard/proxy"
 )
 
-// The deadlines of the watch. docs/design/platform.md has the sums that must stay under the platform's bounds;
-// TestEndpointUpdateDeadlines adds them up.
+// Timeouts of the watch. docs/design/platform.md lists the sums of them that must stay below the platform's bounds;
+// TestEndpointUpdateDeadlines checks the sums.
 const (
-	// watchSilenceTimeout ends a watch from which nothing comes: 1.5 times discovery's heartbeat interval of 2 s. A
-	// heartbeat is an empty line, by which discovery shows that a watch stands.
+	// watchSilenceTimeout ends a watch on which nothing arrives: 1.5 times discovery's heartbeat interval of 2 s. A heartbeat
+	// is an empty line, which shows that the watch is alive.
 	watchSilenceTimeout = 3 * time.Second
-	// watchDialTimeout bounds the dial of a watch; the agent is on this machine.
+	// watchDialTimeout bounds the dial of a watch. The discovery agent runs on this machine.
 	watchDialTimeout = time.Second
-	// minWatchBackoff is the wait before a watch that ended is begun again; it doubles, with jitter, up to the most.
+	// minWatchBackoff is the backoff before a watch that ended is restarted. It doubles, with jitter, up to maxWatchBackoff.
 	minWatchBackoff = 100 * time.Millisecond
-	// maxWatchBackoff bounds that wait, since discovery that can be reached again must be followed within a few seconds.
+	// maxWatchBackoff bounds the backoff, since the watch must work again a few seconds after discovery can be reached again.
 	maxWatchBackoff = time.Second
-	// firstEndpointsTimeout is how long a new instance waits for its first endpoint list, and rejects requests; then it
-	// goes by the one in its configuration. A first watch that stays silent, and the one after it, fit in.
+	// firstEndpointsTimeout is how long a new instance rejects requests while it waits for its first endpoint list. After
+	// that it uses the list in its configuration. The timeout covers a first watch that stays silent and a second watch.
 	firstEndpointsTimeout = watchSilenceTimeout + minWatchBackoff + watchDialTimeout + firstAnswerTime
-	// firstAnswerTime is for discovery's first answer to a watch to come and to be handled.
+	// firstAnswerTime is the time for discovery's first answer to a watch to arrive and to be handled.
 	firstAnswerTime = 500 * time.Millisecond
-	// firstEndpointsPoll is how often it is checked after that whether discovery's answer lies unread.
+	// firstEndpointsPoll is the interval, after firstEndpointsTimeout, between checks whether discovery's answer is unread.
 	firstEndpointsPoll = 20 * time.Millisecond
 )
 
-// maxLastReads bounds the reads of a watch that is ended: a message of the greatest size.
-const maxLastReads = platform.MaxEndpointListBytes / readSize
+// maxFinalReads bounds the reads of a watch after its context has ended: enough for a message of the maximum size.
+const maxFinalReads = platform.MaxEndpointListBytes / readSize
 
 var (
 	errWatchEnded      = errors.New("the watch ended")
@@ -53,25 +53,25 @@
 
 func (status watchStatusError) Error() string { return fmt.Sprintf("status %d", int(status)) }
 
-// endpointWatch follows the endpoint list at discovery. One watch stands at a time; one that ends or falls silent is
-// begun again from the version that was seen last, so that no change is missed.
+// endpointWatch watches the endpoint list at discovery. There is one watch at a time. A watch that ends or falls silent is
+// restarted from the version that was received last, so that no change is missed.
 //
-// Versions: changes up to an older version than the one held are an echo, and are dropped; those up to the same one are
-// taken again, which changes nothing. Gaps mean nothing, since each message has all that changed since the one before it.
-// A whole list holds whatever its version is: discovery may have begun to count anew.
+// Versions: changes up to a version older than the current one repeat earlier messages and are dropped. Changes up to the
+// current version are applied again, which has no effect. Gaps are harmless, since each message has all changes since the
+// previous one. A full list is applied whatever its version, since discovery may have restarted its numbering.
 type endpointWatch struct {
 	server *Server
 
-	readVersion atomic.Uint64 // of the last message that was read, which may still wait for the event loop
+	readVersion atomic.Uint64 // of the last message that was read; it may still be queued for the event loop
 	input       watchInput
 
 	mu             sync.Mutex // guards address and addressChanged
 	address        string     // host:port
 	addressChanged chan struct{}
 
-	// Of the goroutine of the watch.
-	version   uint64                     // of the endpoint list as it was handed to the event loop
-	endpoints map[string]config.Endpoint // that list by name, without what is removed
+	// Used by the goroutine of the watch only.
+	version   uint64                     // of the endpoint list that was last queued for the event loop
+	endpoints map[string]config.Endpoint // that list by name, without removed endpoints
 }
 
 func newEndpointWatch(s *Server, address string, version uint64) *endpointWatch {
@@ -90,7 +90,7 @@
 	return w
 }
 
-// setAddress goes on at another address. Any goroutine may call it; it does not block.
+// setAddress restarts the watch at another address. Any goroutine may call it; it does not block.
 func (w *endpointWatch) setAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -101,11 +101,11 @@
 	}
 }
 
-// run follows discovery until its context ends. Requests are rejected until discovery has answered, or for
+// run watches discovery until its context ends. Requests are rejected until discovery has answered, or for
 // firstEndpointsTimeout.
 func (w *endpointWatch) run(ctx context.Context) {
-	late := time.AfterFunc(firstEndpointsTimeout, func() { w.giveUpFirstList(ctx) })
-	defer late.Stop()
+	timer := time.AfterFunc(firstEndpointsTimeout, func() { w.timeOutFirstList(ctx) })
+	defer timer.Stop()
 	backoff := minWatchBackoff
 	for ctx.Err() == nil {
 		w.mu.Lock()
@@ -115,7 +115,7 @@
 		if received {
 			backoff = minWatchBackoff
 		}
-		w.input.wait(w.server.now())
+		w.input.markCaughtUp(w.server.now())
 		select {
 		case <-addressChanged:
 			backoff = minWatchBackoff
@@ -124,31 +124,31 @@
 			return
 		case <-time.After(jitter(backoff)):
 		}
-		w.input.resume()
+		w.input.markBehind()
 		w.server.log.Warn("watch of discovery", "addr", address, "error", err, "seq", w.version)
 		backoff = min(2*backoff, maxWatchBackoff)
 	}
 }
 
-// giveUpFirstList lets the instance go by the list in its configuration, once discovery has nothing to say: its answer may
-// be there, and not read yet.
-func (w *endpointWatch) giveUpFirstList(ctx context.Context) {
-	for !w.input.isSilent() {
+// timeOutFirstList makes the instance use the list in its configuration. Before that it waits until the watch is idle, since
+// discovery's answer may have arrived and be unread.
+func (w *endpointWatch) timeOutFirstList(ctx context.Context) {
+	for !w.input.isIdle() {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(firstEndpointsPoll):
 		}
 	}
-	w.server.post(endpointsInForce{})
+	w.server.post(firstListTimedOut{})
 }
 
-// jitter draws a wait between a half of d and d, so that instances that lost discovery together do not come back together.
+// jitter returns a random wait between d/2 and d, so that instances that lost discovery together do not reconnect together.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + rand.Float64()/2) * float64(d))
 }
 
-// watchUntilChanged runs one watch until it ends, its context does, or the address has changed.
+// watchUntilChanged runs one watch until it ends, its context ends or the address changes.
 func (w *endpointWatch) watchUntilChanged(ctx context.Context, address string, changed <-chan struct{}) (received bool, err error) {
 	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -162,10 +162,10 @@
 	return w.watchOnce(watchCtx, address)
 }
 
-// watchOnce runs one watch until it ends, and reports whether anything came of it.
+// watchOnce runs one watch until it ends. It reports whether a message or a heartbeat was received.
 func (w *endpointWatch) watchOnce(ctx context.Context, address string) (received bool, err error) {
 	dialCtx, cancel := context.WithTimeout(ctx, watchDialTimeout)
-	w.input.wait(w.server.now())
+	w.input.markCaughtUp(w.server.now())
 	socket, err := dialTCP(dialCtx, address, watchSilenceTimeout)
 	cancel()
 	if err != nil {
@@ -175,10 +175,10 @@
 	defer socket.releaseBuffer()
 	w.input.socket.Store(socket)
 	defer w.input.socket.Store(nil)
-	stop := context.AfterFunc(ctx, func() { socket.conn.SetReadDeadline(inThePast) }) // what has come is still read
+	stop := context.AfterFunc(ctx, func() { socket.conn.SetReadDeadline(inThePast) }) // data that has arrived is still read
 	defer stop()
 	socket.write(fmt.Appendf(nil, "GET /v1/endpoints?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n\r\n", w.version, address))
-	body := newWatchBody(ctx, &w.input, socket, func() { // nothing has changed since the version that is held
+	body := newWatchBody(ctx, &w.input, socket, func() { // the current version is confirmed without changes
 		received = true
 		w.server.postEndpoints(w.confirmation(socket, nil))
 	})
@@ -196,18 +196,19 @@
 	}
 }
 
-// watchBody is the body of the answer to a watch as a stream, for as long as something comes: a message is one JSON value,
-// however it is laid out and wherever it is cut, with empty lines between.
+// watchBody is the body of the response to a watch as a stream. Reading it fails when nothing arrives for
+// watchSilenceTimeout. A message is one JSON value in any layout and split into chunks at any place, with empty lines between
+// messages.
 type watchBody struct {
-	ctx          context.Context // of the watch: with its end, what has come is read and no more is waited for
+	ctx          context.Context // of the watch: after its end, data that has arrived is read, without waiting for more
 	input        *watchInput
 	socket       *socket
-	lastReads    int // reads after ctx has ended
+	finalReads   int // reads after ctx has ended
 	responses    *http1.Reader
 	unparsed     []byte // bytes of the connection
 	unread       []byte // bytes of the body
-	messageBytes int    // bytes of the message that is being read, and of what came after it
-	onHeartbeat  func() // called for each part that is blank while no message has begun
+	messageBytes int    // bytes of the message that is being read, and of the data read after it
+	onHeartbeat  func() // called for each blank part between messages
 }
 
 func newWatchBody(ctx context.Context, input *watchInput, socket *socket, onHeartbeat func()) *watchBody {
@@ -216,7 +217,7 @@
 	return body
 }
 
-// Read waits for a part of the body, for watchSilenceTimeout at most. The end of the body is an error.
+// Read waits for a part of the body until watchSilenceTimeout. The end of the body is an error.
 func (b *watchBody) Read(p []byte) (int, error) {
 	for len(b.unread) == 0 {
 		if err := b.readPart(); err != nil {
@@ -233,7 +234,7 @@
 	return n, nil
 }
 
-// readPart parses the next part of the answer, or reads what it lacks.
+// readPart parses the next part of the response, or reads more bytes if the part is incomplete.
 func (b *watchBody) readPart() error {
 	n, part, err := b.responses.Feed(b.unparsed)
 	b.unparsed = b.unparsed[n:]
@@ -263,21 +264,21 @@
 	return nil
 }
 
-// readSocket waits for bytes, for watchSilenceTimeout at most, and not any more once the watch is to end: what has come by
-// then is read.
+// readSocket waits for bytes until watchSilenceTimeout. Once the context has ended it does not wait, and only returns bytes that
+// have arrived.
 func (b *watchBody) readSocket() ([]byte, error) {
 	b.socket.conn.SetReadDeadline(time.Now().Add(watchSilenceTimeout))
 	if b.ctx.Err() != nil {
 		b.socket.conn.SetReadDeadline(inThePast)
-		if b.lastReads++; b.lastReads > maxLastReads {
+		if b.finalReads++; b.finalReads > maxFinalReads {
 			return nil, errWatchEnded
 		}
 	}
 	return b.input.read(b.socket)
 }
 
-// handleMessage hands a message of discovery to the event loop. An entry that can't be read is logged; what is held of it
-// stays. It fails where the message as a whole can't be read.
+// handleMessage queues a message of discovery for the event loop. It logs entries that can't be parsed; their current endpoints
+// stay. It returns an error if the message as a whole can't be parsed.
 func (w *endpointWatch) handleMessage(socket *socket, text []byte) error {
 	update, err := platform.ParseEndpointList(text)
 	if err != nil {
@@ -289,9 +290,9 @@
 	}
 	endpoints := update.Endpoints
 	if update.Full {
-		endpoints = append(endpoints, w.heldOf(update.Malformed)...)
+		endpoints = append(endpoints, w.currentEndpoints(update.Malformed)...)
 	}
-	departed := w.holdEndpoints(endpoints, update.Full)
+	departed := w.updateEndpoints(endpoints, update.Full)
 	w.version = update.Version
 	w.readVersion.Store(update.Version)
 	confirmed := w.confirmation(socket, departed)
@@ -301,25 +302,25 @@
 	} else {
 		w.server.postEndpoints(endpointsUpdated{change}, confirmed)
 	}
-	for _, wrong := range update.Malformed { // after the rest is handed over: a log that is held up must not hold that up
-		w.server.log.Warn("list of boxes: an entry is not taken", "seq", update.Version, "error", wrong.Err)
+	for _, invalid := range update.Malformed { // logged after the update is queued, which a slow log must not delay
+		w.server.log.Warn("list of boxes: an entry is not taken", "seq", update.Version, "error", invalid.Err)
 	}
 	w.server.log.Info("list of boxes", "seq", update.Version, "whole", update.Full, "entries", len(endpoints))
 	return nil
 }
 
-// heldOf returns what is held of the hosts whose entries can't be read.
-func (w *endpointWatch) heldOf(malformed []platform.EndpointError) (held []config.Endpoint) {
-	for _, wrong := range malformed {
-		if endpoint, ok := w.endpoints[wrong.Host]; ok {
-			held = append(held, endpoint)
+// currentEndpoints returns the current endpoints of the hosts whose new entries can't be parsed.
+func (w *endpointWatch) currentEndpoints(malformed []platform.EndpointError) (current []config.Endpoint) {
+	for _, invalid := range malformed {
+		if endpoint, ok := w.endpoints[invalid.Host]; ok {
+			current = append(current, endpoint)
 		}
 	}
-	return held
+	return current
 }
 
-// holdEndpoints keeps what a message says, and returns the addresses of the endpoints that it takes out of use.
-func (w *endpointWatch) holdEndpoints(endpoints []config.Endpoint, full bool) (departed []string) {
+// updateEndpoints applies a message to endpoints, and returns the addresses of the endpoints that it takes out of use.
+func (w *endpointWatch) updateEndpoints(endpoints []config.Endpoint, full bool) (departed []string) {
 	before := w.endpoints
 	if full {
 		w.endpoints = make(map[string]config.Endpoint, len(endpoints))
@@ -338,8 +339,8 @@
 	return departedEndpoints(before, w.endpoints)
 }
 
-// confirmation is what tells the event loop that discovery has just said something by which the list of the held version is
-// current.
+// confirmation returns the message by which the event loop learns that discovery has just confirmed the current version of the
+// list.
 func (w *endpointWatch) confirmation(socket *socket, departed []string) endpointsConfirmed {
 	readAt := w.server.now()
 	return endpointsConfirmed{
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -15,13 +15,12 @@
 	"sandyard/internal/platform"
 )
 
-// TestEndpointUpdateDeadlines adds up what a change of the endpoint list waits for on its way here, row by row of the
-// table in docs/design/platform.md. Each sum must stay a margin under the time after which the platform counts the
-// change as known.
+// TestEndpointUpdateDeadlines adds up the waits until the instance knows a change of the endpoint list, for each row of the table
+// in docs/design/platform.md. Each sum must be a margin below the time after which the platform counts the change as known.
 func TestEndpointUpdateDeadlines(t *testing.T) {
 	const (
-		margin = 500 * time.Millisecond // for reading, handing over and closing what is out, on a part of a core
-		silent = 6 * time.Second        // after a watch fell silent, and after discovery could be reached
+		margin = 500 * time.Millisecond // for reading, handling and cancelling attempts, on a part of a core
+		silent = 6 * time.Second        // after a watch fell silent, or after discovery can be reached again
 		moved  = 4 * time.Second        // after SIGHUP
 		ready  = 10 * time.Second       // for a new process
 	)
@@ -34,10 +33,10 @@
 		{"a watch falls silent, and the next one is refused or ends", silent, []time.Duration{watchSilenceTimeout, minWatchBackoff, watchDialTimeout, 2 * minWatchBackoff, watchDialTimeout}},
 		{"a watch ends", silent, []time.Duration{minWatchBackoff, watchDialTimeout}},
 		{"refused for long, until discovery can be reached", silent, []time.Duration{maxWatchBackoff, watchDialTimeout}},
-		{"a connection that never comes up, until discovery can be reached", silent, []time.Duration{watchDialTimeout, maxWatchBackoff, watchDialTimeout}},
+		{"a connection that is never established, until discovery can be reached", silent, []time.Duration{watchDialTimeout, maxWatchBackoff, watchDialTimeout}},
 		{"a watch opened while discovery is down that never says anything", silent, []time.Duration{watchSilenceTimeout, maxWatchBackoff, watchDialTimeout}},
 		{"SIGHUP", moved, []time.Duration{watchDialTimeout}},
-		{"SIGHUP, and the first connection never comes up", moved, []time.Duration{watchDialTimeout, minWatchBackoff, watchDialTimeout}},
+		{"SIGHUP, and the first connection is never established", moved, []time.Duration{watchDialTimeout, minWatchBackoff, watchDialTimeout}},
 		{"a new process, discovery down", ready, []time.Duration{firstEndpointsTimeout}},
 		{"a new process, its first watch is silent", ready, []time.Duration{watchSilenceTimeout, minWatchBackoff, watchDialTimeout}},
 	} {
@@ -46,18 +45,18 @@
 			sum += w
 		}
 		if sum > r.bound {
-			t.Errorf("%s: %v with the margin, counts as known after %v", r.name, sum, r.bound)
+			t.Errorf("%s: %v with the margin, but the change counts as known after %v", r.name, sum, r.bound)
 		}
 	}
 	if silentFirst := watchSilenceTimeout + minWatchBackoff + watchDialTimeout + margin; firstEndpointsTimeout < silentFirst {
-		t.Errorf("a new process goes by its own list after %v; the answer to its second watch may come after %v", firstEndpointsTimeout, silentFirst)
+		t.Errorf("a new process uses its configured list after %v; the answer to its second watch may arrive after %v", firstEndpointsTimeout, silentFirst)
 	}
 	if least := 2 * time.Second; watchSilenceTimeout < least+margin {
-		t.Errorf("silence of %v: a watch shows every %v that it stands", watchSilenceTimeout, least)
+		t.Errorf("silence timeout %v, but a watch has a heartbeat every %v", watchSilenceTimeout, least)
 	}
 }
 
-// startAgent is discovery as a function that is called for each watch, with its number; the request has been read.
+// startAgent starts a discovery agent. answer is called for each watch after its request was read, with the watch's number.
 func startAgent(t *testing.T, answer func(n int, c net.Conn, since string)) string {
 	calls := make(chan int, 1)
 	calls <- 0
@@ -78,8 +77,8 @@
 
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// TestWatchEventsInAnyFraming: a message of discovery is one JSON value, however it is laid out and wherever it is cut
-// into chunks. A reader that took a line, or a chunk, for a message would begin its watch again and again.
+// TestWatchEventsInAnyFraming checks that a message of discovery is one JSON value in any layout, split into chunks at any place.
+// A reader that treated a line, or a chunk, as a message would restart its watch again and again.
 func TestWatchEventsInAnyFraming(t *testing.T) {
 	host := func(seq int, name, addr string) string {
 		return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":"%s","dial":"%s","health":"active","share":1}]}`, seq, name, addr)
@@ -120,14 +119,14 @@
 			r.waitForLog("seq=9")
 			r.requireServedBy(1, "b")
 			if s := r.log.String(); strings.Contains(s, "watch of discovery") {
-				t.Errorf("the watch began again: %s", s)
+				t.Errorf("the watch was restarted: %s", s)
 			}
 		})
 	}
 }
 
-// TestEndpointListVersions: changes up to an older version are dropped, those of the same one are taken again, and a
-// whole list holds whatever its version. A new watch goes on from the version that is held.
+// TestEndpointListVersions checks that changes up to an older version are dropped, that changes up to the same version are applied
+// again, and that a full list is applied whatever its version. A new watch continues from the current version.
 func TestEndpointListVersions(t *testing.T) {
 	a, b := startNamedBackend(t, "a"), startNamedBackend(t, "b")
 	counterAddr, _ := startCounter(t)
@@ -135,7 +134,7 @@
 	end := sync.OnceFunc(func() { close(more) })
 	discovery := startAgent(t, func(n int, c net.Conn, since string) {
 		if n == 2 && since != "3" {
-			t.Errorf("the second watch goes on from %s", since)
+			t.Errorf("the second watch continues from %s", since)
 		}
 		io.WriteString(c, watchHead)
 		if n > 1 {
@@ -147,7 +146,7 @@
 		}
 		c.Close()
 	})
-	t.Cleanup(end) // before the agent's own, which waits for its connections
+	t.Cleanup(end) // before the agent's cleanup, which waits for its connections
 	const up = `{"seq":%d,"whole":%v,"hosts":[{"host":"%s","dial":"%s","health":"active","share":1}]}`
 	go func() { more <- fmt.Sprintf(up, 8, true, "b", b) }()
 	r := startNode(t, discovery, counterAddr, 64, a)
@@ -157,7 +156,7 @@
 	for id := 2; id < 12; id++ {
 		r.requireServedBy(id, "b")
 	}
-	more <- fmt.Sprintf(up, 3, true, "a", a) // counted anew
+	more <- fmt.Sprintf(up, 3, true, "a", a) // discovery restarted its numbering
 	r.waitForLog("seq=3")
 	r.requireServedBy(20, "a")
 	end()
@@ -165,8 +164,8 @@
 	r.requireServedBy(21, "a")
 }
 
-// TestInvalidEndpointLeavesOthersInForce: one entry of an endpoint list can't be parsed. It must not spoil the others:
-// it is logged with its place, and what was known of that endpoint stays.
+// TestInvalidEndpointLeavesOthersInForce checks that an entry that can't be parsed does not affect the others: it is logged with
+// its position, and the current entry of that endpoint stays in force.
 func TestInvalidEndpointLeavesOthersInForce(t *testing.T) {
 	a, b := startNamedBackend(t, "a"), startNamedBackend(t, "b")
 	counterAddr, _ := startCounter(t)
@@ -187,7 +186,7 @@
 	}
 }
 
-// startNodeUnready starts an instance on the platform to which discovery has not said anything yet.
+// startNodeUnready starts an instance on the platform and does not wait until discovery has confirmed its list.
 func startNodeUnready(t *testing.T, discovery string) *gateway {
 	n, err := platform.ParseConfig(fmt.Appendf(nil, nodeConfig, discovery, "127.0.0.1:1", 64, startNamedBackend(t, "known")))
 	if err != nil {
@@ -198,36 +197,36 @@
 	return r
 }
 
-// TestNotReadyBeforeFirstEndpointList: what discovery holds counts from the first moment of a process, and the list in
-// its configuration may be old: requests went to backends that had been removed. Until discovery's first message
-// requests are rejected, and the instance is not ready.
+// TestNotReadyBeforeFirstEndpointList guards against requests to backends that were removed before the process started: the list
+// in its configuration can be old, but discovery's list counts from the start of the process. Until discovery's first
+// message, requests are rejected and the instance is not ready.
 func TestNotReadyBeforeFirstEndpointList(t *testing.T) {
-	tell := make(chan struct{})
+	answer := make(chan struct{})
 	b := startNamedBackend(t, "b")
-	asked := make(chan struct{}, 1)
+	watched := make(chan struct{}, 1)
 	discovery := startAgent(t, func(n int, c net.Conn, _ string) {
 		io.WriteString(c, watchHead)
-		asked <- struct{}{}
-		<-tell
+		watched <- struct{}{}
+		<-answer
 		writeChunk(c, fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"b","dial":"%s","health":"active","share":1}]}`, b))
 	})
 	r := startNodeUnready(t, discovery)
-	<-asked
+	<-watched
 	if s := r.status(readyRequest); s != 503 {
 		t.Errorf("ready: %d", s)
 	}
 	if s := r.status(nodeRequest(1)); s != 503 {
 		t.Errorf("a request: %d", s)
 	}
-	close(tell)
+	close(answer)
 	for r.status(readyRequest) != 200 {
 		runtime.Gosched()
 	}
 	r.requireServedBy(2, "b")
 }
 
-// TestReadyWithoutDiscovery: discovery is down when a process starts. After firstEndpointsTimeout it goes by the list
-// in its configuration.
+// TestReadyWithoutDiscovery checks that a process that starts while discovery is down uses the list in its configuration after
+// firstEndpointsTimeout.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	r := startNodeUnready(t, startAgent(t, func(int, net.Conn, string) {}))
 	began := time.Now()
--- a/internal/server/drain_departed_test.go
+++ b/internal/server/drain_departed_test.go
@@ -17,7 +17,7 @@
 // healthCheckInterval is how often the instance checks one of its backends.
 const healthCheckInterval = 300 * time.Millisecond
 
-// startHoldingCounter is a counter that answers no call until release is called; called is closed with the first.
+// startHoldingCounter starts a counter that answers no call until release is called. called is closed at the first call.
 func startHoldingCounter(t *testing.T) (addr string, called <-chan struct{}, release func()) {
 	received, held := make(chan struct{}), make(chan struct{})
 	receive := sync.OnceFunc(func() { close(received) })
@@ -36,7 +36,7 @@
 	return addr, received, release
 }
 
-// startRejectingBackend is a backend that turns every request away without running it.
+// startRejectingBackend starts a backend that rejects every request without running it.
 func startRejectingBackend(t *testing.T) string {
 	return startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
 		for {
@@ -48,18 +48,18 @@
 	})
 }
 
-// lateBeginning is a way in which an attempt begins long after a notice was handled. prepare runs before the instance
-// does. begin is called when it is ready, and returns what lets the attempt begin.
-type lateBeginning struct {
+// lateAttempt is a way in which an attempt begins long after a notice was handled. prepare is called before the instance is
+// started. begin is called when the instance is ready, and returns the function that triggers the attempt.
+type lateAttempt struct {
 	name    string
 	prepare func(rig *drainRig)
 	begin   func(rig *drainRig) (attempt func())
 }
 
-func lateBeginnings() []lateBeginning {
-	var releaseCounter, turnAway func()
+func lateAttempts() []lateAttempt {
+	var releaseCounter, reject func()
 	var called, got <-chan struct{}
-	return []lateBeginning{
+	return []lateAttempt{
 		{"a first attempt", func(*drainRig) {}, func(rig *drainRig) func() {
 			return func() { rig.requireAnswer(200, rig.send(3)) }
 		}},
@@ -67,11 +67,11 @@
 			return func() { rig.requireAnswer(503, rig.send(3)) }
 		}},
 		{"a retry of what the departed backend turned away", func(rig *drainRig) {
-			got, turnAway = rig.holdDraining()
+			got, reject = rig.holdDraining()
 		}, func(rig *drainRig) func() {
 			status := rig.send(3)
 			<-got
-			return func() { turnAway(); rig.requireAnswer(200, status) }
+			return func() { reject(); rig.requireAnswer(200, status) }
 		}},
 		{"a request that waited for the counter", func(rig *drainRig) {
 			rig.counter, called, releaseCounter = startHoldingCounter(rig.T)
@@ -89,8 +89,8 @@
 	}
 }
 
-// sendUntilWaiting sends requests until one waits for the counter, which has been called, and returns the answer that is
-// owed to it. A call can also report use for requests that were answered before.
+// sendUntilWaiting sends requests until one waits for a call to the counter, and returns the channel of its status. Checking
+// only that the counter was called is not enough: a call can also report the use of requests that were answered before.
 func (rig *drainRig) sendUntilWaiting(called <-chan struct{}) <-chan int {
 	rig.Helper()
 	for id := 10; id < 100; id++ {
@@ -102,7 +102,7 @@
 			return status
 		}
 	}
-	rig.Fatal("none of 90 requests waits")
+	rig.Fatal("none of 90 requests waits for the counter")
 	return nil
 }
 
@@ -115,14 +115,14 @@
 	}
 }
 
-// unanswered is how many requests the instance holds that have no answer.
+// unanswered returns the number of requests without an answer at the instance.
 func (rig *drainRig) unanswered() int {
 	count := make(chan int, 1)
 	rig.server.post(inspection(func(instance *proxy.Instance, _ time.Duration) { count <- instance.Unanswered() }))
 	return <-count
 }
 
-// requireAnswer fails if the status of an answer is another.
+// requireAnswer fails the test if the status of an answer is not the wanted one.
 func (rig *drainRig) requireAnswer(want int, status <-chan int) {
 	rig.Helper()
 	if got := <-status; got != want {
@@ -130,7 +130,7 @@
 	}
 }
 
-// waitForRequest waits until backend a has got a request with an id.
+// waitForRequest waits until backend a has received a request with an id.
 func (rig *drainRig) waitForRequest(id string) {
 	rig.Helper()
 	for limit := time.Now().Add(orderTimeout); time.Now().Before(limit); time.Sleep(time.Millisecond) {
@@ -140,16 +140,16 @@
 			}
 		}
 	}
-	rig.Fatalf("backend a gets no request %q", id)
+	rig.Fatalf("backend a receives no request %q", id)
 }
 
-// TestNothingBeginsAtDepartedBackend: whatever begins an attempt once a notice has been handled for a drain grace, in a
-// shutdown and not, no byte of it reaches the departed backend.
+// TestNothingBeginsAtDepartedBackend checks that no byte of an attempt reaches a departed backend once a drain grace has passed
+// since its notice was handled, whatever begins the attempt, with and without a shutdown.
 func TestNothingBeginsAtDepartedBackend(t *testing.T) {
 	for name, departure := range departures {
-		for i := range lateBeginnings() {
+		for i := range lateAttempts() {
 			for _, shutdown := range []bool{false, true} {
-				late := lateBeginnings()[i] // each has its own counter
+				late := lateAttempts()[i] // a new one for each run: it has its own counter
 				t.Run(fmt.Sprintf("%s, %s, shutdown=%v", late.name, name, shutdown), func(t *testing.T) {
 					t.Parallel()
 					rig := newDrainRig(t)
--- a/internal/server/drain_dial_test.go
+++ b/internal/server/drain_dial_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// slowListener is a listener whose backlog is full until open is called: a dial goes unanswered, and comes up a second or
-// more after it began, when the kernel tries again.
+// slowListener is a listener whose backlog is full until open is called. A dial stays unanswered and is established a second or
+// more after it began, when the kernel retransmits its SYN.
 type slowListener struct {
 	addr string
 	open func()
 }
 
-// startSlowListener starts a slow listener; handle is called for each connection once it is open.
+// startSlowListener starts a slow listener. After open, handle is called for each connection.
 func startSlowListener(t *testing.T, handle func(net.Conn, *bufio.Reader)) *slowListener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,8 +60,8 @@
 	"is left out": `{"seq":8,"whole":true,"hosts":[{"host":"b","dial":"%[2]s","health":"active","share":1}]}%.0[1]s`,
 }
 
-// TestLateConnectionToDepartedBackend: an attempt was decided on before its backend departed, and its connection came up
-// more than a drain grace later. Its request must go elsewhere, in a shutdown as well.
+// TestLateConnectionToDepartedBackend checks an attempt that was decided on before its backend departed, and whose connection was
+// established more than a drain grace later. Its request must go to another backend, also during a shutdown.
 func TestLateConnectionToDepartedBackend(t *testing.T) {
 	for name, departure := range departures {
 		for _, shutdown := range []bool{false, true} {
@@ -80,7 +80,7 @@
 				release := rig.hold()
 				status := rig.sendWhileHeld(2)
 				release()
-				rig.waitForLoop() // its dial has begun
+				rig.waitForLoop() // the dial has begun
 				rig.write(fmt.Sprintf(departure, rig.draining.addr, rig.other))
 				rig.waitPastGrace()
 				slow.open()
@@ -93,19 +93,19 @@
 	}
 }
 
-// waitPastGrace waits until an attempt at backend a is too late.
+// waitPastGrace waits until the drain grace of backend a, with slack, has passed since the notice.
 func (rig *drainRig) waitPastGrace() {
 	time.Sleep(time.Until(rig.noticedAt.Add(testDrainGrace + 2*socketSlack)))
 }
 
-// TestNoRequestBeginsAfterShutdown: the dial of a request was out as the event loop ended, its client having left, and its
-// connection came up afterwards. Nothing is written on it.
+// TestNoRequestBeginsAfterShutdown checks a dial that is in progress when the event loop ends, after the client has left. Nothing
+// may be written on its connection when it is established afterwards.
 func TestNoRequestBeginsAfterShutdown(t *testing.T) {
 	rig := newDrainRig(t)
-	came := make(chan struct{}, 16)
+	received := make(chan struct{}, 16)
 	slow := startSlowListener(t, func(c net.Conn, in *bufio.Reader) {
 		if _, err := in.Peek(1); err == nil {
-			came <- struct{}{}
+			received <- struct{}{}
 		}
 	})
 	rig.draining.addr = slow.addr
@@ -115,15 +115,15 @@
 	io.WriteString(client, nodeRequest(2))
 	waitQueued[requestArrived](rig.gateway)
 	release()
-	rig.waitForLoop() // its dial has begun
+	rig.waitForLoop() // the dial has begun
 	client.Close()
 	rig.stop()
 	rig.requireEnd(orderTimeout)
 	slow.open()
-	time.Sleep(time.Second) // after which the kernel has tried the dial again, had it not been ended
+	time.Sleep(time.Second) // the kernel would have retried the dial by then if it had not been cancelled
 	select {
-	case <-came:
-		t.Error("a byte of the request came after the event loop had ended")
+	case <-received:
+		t.Error("a byte of the request arrived after the event loop had ended")
 	default:
 	}
 }
--- a/internal/server/drain_file_test.go
+++ b/internal/server/drain_file_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// TestHeldUpFileReadingKeepsDrainGrace: a reading of the endpoint file was held up by its log record, and the file was replaced
-// meanwhile: attempts went to a backend that the file had left out for more than the drain grace.
-func TestHeldUpFileReadingKeepsDrainGrace(t *testing.T) {
+// TestDelayedFileReadKeepsDrainGrace guards against attempts at a backend that has been missing from the endpoint file for more
+// than the drain grace. The log record of one read of the file blocked, and the file was replaced meanwhile.
+func TestDelayedFileReadKeepsDrainGrace(t *testing.T) {
 	backend := startTimedBackend(t)
 	text := strings.Replace(gatewayText, "boxes.yaml}", "boxes.yaml, drain-grace: "+testDrainGrace.String()+"}", 1)
 	r := startGatewayOf(t, text, backend.addr)
-	fetch := request("GET", "/look", "ka", "")
+	getRequest := request("GET", "/look", "ka", "")
 	held, release := r.log.holdAt("list of boxes")
 	t.Cleanup(release)
 	r.replaceFile("boxes.yaml", endpointsYAML(backend.addr)+"\n")
@@ -20,10 +20,10 @@
 	r.replaceFile("boxes.yaml", endpointsYAML())
 	replacedAt := time.Now()
 	time.Sleep(testDrainGrace + 2*socketSlack)
-	r.status(fetch)
+	r.status(getRequest)
 	for _, request := range backend.received() {
 		if late := request.firstByteAt.Sub(replacedAt); late > testDrainGrace+socketSlack {
-			t.Errorf("a request came %v after its backend was left out; allowed are %v", late, testDrainGrace+socketSlack)
+			t.Errorf("a request arrived %v after its backend was removed from the file, want at most %v", late, testDrainGrace+socketSlack)
 		}
 	}
 }
--- a/internal/server/drain_guard_test.go
+++ b/internal/server/drain_guard_test.go
@@ -4,13 +4,13 @@
 	"testing"
 )
 
-// lateNotices are further ways in which an instance is late, each the only one of the tests that sees its guard fail.
+// lateNotices returns further ways in which an instance is late. Each covers a guard that no other test covers.
 func lateNotices() []lateInstance {
 	return []lateInstance{
 		{"the notice comes while a message is handled, with the end of a dial behind it in the batch", func(rig *drainRig) <-chan int {
 			status, releaseFirst := rig.dialWhileHeld()
 			connected := takeQueued[backendConnected](rig.gateway)
-			held, release := rig.holdQueued()
+			held, release := rig.queueHold()
 			rig.server.post(connected)
 			releaseFirst()
 			<-held
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestLateNoticeKeepsDrainGrace: a notice was handled only at the end of a batch, or its grace counted from when it was read,
-// and an attempt at the draining backend began after the grace.
+// TestLateNoticeKeepsDrainGrace guards against attempts at a draining backend after its grace. A notice was handled only at the
+// end of a batch, or its grace counted from when it was read.
 func TestLateNoticeKeepsDrainGrace(t *testing.T) {
 	for _, late := range lateNotices() {
 		for _, shutdown := range []bool{false, true} {
--- a/internal/server/drain_late_test.go
+++ b/internal/server/drain_late_test.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// lateInstance is a way in which an instance is late. Each ends with the answer to its requests, after the grace.
+// lateInstance is a way in which an instance is late. run returns the channel of the status of its request, which is answered
+// after the grace.
 type lateInstance struct {
 	name string
-	run  func(rig *drainRig) (answered <-chan int)
+	run  func(rig *drainRig) (status <-chan int)
 }
 
 func lateInstances() []lateInstance {
 	return []lateInstance{
 		{"a request lies in the queue ahead of the notice, a connection rests", func(rig *drainRig) <-chan int {
-			rig.restConnection()
+			rig.leaveIdleConnection()
 			return requestAheadOfNotice(rig)
 		}},
 		{"a request lies in the queue ahead of the notice", requestAheadOfNotice},
@@ -32,7 +33,7 @@
 			connected := takeQueued[backendConnected](rig.gateway)
 			rig.notify()
 			waitQueued[endpointsConfirmed](rig.gateway)
-			held, releaseConnected := rig.holdQueued()
+			held, releaseConnected := rig.queueHold()
 			rig.server.post(connected)
 			releaseBatch()
 			<-held
@@ -65,7 +66,7 @@
 	}
 }
 
-// requestAheadOfNotice holds the event loop up with a request and then a notice in its queue.
+// requestAheadOfNotice blocks the event loop past the grace, with a request and then a notice in its queue.
 func requestAheadOfNotice(rig *drainRig) <-chan int {
 	release := rig.hold()
 	status := rig.sendWhileHeld(2)
@@ -76,25 +77,25 @@
 	return status
 }
 
-// restConnection leaves a connection to backend a at rest, and returns the runtime's side of it.
-func (rig *drainRig) restConnection() *backendConn {
+// leaveIdleConnection leaves an idle connection to backend a in the pool, and returns the server's side of it.
+func (rig *drainRig) leaveIdleConnection() *backendConn {
 	rig.Helper()
 	release := rig.hold()
 	status := rig.sendWhileHeld(1)
-	held, releaseConnected := rig.holdQueued()
+	held, releaseConnected := rig.queueHold()
 	release()
 	<-held
 	conn := waitQueued[backendConnected](rig.gateway).conn.Owner.(*backendConn)
 	releaseConnected()
 	if s := <-status; s != 200 {
-		rig.Fatalf("the request before: %d", s)
+		rig.Fatalf("the first request: %d", s)
 	}
 	rig.waitForLoop()
-	time.Sleep(time.Duration(rig.server.cfg.Limits.ReuseDelay)) // as long as it is not used again
+	time.Sleep(time.Duration(rig.server.cfg.Limits.ReuseDelay)) // until the connection may be reused
 	return conn
 }
 
-// holdWatch holds the watch of discovery up, by the log record of a message that it has handed over.
+// holdWatch blocks the watch of discovery at the log record of a message that it has queued.
 func (rig *drainRig) holdWatch() (release func()) {
 	held, release := rig.log.holdAt("list of boxes")
 	rig.Cleanup(release)
@@ -103,9 +104,9 @@
 	return release
 }
 
-// TestLateInstanceSendsNothingToDrainingBackend: an instance that was late began attempts at a backend that had been
-// draining for more than its grace: the notice lay behind others in the queue, or unread, or the clock had been read long
-// before, while what leads to an attempt was handled.
+// TestLateInstanceSendsNothingToDrainingBackend guards against attempts of a late instance at a backend that has been draining for
+// more than its grace. While the message that led to the attempt was handled, the notice was behind others in the queue, or
+// unread, or the clock had been read long before.
 func TestLateInstanceSendsNothingToDrainingBackend(t *testing.T) {
 	for _, late := range lateInstances() {
 		for _, shutdown := range []bool{false, true} {
@@ -114,9 +115,9 @@
 	}
 }
 
-// requireDrainKept runs a case against an instance of its own, which shuts down before it if that is wanted. No request may go to
-// the backend past its grace, and the case's request gets an answer.
-func requireDrainKept(t *testing.T, name string, shutdown bool, run func(rig *drainRig) (answered <-chan int)) {
+// requireDrainKept runs a case as a subtest with its own instance, during a shutdown if that is set. No request may reach the
+// backend after its grace, and the request of the case must be answered.
+func requireDrainKept(t *testing.T, name string, shutdown bool, run func(rig *drainRig) (status <-chan int)) {
 	t.Helper()
 	if shutdown {
 		name += ", in a shutdown"
--- a/internal/server/drain_list_test.go
+++ b/internal/server/drain_list_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestOlderListKeepsDepartedBackendOut: discovery that was behind repeated what it had said before a backend departed. By
-// changes of an older version, and by a whole list that does not name it, the backend stays out of use. What a whole list of
-// an older version says that names it as active, the platform's pages leave open.
+// TestOlderListKeepsDepartedBackendOut checks messages from a discovery that is behind and repeats an older version after a
+// backend has departed. The backend stays out of use after changes of an older version, and after an older full list in which it
+// is missing or draining. The platform's pages do not define the case of an older full list that names it as active.
 func TestOlderListKeepsDepartedBackendOut(t *testing.T) {
 	for name, older := range map[string]string{
 		"older changes name it as active":  `{"seq":7,"whole":false,"hosts":[{"host":"a","dial":"%[1]s","health":"active","share":1}]}%.0[2]s`,
@@ -40,16 +40,16 @@
 	}
 }
 
-// repeated are ways in which discovery names a departed backend once more.
+// repeated are messages in which discovery names a departed backend again.
 var repeated = map[string]string{
 	"drains still":       `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"%[1]s","health":"leaving","share":2}]}%.0[2]s`,
 	"is removed now":     `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"%[1]s","health":"left","share":1}]}%.0[2]s`,
 	"is in a whole list": `{"seq":9,"whole":true,"hosts":[{"host":"a","dial":"%[1]s","health":"leaving","share":1},{"host":"b","dial":"%[2]s","health":"active","share":1}]}`,
 }
 
-// TestRepeatedNoticeBeginsNoNewGrace: a further message about a draining backend must not begin its grace anew for an
-// attempt that waits for its connection.
-func TestRepeatedNoticeBeginsNoNewGrace(t *testing.T) {
+// TestRepeatedNoticeDoesNotRestartGrace checks that a further message about a draining backend does not restart the drain grace
+// for an attempt that waits for its connection.
+func TestRepeatedNoticeDoesNotRestartGrace(t *testing.T) {
 	for name, repetition := range repeated {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -70,23 +70,24 @@
 	}
 }
 
-// returnsAs are changes by which backend a is another process from now on; %[1]s is the address of the old one, %[2]s that
-// of the new one.
+// returnsAs are changes by which backend a becomes another process. %[1]s is the address of the old process, %[2]s that of the
+// new one.
 var returnsAs = map[string]string{
 	"at another address":                        `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"%[2]s","health":"active","share":1}]}%.0[1]s`,
 	"at another address, in a whole list":       `{"seq":9,"whole":true,"hosts":[{"host":"a","dial":"%[2]s","health":"active","share":1}]}%.0[1]s`,
 	"at another address, with its start's time": `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"%[2]s","health":"active","share":1,"born_ms":1700000000000}]}%.0[1]s`,
 }
 
-// TestBackendReturnsAsAnotherProcessWhileItDrains: a backend came back under its name as another process while the old one
-// drained. An attempt that was decided on for the old process must not reach it late, nor must a connection to it be used.
+// TestBackendReturnsAsAnotherProcessWhileItDrains checks a backend that returns under the same name as another process while the
+// old one drains. An attempt that was decided on for the old process must not reach it late, and connections to the old process
+// must not be used.
 func TestBackendReturnsAsAnotherProcessWhileItDrains(t *testing.T) {
 	for name, returns := range returnsAs {
 		for departure, notice := range departures {
 			for _, shutdown := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s %s, shutdown=%v", departure, name, shutdown), func(t *testing.T) {
 					t.Parallel()
-					successor := startNamedBackend(t, "a again") // ends after the instance
+					successor := startNamedBackend(t, "a again") // started first, so that it ends after the instance
 					rig := startDrainRig(t)
 					if shutdown {
 						rig.shutDown()
@@ -113,13 +114,13 @@
 // failingWatch is a way in which the watch fails just before SIGTERM.
 type failingWatch struct {
 	name string
-	// fail has the watch fail; what it misses counts as known after bound.
+	// fail makes the watch fail. What it misses counts as known after bound.
 	fail  func(rig *drainRig, discovery *failingDiscovery)
 	bound time.Duration
 }
 
-// failingDiscovery is discovery whose first watch stands and says nothing after its first empty line; the next one begins
-// with the notice.
+// failingDiscovery is a discovery agent whose first watch stays silent after its first heartbeat, and whose next watch begins with
+// the notice.
 type failingDiscovery struct {
 	addr    string
 	watches chan net.Conn // the first one
@@ -156,15 +157,15 @@
 	}
 }
 
-// TestWatchThatFailsBeforeShutdown: the watch failed just before SIGTERM, and discovery told of a drain meanwhile. A request
-// that is out keeps the instance running; what the watch missed is handled before it counts as known, and no retry goes to
-// the backend.
+// TestWatchThatFailsBeforeShutdown checks a watch that fails just before SIGTERM, while discovery announces a drain. A request in
+// flight keeps the instance running. The instance must handle the notice that the watch missed before it counts as known, and
+// send no retry to the backend.
 func TestWatchThatFailsBeforeShutdown(t *testing.T) {
 	for _, failing := range failingWatches() {
 		t.Run(failing.name, func(t *testing.T) {
 			t.Parallel()
 			rig := newDrainRig(t)
-			got, turnAway := rig.holdDraining()
+			got, reject := rig.holdDraining()
 			discovery := rig.startFailingDiscovery()
 			rig.startAt(discovery.addr)
 			if !rig.isReadyWithin(orderTimeout) {
@@ -178,11 +179,11 @@
 			rig.waitForLog("seq=8")
 			rig.waitForLoop()
 			if took := time.Since(failed); took > failing.bound {
-				t.Errorf("handled after %v, it counts as known after %v", took, failing.bound)
+				t.Errorf("handled after %v, but the notice counts as known after %v", took, failing.bound)
 			}
 			rig.noticedAt = time.Now()
-			turnAway()
-			if s := <-status; s != 200 && s != 503 { // little time may be left
+			reject()
+			if s := <-status; s != 200 && s != 503 { // 503: too little time may be left
 				t.Errorf("the request's answer: %d", s)
 			}
 			rig.requireDrainKept()
@@ -190,7 +191,7 @@
 	}
 }
 
-// isReadyWithin reports whether the instance gets ready within a time.
+// isReadyWithin reports whether the instance becomes ready within a time.
 func (rig *drainRig) isReadyWithin(d time.Duration) bool {
 	for limit := time.Now().Add(d); time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		if rig.status(readyRequest) == 200 {
--- a/internal/server/drain_order_test.go
+++ b/internal/server/drain_order_test.go
@@ -18,39 +18,39 @@
 	"sandyard/proxy"
 )
 
-// The tests of this file force the order in which a notice of discovery and what leads to an attempt are handled, and
-// compare the moment at which discovery wrote the notice with the moment at which the attempt's first byte came.
+// The tests of this file force the order in which a notice of discovery and the messages that lead to an attempt are handled.
+// They compare the time at which discovery wrote the notice with the time at which the attempt's first byte arrived.
 
 const (
 	testDrainGrace = 400 * time.Millisecond
 	// socketSlack is what the platform adds to every time limit on sockets.
 	socketSlack = 50 * time.Millisecond
-	// allowedHoldUp is how long an instance may be held up between reading its clock and writing; the drain grace covers it.
-	allowedHoldUp = 150 * time.Millisecond
-	// orderTimeout bounds what a test waits for, beside a busy machine.
+	// allowedDelay is how long an instance may be delayed between reading its clock and writing. The drain grace covers it.
+	allowedDelay = 150 * time.Millisecond
+	// orderTimeout bounds the waits of a test, also on a busy machine.
 	orderTimeout = 10 * time.Second
 )
 
-// drainConfig is the configuration of an instance with a drain grace. Its verbs are for the address of discovery, that of
-// the counter, that of backend a, the grace in milliseconds, further settings, and the quota of the plan.
+// drainConfig is the configuration of an instance with a drain grace. Its verbs stand for the addresses of discovery, counter
+// and backend a, the grace in milliseconds, further settings, and the quota of the plan.
 const drainConfig = `{"name":"n0","listen":"127.0.0.1:1","discovery":"%s","counter":"%s","seed":"1f","limits":{"cores":1,"sockets":64},
 "known":{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"%s","health":"active","share":1}]},
 "settings":{"me":0,"peers-total":2,"rules":{"drain-grace-ms":%d},"limits":{"max-attempts":3,"connect-timeout-ms":4000,"probes":true},%s
 "services":[{"name":"look","semantics":"retryable","aim-ms":2000,"deadline-ms":5000}],"plans":[{"name":"team","refill":%[6]d,"store-size":%[6]d}]}}`
 
-// drainRig is an instance whose only backend, a, drains in the test.
+// drainRig is an instance whose only backend, a, starts to drain in the test.
 type drainRig struct {
 	*gateway
 	draining  *timedBackend
 	other     string        // address of a backend that the notice adds
-	watches   chan net.Conn // watches of discovery, each after its first empty line
-	watch     net.Conn      // the one that stands
+	watches   chan net.Conn // connections of the watches, each after its first heartbeat
+	watch     net.Conn      // connection of the current watch
 	noticedAt time.Time     // when discovery had written the notice
 
-	// Of the configuration.
+	// Values of the configuration.
 	counter  string // address
-	settings string // further ones
-	quota    int    // requests a second
+	settings string // further settings
+	quota    int    // requests per second
 }
 
 func startDrainRig(t *testing.T) *drainRig {
@@ -60,7 +60,7 @@
 	return rig
 }
 
-// startReady starts the instance and waits until its watch stands and it is ready.
+// startReady starts the instance and waits until its watch is established and it is ready.
 func (rig *drainRig) startReady() {
 	rig.Helper()
 	rig.start()
@@ -70,14 +70,14 @@
 	}
 }
 
-// newDrainRig is a drainRig whose instance is not started.
+// newDrainRig returns a drainRig whose instance is not started.
 func newDrainRig(t *testing.T) *drainRig {
 	rig := &drainRig{draining: startTimedBackend(t), other: startNamedBackend(t, "b"), watches: make(chan net.Conn, 16), quota: 1000}
 	rig.gateway = &gateway{T: t, log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
 	return rig
 }
 
-// start starts the instance, with a discovery that has nothing new to say.
+// start starts the instance with a discovery agent that has no changes.
 func (rig *drainRig) start() {
 	rig.Helper()
 	discovery := startAgent(rig.T, func(_ int, c net.Conn, _ string) {
@@ -88,7 +88,7 @@
 	rig.startAt(discovery)
 }
 
-// startAt starts the instance with a discovery at an address.
+// startAt starts the instance with discovery at an address.
 func (rig *drainRig) startAt(discovery string) {
 	rig.Helper()
 	n, err := platform.ParseConfig(fmt.Appendf(nil, drainConfig, discovery, rig.counter, rig.draining.addr, testDrainGrace.Milliseconds(), rig.settings, rig.quota))
@@ -98,7 +98,7 @@
 	rig.serve(n.Config, Options{Seed: n.Seed, Protocol: n, DiscoveryAddress: n.Discovery, EndpointsVersion: n.CachedEndpoints.Version})
 }
 
-// notify writes the notice by which backend a drains and b is up.
+// notify writes the notice that backend a drains and b is up.
 func (rig *drainRig) notify() {
 	rig.Helper()
 	rig.write(drainsAForB(rig.draining.addr, rig.other))
@@ -110,12 +110,12 @@
 	rig.noticedAt = time.Now()
 }
 
-// requireDrainKept fails if the first byte of a request came to the draining backend later than the rule allows.
+// requireDrainKept fails the test if the first byte of a request arrived at the draining backend later than the rule allows.
 func (rig *drainRig) requireDrainKept() {
 	rig.Helper()
 	for _, request := range rig.draining.received() {
 		if late := request.firstByteAt.Sub(rig.noticedAt); late > testDrainGrace+socketSlack {
-			rig.Errorf("request %s: its first byte came %v after the notice; allowed are %v", request.id, late, testDrainGrace+socketSlack)
+			rig.Errorf("request %s: its first byte arrived %v after the notice, want at most %v", request.id, late, testDrainGrace+socketSlack)
 		}
 	}
 	if rig.Failed() {
@@ -123,11 +123,11 @@
 	}
 }
 
-// logOrder tells what the instance logged of notices and attempts.
+// logOrder prints what the instance logged about notices and attempts.
 func (rig *drainRig) logOrder() {
 	rig.Helper()
 	rig.waitForLoop()
-	rig.Logf("written at %s", rig.noticedAt.Format(time.RFC3339Nano))
+	rig.Logf("the notice was written at %s", rig.noticedAt.Format(time.RFC3339Nano))
 	for record := range strings.SplitSeq(rig.log.String(), "\n") {
 		if strings.Contains(record, "endpoints departed") || strings.Contains(record, "msg=\"attempt ") || strings.Contains(record, "list of boxes") {
 			rig.Log(record)
@@ -135,7 +135,7 @@
 	}
 }
 
-// send sends a request on a connection of its own. The channel gets the response's status, or 0 where there is none.
+// send sends a request on a new connection. The channel receives the status of the response, or 0 if there is none.
 func (rig *drainRig) send(id int) <-chan int {
 	rig.Helper()
 	conn := rig.dial()
@@ -153,8 +153,8 @@
 	return status
 }
 
-// holdQueued queues a message that holds the event loop up until release is called; held is closed once it does.
-func (r *gateway) holdQueued() (held <-chan struct{}, release func()) {
+// queueHold queues a message that blocks the event loop until release is called. held is closed when it begins to block.
+func (r *gateway) queueHold() (held <-chan struct{}, release func()) {
 	holding, released := make(chan struct{}), make(chan struct{})
 	r.server.post(inspection(func(*proxy.Instance, time.Duration) {
 		close(holding)
@@ -165,24 +165,24 @@
 	return holding, release
 }
 
-// waitHeld waits until what is to be held up is.
+// waitHeld waits until a goroutine is blocked by a hold.
 func (r *gateway) waitHeld(held <-chan struct{}) {
 	r.Helper()
 	select {
 	case <-held:
 	case <-time.After(orderTimeout):
-		r.Fatalf("nothing is held up within %v", orderTimeout)
+		r.Fatalf("no goroutine is blocked within %v", orderTimeout)
 	}
 }
 
-// hold holds the event loop up until release is called.
+// hold blocks the event loop until release is called.
 func (r *gateway) hold() (release func()) {
-	held, release := r.holdQueued()
+	held, release := r.queueHold()
 	<-held
 	return release
 }
 
-// takeQueued waits until a message of a type is queued, and takes it out of the queue.
+// takeQueued waits until a message of a type is queued, and removes it from the queue.
 func takeQueued[M message](r *gateway) M {
 	r.Helper()
 	for limit := time.Now().Add(orderTimeout); time.Now().Before(limit); time.Sleep(time.Millisecond) {
@@ -208,7 +208,7 @@
 	return none
 }
 
-// findQueued finds the first message of a type in the queues, and takes it out if that is wanted.
+// findQueued finds the first message of a type in the queues, and removes it if take is set.
 func findQueued[M message](r *gateway, take bool) (found M, ok bool) {
 	r.server.queueMu.Lock()
 	defer r.server.queueMu.Unlock()
@@ -225,11 +225,11 @@
 	return found, false
 }
 
-// timedBackend answers each request with 200 and keeps when its first byte came, as the kernel tells.
+// timedBackend answers each request with 200 and records when its first byte arrived, according to the kernel.
 type timedBackend struct {
 	addr string
-	// Set by holdDraining: a request is announced by got, and turned away without being run once turnsAway is closed.
-	turnsAway, got chan struct{}
+	// Set by holdDraining: got receives a value for each request, which is rejected without being run once rejects is closed.
+	rejects, got chan struct{}
 
 	mu       sync.Mutex
 	requests []timedRequest
@@ -249,7 +249,7 @@
 	return backend
 }
 
-// serve answers one request; false: the connection has ended.
+// serve answers one request. It returns false if the connection has ended.
 func (backend *timedBackend) serve(t *testing.T, c net.Conn, in *bufio.Reader) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -268,9 +268,9 @@
 	backend.requests = append(backend.requests, timedRequest{request.Header.Get("X-Request-Id"), firstByteAt})
 	backend.mu.Unlock()
 	response := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na"
-	if backend.turnsAway != nil {
+	if backend.rejects != nil {
 		backend.got <- struct{}{}
-		<-backend.turnsAway
+		<-backend.rejects
 		response = notRun
 	}
 	_, err = io.WriteString(c, response)
@@ -283,13 +283,13 @@
 	return slices.Clone(backend.requests)
 }
 
-// holdDraining has backend a hold its requests until turnAway is called; then it turns them away without running them. It is
-// called before the instance runs. got has an entry for each request.
-func (rig *drainRig) holdDraining() (got <-chan struct{}, turnAway func()) {
-	rig.draining.turnsAway, rig.draining.got = make(chan struct{}), make(chan struct{}, 16)
-	turnAway = sync.OnceFunc(func() { close(rig.draining.turnsAway) })
-	rig.Cleanup(turnAway)
-	return rig.draining.got, turnAway
+// holdDraining makes backend a hold its requests until reject is called, and then reject them without running them. It must be
+// called before the instance is started. got receives a value for each request.
+func (rig *drainRig) holdDraining() (got <-chan struct{}, reject func()) {
+	rig.draining.rejects, rig.draining.got = make(chan struct{}), make(chan struct{}, 16)
+	reject = sync.OnceFunc(func() { close(rig.draining.rejects) })
+	rig.Cleanup(reject)
+	return rig.draining.got, reject
 }
 
 // shutDown begins a shutdown of the instance.
@@ -298,7 +298,7 @@
 	rig.waitForLog("shutting down")
 }
 
-// sendWhileHeld sends a request and waits until it is queued behind what holds the event loop up.
+// sendWhileHeld sends a request and waits until it is queued for the blocked event loop.
 func (rig *drainRig) sendWhileHeld(id int) <-chan int {
 	rig.Helper()
 	status := rig.send(id)
@@ -306,21 +306,21 @@
 	return status
 }
 
-// dialWhileHeld has a request decided on, and holds the event loop up with the end of its dial in the queue.
+// dialWhileHeld sends a request, lets the instance decide on it, and blocks the event loop with the end of the dial in the queue.
 func (rig *drainRig) dialWhileHeld() (status <-chan int, release func()) {
 	rig.Helper()
 	releaseRequest := rig.hold()
 	status = rig.sendWhileHeld(2)
-	held, release := rig.holdQueued()
+	held, release := rig.queueHold()
 	releaseRequest()
 	<-held
 	waitQueued[backendConnected](rig.gateway)
 	return status, release
 }
 
-// TestHeldUpAttemptIsWithinDrainGrace: an attempt whose connection came up within the drain grace was held up, as long as
-// an instance may be, between the reading of the clock and its first byte. The grace covers both.
-func TestHeldUpAttemptIsWithinDrainGrace(t *testing.T) {
+// TestDelayedAttemptIsWithinDrainGrace checks an attempt whose connection was established within the drain grace, and which was
+// delayed between the reading of the clock and its first byte for as long as an instance may be. The grace covers both.
+func TestDelayedAttemptIsWithinDrainGrace(t *testing.T) {
 	for _, dial := range []time.Duration{testDrainGrace/2 - socketSlack, testDrainGrace/2 + socketSlack, testDrainGrace - socketSlack} {
 		for _, shutdown := range []bool{false, true} {
 			t.Run(fmt.Sprintf("after %v, shutdown=%v", dial, shutdown), func(t *testing.T) {
@@ -337,11 +337,11 @@
 				rig.waitForLoop()
 				time.Sleep(time.Until(rig.noticedAt.Add(dial)))
 				releaseBatch := rig.hold()
-				held, release := rig.holdQueued()
+				held, release := rig.queueHold()
 				rig.server.post(connected)
 				releaseBatch()
 				<-held // the clock has been read for both
-				time.Sleep(allowedHoldUp)
+				time.Sleep(allowedDelay)
 				release()
 				if s := <-status; s != 200 {
 					t.Errorf("the request's answer: %d", s)
--- a/internal/server/drain_start_test.go
+++ b/internal/server/drain_start_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// startedLate is a way in which a new process has the first endpoint list later than firstEndpointsTimeout, although
-// discovery's agent holds it from the first moment of the process and replies at once.
-type startedLate struct {
+// lateFirstList is a way in which a new process gets its first endpoint list later than firstEndpointsTimeout, although the
+// discovery agent has the list from the start of the process and answers at once.
+type lateFirstList struct {
 	name string
-	// hold begins before the instance runs; release lets the list through.
+	// hold is called before the instance runs. release lets the list through.
 	hold func(rig *drainRig) (release func())
 }
 
-func startsLate() []startedLate {
-	return []startedLate{
+func lateFirstLists() []lateFirstList {
+	return []lateFirstList{
 		{"the watch is not begun", func(rig *drainRig) func() {
 			rig.server.discovery.mu.Lock()
 			return rig.server.discovery.mu.Unlock
@@ -30,13 +30,13 @@
 	}
 }
 
-// firstList names backend b as up, and leaves a out; an entry that can't be read is logged.
+// firstList is a full list with backend b up and without a. Its third entry can't be parsed, which is logged.
 const firstList = `{"seq":9,"whole":true,"hosts":[{"host":"c","dial":7},{"host":"b","dial":"%s","health":"active","share":1}]}`
 
-// TestNewProcessSendsNothingToRemovedBackend: a new process went by the list in its configuration once it had waited for
-// firstEndpointsTimeout, while the agent's reply, by which a backend had gone, was there and not handled yet.
+// TestNewProcessSendsNothingToRemovedBackend guards against a new process that used the list in its configuration after
+// firstEndpointsTimeout, while the agent's answer without a backend of that list had arrived and was not handled yet.
 func TestNewProcessSendsNothingToRemovedBackend(t *testing.T) {
-	for _, late := range startsLate() {
+	for _, late := range lateFirstLists() {
 		t.Run(strings.ReplaceAll(late.name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
 			rig := newDrainRig(t)
@@ -47,7 +47,7 @@
 			var release func()
 			rig.beforeServe = func() { release = late.hold(rig) }
 			rig.startAt(discovery)
-			rig.noticedAt = time.Now() // what the agent holds counts as told from the first moment of the process
+			rig.noticedAt = time.Now() // the list of the agent counts as known from the start of the process
 			t.Cleanup(func() { release() })
 			if rig.isReadyWithin(firstEndpointsTimeout + time.Second) {
 				rig.status(nodeRequest(2))
--- a/internal/server/drain_unseen_test.go
+++ b/internal/server/drain_unseen_test.go
@@ -11,12 +11,12 @@
 	"sandyard/proxy"
 )
 
-// unseenNotice is a way in which a notice has reached the instance's machine and is not taken in before an attempt begins.
-// Each ends with the answer to its request, after the grace.
+// unseenNotice is a way in which a notice reaches the instance's machine and is not handled before an attempt begins. run returns
+// the channel of the status of its request, which is answered after the grace.
 type unseenNotice struct {
 	name     string
-	shutdown bool // in a shutdown only
-	run      func(rig *drainRig) (answered <-chan int)
+	shutdown bool // only during a shutdown
+	run      func(rig *drainRig) (status <-chan int)
 }
 
 func unseenNotices() []unseenNotice {
@@ -73,7 +73,7 @@
 			return status
 		}},
 		{"the notice is queued while the message that begins the attempt is handled", false, func(rig *drainRig) <-chan int {
-			rig.restConnection()
+			rig.leaveIdleConnection()
 			held, release := rig.holdDecision()
 			status := rig.send(2)
 			<-held
@@ -86,7 +86,7 @@
 	}
 }
 
-// sendAndRelease sends a request, and calls release once it is answered.
+// sendAndRelease sends a request, waits for its answer and calls release.
 func (rig *drainRig) sendAndRelease(release func()) <-chan int {
 	rig.Helper()
 	answered := make(chan int, 1)
@@ -95,7 +95,7 @@
 	return answered
 }
 
-// holdDecision holds the event loop up between the decision on the next request and what follows from it.
+// holdDecision blocks the event loop between the decision on the next request and its effects.
 func (rig *drainRig) holdDecision() (held <-chan struct{}, release func()) {
 	holding, released := make(chan struct{}), make(chan struct{})
 	hold := sync.OnceFunc(func() {
@@ -117,8 +117,8 @@
 	return holding, release
 }
 
-// TestUnseenNoticeKeepsDrainGrace: a notice that had reached the instance's machine was neither unread on the watch nor handled,
-// or the time of its arrival was lost, and an attempt at the draining backend began after the grace.
+// TestUnseenNoticeKeepsDrainGrace guards against attempts at a draining backend after the grace. A notice that had reached the
+// instance's machine was neither unread on the watch's socket nor handled, or the time of its arrival was lost.
 func TestUnseenNoticeKeepsDrainGrace(t *testing.T) {
 	for _, unseen := range unseenNotices() {
 		for _, shutdown := range []bool{false, true} {
--- a/internal/server/endpointrecord.go
+++ b/internal/server/endpointrecord.go
@@ -8,60 +8,60 @@
 	"sandyard/proxy"
 )
 
-// notableEndpointsAge is the age of the endpoint list from which an attempt that goes by it is logged: discovery's heartbeat
-// interval of 2 s, and a moment for the heartbeat to be handled.
-const notableEndpointsAge = 2300 * time.Millisecond
+// oldListAge is the age from which the endpoint list counts as old and attempts that use it are logged: discovery's heartbeat
+// interval of 2 s, and some time to handle the heartbeat.
+const oldListAge = 2300 * time.Millisecond
 
-// oldListLogInterval is how often such an attempt is logged at the most, outside of a shutdown: while discovery is down every
-// attempt goes by an old list.
+// oldListLogInterval is the minimum interval between log records of such attempts outside of a shutdown. While discovery is
+// down, every attempt uses an old list.
 const oldListLogInterval = time.Second
 
-// endpointRecord tells by which endpoint list an instance acts that follows discovery, and how old that list is. The age
-// counts from when the watch read what confirms the list, not from when the event loop handled it. It belongs to the event
-// loop.
-type endpointRecord struct {
+// endpointListStatus holds the version and the age of the endpoint list that an instance uses, if it watches discovery. The
+// age counts from when the watch read the confirmation of the list, not from when the event loop handled it. Only the event
+// loop uses it.
+type endpointListStatus struct {
 	version     uint64        // that was confirmed last
-	confirmedAt time.Duration // when the watch read that, on the instance's clock; before the first time, the instance's start
-	greatestAge time.Duration // at which an attempt began
-	oldAttempts uint64        // that began by a list of notableEndpointsAge or more
-	oldLoggedAt time.Duration // when the last of them was logged outside of a shutdown
+	confirmedAt time.Duration // when the watch read the confirmation, on the instance's clock; the instance's start if there is none
+	maxAge      time.Duration // maximum age at the beginning of an attempt
+	oldAttempts uint64        // number of attempts that used a list of oldListAge or more
+	oldLoggedAt time.Duration // when such an attempt was last logged outside of a shutdown
 }
 
-func (r *endpointRecord) age(now time.Duration) time.Duration { return now - r.confirmedAt }
+func (r *endpointListStatus) age(now time.Duration) time.Duration { return now - r.confirmedAt }
 
-// noteAttempt takes an attempt in that begins now, and reports whether the list that it goes by is notably old.
-func (r *endpointRecord) noteAttempt(now time.Duration) (old bool) {
+// recordAttempt records an attempt that begins now, and reports whether the list that it uses is old.
+func (r *endpointListStatus) recordAttempt(now time.Duration) (old bool) {
 	age := r.age(now)
-	r.greatestAge = max(r.greatestAge, age)
-	old = age >= notableEndpointsAge
+	r.maxAge = max(r.maxAge, age)
+	old = age >= oldListAge
 	if old {
 		r.oldAttempts++
 	}
 	return old
 }
 
-// recordAttempt logs by which endpoint list an attempt begins, where that list could be out of date: during a shutdown, and
-// where it is notably old. decidedAt is the time by which the instance decided.
-func (s *Server) recordAttempt(effect proxy.Effect, decidedAt, now time.Duration) {
+// logAttempt logs the endpoint list that an attempt uses if the list could be outdated, that is during a shutdown or if it is
+// old. decidedAt is the time of the instance at which it decided on the attempt.
+func (s *Server) logAttempt(effect proxy.Effect, decidedAt, now time.Duration) {
 	if s.discovery == nil {
 		return
 	}
-	old := s.endpoints.noteAttempt(now)
+	old := s.listStatus.recordAttempt(now)
 	message := "attempt during shutdown"
 	if !s.shuttingDown.Load() {
-		if !old || now < s.endpoints.oldLoggedAt+oldListLogInterval {
+		if !old || now < s.listStatus.oldLoggedAt+oldListLogInterval {
 			return
 		}
-		s.endpoints.oldLoggedAt = now
+		s.listStatus.oldLoggedAt = now
 		message = "attempt by an old endpoint list"
 	}
-	s.log.Info(message, "request", effect.Exchange.UniqueName, "addr", effect.Conn.Addr, "seq", s.endpoints.version,
-		"confirmed_ms_ago", s.endpoints.age(now).Milliseconds(), "read_seq", s.discovery.readVersion.Load(),
+	s.log.Info(message, "request", effect.Exchange.UniqueName, "addr", effect.Conn.Addr, "seq", s.listStatus.version,
+		"confirmed_ms_ago", s.listStatus.age(now).Milliseconds(), "read_seq", s.discovery.readVersion.Load(),
 		"late_ms", (now - decidedAt).Milliseconds(), "request_age_ms", (now - effect.Exchange.Arrived).Milliseconds())
 }
 
-// logDeparted logs the endpoints that a message of discovery has taken out of use, and how long it was on its way: since its
-// bytes came, as the kernel tells, and since the watch read them.
+// logDeparted logs the endpoints that a message of discovery has taken out of use, and the time since its bytes arrived,
+// according to the kernel, and since the watch read them.
 func (s *Server) logDeparted(m endpointsConfirmed, now time.Duration) {
 	if len(m.departed) > 0 {
 		s.log.Info("endpoints departed", "seq", m.version, "addrs", m.departed, "read_ms_ago", (now - m.readAt).Milliseconds(),
@@ -69,8 +69,8 @@
 	}
 }
 
-// departedEndpoints returns the addresses of the endpoints that are up in one list and not in the next: they drain, or are
-// removed, or are left out.
+// departedEndpoints returns the addresses of the endpoints that are up in one list and not in the next, where they are
+// draining, removed or missing.
 func departedEndpoints(before, after map[string]config.Endpoint) []string {
 	var addresses []string
 	for name, endpoint := range before {
@@ -81,7 +81,7 @@
 	return addresses
 }
 
-// isUp reports whether an endpoint takes new requests. One without a name is none.
+// isUp reports whether an endpoint takes new requests. The zero endpoint, which has no name, does not.
 func isUp(endpoint config.Endpoint) bool {
 	return endpoint.Name != "" && decision.EndpointState(endpoint.State) == decision.Up
 }
--- a/internal/server/endpointrecord_test.go
+++ b/internal/server/endpointrecord_test.go
@@ -12,8 +12,9 @@
 	"sandyard/proxy"
 )
 
-// TestDepartedEndpointsAreLogged: after an attempt at a backend that drains it could not be told when the instance learnt of
-// the drain. Each message that takes endpoints out of use is logged with their addresses, however it says so.
+// TestDepartedEndpointsAreLogged checks that each message that takes endpoints out of use is logged with their addresses, in every
+// form of such a message. Without the record, nobody could determine after an attempt at a draining backend when the instance
+// learned of the drain.
 func TestDepartedEndpointsAreLogged(t *testing.T) {
 	for name, c := range map[string]struct {
 		change   string // %[1]s is a's address, %[2]s b's
@@ -49,29 +50,29 @@
 	}
 }
 
-// TestAttemptByOldEndpointListIsLogged: only attempts during a shutdown told by which list they went. A watch that has fallen
-// silent, or never spoke, shows in the record of each attempt once the list is older than heartbeats allow.
+// TestAttemptByOldEndpointListIsLogged checks that attempts count as using an old list once the list is older than the heartbeat
+// interval allows. Before, only attempts during a shutdown were logged with their list, and a silent watch went unnoticed.
 func TestAttemptByOldEndpointListIsLogged(t *testing.T) {
-	record := endpointRecord{confirmedAt: time.Minute}
-	if record.noteAttempt(time.Minute + notableEndpointsAge - 1) {
+	status := endpointListStatus{confirmedAt: time.Minute}
+	if status.recordAttempt(time.Minute + oldListAge - 1) {
 		t.Error("a list that a heartbeat may still confirm counts as old")
 	}
-	if !record.noteAttempt(time.Minute+notableEndpointsAge) || record.oldAttempts != 1 || record.greatestAge != notableEndpointsAge {
-		t.Errorf("%+v", record)
+	if !status.recordAttempt(time.Minute+oldListAge) || status.oldAttempts != 1 || status.maxAge != oldListAge {
+		t.Errorf("%+v", status)
 	}
 }
 
-// TestOldEndpointListIsLoggedOnceASecond: while discovery is down each attempt goes by an old list; a record for each would
-// make the log the instance's main work.
+// TestOldEndpointListIsLoggedOnceASecond checks the limit on records of attempts by an old list. While discovery is down every
+// attempt uses an old list, and a record for each would make logging the instance's main work.
 func TestOldEndpointListIsLoggedOnceASecond(t *testing.T) {
 	counter, _ := startCounter(t)
 	r := startNode(t, startDiscovery(t).addr, counter, 64, startNamedBackend(t, "a"))
 	r.server.post(inspection(func(*proxy.Instance, time.Duration) {
-		r.server.endpoints.confirmedAt = 0
-		r.server.endpoints.oldLoggedAt = r.server.now() + time.Minute - oldListLogInterval // the next one is logged in a minute
+		r.server.listStatus.confirmedAt = 0
+		r.server.listStatus.oldLoggedAt = r.server.now() + time.Minute - oldListLogInterval // the next one is logged in a minute
 	}))
 	r.requireServedBy(1, "a")
-	r.server.post(inspection(func(*proxy.Instance, time.Duration) { r.server.endpoints.oldLoggedAt = 0 }))
+	r.server.post(inspection(func(*proxy.Instance, time.Duration) { r.server.listStatus.oldLoggedAt = 0 }))
 	r.requireServedBy(2, "a")
 	r.waitForLoop()
 	if count := strings.Count(r.log.String(), "attempt by an old endpoint list"); count != 1 {
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestAttemptRecordNamesUnhandledMessage: whether a message of discovery waited for the event loop as an attempt began could
-// not be told afterwards.
+// TestAttemptRecordNamesUnhandledMessage checks that the record of an attempt shows whether a message of discovery was waiting for
+// the event loop when the attempt began.
 func TestAttemptRecordNamesUnhandledMessage(t *testing.T) {
 	discovery := startDiscovery(t)
 	counter, _ := startCounter(t)
@@ -94,7 +95,7 @@
 	}
 }
 
-// waitForLoop waits until the event loop has handled what is queued, unless it has ended.
+// waitForLoop waits until the event loop has handled the queued messages. It returns at once if the loop has ended.
 func (r *gateway) waitForLoop() {
 	r.Helper()
 	handled := make(chan struct{})
@@ -103,7 +104,7 @@
 	}
 }
 
-// A list holds what is up; what departs is each endpoint that was up and is not any more.
+// TestDepartedEndpoints checks that exactly the endpoints that were up and no longer are count as departed.
 func TestDepartedEndpoints(t *testing.T) {
 	up := config.Endpoint{Name: "a", Address: "127.0.0.1:1"}
 	draining := up
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -6,17 +6,17 @@
 	"sandyard/proxy"
 )
 
-// post queues a message for the event loop, and reports whether it will be handled: false, the loop has ended. It never
-// blocks, and takes any number: messages other than new requests are bounded by the requests and connections there are,
-// and what ends work must always get through.
+// post queues a message for the event loop. It returns false if the loop has ended and will not handle the message. It never
+// blocks and the queue has no limit here: the number of messages other than new requests is bounded by the open requests
+// and connections, and messages that end work must always get through.
 func (s *Server) post(m message) bool {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
 	return s.postLocked(m)
 }
 
-// postRequest queues a new request. It never blocks. It reports false where limits.queue messages wait, or the loop has
-// ended: the request is to be rejected.
+// postRequest queues a new request. It never blocks. It returns false if limits.queue messages are queued or the loop has
+// ended; the caller then rejects the request.
 func (s *Server) postRequest(exchange *proxy.Exchange) bool {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
@@ -35,7 +35,7 @@
 	return true
 }
 
-// wakeLoopLocked wakes the event loop if it waits, or is about to wait, for a message.
+// wakeLoopLocked wakes the event loop if it waits or is about to wait for a message.
 func (s *Server) wakeLoopLocked() {
 	if !s.loopIdle {
 		return
@@ -47,8 +47,8 @@
 	}
 }
 
-// postEndpoints queues messages of the endpoint list, in their order. They are handled ahead of all others, before the next
-// one. Their number is bounded by what discovery sends.
+// postEndpoints queues messages about the endpoint list in their order. The event loop handles them before the next message
+// of any other kind. Their number is bounded by what discovery sends.
 func (s *Server) postEndpoints(messages ...message) {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
@@ -63,8 +63,9 @@
 	s.wakeLoopLocked()
 }
 
-// eventLoop owns the instance: it takes what is queued, hands it over in the order of each queue, carries out the effects of each message
-// before the next, and keeps the instance's timers. It waits for no peer (see carryOutEffects). Only Serve runs it.
+// eventLoop owns the instance. It passes the queued messages to it in the order of each queue, carries out the effects of
+// each message before the next one, and fires the instance's timers. It never waits for a peer (see carryOutEffects). Only
+// Serve runs it.
 func (s *Server) eventLoop(stop <-chan struct{}) {
 	s.carryOutEffects(s.now())
 	timer := time.NewTimer(0)
@@ -75,8 +76,8 @@
 		for i, m := range batch {
 			s.handleEndpointMessages()
 			s.handleMessage(m)
-			batch[i] = nil // the array is used again: what it holds would not be freed
-			s.fireTimers() // a batch can take long on a busy machine; a deadline can't
+			batch[i] = nil // the array is reused, and would keep the message from being freed
+			s.fireTimers() // a batch can take long on a busy machine; a deadline must not wait for its end
 		}
 		s.handleEndpointMessages()
 		s.fireTimers()
@@ -88,7 +89,7 @@
 		case <-s.wakeLoop:
 		case <-timer.C:
 		case <-stop:
-			s.endQueue()
+			s.closeQueue()
 			now := s.now()
 			s.instance.Stop(now)
 			s.carryOutEffects(now)
@@ -97,19 +98,19 @@
 	}
 }
 
-// handleMessage hands a message over and carries out what follows. Each has a time of its own: a batch, or one message in it,
-// can take long on a busy machine.
+// handleMessage passes a message to the instance and carries out its effects. It reads the clock for each message, since a
+// batch, or one message of it, can take long on a busy machine.
 func (s *Server) handleMessage(m message) {
 	now := s.now()
 	m.apply(s, now)
 	s.carryOutEffects(now)
 }
 
-// handleEndpointMessages hands over the messages of the endpoint list that are queued, and those that the watch has still to
-// read, if it gets to that soon.
+// handleEndpointMessages handles the queued messages about the endpoint list. Before that it waits briefly for the watch to
+// read and queue what has arrived.
 func (s *Server) handleEndpointMessages() {
 	if s.discovery != nil {
-		s.discovery.input.letCatchUp()
+		s.discovery.input.waitForCatchUp()
 	}
 	if !s.endpointsQueued.Load() {
 		return
@@ -124,7 +125,7 @@
 	}
 }
 
-// endpointsUnhandledFor returns for how long a message of discovery has waited to be read or to be handled; 0: none waits. Only
+// endpointsUnhandledFor returns how long a message of discovery has been waiting to be read or handled, or 0 if none is. Only
 // the event loop calls it.
 func (s *Server) endpointsUnhandledFor() time.Duration {
 	now := s.now()
@@ -137,18 +138,18 @@
 	return unhandledFor
 }
 
-// fireTimers does what is due.
+// fireTimers fires the timers that are due.
 func (s *Server) fireTimers() {
 	now := s.now()
 	if due := s.instance.NextTimer(); due <= now {
-		s.noteLateness(now, now-due)
+		s.recordLoopDelay(now, now-due)
 		s.instance.Tick(now)
 		s.carryOutEffects(now)
 	}
 }
 
-// takeQueue returns what is queued, and leaves the array of the batch before for what comes next. An empty batch marks the
-// loop idle: the next message wakes it.
+// takeQueue returns the queued messages and reuses the array of the previous batch for the next ones. If it returns none, the
+// loop counts as idle and the next message wakes it.
 func (s *Server) takeQueue(last []message) []message {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
@@ -161,16 +162,16 @@
 	return batch
 }
 
-func (s *Server) endQueue() {
+func (s *Server) closeQueue() {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
 	s.loopEnded = true
-	s.queueSpace.Broadcast() // nobody waits: the accept loop, which alone does, has ended before step 3 of a shutdown
+	s.queueSpace.Broadcast() // no waiter is left: only the accept loop waits, and it has ended before step 3 of the shutdown
 }
 
-// carryOutEffects does what the instance has asked for, in order. Nothing here waits for a peer: sockets are written as far
-// as the kernel takes it, and what has to wait does so in a goroutine of its own. Log records are written synchronously,
-// at the debug level one for each response. decidedAt is the time by which the instance asked for it.
+// carryOutEffects carries out the effects that the instance has emitted, in order. Nothing here waits for a peer: a write
+// hands to the kernel what fits, and everything that has to wait runs in another goroutine. Log records are written
+// synchronously, at the debug level one for each response. decidedAt is the time of the instance at which it emitted the effects.
 func (s *Server) carryOutEffects(decidedAt time.Duration) {
 	for _, effect := range s.instance.Effects() {
 		switch effect.Kind {
@@ -179,7 +180,7 @@
 		case proxy.WriteAttempt:
 			begunAt := s.now()
 			effect.Conn.Owner.(*backendConn).write(effect.Exchange, effect.Bytes)
-			s.recordAttempt(effect, decidedAt, begunAt) // after its first byte, which a log must not hold up
+			s.logAttempt(effect, decidedAt, begunAt) // after the write, so that logging does not delay the first byte
 		case proxy.CloseBackend:
 			effect.Conn.Owner.(*backendConn).close()
 		case proxy.Respond:
@@ -200,8 +201,8 @@
 			s.counter.close()
 			s.counter = nil
 		case proxy.PollEndpoints:
-			if s.discovery == nil { // discovery is watched from the start
-				s.readEndpointsFile(alwaysReported)
+			if s.discovery == nil { // a watch of discovery needs no polls
+				s.readEndpointsFile(reportAlways)
 			}
 		}
 	}
@@ -214,17 +215,17 @@
 	}
 }
 
-// notableLateness is how late a timer has to be for a log record: some times what the scheduler of a machine with a free
-// processor takes.
-const notableLateness = 20 * time.Millisecond
-
-// noteLateness keeps the greatest lateness of the event loop: by it a late instance can be told from late clients, and
-// answers earlier.
-func (s *Server) noteLateness(now, late time.Duration) {
-	s.maxLateness = max(s.maxLateness, late)
-	s.recentLateness.note(now, late)
-	s.shared.ExpectLateness(s.recentLateness.at(now))
-	if s.debug && late >= notableLateness {
+// minLoggedLoopDelay is the shortest delay of a timer that is logged: a few times the scheduling delay of a machine with a
+// free processor.
+const minLoggedLoopDelay = 20 * time.Millisecond
+
+// recordLoopDelay records how late the event loop fired a timer. The maximum distinguishes a late instance from late clients.
+// The recent maximum makes the instance answer requests earlier.
+func (s *Server) recordLoopDelay(now, late time.Duration) {
+	s.maxLoopDelay = max(s.maxLoopDelay, late)
+	s.recentLoopDelay.record(now, late)
+	s.shared.ExpectLateness(s.recentLoopDelay.max(now))
+	if s.debug && late >= minLoggedLoopDelay {
 		s.log.Debug("event loop late", "ms", late.Milliseconds())
 	}
 }
--- a/internal/server/filewatch.go
+++ b/internal/server/filewatch.go
@@ -11,29 +11,29 @@
 	"sandyard/proxy"
 )
 
-// endpointsFilePoll is how often the endpoint file is looked at: short beside a drain grace.
+// endpointsFilePoll is how often the endpoint file is checked for changes: short compared with a drain grace.
 const endpointsFilePoll = 50 * time.Millisecond
 
-// endpointWatchFunc follows the endpoint list until its context ends.
+// endpointWatchFunc watches the endpoint list until its context ends.
 type endpointWatchFunc func(context.Context)
 
-// startEndpointWatch hands the configured endpoint list to the instance and returns what follows its changes, at
+// startEndpointWatch passes the configured endpoint list to the instance and returns the function that watches its changes at
 // discovery or in a file.
 func (s *Server) startEndpointWatch() endpointWatchFunc {
 	if s.discovery != nil {
 		s.postEndpoints(endpointsReplaced{s.endpointsUpdate(slices.Clone(s.cfg.Endpoints))})
 		return s.discovery.run
 	}
-	changes := fileChanges{path: s.cfg.EndpointsPath()}
+	changes := fileChangeDetector{path: s.cfg.EndpointsPath()}
 	changes.poll()
 	s.postEndpoints(endpointsReplaced{s.endpointsUpdate(s.withBackendAddresses(slices.Clone(s.cfg.Endpoints)))})
-	s.readEndpointsFile(alwaysReported) // it may have changed since the configuration was read
-	return func(ctx context.Context) { s.followEndpointsFile(ctx, &changes) }
+	s.readEndpointsFile(reportAlways) // the file may have changed since the configuration was read
+	return func(ctx context.Context) { s.watchEndpointsFile(ctx, &changes) }
 }
 
-// followEndpointsFile reads the file after each change, until its context ends. It polls: the kernel can take many seconds
-// to close an inotify descriptor on a busy machine, and a process that has one does not end before that.
-func (s *Server) followEndpointsFile(ctx context.Context, changes *fileChanges) {
+// watchEndpointsFile reads the file after each change, until its context ends. It polls instead of using inotify: on a busy
+// machine the kernel can take many seconds to close an inotify descriptor, and the process does not end before that.
+func (s *Server) watchEndpointsFile(ctx context.Context, changes *fileChangeDetector) {
 	ticker := time.NewTicker(endpointsFilePoll)
 	defer ticker.Stop()
 	for {
@@ -42,22 +42,22 @@
 			return
 		case <-ticker.C:
 			if changes.poll() {
-				s.readEndpointsFile(reportedIfNew)
+				s.readEndpointsFile(reportIfChanged)
 			}
 		}
 	}
 }
 
-// fileChanges tells whether a file has changed since the last poll.
-type fileChanges struct {
+// fileChangeDetector detects whether a file has changed since the last poll.
+type fileChangeDetector struct {
 	path      string
 	last      os.FileInfo // nil: there was no file
 	pollAgain bool        // the file had changed at the last poll
 }
 
-// poll reports whether the file may have changed. After a change it does so twice: a write within the same tick of the file
-// system's clock as the one before it leaves the modification time as it is.
-func (c *fileChanges) poll() bool {
+// poll reports whether the file may have changed. After a change it also returns true at the next poll, since a second write
+// within the same tick of the file system's clock does not change the modification time.
+func (c *fileChangeDetector) poll() bool {
 	info, err := os.Stat(c.path)
 	if err != nil {
 		info = nil
@@ -68,7 +68,7 @@
 	return mayHaveChanged
 }
 
-// isSameVersion reports whether two looks at a path found the same file, not written to between them.
+// isSameVersion reports whether two results of os.Stat for a path show the same file, unchanged between them.
 func isSameVersion(a, b os.FileInfo) bool {
 	if a == nil || b == nil {
 		return a == nil && b == nil
@@ -76,21 +76,22 @@
 	return os.SameFile(a, b) && a.ModTime().Equal(b.ModTime()) && a.Size() == b.Size()
 }
 
-// fileReport says whether a reading of the endpoint file is handed over where the file is as it was at the reading before.
-type fileReport bool
+// reportPolicy states whether the endpoint list is passed to the event loop even if the file has not changed since it was last
+// read.
+type reportPolicy bool
 
 const (
-	alwaysReported fileReport = true
-	reportedIfNew  fileReport = false
+	reportAlways    reportPolicy = true
+	reportIfChanged reportPolicy = false
 )
 
-// readEndpointsFile reads the endpoint file in a goroutine of its own: it does not block. A file that is broken or missing
-// leaves the list as it was.
-func (s *Server) readEndpointsFile(report fileReport) {
+// readEndpointsFile reads the endpoint file in a separate goroutine, so it does not block. If the file is missing or invalid,
+// the current list stays in force.
+func (s *Server) readEndpointsFile(report reportPolicy) {
 	s.goroutines.Go(func() {
 		path := s.cfg.EndpointsPath()
-		count, isNew, err := s.takeEndpointsFile(path, report)
-		switch { // logged after the handing over: a log that is held up must not hold up the next reading
+		count, isNew, err := s.loadEndpointsFile(path, report)
+		switch { // logged without endpointsFileMu: a slow log must not delay the next read
 		case err != nil:
 			s.log.Error("list of boxes: the last one stays in force", "error", err)
 		case isNew:
@@ -99,13 +100,13 @@
 	})
 }
 
-// takeEndpointsFile reads the endpoint file and hands the list over, in the order of the readings, unless it is not to be
-// reported. It returns the number of endpoints.
-func (s *Server) takeEndpointsFile(path string, report fileReport) (count int, isNew bool, err error) {
+// loadEndpointsFile reads the endpoint file and queues the list for the event loop, in the order of the reads, unless the policy
+// excludes it. It returns the number of endpoints.
+func (s *Server) loadEndpointsFile(path string, report reportPolicy) (count int, isNew bool, err error) {
 	s.endpointsFileMu.Lock()
 	defer s.endpointsFileMu.Unlock()
 	text, err := os.ReadFile(path)
-	if report == reportedIfNew && s.endpointsFileRead == (err == nil) && bytes.Equal(text, s.endpointsFileText) {
+	if report == reportIfChanged && s.endpointsFileRead == (err == nil) && bytes.Equal(text, s.endpointsFileText) {
 		return 0, false, nil
 	}
 	s.endpointsFileText, s.endpointsFileRead = text, err == nil
@@ -121,12 +122,12 @@
 	return len(endpoints), true, nil
 }
 
-// endpointsUpdate is an update that names endpoints.
+// endpointsUpdate returns an update with endpoints and the origin of the instance's clock.
 func (s *Server) endpointsUpdate(endpoints []config.Endpoint) proxy.EndpointsUpdate {
 	return proxy.EndpointsUpdate{Endpoints: endpoints, Origin: s.clockOrigin()}
 }
 
-// withBackendAddresses replaces the addresses of endpoints that Options.BackendAddresses has elsewhere.
+// withBackendAddresses replaces the addresses of the endpoints that Options.BackendAddresses lists.
 func (s *Server) withBackendAddresses(endpoints []config.Endpoint) []config.Endpoint {
 	for i := range endpoints {
 		if addr, ok := s.backendAddresses[endpoints[i].Name]; ok {
--- a/internal/server/filewatch_test.go
+++ b/internal/server/filewatch_test.go
@@ -10,8 +10,8 @@
 	"sandyard/emulator"
 )
 
-// TestEndpointsFileReload: an endpoint file that can't be parsed leaves the old list in force; an empty one empties it;
-// a good one is taken at once.
+// TestEndpointsFileReload checks that an endpoint file that can't be parsed leaves the old list in force, that an empty one empties
+// the list, and that a valid one is applied.
 func TestEndpointsFileReload(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
 	r := startGateway(t, "", "", b.Addr())
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestFollowedFileHoldsNoInotifyDescriptor: the endpoint file was followed by inotify, whose descriptor the kernel took more than
-// 10 s to close on a busy machine: the process did not end in that time.
+// TestFollowedFileHoldsNoInotifyDescriptor guards against watching the endpoint file by inotify: on a busy machine the kernel took
+// more than 10 s to close the descriptor, and the process did not end before that.
 func TestFollowedFileHoldsNoInotifyDescriptor(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
 	r := startGateway(t, "", "", b.Addr())
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestFileChangesWithinClockTick: a second write of the same length that leaves the modification time as it was, right after the
-// first was found, is found too; after that the file counts as unchanged.
+// TestFileChangesWithinClockTick checks that a second write is detected right after the detection of the first, even if it has the
+// same length and does not change the modification time. After that the file counts as unchanged.
 func TestFileChangesWithinClockTick(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boxes.yaml")
 	modified := time.Now().Add(time.Hour)
@@ -65,9 +65,9 @@
 			t.Fatal(err)
 		}
 	}
-	changes := fileChanges{path: path}
+	changes := fileChangeDetector{path: path}
 	if changes.poll() {
-		t.Error("no file: a change")
+		t.Error("a missing file is reported as a change")
 	}
 	write("first")
 	for poll, want := range []bool{true, true, false} {
@@ -82,6 +82,6 @@
 		t.Fatal(err)
 	}
 	if !changes.poll() {
-		t.Error("the file was removed: no change")
+		t.Error("the removal of the file is not reported as a change")
 	}
 }
--- a/internal/server/lateness_test.go
+++ b/internal/server/lateness_test.go
@@ -12,9 +12,9 @@
 	"sandyard/proxy"
 )
 
-// sendTimed sends a request that is not idempotent, whose client waits for a number of milliseconds. answered is closed
-// with its answer.
-func (r *gateway) sendTimed(timeout string) (answered <-chan struct{}) {
+// sendWithTimeout sends a request that is not idempotent, with the timeout of its client in milliseconds. answered is closed when
+// the request is answered.
+func (r *gateway) sendWithTimeout(timeout string) (answered <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -25,17 +25,17 @@
 	return done
 }
 
-// holdUpFor queues a message that holds the event loop up for a time.
+// holdUpFor queues a message that blocks the event loop for a time.
 func (r *gateway) holdUpFor(d time.Duration) {
 	r.server.post(inspection(func(*proxy.Instance, time.Duration) { time.Sleep(d) }))
 }
 
-// TestDeadlineWithinBatch: a request's deadline passes while the event loop is busy with a batch of messages, as it is on a
-// machine that seldom runs it. The instance's answer must not wait for the end of the batch.
+// TestDeadlineWithinBatch checks a deadline that passes while the event loop handles a long batch of messages, as on a machine that
+// seldom schedules it. The instance's answer must not wait for the end of the batch.
 func TestDeadlineWithinBatch(t *testing.T) {
 	backend, got := startSilentBackend(t)
 	r := startGateway(t, "", "", backend)
-	answered := r.sendTimed("300")
+	answered := r.sendWithTimeout("300")
 	<-got
 	release := r.hold()
 	r.holdUpFor(400 * time.Millisecond)
@@ -48,8 +48,8 @@
 	<-answered
 }
 
-// TestLateInstanceAnswersEarlier: an instance whose event loop had been late was late again as a request's deadline passed, and
-// answered after the client had given up.
+// TestLateInstanceAnswersEarlier guards against answers after the client's timeout: an event loop that had been late was late again
+// at the deadline of a request.
 func TestLateInstanceAnswersEarlier(t *testing.T) {
 	const (
 		lateness = 300 * time.Millisecond
@@ -62,41 +62,41 @@
 	release()
 	r.waitForLoop()
 	sentAt := time.Now()
-	answered := r.sendTimed(strconv.FormatInt(patience.Milliseconds(), 10))
+	answered := r.sendWithTimeout(strconv.FormatInt(patience.Milliseconds(), 10))
 	<-got
 	time.Sleep(time.Until(sentAt.Add(patience - lateness/2)))
 	r.server.post(inspection(func(instance *proxy.Instance, _ time.Duration) {
 		if instance.Unanswered() > 0 {
 			t.Error("the instance has not answered earlier")
 		}
-		time.Sleep(lateness) // until the client has given up
+		time.Sleep(lateness) // until the client has timed out
 	}))
 	<-answered
 	if took := time.Since(sentAt); took > patience {
-		t.Errorf("answered after %v, the client waited for %v", took, patience)
+		t.Errorf("answered after %v, but the client timed out after %v", took, patience)
 	}
 }
 
-// TestConnectionAnswersBesideHeldUpEventLoop: an event loop that had not been late before stood still across a request's deadline,
-// and the answer came after the client had given up, though the client's connection could be served.
-func TestConnectionAnswersBesideHeldUpEventLoop(t *testing.T) {
+// TestConnectionAnswersWhileEventLoopIsBlocked guards against answers after the client's timeout: an event loop that had not
+// been late before was blocked at the deadline of a request, although the goroutine of the client's connection could run.
+func TestConnectionAnswersWhileEventLoopIsBlocked(t *testing.T) {
 	const patience = time.Second
 	backend, got := startSilentBackend(t)
 	r := startGateway(t, "", "", backend)
-	answered := r.sendTimed(strconv.FormatInt(patience.Milliseconds(), 10))
+	answered := r.sendWithTimeout(strconv.FormatInt(patience.Milliseconds(), 10))
 	<-got
 	release := r.hold()
 	defer release()
 	select {
 	case <-answered:
 	case <-time.After(patience):
-		t.Error("not answered in the client's time")
+		t.Error("not answered within the client's timeout")
 	}
 }
 
-// TestConnectionServesOnAfterItsAnswer: the connection that has answered in place of a held-up event loop serves the next request
-// on it, and drops the instance's answer to the first.
-func TestConnectionServesOnAfterItsAnswer(t *testing.T) {
+// TestConnectionServesNextRequestAfterItsAnswer checks that a connection that has answered in place of a blocked event loop drops the
+// instance's later answer and serves the next request.
+func TestConnectionServesNextRequestAfterItsAnswer(t *testing.T) {
 	backend, got := startSilentBackend(t)
 	r := startGateway(t, "", "", backend)
 	c, err := net.Dial("tcp", r.addr)
@@ -127,23 +127,23 @@
 	requireStatus(http.StatusNotFound)
 }
 
-// TestRecentLateness: lateness counts for one period at least, and for two at most.
-func TestRecentLateness(t *testing.T) {
+// TestRecentLoopDelay checks that a delay counts for at least one period and at most two.
+func TestRecentLoopDelay(t *testing.T) {
 	const late = 200 * time.Millisecond
 	for _, c := range []struct {
-		notedAt, at, want time.Duration
+		recordedAt, at, want time.Duration
 	}{
 		{0, 0, late},
-		{0, latenessPeriod, late},
-		{latenessPeriod - 1, 2*latenessPeriod - 1, late},
-		{latenessPeriod - 1, 2 * latenessPeriod, 0},
-		{0, 10 * latenessPeriod, 0},
+		{0, loopDelayPeriod, late},
+		{loopDelayPeriod - 1, 2*loopDelayPeriod - 1, late},
+		{loopDelayPeriod - 1, 2 * loopDelayPeriod, 0},
+		{0, 10 * loopDelayPeriod, 0},
 	} {
-		var recent recentLateness
-		recent.note(c.notedAt, late)
-		recent.note(c.notedAt, late/2)
-		if got := recent.at(c.at); got != c.want {
-			t.Errorf("noted at %v, at %v: %v, want %v", c.notedAt, c.at, got, c.want)
+		var recent recentLoopDelay
+		recent.record(c.recordedAt, late)
+		recent.record(c.recordedAt, late/2)
+		if got := recent.max(c.at); got != c.want {
+			t.Errorf("recorded at %v, at %v: %v, want %v", c.recordedAt, c.at, got, c.want)
 		}
 	}
 }
--- a/internal/server/recentlateness.go
+++ b/internal/server/recentlateness.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// latenessPeriod is for how long a late event loop is expected to be late again, at least.
-const latenessPeriod = 5 * time.Second
+// loopDelayPeriod is the minimum time for which a late event loop is expected to be late again.
+const loopDelayPeriod = 5 * time.Second
 
-// recentLateness keeps the greatest lateness of the event loop within the last latenessPeriod, and up to one more.
-type recentLateness struct {
-	periodBegan    time.Duration
-	greatest       time.Duration // in the period that has begun
-	greatestBefore time.Duration // in the period before it
+// recentLoopDelay is the maximum delay of the event loop within a sliding window of one to two times loopDelayPeriod.
+type recentLoopDelay struct {
+	periodStart time.Duration
+	currentMax  time.Duration // in the current period
+	previousMax time.Duration // in the period before it
 }
 
-// note takes in that the event loop was late.
-func (r *recentLateness) note(now, late time.Duration) {
+// record adds a delay of the event loop.
+func (r *recentLoopDelay) record(now, late time.Duration) {
 	r.advance(now)
-	r.greatest = max(r.greatest, late)
+	r.currentMax = max(r.currentMax, late)
 }
 
-// at returns the greatest lateness at a time.
-func (r *recentLateness) at(now time.Duration) time.Duration {
+// max returns the maximum recent delay at a time.
+func (r *recentLoopDelay) max(now time.Duration) time.Duration {
 	r.advance(now)
-	return max(r.greatest, r.greatestBefore)
+	return max(r.currentMax, r.previousMax)
 }
 
-// advance begins a new period if the last one is over.
-func (r *recentLateness) advance(now time.Duration) {
-	switch elapsed := now - r.periodBegan; {
-	case elapsed < latenessPeriod:
+// advance starts a new period if the current one is over.
+func (r *recentLoopDelay) advance(now time.Duration) {
+	switch elapsed := now - r.periodStart; {
+	case elapsed < loopDelayPeriod:
 		return
-	case elapsed < 2*latenessPeriod:
-		r.greatestBefore = r.greatest
+	case elapsed < 2*loopDelayPeriod:
+		r.previousMax = r.currentMax
 	default:
-		r.greatestBefore = 0
+		r.previousMax = 0
 	}
-	r.greatest, r.periodBegan = 0, now
+	r.currentMax, r.periodStart = 0, now
 }
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -18,42 +18,42 @@
 )
 
 const (
-	// maxFrameItems bounds the items of a frame, and so what a reader of a trace has to hold.
+	// maxFrameItems bounds the items of a frame, and with it the memory that a reader of a trace needs.
 	maxFrameItems = 2048
-	// frameInterval is how often what was recorded is written: what a killed process loses.
+	// frameInterval is how often recorded steps are written. A killed process loses the steps of one interval.
 	frameInterval = 200 * time.Millisecond
-	// traceSuffix and tracePrefix are of the names of trace files: door-INSTANCE-START-PART.trace.
+	// traceSuffix and tracePrefix are parts of the names of trace files: door-INSTANCE-START-PART.trace.
 	traceSuffix = ".trace"
 	tracePrefix = "door-"
 )
 
-// recorder writes the trace of an instance's decisions. The event loop only appends to a bounded buffer; steps that find it
-// full are dropped and counted, and the count stands in the file where they are missing. A disk that is full, or any other
-// error, ends the recording and not the instance. A nil recorder records nothing.
+// recorder writes the trace of an instance's decisions. The event loop only appends steps to a bounded buffer. While the buffer
+// is full, steps are dropped and counted, and the file gets the count in place of the steps. A full disk, or any other error,
+// ends the recording and not the instance. A nil recorder records nothing.
 type recorder struct {
 	server    *Server
 	cfg       config.Trace
 	dir       string
 	stop      chan struct{} // closed by close
-	done      chan struct{} // closed when the writing has ended
+	done      chan struct{} // closed when the writing goroutine has ended
 	firstFile *os.File
 
 	mu      sync.Mutex // guards steps, dropped and ended
 	steps   []proxy.DecisionStep
 	dropped uint64 // since the steps were last taken
-	ended   bool   // by an error
+	ended   bool   // the recording has ended with an error
 
-	// Of the writing goroutine.
+	// Used by the writing goroutine only.
 	head         trace.Header
 	writer       *trace.Writer
 	file         *os.File
 	size         int                           // of file, in bytes
-	backendNames map[decision.BackendID]string // that the files have been given
+	backendNames map[decision.BackendID]string // names that have been written
 	droppedTotal uint64
 }
 
-// startRecorder opens the first file and hooks the recorder into the instance, before the event loop starts. It returns nil
-// where no trace is configured.
+// startRecorder opens the first file and attaches the recorder to the instance, before the event loop starts. It returns nil if
+// no trace is configured.
 func (s *Server) startRecorder(seed uint64) (*recorder, error) {
 	if s.cfg.Trace.Mode == "off" {
 		return nil, nil
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &recorder{server: s, cfg: s.cfg.Trace, dir: dir, head: s.traceHead(seed), writer: writer, stop: make(chan struct{}),
+	r := &recorder{server: s, cfg: s.cfg.Trace, dir: dir, head: s.traceHeader(seed), writer: writer, stop: make(chan struct{}),
 		done: make(chan struct{}), backendNames: map[decision.BackendID]string{}}
 	if err := r.openNextFile(); err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 	return r, nil
 }
 
-func (s *Server) traceHead(seed uint64) trace.Header {
+func (s *Server) traceHeader(seed uint64) trace.Header {
 	head := trace.Header{Core: coreid.Core(), Config: s.cfg.Digest, Instance: s.cfg.Instance.Number, Seed: seed, StartedAt: s.startedAt,
 		Origin: s.clockOrigin().UnixNano(), Settings: s.cfg.Settings, Classes: s.cfg.ClassNames, Share: 1}
 	if s.cfg.Trace.Mode == "sampled" {
@@ -92,7 +92,7 @@
 	return head
 }
 
-// startWriting starts the goroutine that writes; close ends it.
+// startWriting starts the writing goroutine, which close ends.
 func (r *recorder) startWriting() {
 	if r == nil {
 		return
@@ -103,7 +103,7 @@
 	}()
 }
 
-// close writes what is held and ends the recording. It waits for the disk.
+// close writes the buffered steps and ends the recording. It waits for the disk.
 func (r *recorder) close() {
 	if r == nil {
 		return
@@ -112,7 +112,7 @@
 	<-r.done
 }
 
-// record takes a step. Only the event loop calls it; it waits for no disk.
+// record appends a step to the buffer. Only the event loop calls it; it does not wait for the disk.
 func (r *recorder) record(step proxy.DecisionStep) {
 	if !r.sampled(step) {
 		return
@@ -128,18 +128,18 @@
 	}
 }
 
-// sampled reports whether a step belongs to the recorded share. A sample is of requests, drawn by a hash of their number;
-// steps that concern no one request are left out of it.
+// sampled reports whether a step belongs to the recorded share. Requests are sampled by a hash of their number. A sample has
+// no steps that do not belong to a single request.
 func (r *recorder) sampled(step proxy.DecisionStep) bool {
 	if r.cfg.Mode != "sampled" || r.cfg.Share >= 1 {
 		return true
 	}
-	const multiplier = 0x9E3779B97F4A7C15 // of Fibonacci hashing: neighbouring numbers fall far apart
+	const multiplier = 0x9E3779B97F4A7C15 // of Fibonacci hashing, which spreads consecutive numbers evenly
 	id := uint64(requestOf(step.Event))
 	return id != 0 && float64(id*multiplier>>11)/(1<<53) < r.cfg.Share
 }
 
-// requestOf is the request that an event is about, 0 if none.
+// requestOf returns the request of an event, or 0 if it has none.
 func requestOf(event decision.Event) decision.RequestID {
 	switch event := event.(type) {
 	case decision.RequestArrived:
@@ -154,7 +154,7 @@
 	return 0
 }
 
-// run writes every frameInterval until close, or until an error.
+// run writes the buffered steps every frameInterval, until close or an error.
 func (r *recorder) run() {
 	defer func() { r.file.Close() }()
 	ticker := time.NewTicker(frameInterval)
@@ -191,7 +191,7 @@
 	r.ended, r.steps = true, nil
 }
 
-// write writes steps in frames, and behind them the count of those that were dropped after they had filled the buffer.
+// write writes steps in frames, followed by the number of steps that were dropped after these had filled the buffer.
 func (r *recorder) write(steps []proxy.DecisionStep, dropped uint64) error {
 	var items []trace.Record
 	for i := range steps {
@@ -215,7 +215,7 @@
 	return r.writeItems(items)
 }
 
-// appendStep appends a step, behind the names of backends that it is the first to have.
+// appendStep appends a step, preceded by the names of backends that occur in it for the first time.
 func (r *recorder) appendStep(items []trace.Record, step *proxy.DecisionStep) []trace.Record {
 	if list, ok := step.Event.(decision.EndpointsChanged); ok {
 		for i, name := range step.EndpointNames {
@@ -233,7 +233,7 @@
 		Operation: step.OperationNumber, Initial: step.Event == nil})
 }
 
-// writeItems writes items as one frame, in the next file where this one would grow beyond trace.file-size.
+// writeItems writes items as one frame. It begins the next file if this one would grow beyond trace.file-size.
 func (r *recorder) writeItems(items []trace.Record) error {
 	if len(items) == 0 {
 		return nil
@@ -258,7 +258,7 @@
 	return err
 }
 
-// openNextFile begins a file with the head and the names of all backends, and removes the oldest files beyond trace.most.
+// openNextFile begins a file with the header and the names of all backends, and removes the oldest files beyond trace.most.
 func (r *recorder) openNextFile() error {
 	name := fmt.Sprintf("%s%d-%s-%03d%s", tracePrefix, r.head.Instance, r.server.startTime.UTC().Format("20060102T150405.000"),
 		r.head.Part, traceSuffix)
@@ -287,20 +287,20 @@
 	return r.removeOldFiles()
 }
 
-// traceFile is a file of the folder of traces, other than the one that is written.
+// traceFile is a file in the folder of traces, other than the current one.
 type traceFile struct {
 	name string
 	size int64 // bytes
 }
 
-// order sorts trace files by the time of their process's start and their part, whatever their instance.
+// order returns the sort key of a trace file: the start time of its process and its part, regardless of the instance.
 func (f traceFile) order() string {
 	_, order, _ := strings.Cut(strings.TrimPrefix(f.name, tracePrefix), "-")
 	return order
 }
 
-// removeOldFiles removes the oldest files of the folder while it would have more bytes than trace.most with a full file
-// that is begun now.
+// removeOldFiles removes the oldest files of the folder until the others, together with the current file at its full size, fit
+// into trace.most.
 func (r *recorder) removeOldFiles() error {
 	files, err := r.otherFiles()
 	if err != nil {
@@ -322,7 +322,7 @@
 	return nil
 }
 
-// otherFiles is the trace files of the folder but for the one that is written, oldest first.
+// otherFiles returns the trace files of the folder except the current one, oldest first.
 func (r *recorder) otherFiles() ([]traceFile, error) {
 	entries, err := os.ReadDir(r.dir)
 	if err != nil {
@@ -333,7 +333,7 @@
 		if !strings.HasSuffix(e.Name(), traceSuffix) || filepath.Join(r.dir, e.Name()) == r.file.Name() {
 			continue
 		}
-		if info, err := e.Info(); err == nil { // one that is removed meanwhile is no matter
+		if info, err := e.Info(); err == nil { // a file that was removed meanwhile is skipped
 			files = append(files, traceFile{e.Name(), info.Size()})
 		}
 	}
--- a/internal/server/recorder_test.go
+++ b/internal/server/recorder_test.go
@@ -12,7 +12,7 @@
 	"sandyard/trace"
 )
 
-// TestTraceRecording: all decisions must be in the trace, and no API key; a new file is begun at trace.file-size.
+// TestTraceRecording checks that the trace has all decisions and no API key, and that a new file begins at trace.file-size.
 func TestTraceRecording(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
 	dir := t.TempDir()
@@ -49,7 +49,7 @@
 			for _, it := range items {
 				b, _ := json.Marshal(it)
 				if strings.Contains(string(b), `"ka"`) {
-					t.Error("a key in the trace")
+					t.Error("the trace has an API key")
 				}
 				if it.Event.Arrived != nil {
 					arrived++
@@ -62,16 +62,16 @@
 		rd.Close()
 	}
 	if arrived != 300 || served != 300 {
-		t.Errorf("%d arrived and %d were served in %d files", arrived, served, len(files))
+		t.Errorf("%d arrivals and %d ended attempts in %d files, want 300", arrived, served, len(files))
 	}
 }
 
-// TestUnwritableTraceEndsRecordingOnly: a trace that can't be written any more, on a full disk say, must end the
+// TestUnwritableTraceEndsRecordingOnly checks that a trace that can no longer be written, for example on a full disk, ends the
 // recording and not the instance.
 func TestUnwritableTraceEndsRecordingOnly(t *testing.T) {
 	b := startBackend(t, emulator.BackendConfig{}, nil)
 	r := startGateway(t, fmt.Sprintf("trace: {mode: full, folder: %q}\n", t.TempDir()), "", b.Addr())
-	r.server.recorder.firstFile.Close() // before Serve has begun to write, or between two frames
+	r.server.recorder.firstFile.Close() // before the recorder begins to write, or between two frames
 	r.waitForLog("recording has ended")
 	if s := r.status(request("GET", "/look", "ka", "")); s != 200 {
 		t.Errorf("%d", s)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -62,11 +62,11 @@
 	recorder         *recorder      // nil: nothing is recorded
 
 	// instance and counter belong to the event loop from the start of Serve on.
-	instance       *proxy.Instance
-	counter        *counterConn  // nil: there is no connection, not even one that is being made
-	maxLateness    time.Duration // of the event loop's timers
-	recentLateness recentLateness
-	endpoints      endpointRecord
+	instance        *proxy.Instance
+	counter         *counterConn  // nil: there is no connection, not even one that is being made
+	maxLoopDelay    time.Duration // of the event loop's timers
+	recentLoopDelay recentLoopDelay
+	listStatus      endpointListStatus
 
 	connectionsCtx    context.Context // ends at step 4 of the shutdown
 	cancelConnections context.CancelFunc
@@ -153,7 +153,7 @@
 		clients:          map[*clientConn]struct{}{},
 	}
 	s.startedAt = time.Duration(s.startTime.UnixNano())
-	s.endpoints.confirmedAt = s.startedAt
+	s.listStatus.confirmedAt = s.startedAt
 	s.queueSpace.L = &s.queueMu
 	if opt.DiscoveryAddress != "" {
 		s.discovery = newEndpointWatch(s, opt.DiscoveryAddress, opt.EndpointsVersion)
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -4,41 +4,40 @@
 	"time"
 )
 
-// The order of a shutdown. A step begins when the one before it is over. Whatever an attempt depends on lives until step 4:
-// the endpoint watch with its reconnects and its move by SIGHUP, counter calls, health checks and timers.
+// The steps of a shutdown. A step begins when the previous one has ended. Everything that an attempt depends on runs until
+// step 4: the endpoint watch, including reconnects and the change of address at SIGHUP, counter calls, health checks and timers.
 //
 //	step  begins                          what stops
 //	1     with the end of Serve's         with limits.stop-delay, responses close their connections from now on, and
-//	      context (SIGTERM)               connections are accepted through the delay, and backlogTime after it; without, the
+//	      context (SIGTERM)               connections are accepted during the delay and backlogTime after it; without it, the
 //	                                      listener closes at once
-//	2     when accepting is over          new requests: they are rejected. The listener and idle client connections close.
-//	                                      Requests under way are answered, each by its deadline
+//	2     when accepting has ended        new requests: they are rejected. The listener and idle client connections close.
+//	                                      Requests in flight are answered, each by its deadline
 //	3     limits.shutdown-timeout after   requests without an answer: they fail, or are rejected where nothing of them was
-//	      step 1, if clients are left     sent; responses that are being streamed break off
+//	      step 1, if clients are left     sent; streamed responses are cut off
 //	4     when no client is left, or      the event loop, after which no attempt begins: with it counter calls, health checks
 //	      finalResponseTime after step 3  and timers. The endpoint watch, dials, and all connections to backends and counter
 //	5     at once                         the client connections that are left
-//	6     at once                         nothing: the goroutines of connections end; then "stopped" is logged
+//	6     at once                         nothing: waits for the goroutines of connections, then logs "stopped"
 //	7     at once                         the admin socket
-//	8     at once                         the trace recorder, once it has written what it holds
+//	8     at once                         the trace recorder, once it has written its buffer
 //
 // What a signal means in each phase of a process:
 //
 //	signal           starting, ready                     shutting down
 //	SIGTERM, SIGINT  step 1                              nothing: the shutdown is bounded, and requests are still answered
-//	SIGHUP (node)    the addresses of discovery and      the same: attempts that are still to begin go by the new ones
+//	SIGHUP (node)    the addresses of discovery and      the same: later attempts use the new addresses
 //	                 counter are read again
 
 const (
-	// drainPoll is how often client connections are checked during a shutdown: short beside a response, so that the last
-	// one is not what a shutdown waits for.
+	// drainPoll is how often client connections are checked during a shutdown: short compared with a response, so that the
+	// check does not prolong the shutdown.
 	drainPoll = 10 * time.Millisecond
-	// finalResponseTime is how long the answers of step 3 have to be written.
+	// finalResponseTime is the time for writing the answers of step 3.
 	finalResponseTime = 20 * time.Millisecond
 )
 
-// stopAccepting is step 1. signalled reports that the instance was asked to stop, rather than that its accept loop has
-// failed.
+// stopAccepting is step 1. signalled is true if the instance was asked to stop, and false if its accept loop has failed.
 func (s *Server) stopAccepting(signalled bool) {
 	timeout := time.Duration(s.cfg.Limits.ShutdownTimeout)
 	s.shutdownDeadline = time.Now().Add(timeout)
@@ -46,12 +45,12 @@
 	s.log.Info("shutting down", "signalled", signalled)
 	if delay := time.Duration(s.cfg.Limits.StopDelay); delay > 0 && signalled {
 		s.shared.CloseAfterResponses()
-		s.listener.SetDeadline(time.Now().Add(min(delay, timeout))) // what has come in by then is accepted
+		s.listener.SetDeadline(time.Now().Add(min(delay, timeout))) // connections that arrive before the deadline are accepted
 		return
 	}
 	s.listener.Close()
 	s.queueMu.Lock()
-	s.queueSpace.Broadcast() // a waiter goes on waiting: its condition has not changed
+	s.queueSpace.Broadcast() // a waiter continues to wait, since its condition has not changed
 	s.queueMu.Unlock()
 }
 
@@ -73,13 +72,13 @@
 	if s.waitForClients(s.shutdownDeadline) {
 		return
 	}
-	s.post(unansweredFailed{})
+	s.post(failUnanswered{})
 	if !s.waitForClients(time.Now().Add(finalResponseTime)) {
 		s.log.Warn("shutdown: client connections are left at the end", "connections", len(s.openClients()))
 	}
 }
 
-// waitForClients asks idle clients to close, again and again, and reports whether none is left by a deadline.
+// waitForClients closes idle client connections until none is left, or until a deadline. It reports whether none is left.
 func (s *Server) waitForClients(deadline time.Time) bool {
 	for {
 		open := s.openClients()
@@ -96,7 +95,7 @@
 	}
 }
 
-// openClients copies the set of client connections, so that their locks are taken without clientsMu.
+// openClients returns a copy of the set of client connections, so that the caller can take their locks without clientsMu.
 func (s *Server) openClients() []*clientConn {
 	s.clientsMu.Lock()
 	defer s.clientsMu.Unlock()
@@ -107,7 +106,7 @@
 	return open
 }
 
-// closeClients closes the connections that are left, and wakes their readers.
+// closeClients closes the remaining client connections and wakes their readers.
 func (s *Server) closeClients() {
 	s.clientsMu.Lock()
 	defer s.clientsMu.Unlock()
@@ -124,5 +123,5 @@
 	s.log.Info("stopped", "arrived", st.Arrived, "served", st.Served, "refused_quota", st.RejectedOverQuota,
 		"refused_room", st.RejectedNoCapacity, "failed", st.Failed, "left", st.ClientsLeft, "broken", st.BrokenResponses,
 		"attempts", st.Attempts, "dials", st.Dials, "expiries", s.expiredReads.Load(), "keeper_calls", st.CounterCalls,
-		"max_late_ms", s.maxLateness.Milliseconds(), "max_list_age_ms", s.endpoints.greatestAge.Milliseconds(), "old_list_attempts", s.endpoints.oldAttempts)
+		"max_late_ms", s.maxLoopDelay.Milliseconds(), "max_list_age_ms", s.listStatus.maxAge.Milliseconds(), "old_list_attempts", s.listStatus.oldAttempts)
 }
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// dialIntoBacklog opens a connection that lies in the backlog until queueMu, which it locks, is unlocked.
+// dialIntoBacklog locks queueMu and opens a connection that stays in the backlog until queueMu is unlocked.
 func (r *gateway) dialIntoBacklog() net.Conn {
 	r.Helper()
-	r.server.queueMu.Lock() // accepting waits here, once the first of these is in
+	r.server.queueMu.Lock() // the accept loop waits for it once it has accepted the first connection
 	r.clientConnOf(r.dial())
 	return r.dial()
 }
 
-// dial opens a connection that is closed with the test.
+// dial opens a connection that is closed at the end of the test.
 func (r *gateway) dial() net.Conn {
 	r.Helper()
 	conn, err := net.Dial("tcp", r.addr)
@@ -32,11 +32,11 @@
 	return conn
 }
 
-// TestBacklogIsAnsweredWhenAcceptingEnds: the deadline of the listener passes while a connection lies in the backlog.
-// An accept then ends without taking it, and it would be reset with its request. It must be accepted and answered.
+// TestBacklogIsAnsweredWhenAcceptingEnds checks a connection that is in the backlog when the deadline of the listener passes. The
+// accept call then ends without returning it, and it would be reset with its request. It must be accepted and answered.
 func TestBacklogIsAnsweredWhenAcceptingEnds(t *testing.T) {
-	count, _ := startCounter(t)
-	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
+	counterAddr, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, counterAddr, 64, startNamedBackend(t, "a"))
 	r.requireServedBy(1, "a")
 	c := r.dialIntoBacklog()
 	io.WriteString(c, nodeRequest(2))
@@ -52,11 +52,11 @@
 	}
 }
 
-// TestFirstRequestDuringDrainIsRejected: a connection was accepted but not read when the instance stopped taking
-// requests. Its request must be answered, with 503, rather than be reset.
+// TestFirstRequestDuringDrainIsRejected checks a connection that was accepted but not read when the instance stopped accepting
+// requests. Its request must be answered with 503; the connection must not be reset.
 func TestFirstRequestDuringDrainIsRejected(t *testing.T) {
-	count, _ := startCounter(t)
-	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
+	counterAddr, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, counterAddr, 64, startNamedBackend(t, "a"))
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -79,12 +79,11 @@
 	}
 }
 
-// TestConnectionsAreAcceptedDuringStopDelay: after the signal to stop, a load balancer still sends connections for a
-// moment. Those that come within limits.stop-delay must be served, and the instance then ends without leaving a client
-// unanswered.
+// TestConnectionsAreAcceptedDuringStopDelay checks connections that a load balancer still opens for a moment after the signal to
+// stop. Those within limits.stop-delay must be served, and the instance must then end without leaving a client unanswered.
 func TestConnectionsAreAcceptedDuringStopDelay(t *testing.T) {
-	count, _ := startCounter(t)
-	r := startNode(t, startDiscovery(t).addr, count, 64, startNamedBackend(t, "a"))
+	counterAddr, _ := startCounter(t)
+	r := startNode(t, startDiscovery(t).addr, counterAddr, 64, startNamedBackend(t, "a"))
 	r.requireServedBy(1, "a")
 	r.stop()
 	resp := r.exchange(nodeRequest(2), 1)[0]
@@ -104,8 +103,8 @@
 	}
 }
 
-// TestGracefulShutdown: an instance is stopped with a request under way and an idle connection. The idle connection
-// closes, the request is answered, no new connection is accepted, and Serve returns nil.
+// TestGracefulShutdown checks an instance that is stopped with a request in flight and an idle connection. The idle connection is
+// closed, the request is answered, no new connection is accepted, and Serve returns nil.
 func TestGracefulShutdown(t *testing.T) {
 	got, answer := make(chan struct{}), make(chan struct{})
 	addr := startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
@@ -143,8 +142,8 @@
 	}
 }
 
-// TestTimeInBacklogCounts: a request lay in the backlog while accepting waited. Its client's time was counted from when the
-// request was read: the backend was told more than was left, and the answer came after the client's time.
+// TestTimeInBacklogCounts checks that the time of a request in the backlog counts towards its client's timeout. It was once counted
+// from when the request was read: the backend got a deadline beyond the time left, and the answer came after the timeout.
 func TestTimeInBacklogCounts(t *testing.T) {
 	const timeout, inBacklog = 1000, 300 // milliseconds; the timeout is under the objective, which bounds a first attempt
 	deadlines := make(chan string, 1)
@@ -162,6 +161,6 @@
 	r.server.queueMu.Unlock()
 	given, err := strconv.Atoi(<-deadlines)
 	if most := timeout - inBacklog*9/10; err != nil || given > most {
-		t.Errorf("the backend is told %d ms (%v), at most %d are left", given, err, most)
+		t.Errorf("the backend gets a deadline of %d ms (%v), want at most %d", given, err, most)
 	}
 }
--- a/internal/server/shutdown_watch_test.go
+++ b/internal/server/shutdown_watch_test.go
@@ -15,8 +15,8 @@
 	"sandyard/internal/platform"
 )
 
-// startHoldingBackend is a backend that holds each request until release is called, and then answers it. got is closed with
-// the first.
+// startHoldingBackend starts a backend that holds each request until release is called, and then answers it. got is closed at the
+// first request.
 func startHoldingBackend(t *testing.T, answer string) (addr string, got <-chan struct{}, release func()) {
 	received, held := make(chan struct{}), make(chan struct{})
 	receive := sync.OnceFunc(func() { close(received) })
@@ -36,13 +36,14 @@
 
 const notRun = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
-// drainsAForB is a change by which backend a drains and b is up.
+// drainsAForB returns a change by which backend a drains and b is up.
 func drainsAForB(a, b string) string {
 	return fmt.Sprintf(`{"seq":8,"whole":false,"hosts":[{"host":"a","dial":"%s","health":"leaving","share":1},{"host":"b","dial":"%s","health":"active","share":1}]}`+"\n", a, b)
 }
 
-// TestRetryDuringShutdownFollowsDiscovery: an instance that was told to end stopped following discovery while it still
-// forwarded: retries went to backends that drained meanwhile. Whatever becomes of the watch, the list is followed.
+// TestRetryDuringShutdownFollowsDiscovery guards against retries to backends that began to drain during a shutdown: an instance
+// stopped watching discovery at the signal to stop while it still forwarded requests. The list must be followed on the current
+// watch, on a new one and at a new address.
 func TestRetryDuringShutdownFollowsDiscovery(t *testing.T) {
 	for name, notify := range map[string]func(r *gateway, d *breakingDiscovery, change string){
 		"on the watch that stands": func(_ *gateway, d *breakingDiscovery, change string) { d.notify(change) },
@@ -81,7 +82,7 @@
 	}
 }
 
-// breakingDiscovery is discovery whose first watch ends when breakFirst is closed.
+// breakingDiscovery is a discovery agent whose first watch ends when breakFirst is closed.
 type breakingDiscovery struct {
 	*testing.T
 	addr                   string
@@ -110,7 +111,7 @@
 	return d
 }
 
-// serveWatch writes what send is given until the watch is to break, or the instance ends it.
+// serveWatch writes the messages from send until broken is closed or the instance ends the watch.
 func (d *breakingDiscovery) serveWatch(c net.Conn, in *bufio.Reader, broken <-chan struct{}) {
 	gone := make(chan struct{})
 	go func() { io.Copy(io.Discard, in); close(gone) }() // ends with the connection
@@ -126,17 +127,17 @@
 	}
 }
 
-// notify writes a change on the watch that stands, and fails if none does for some seconds.
+// notify writes a change on the current watch, and fails the test if there is none for some seconds.
 func (d *breakingDiscovery) notify(change string) {
 	d.Helper()
 	select {
 	case d.send <- change:
 	case <-time.After(5 * time.Second):
-		d.Fatal("no watch stands")
+		d.Fatal("there is no watch")
 	}
 }
 
-// TestEndpointFileIsFollowedDuringShutdown: as TestRetryDuringShutdownFollowsDiscovery, with the list in a file.
+// TestEndpointFileIsFollowedDuringShutdown is like TestRetryDuringShutdownFollowsDiscovery, with the list in a file.
 func TestEndpointFileIsFollowedDuringShutdown(t *testing.T) {
 	backend, got, release := startHoldingBackend(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 	r := startGateway(t, "", "", backend)
@@ -154,28 +155,29 @@
 	}
 }
 
-// TestFirstEndpointListDuringShutdown: SIGTERM came before discovery's first message. What that says holds for the
-// requests that still come in.
+// TestFirstEndpointListDuringShutdown checks a SIGTERM before discovery's first message. The list in that message applies to the
+// requests that still arrive.
 func TestFirstEndpointListDuringShutdown(t *testing.T) {
-	tell := make(chan struct{})
+	answer := make(chan struct{})
 	b := startNamedBackend(t, "b")
-	asked := make(chan struct{}, 1)
+	watched := make(chan struct{}, 1)
 	discovery := startAgent(t, func(_ int, c net.Conn, _ string) {
 		io.WriteString(c, watchHead)
-		asked <- struct{}{}
-		<-tell
+		watched <- struct{}{}
+		<-answer
 		writeChunk(c, fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"b","dial":"%s","health":"active","share":1}]}`, b))
 	})
 	r := startNodeUnready(t, discovery)
-	<-asked
+	<-watched
 	r.stop()
 	r.waitForLog("shutting down")
-	close(tell)
+	close(answer)
 	r.waitForLog("seq=9")
 	r.requireServedBy(1, "b")
 }
 
-// TestCounterMovesDuringShutdown: requests that are still admitted are counted at the counter that SIGHUP gave.
+// TestCounterMovesDuringShutdown checks that requests admitted during a shutdown are counted at the counter address that a SIGHUP
+// has set.
 func TestCounterMovesDuringShutdown(t *testing.T) {
 	discovery := startDiscovery(t)
 	counter, _ := startCounter(t)
@@ -191,7 +193,7 @@
 	}
 }
 
-// startSilentBackend is a backend that reads one request and never answers; got is closed when it has it.
+// startSilentBackend starts a backend that reads one request and never answers. got is closed when it has read the request.
 func startSilentBackend(t *testing.T) (addr string, got <-chan struct{}) {
 	received := make(chan struct{})
 	return startScriptedPeer(t, func(c net.Conn, in *bufio.Reader) {
@@ -203,23 +205,22 @@
 	}), received
 }
 
-// requireEnd fails unless the instance ends within a time, without an error.
+// requireEnd fails the test unless the instance ends within a time, without an error.
 func (r *gateway) requireEnd(within time.Duration) {
 	r.Helper()
 	select {
 	case err := <-r.served:
 		if err != nil {
-			r.Errorf("it ends with %v", err)
+			r.Errorf("Serve returned %v", err)
 		}
 		close(r.served)
 	case <-time.After(within):
-		r.Fatalf("it does not end within %v", within)
+		r.Fatalf("the instance does not end within %v", within)
 	}
 }
 
-// TestShutdownIsBounded: a backend stayed silent, and the process waited for it without limit until it was killed with
-// the request unanswered. The request gets its answer, the process ends by limits.shutdown-timeout, and a second signal
-// changes neither.
+// TestShutdownIsBounded guards against a process that waits for a silent backend without limit until it is killed with the request
+// unanswered. The request must be answered and the process must end by limits.shutdown-timeout. A second signal changes neither.
 func TestShutdownIsBounded(t *testing.T) {
 	const timeout = 300 * time.Millisecond
 	silent, got := startSilentBackend(t)
@@ -235,12 +236,12 @@
 	}
 	r.requireEnd(10 * timeout)
 	if took := time.Since(begun); took < timeout {
-		t.Errorf("it ended after %v", took)
+		t.Errorf("the instance ended after %v, before its shutdown timeout", took)
 	}
 }
 
-// TestShutdownEndsWithoutClients: a client left, and its attempt at a silent backend, which may not be cancelled, kept the
-// process from ending.
+// TestShutdownEndsWithoutClients guards against a process that does not end because of an attempt at a silent backend that may not
+// be cancelled and whose client has left.
 func TestShutdownEndsWithoutClients(t *testing.T) {
 	silent, got := startSilentBackend(t)
 	r := startGatewayOf(t, strings.Replace(gatewayText, "attempts: {most: 3}", "attempts: {most: 3, cancel: false}", 1), silent)
@@ -258,9 +259,9 @@
 	r.requireEnd(3 * time.Second)
 }
 
-// TestShutdownEndsBeforeEarliestKill: the platform kills a process at the earliest by its longest deadline, counted as 3 s
-// where it is longer, and 0.7 s after SIGTERM. The shutdown ends before that, and not before requests that were read in
-// limits.stop-delay have had their time.
+// TestShutdownEndsBeforeEarliestKill checks the bound of a shutdown against the earliest time at which the platform kills a
+// process. That is 0.7 s plus the longest deadline after SIGTERM, where a longer deadline counts as 3 s. The shutdown must end
+// before that, but not before the deadlines of requests that were read during limits.stop-delay.
 func TestShutdownEndsBeforeEarliestKill(t *testing.T) {
 	for _, c := range []struct{ deadline, kill time.Duration }{
 		{480 * time.Millisecond, 1180 * time.Millisecond},
@@ -276,7 +277,7 @@
 		limits := n.Config.Limits
 		bound := time.Duration(limits.ShutdownTimeout) + finalResponseTime
 		if earliest := time.Duration(limits.StopDelay) + backlogTime + min(c.deadline, 3*time.Second) - time.Duration(limits.ResponseMargin); bound >= c.kill || bound < earliest {
-			t.Errorf("deadline %v: it ends after %v; killed after %v, requests have until %v", c.deadline, bound, c.kill, earliest)
+			t.Errorf("deadline %v: the shutdown ends after %v; want less than %v, when it is killed, and at least %v, the end of requests", c.deadline, bound, c.kill, earliest)
 		}
 	}
 }
--- a/internal/server/watchinput.go
+++ b/internal/server/watchinput.go
@@ -5,63 +5,65 @@
 	"time"
 )
 
-// The event loop's looks at the watch.
+// Timing of the event loop's checks of the watch.
 const (
-	// checkInterval is how old a look may be that has found nothing: short beside a drain grace, since looks cost a system call.
+	// checkInterval is how long the event loop relies on a check that has found nothing, since a check costs a system call. It
+	// is short compared with a drain grace.
 	checkInterval = 10 * time.Millisecond
-	// maxCatchUpTime is how long the event loop lets the watch read and hand over what has come, before it goes on without.
+	// maxCatchUpTime is how long the event loop waits for the watch to read and queue what has arrived, before it continues.
 	maxCatchUpTime = 5 * time.Millisecond
-	// catchUpPoll is how often it looks meanwhile.
+	// catchUpPoll is the interval between checks during that wait.
 	catchUpPoll = 100 * time.Microsecond
 )
 
-// watchInput tells whether what discovery has sent waits to be read or to be handed over: on a busy machine, or while its
-// goroutine is held up, the watch may lie behind what has reached this machine. The goroutine of the watch notes what it does;
-// others ask.
+// watchInput tracks whether data of discovery waits to be read from the socket or to be queued for the event loop. On a busy
+// machine, or while its goroutine is delayed, the watch can be behind the data that has reached this machine. The goroutine of
+// the watch records its progress; other goroutines check it.
 type watchInput struct {
 	now    func() time.Duration   // the instance's clock
-	socket atomic.Pointer[socket] // of the watch that stands; nil: none does
-	// behind: the goroutine reads, or has read something, and has not come back to wait for more with nothing left unread.
-	behind   atomic.Bool
-	waits    atomic.Uint64 // how often it came to wait
-	waitedAt atomic.Int64  // by when (time.Duration) all was handed over that had come, the last time it did so
+	socket atomic.Pointer[socket] // of the current watch; nil: there is none
+	// behind is set while the goroutine reads or handles data, until it waits again with nothing left unread.
+	behind     atomic.Bool
+	catchUps   atomic.Uint64 // how often the goroutine has caught up and begun to wait
+	caughtUpAt atomic.Int64  // time.Duration: all data that had arrived by then was queued when it last caught up
 
-	// Of the event loop, which looks for what waits.
-	unhandledSince time.Duration // since when something may do; 0: the last look found nothing
-	unhandledWaits uint64        // waits at that time
-	lookedAt       time.Duration // when the last look found nothing
-	waitedInVain   bool          // the watch did not catch up within maxCatchUpTime, and has not since then
+	// Used by the event loop only, for its checks.
+	unhandledSince    time.Duration // time since which data may be unhandled; 0: the last check found none
+	unhandledCatchUps uint64        // value of catchUps when unhandledSince was set
+	checkedAt         time.Duration // when a check last found nothing
+	catchUpTimedOut   bool          // the watch did not catch up within maxCatchUpTime, and has not done so since
 }
 
-// start sets the clock. The goroutine has something to do from the start.
+// start sets the clock. The goroutine counts as behind until it first waits.
 func (in *watchInput) start(now func() time.Duration) {
 	in.now = now
-	in.lookedAt = now()
-	in.resume()
+	in.checkedAt = now()
+	in.markBehind()
 }
 
-// wait notes that the goroutine waits for discovery: for a connection, for bytes, or until it tries again. All that had come
-// by a moment is handed over.
-func (in *watchInput) wait(handedOverAt time.Duration) {
-	in.waitedAt.Store(int64(handedOverAt))
-	in.waits.Add(1)
+// markCaughtUp records that the goroutine begins to wait for discovery: for a connection, for bytes, or for the end of its
+// backoff. All data that had arrived by a time is queued for the event loop.
+func (in *watchInput) markCaughtUp(by time.Duration) {
+	in.caughtUpAt.Store(int64(by))
+	in.catchUps.Add(1)
 	in.behind.Store(false)
 }
 
-// resume notes that it has something to do.
-func (in *watchInput) resume() { in.behind.Store(true) }
+// markBehind records that the goroutine may have data to read or to handle.
+func (in *watchInput) markBehind() { in.behind.Store(true) }
 
-// read waits for bytes, until the read deadline at most. Where that passes, bytes that came before are read all the same: a
-// process that was held up may find both.
+// read waits for bytes until the read deadline. After the deadline it still returns bytes that have arrived, since a process
+// that was delayed can find both an expired deadline and unread bytes.
 //
-// The goroutine resumes before it takes the bytes, and may be held up in between: at no time are they neither unread nor noted.
+// The goroutine marks itself as behind before it takes the bytes, since it can be delayed in between: at every moment the bytes
+// are either unread on the socket or the goroutine is marked as behind.
 func (in *watchInput) read(socket *socket) ([]byte, error) {
-	now := in.now() // before it looks: it may be held up behind that
+	now := in.now() // before the check, after which the goroutine can be delayed
 	if !hasUnreadBytes(socket) {
-		in.wait(now)
+		in.markCaughtUp(now)
 	}
 	err := socket.waitForInput()
-	in.resume()
+	in.markBehind()
 	if available := socket.readAvailable(); available != nil {
 		return available, nil
 	}
@@ -71,44 +73,45 @@
 	return socket.read() // an end or an error
 }
 
-// isSilent reports whether discovery has nothing to say: its watch waits, and nothing lies unread.
-func (in *watchInput) isSilent() bool { return !in.hasUnhandled(in.socket.Load()) }
+// isIdle reports whether the watch waits for discovery and nothing is unread on its socket.
+func (in *watchInput) isIdle() bool { return !in.hasUnhandled(in.socket.Load()) }
 
-// hasUnhandled reports whether the goroutine is behind, or bytes lie unread on the socket of its watch. It looks for bytes first:
-// what is taken from the socket after that is noted by then.
+// hasUnhandled reports whether bytes are unread on the socket of the watch or the goroutine is behind. It checks the socket
+// first: before the goroutine takes bytes from it, it marks itself as behind.
 func (in *watchInput) hasUnhandled(socket *socket) bool {
 	return hasUnreadBytes(socket) || in.behind.Load()
 }
 
-// unhandledFor returns for how long, at the most, something of discovery has waited to be read or handed over; 0: nothing does.
-// It counts from when nothing was known to wait: the kernel tells when the last bytes came, not when the first of them did. Only
-// the event loop calls it.
+// unhandledFor returns an upper bound of how long data of discovery has been waiting to be read or queued, or 0 if none is. It
+// counts from the last time at which nothing was waiting, since the kernel reports when the last unread bytes arrived, not the
+// first. Only the event loop calls it.
 func (in *watchInput) unhandledFor(now time.Duration) time.Duration {
-	if in.unhandledSince == 0 && now < in.lookedAt+checkInterval {
+	if in.unhandledSince == 0 && now < in.checkedAt+checkInterval {
 		return 0
 	}
-	waits := in.waits.Load()
-	if in.unhandledWaits != waits { // what was found then is handed over
-		in.unhandledSince, in.unhandledWaits = 0, waits
+	catchUps := in.catchUps.Load()
+	if in.unhandledCatchUps != catchUps { // the data that was found before is queued by now
+		in.unhandledSince, in.unhandledCatchUps = 0, catchUps
 	}
 	if !in.hasUnhandled(in.socket.Load()) {
-		in.unhandledSince, in.lookedAt = 0, now
+		in.unhandledSince, in.checkedAt = 0, now
 		return 0
 	}
 	if in.unhandledSince == 0 {
-		in.unhandledSince = max(in.lookedAt, time.Duration(in.waitedAt.Load()))
+		in.unhandledSince = max(in.checkedAt, time.Duration(in.caughtUpAt.Load()))
 	}
 	return max(1, now-in.unhandledSince)
 }
 
-// letCatchUp gives the watch a moment to read and hand over what has come: after a stall of the process the event loop may run
-// first. A watch that does not catch up is not waited for again until it has. Only the event loop calls it.
-func (in *watchInput) letCatchUp() {
+// waitForCatchUp waits for the watch to read and queue what has arrived, for maxCatchUpTime at most: after a stall of the
+// process the event loop can run before the watch. If the watch does not catch up, later calls do not wait until it has. Only
+// the event loop calls it.
+func (in *watchInput) waitForCatchUp() {
 	for until := in.now() + maxCatchUpTime; in.unhandledFor(in.now()) > 0; time.Sleep(catchUpPoll) {
-		if in.waitedInVain {
+		if in.catchUpTimedOut {
 			return
 		}
-		in.waitedInVain = in.now() >= until
+		in.catchUpTimedOut = in.now() >= until
 	}
-	in.waitedInVain = false
+	in.catchUpTimedOut = false
 }
--- a/internal/server/watchinput_test.go
+++ b/internal/server/watchinput_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestWatchReadsWhatCameBeforeItsDeadline: a watch whose goroutine ran late was ended by its read deadline, although a notice
-// had come before it: the notice was lost, and with it that it lay unread.
+// TestWatchReadsWhatCameBeforeItsDeadline guards against a lost notice: the read deadline ended a watch whose goroutine ran late,
+// although a notice had arrived before. The notice then no longer counted as unread, either.
 func TestWatchReadsWhatCameBeforeItsDeadline(t *testing.T) {
 	const notice = "notice"
 	input := watchInput{}
@@ -23,13 +23,13 @@
 	}
 }
 
-// TestUnreadBacklogIsAsOldAsItsFirstByte: a watch that reads more slowly than discovery writes lay behind by more and more, and
-// each part that it read, and each that came, made what lay unread look new.
+// TestUnreadBacklogIsAsOldAsItsFirstByte checks the age of unread data on a watch that reads more slowly than discovery writes and
+// falls further and further behind. Each part that it read, and each that arrived, made the unread data look new.
 func TestUnreadBacklogIsAsOldAsItsFirstByte(t *testing.T) {
 	const (
 		parts    = 6
 		interval = 30 * time.Millisecond
-		slack    = 20 * time.Millisecond // the kernel's ticks, and the scheduler
+		slack    = 20 * time.Millisecond // for the kernel's clock ticks and the scheduler
 	)
 	started := time.Now()
 	now := func() time.Duration { return time.Hour + time.Since(started) }
@@ -39,7 +39,7 @@
 	input.socket.Store(socket)
 	discovery.Write(make([]byte, parts*readSize)) // the notice is its last byte
 	waitReadable(t, socket)
-	input.unhandledFor(now()) // an attempt begins as it comes
+	input.unhandledFor(now()) // an attempt begins when the data arrives
 	for range parts - 1 {
 		time.Sleep(interval)
 		discovery.Write([]byte("\n"))
@@ -51,7 +51,7 @@
 	}
 }
 
-// hookedConn is a connection with a hook before each use of its descriptor, and one after it.
+// hookedConn is a connection with hooks before and after each use of its descriptor.
 type hookedConn struct {
 	syscall.RawConn
 	before, after func()
@@ -69,7 +69,7 @@
 	return c.RawConn.Read(use)
 }
 
-// run calls a hook; none is called meanwhile.
+// run calls a hook. Both hooks are disabled meanwhile.
 func (c *hookedConn) run(hook func()) {
 	if hook == nil {
 		return
@@ -80,22 +80,22 @@
 	c.before, c.after = before, after
 }
 
-// startUnreadWatch is a watch on which a notice has come.
+// startUnreadWatch returns a watch on which a notice has arrived and is unread.
 func startUnreadWatch(t *testing.T, now func() time.Duration) (*watchInput, *socket, *net.TCPConn) {
 	t.Helper()
 	input := &watchInput{}
 	input.start(now)
 	socket, discovery := newSocketPair(t)
 	input.socket.Store(socket)
-	input.wait(now())
+	input.markCaughtUp(now())
 	discovery.Write([]byte("notice"))
 	waitReadable(t, socket)
 	return input, socket, discovery
 }
 
-// TestNoticeBeingReadIsNotMissed: the event loop looked at the watch when a notice had been taken from the connection and was
-// not yet noted as read, or was taken between the two questions of the look. It found nothing, and attempts began for
-// checkInterval.
+// TestNoticeBeingReadIsNotMissed guards against attempts that began for checkInterval because a check of the watch missed a notice:
+// the notice had been taken from the socket while the watch was not yet marked as behind, or it was taken between the two steps
+// of the check.
 func TestNoticeBeingReadIsNotMissed(t *testing.T) {
 	clock := time.Hour
 	now := func() time.Duration { return clock }
@@ -103,7 +103,7 @@
 		t.Helper()
 		clock += checkInterval
 		if input.unhandledFor(clock) == 0 {
-			t.Error("a look finds nothing")
+			t.Error("the check finds nothing")
 		}
 	}
 	t.Run("while the watch reads", func(t *testing.T) {
@@ -125,8 +125,8 @@
 	})
 }
 
-// TestNoticeBeforeHeartbeatIsNotNew: a heartbeat that had come behind an unread notice made the notice look new to the first look
-// after a stall.
+// TestNoticeBeforeHeartbeatIsNotNew guards against an unread notice that looked new to the first check after a stall because a
+// heartbeat had arrived after it.
 func TestNoticeBeforeHeartbeatIsNotNew(t *testing.T) {
 	const stall = 100 * time.Millisecond
 	started := time.Now()
--- a/internal/soak/scenario_test.go
+++ b/internal/soak/scenario_test.go
@@ -94,7 +94,7 @@
 		New:  "\tendpoints := update.Endpoints\n\ttime.Sleep(time.Duration(len(endpoints)) * time.Millisecond)\n",
 	}, {
 		File: "internal/server/watchinput.go",
-		Old:  "\tif in.unhandledSince == 0 && now < in.lookedAt+checkInterval {\n",
+		Old:  "\tif in.unhandledSince == 0 && now < in.checkedAt+checkInterval {\n",
 		New:  "\tif true {\n",
 	}}}},
 	{soak.LateFirstList, answersInTime, mutation.Mutation{Name: "configured-list-at-once", Edits: []mutation.Edit{{
