--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -19,7 +19,7 @@
 // in docs/design/platform.md. Each sum must be a margin below the time after which the platform counts the change as known.
 func TestEndpointUpdateDeadlines(t *testing.T) {
 	const (
-		margin = 500 * time.Millisecond // for reading, handling and cancelling attempts, on a part of a core
+		margin = 500 * time.Millisecond // for reading, queueing and closing connections, on a part of a core
 		silent = 6 * time.Second        // after a watch fell silent, or after discovery can be reached again
 		moved  = 4 * time.Second        // after SIGHUP
 		ready  = 10 * time.Second       // for a new process
--- a/internal/server/drain_late_test.go
+++ b/internal/server/drain_late_test.go
@@ -15,7 +15,7 @@
 
 func lateInstances() []lateInstance {
 	return []lateInstance{
-		{"a request lies in the queue ahead of the notice, a connection rests", func(rig *drainRig) <-chan int {
+		{"a request lies in the queue ahead of the notice, with an idle connection", func(rig *drainRig) <-chan int {
 			rig.leaveIdleConnection()
 			return requestAheadOfNotice(rig)
 		}},
--- a/internal/server/message.go
+++ b/internal/server/message.go
@@ -133,8 +133,8 @@
 	s.shared.MarkStarted()
 }
 
-// firstListTimedOut reports that firstEndpointsTimeout has passed: the configured endpoint list may be used. Until then, or
-// until endpointsConfirmed, requests are rejected.
+// firstListTimedOut reports that firstEndpointsTimeout has passed and nothing of discovery is unhandled: the configured
+// endpoint list may be used. Until then, or until endpointsConfirmed, requests are rejected.
 type firstListTimedOut struct{}
 
 func (firstListTimedOut) apply(s *Server, _ time.Duration) { s.shared.MarkStarted() }
--- a/internal/server/shutdown_watch_test.go
+++ b/internal/server/shutdown_watch_test.go
@@ -46,13 +46,13 @@
 // watch, on a new one and at a new address.
 func TestRetryDuringShutdownFollowsDiscovery(t *testing.T) {
 	for name, notify := range map[string]func(r *gateway, d *breakingDiscovery, change string){
-		"on the watch that stands": func(_ *gateway, d *breakingDiscovery, change string) { d.notify(change) },
-		"on a watch that was begun anew": func(_ *gateway, d *breakingDiscovery, change string) {
+		"on the current watch": func(_ *gateway, d *breakingDiscovery, change string) { d.notify(change) },
+		"on a new watch": func(_ *gateway, d *breakingDiscovery, change string) {
 			close(d.breakFirst)
 			<-d.firstEnded
 			d.notify(change)
 		},
-		"at an address that SIGHUP gave": func(r *gateway, _ *breakingDiscovery, change string) {
+		"at the new address of a SIGHUP": func(r *gateway, _ *breakingDiscovery, change string) {
 			moved := startBreakingDiscovery(r.T)
 			r.server.SetAddresses(moved.addr, "")
 			moved.notify(change)
