--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -63,11 +63,11 @@
 	recorder         *recorder      // nil: nothing is recorded
 
 	// Only the event loop uses the fields of this block once Serve has started.
-	instance       *proxy.Instance
-	counter        *counterConn  // nil: not connected, and no dial in progress
-	maxLateness    time.Duration // longest delay of a timer in the event loop
-	recentLateness recentLateness
-	endpoints      endpointRecord
+	instance        *proxy.Instance
+	counter         *counterConn  // nil: not connected, and no dial in progress
+	maxLoopDelay    time.Duration // longest delay of a timer in the event loop
+	recentLoopDelay recentLoopDelay
+	listStatus      endpointListStatus
 
 	connectionsCtx    context.Context // cancelled in step 4 of the shutdown
 	cancelConnections context.CancelFunc
@@ -155,7 +155,7 @@
 		clients:          map[*clientConn]struct{}{},
 	}
 	s.startedAt = time.Duration(s.startTime.UnixNano())
-	s.endpoints.confirmedAt = s.startedAt
+	s.listStatus.confirmedAt = s.startedAt
 	s.queueSpace.L = &s.queueMu
 	if opt.DiscoveryAddress != "" {
 		s.discovery = newEndpointWatch(s, opt.DiscoveryAddress, opt.EndpointsVersion)
