--- a/internal/drill/client.go
+++ b/internal/drill/client.go
@@ -14,15 +14,15 @@
 	"sandyard/invariant"
 )
 
-// client is a client's side of connections to one instance. It is not net/http's, which retries some requests by itself and
-// would hide what the auditor looks for. It may be used by several goroutines.
+// client is an HTTP client with a connection pool for one instance. It does not use net/http's client, which retries some requests
+// automatically and would hide faults that the auditor looks for. It is safe for concurrent use.
 type client struct {
 	address string
 	mu      sync.Mutex
 	idle    []*clientConn
 }
 
-// clientConn is a connection, used for one request at a time.
+// clientConn is a connection that is used for one request at a time.
 type clientConn struct {
 	net.Conn
 	raw      syscall.RawConn
@@ -31,11 +31,11 @@
 }
 
 const (
-	maxIdleTime  = 5 * time.Second // after which a connection is not used again: the instance may be about to close it
-	maxIdleConns = 128             // of an instance; more than are in flight at the default rate
+	maxIdleTime  = 5 * time.Second // an idle connection is not reused after this time: the instance may be about to close it
+	maxIdleConns = 128             // per instance; more than the requests in flight at the default rate
 )
 
-// get returns an idle connection, or makes one.
+// get returns an idle connection, or opens one.
 func (c *client) get(deadline time.Time) (*clientConn, error) {
 	c.mu.Lock()
 	for len(c.idle) > 0 {
@@ -60,7 +60,7 @@
 	return &clientConn{Conn: conn, raw: raw, reader: http1.NewResponses(http1.Limits{})}, nil
 }
 
-// lastArrival is when the last bytes of the peer reached this machine: the client may read them much later.
+// lastArrival returns when the last bytes of the peer reached this machine. The client may read them much later.
 func (cn *clientConn) lastArrival() time.Time { return time.Now().Add(-tcpinfo.InputAge(cn.raw)) }
 
 func latest(a, b time.Time) time.Time {
@@ -70,18 +70,18 @@
 	return b
 }
 
-// readArrived reads what had arrived by a deadline that has passed, while the client did not run. Later bytes count as none: the
-// client had given up.
+// readArrived reads bytes that arrived before a deadline that has passed, but that the client was scheduled too late to read. Bytes
+// that arrived later are ignored, as from a client that has timed out.
 func (cn *clientConn) readArrived(b []byte, deadline time.Time) (int, error) {
 	n := 0
-	cn.raw.Control(func(fd uintptr) { n, _ = syscall.Read(int(fd), b) }) // does not wait, and does not look at the read deadline
+	cn.raw.Control(func(fd uintptr) { n, _ = syscall.Read(int(fd), b) }) // does not block and ignores the read deadline
 	if n <= 0 || cn.lastArrival().After(deadline) {
 		return 0, os.ErrDeadlineExceeded
 	}
 	return n, nil
 }
 
-// put keeps a connection for further requests.
+// put returns a connection to the pool for further requests.
 func (c *client) put(cn *clientConn) {
 	cn.lastUsed = time.Now()
 	c.mu.Lock()
@@ -102,18 +102,18 @@
 	c.idle = nil
 }
 
-// readBuffer is in bytes: most responses fit.
+// readBuffer is the size of a read (bytes). Most responses fit.
 const readBuffer = 8 << 10
 
-// callTimes are the moments of a call as its client saw them; zero: it did not come to that.
+// callTimes are the times of a call as observed by the client. The zero time means that the event did not happen.
 type callTimes struct {
 	started, connected, written, firstByte time.Time
-	answered                               time.Time // when the answer's last bytes had reached the client's machine
-	localAddr                              string    // of the connection, by which the instance's log names it
+	answered                               time.Time // when the last bytes of the response reached the client's machine
+	localAddr                              string    // local address of the connection, which identifies it in the instance's log
 }
 
-// call sends one request and returns how it ended, with the number of complete responses. render is given the time that is left
-// when the request is written.
+// call sends one request and returns how it ended, with the number of complete responses. render is called with the remaining time
+// when the request is about to be written.
 func (c *client) call(render func(timeLeft time.Duration) []byte, method string, deadline time.Time, times *callTimes) (e invariant.Ending, responses int) {
 	times.started = time.Now()
 	conn, err := c.get(deadline)
@@ -124,7 +124,7 @@
 	conn.SetDeadline(deadline)
 	if written, err := conn.Write(render(time.Until(deadline))); err != nil {
 		conn.Close()
-		if isTimeout(err) && written == 0 { // the instance was handed nothing
+		if isTimeout(err) && written == 0 { // the instance has received nothing
 			return invariant.NotAccepted, 0
 		}
 		return endingOf(err), 0
@@ -147,7 +147,7 @@
 			times.firstByte = time.Now()
 		}
 		if n > 0 {
-			times.answered = latest(times.connected, conn.lastArrival()) // the kernel's clock is a coarse one
+			times.answered = latest(times.connected, conn.lastArrival()) // the kernel's clock is coarse
 		}
 		if err != nil {
 			conn.Close()
@@ -155,7 +155,7 @@
 				return e, 0
 			}
 			times.answered = time.Now()
-			return invariant.Failed, 1 // the client sees that its response broke off
+			return invariant.Failed, 1 // the client sees a truncated response
 		}
 		complete, extra, err := r.feed(conn.reader, b[:n])
 		switch {
@@ -175,14 +175,14 @@
 	}
 }
 
-// response is a response as far as it was read.
+// response is the part of a response that has been read.
 type response struct {
 	head *http1.Head // nil: not yet
 	body []byte
 }
 
-// feed reads bytes, and reports whether the response is complete and whether there are more bytes behind it: a second
-// response that nobody asked for.
+// feed parses bytes, and reports whether the response is complete and whether more bytes follow it. Those are an unsolicited second
+// response.
 func (r *response) feed(reader *http1.Reader, in []byte) (complete, extra bool, err error) {
 	for {
 		used, part, err := reader.Feed(in)
@@ -205,7 +205,7 @@
 	}
 }
 
-// endingOf returns how a request ended whose connection failed.
+// endingOf returns the ending of a request whose connection failed.
 func endingOf(err error) invariant.Ending {
 	if isTimeout(err) {
 		return invariant.ClientTimedOut
@@ -218,7 +218,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// endingOfResponse returns how a request ended with a response.
+// endingOfResponse returns the ending of a request that got a response.
 func endingOfResponse(h *http1.Head, body []byte) invariant.Ending {
 	switch {
 	case h.Status < 400:
--- a/internal/drill/client_test.go
+++ b/internal/drill/client_test.go
@@ -14,96 +14,97 @@
 	"sandyard/invariant"
 )
 
-// heldClient is a drill with one instance, whose client can be held up.
-type heldClient struct {
+// delayedClient is a drill with one instance, whose client can be delayed.
+type delayedClient struct {
 	*Drill
-	patience chan time.Duration // as each request states it
-	silent   atomic.Bool        // the instance answers no more
+	statedTimeouts chan time.Duration // the timeout that each request states
+	silent         atomic.Bool        // the instance no longer answers
 }
 
-func startHeldClient(t *testing.T) *heldClient {
+func startDelayedClient(t *testing.T) *delayedClient {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	held := &heldClient{patience: make(chan time.Duration, 16)}
+	delayed := &delayedClient{statedTimeouts: make(chan time.Duration, 16)}
 	go http.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) { // ends with the listener
 		milliseconds, err := strconv.Atoi(request.Header.Get("X-Patience"))
 		if err != nil {
 			t.Errorf("patience: %v", err)
 		}
-		held.patience <- time.Duration(milliseconds) * time.Millisecond
+		delayed.statedTimeouts <- time.Duration(milliseconds) * time.Millisecond
 		io.Copy(io.Discard, request.Body)
-		if held.silent.Load() {
+		if delayed.silent.Load() {
 			<-request.Context().Done()
 		}
 	}))
-	held.Drill = &Drill{options: Options{Instances: 1}, origin: time.Now(), auditor: invariant.New(limits(defaultSlack)),
+	delayed.Drill = &Drill{options: Options{Instances: 1}, origin: time.Now(), auditor: invariant.New(limits(defaultSlack)),
 		clients: []*client{{address: listener.Addr().String()}}}
-	t.Cleanup(held.clients[0].close)
-	return held
+	t.Cleanup(delayed.clients[0].close)
+	return delayed
 }
 
-// send sends a request whose client is held up for a time after the request's own time has begun to count.
-func (held *heldClient) send(id string, timeout, holdUp time.Duration) invariant.Ending {
-	client := held.clients[0]
+// send sends a request whose client is delayed by holdUp after the timeout of the request has started.
+func (delayed *delayedClient) send(id string, timeout, holdUp time.Duration) invariant.Ending {
+	client := delayed.clients[0]
 	client.mu.Lock()
 	time.AfterFunc(holdUp, client.mu.Unlock)
 	request := invariant.Request{ID: id, Operation: id, Timeout: timeout}
-	return held.Drill.send(&request, classes[0], &customer{name: "a"}, 0, rand.New(rand.NewPCG(1, 1)))
+	return delayed.Drill.send(&request, classes[0], &customer{name: "a"}, 0, rand.New(rand.NewPCG(1, 1)))
 }
 
-// TestLateClientTellsTimeLeft: a client of the drill that was held up before it wrote its request told the instance its whole
-// timeout, and had given up when the answer came in that time.
+// TestLateClientTellsTimeLeft guards against a client that is delayed before it writes its request and still states its full
+// timeout: it then times out before an answer that the instance sends within that timeout.
 func TestLateClientTellsTimeLeft(t *testing.T) {
 	const timeout, holdUp = 5 * time.Second, 200 * time.Millisecond
-	held := startHeldClient(t)
-	if ending := held.send("a", timeout, holdUp); ending != invariant.Served {
+	delayed := startDelayedClient(t)
+	if ending := delayed.send("a", timeout, holdUp); ending != invariant.Served {
 		t.Errorf("the request ended as %v", ending)
 	}
-	if stated := <-held.patience; stated > timeout-holdUp || stated <= 0 {
-		t.Errorf("the client had %v left, and stated %v", timeout-holdUp, stated)
+	if stated := <-delayed.statedTimeouts; stated > timeout-holdUp || stated <= 0 {
+		t.Errorf("the client had %v left but stated %v", timeout-holdUp, stated)
 	}
 }
 
-// TestUnwrittenRequestIsNotAccepted: a request whose client was held up for all of its time, and had not written a byte of it,
-// counted as one that the instance had accepted and left without an answer. One that was written and gets none still does.
+// TestUnwrittenRequestIsNotAccepted guards against a false violation: a request counted as accepted and unanswered although its
+// client was delayed for the whole timeout and had not written a byte. A written request without an answer must still count.
 func TestUnwrittenRequestIsNotAccepted(t *testing.T) {
 	const timeout = 200 * time.Millisecond
-	held := startHeldClient(t)
-	if ending := held.send("a", time.Minute, 0); ending != invariant.Served { // leaves a connection to be used again
+	delayed := startDelayedClient(t)
+	if ending := delayed.send("a", time.Minute, 0); ending != invariant.Served { // leaves an idle connection for the next request
 		t.Fatalf("the request before ended as %v", ending)
 	}
-	if ending := held.send("b", timeout, timeout+50*time.Millisecond); ending != invariant.NotAccepted {
+	if ending := delayed.send("b", timeout, timeout+50*time.Millisecond); ending != invariant.NotAccepted {
 		t.Errorf("the request that was not written ended as %v", ending)
 	}
-	held.silent.Store(true)
-	if ending := held.send("c", timeout, 0); ending != invariant.ClientTimedOut {
+	delayed.silent.Store(true)
+	if ending := delayed.send("c", timeout, 0); ending != invariant.ClientTimedOut {
 		t.Errorf("the request that got no answer ended as %v", ending)
 	}
-	verdict := held.auditor.Verdict()
+	verdict := delayed.auditor.Verdict()
 	if lost := verdict.Rules[0].Count; lost != 1 {
 		t.Errorf("%d requests count as lost, want 1: %+v", lost, verdict.Rules[0])
 	}
 }
 
-// TestLateClientReadsWhatArrived: an answer that had arrived in its time, and that a client of the drill read only after it, counted
-// as late by the client's own lateness, or as none. One that arrives after the client's time still counts as none.
+// TestLateClientReadsWhatArrived guards against blaming the instance for a delay of the client: an answer that had arrived before
+// the deadline but was read after it counted as late or missing. An answer that arrives after the deadline must still count as
+// missing.
 func TestLateClientReadsWhatArrived(t *testing.T) {
 	const late = 50 * time.Millisecond
 	for _, c := range []struct {
 		name     string
-		deadline time.Duration // from the arrival of the answer on
+		deadline time.Duration // relative to the arrival of the answer
 		want     invariant.Ending
 	}{
 		{"arrived in time", late / 2, invariant.Served},
 		{"arrived late", -late / 2, invariant.ClientTimedOut},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			held := startHeldClient(t)
-			client := held.clients[0]
+			delayed := startDelayedClient(t)
+			client := delayed.clients[0]
 			conn, err := client.get(time.Now().Add(time.Second))
 			if err != nil {
 				t.Fatal(err)
@@ -120,13 +121,13 @@
 				t.Errorf("the request ended as %v, want %v", ending, c.want)
 			}
 			if off := times.answered.Sub(arrivedAt).Abs(); ending == invariant.Served && off > late/2 {
-				t.Errorf("the answer counts as of %v off its arrival", off)
+				t.Errorf("the recorded time of the answer differs from its arrival by %v", off)
 			}
 		})
 	}
 }
 
-// waitForInput waits until bytes are there to be read on a connection, and leaves them there.
+// waitForInput waits until a connection has bytes to read, and does not consume them.
 func waitForInput(t *testing.T, conn *clientConn) {
 	t.Helper()
 	for limit := time.Now().Add(10 * time.Second); time.Now().Before(limit); time.Sleep(time.Millisecond) {
@@ -139,5 +140,5 @@
 			return
 		}
 	}
-	t.Fatal("no answer comes")
+	t.Fatal("no answer arrived")
 }
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -7,18 +7,18 @@
 	"sandyard/invariant"
 )
 
-// What the fleet is made of and how it is limited.
+// Parameters of the fleet and its limits.
 const (
-	cores          = 2                     // of a backend
+	cores          = 2                     // per backend
 	work           = 40 * time.Millisecond // mean work of a request
-	slowStartShare = 0.25                  // of its warm speed, that a backend starts with
+	slowStartShare = 0.25                  // initial share of the full speed of a backend in slow start
 	slowStartTime  = 8 * time.Second
-	overloadFactor = 4 // times its capacity, within overloadTime, make a backend in slow start collapse
+	overloadFactor = 4 // multiple of its capacity that, within overloadTime, makes a backend in slow start collapse
 	overloadTime   = 2 * time.Second
 	drainGrace     = time.Second
 	keyTTL         = 6 * time.Second
-	clientRetries  = 2   // of a request
-	lateShare      = 0.2 // of its value, that a late response still has
+	clientRetries  = 2   // per request
+	lateShare      = 0.2 // share of its value that a late response still has
 )
 
 // planSpec is a plan and its customers.
@@ -51,15 +51,15 @@
 	{"payment", "/v1/payments", "POST", invariant.NotIdempotent, 0.15, 4, time.Second, 3 * time.Second},
 }
 
-// customer is one customer, whose traffic comes in through two instances.
+// customer is a customer whose traffic enters through two instances.
 type customer struct {
 	name          string
 	plan          int
-	firstInstance int // of the two
-	moves         int // how often its traffic has moved on to the next instance
+	firstInstance int // first of the two instances
+	moves         int // number of times that its traffic has moved to the next instance
 }
 
-// DefaultEvents is the built-in script of faults, fitted to a number of seconds.
+// DefaultEvents returns the built-in script of faults, scaled to a duration (s).
 func DefaultEvents(seconds float64) []fault.Event {
 	at := func(share float64) time.Duration { return time.Duration(share * seconds * float64(time.Second)) }
 	return []fault.Event{
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -1,5 +1,5 @@
-// Package drill plays faults on real processes: proxy instances, emulated backends and the emulated counter on loopback,
-// seeded traffic of clients that retry, a script of faults, and an auditor that sees only what crossed the sockets.
+// Package drill injects faults into real processes: proxy instances, emulated backends and the emulated counter on loopback. Clients
+// that retry send seeded traffic, a script defines the faults, and an auditor checks only what crossed the sockets.
 package drill
 
 import (
@@ -19,18 +19,18 @@
 	"sandyard/invariant"
 )
 
-// Options says what to play. Zero values stand for defaults.
+// Options configures a drill. Zero values select the defaults.
 type Options struct {
 	Seed      uint64
-	Seconds   float64       // of traffic; 50
-	Instances int           // 3
-	Backends  int           // 8
-	Rate      float64       // requests a second without surges; 180
+	Seconds   float64       // duration of the traffic; default 50
+	Instances int           // default 3
+	Backends  int           // default 8
+	Rate      float64       // requests a second without surges; default 180
 	Events    []fault.Event // nil: DefaultEvents
-	Slack     time.Duration // allowed between where something happens and where it is noted; 150 ms
-	LogDir    string        // of the processes; empty: a temporary one that is removed
+	Slack     time.Duration // allowed delay between an event and its record; default 150 ms
+	LogDir    string        // folder for the logs of the processes; empty: a temporary folder that is removed
 	Log       io.Writer
-	// Command says how to run a program: "sandyard" or "sandyard-emulator".
+	// Command returns the executable and the leading arguments that run a program: "sandyard" or "sandyard-emulator".
 	Command func(program string) (exe string, args []string)
 }
 
@@ -40,19 +40,19 @@
 	Seed       uint64   `json:"seed"`
 	Seconds    float64  `json:"seconds"`
 	Requests   int      `json:"tries"`
-	ValueShare float64  `json:"worth_served_in_time"` // of the value offered
-	Exits      []string `json:"bad_exits"`            // processes that did not end as they should
+	ValueShare float64  `json:"worth_served_in_time"` // share of the value offered
+	Exits      []string `json:"bad_exits"`            // processes that did not exit properly
 	Faults     int      `json:"troubles"`
 
-	Unanswered       []UnansweredRequest `json:"unanswered"`         // also those that no rule asks an answer for
-	Lateness         []lateness.Delay    `json:"lateness"`           // of the drill's own process
-	ListenerOverflow int                 `json:"listener_overflows"` // of all listeners of this machine, during the drill
+	Unanswered       []UnansweredRequest `json:"unanswered"`         // includes requests for which no rule requires an answer
+	Lateness         []lateness.Delay    `json:"lateness"`           // scheduling delays of the drill's own process
+	ListenerOverflow int                 `json:"listener_overflows"` // of all listeners on this machine during the drill
 }
 
-// Failed reports whether a rule was broken or not exercised, or a process did not end as it should.
+// Failed reports whether a rule was broken or not exercised, or a process did not exit properly.
 func (r Report) Failed() bool { return r.Violations > 0 || len(r.NotExercised) > 0 || len(r.Exits) > 0 }
 
-// backend is an emulated backend that was started.
+// backend is an emulated backend and its state in the endpoint list.
 type backend struct {
 	name        string
 	address     string
@@ -62,7 +62,7 @@
 	process     *process
 }
 
-// Drill is a drill in progress.
+// Drill is the state of a running drill.
 type Drill struct {
 	options Options
 	dir     string
@@ -78,7 +78,7 @@
 	processorWaits lateness.ProcessMonitor
 	customers      []*customer
 	backends       []*backend
-	replacements   int // backends started in place of others
+	replacements   int // number of backends that were started as replacements
 	endpointFile   sync.Mutex
 	instances      []*process
 	clients        []*client
@@ -98,15 +98,15 @@
 	}
 }
 
-// ErrUnsupportedFault is a fault of a script that means something in the simulator only.
+// ErrUnsupportedFault is returned for a fault that only the simulator supports.
 var ErrUnsupportedFault = errors.New("only in virtual time")
 
-// Run plays a drill: it starts all processes, plays traffic and faults, and stops them. The report says what was found; the
-// error is one of the drill itself.
+// Run runs a drill: it starts all processes, sends traffic, injects faults, and stops the processes. Broken rules are in the report.
+// An error means that the drill itself failed.
 func Run(ctx context.Context, opt Options) (Report, error) {
 	opt = opt.withDefaults()
 	for _, e := range opt.Events {
-		if !slices.Contains(verbsOnSockets, e.Verb) {
+		if !slices.Contains(supportedVerbs, e.Verb) {
 			return Report{}, fmt.Errorf("%s: %w", e.Verb, ErrUnsupportedFault)
 		}
 	}
@@ -127,7 +127,7 @@
 	}
 	overflows := listenerOverflows()
 	stopLateness, stopWaits := d.lateness.Start(d.now), d.processorWaits.Start(d.now, d.instanceProcesses)
-	err := d.play(ctx)
+	err := d.execute(ctx)
 	d.stopAll()
 	stopLateness()
 	stopWaits()
@@ -145,10 +145,10 @@
 // Defaults of Options.
 const (
 	defaultSeconds   = 50
-	defaultRate      = 180                    // requests a second: 45% of what the default backends can do
-	defaultInstances = 3                      // two for each customer, and one that is none of its
-	defaultBackends  = 8                      // as many as DefaultEvents needs
-	defaultSlack     = 150 * time.Millisecond // scheduling delays of a machine that runs a dozen processes
+	defaultRate      = 180                    // requests a second: 45% of the capacity of the default backends
+	defaultInstances = 3                      // two for each customer, and one that the customer does not use
+	defaultBackends  = 8                      // DefaultEvents needs this many
+	defaultSlack     = 150 * time.Millisecond // for scheduling delays of a machine that runs a dozen processes
 )
 
 func (o Options) withDefaults() Options {
@@ -173,7 +173,7 @@
 	return o
 }
 
-// limits returns what the rules compare with.
+// limits returns the limits that the rules are checked against.
 func limits(slack time.Duration) invariant.Limits {
 	ceilings := map[string]invariant.Ceiling{}
 	for _, p := range plans {
@@ -199,19 +199,19 @@
 	return r
 }
 
-// play sends traffic and plays the faults until both are over.
-func (d *Drill) play(ctx context.Context) error {
+// execute sends traffic and injects the faults until both have finished.
+func (d *Drill) execute(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
-	begun := time.Now()
-	g.Go(func() error { return d.traffic(ctx, begun) })
+	startedAt := time.Now()
+	g.Go(func() error { return d.traffic(ctx, startedAt) })
 	for _, e := range d.options.Events {
 		g.Go(func() error {
-			if !sleep(ctx, time.Until(begun.Add(e.At))) {
+			if !sleep(ctx, time.Until(startedAt.Add(e.At))) {
 				return nil
 			}
-			if err := d.playFault(ctx, e); err != nil && ctx.Err() == nil {
+			if err := d.injectFault(ctx, e); err != nil && ctx.Err() == nil {
 				return fmt.Errorf("%s %s: %w", e.Verb, e.Target, err)
 			}
 			return nil
@@ -220,7 +220,7 @@
 	return g.Wait()
 }
 
-// sleep waits; false: the context ended first.
+// sleep waits for d and reports whether it did: it returns false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -22,7 +22,7 @@
 	"sandyard/internal/drill"
 )
 
-// TestMain lets the test's own binary stand for the programs that a drill starts.
+// TestMain runs a program of the drill if the test binary is started with --as=.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && strings.HasPrefix(os.Args[1], "--as=") {
 		if strings.HasPrefix(os.Args[1], "--as=broken-") {
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// slack is generous: a test machine that is busy with other tests must not look like a broken rule.
+// slack is large so that a machine that is busy with other tests does not cause violations.
 const slack = 700 * time.Millisecond
 
 func run(t *testing.T, broken string, seconds float64, events ...fault.Event) drill.Report {
@@ -74,18 +74,18 @@
 	}
 }
 
-// A drill that finds nothing says nothing unless it finds what is broken: for each rule there is a gateway that breaks it, and
-// the drill must find it.
+// A drill without violations is evidence only if it finds broken rules. For each rule there is a gateway that breaks it, and the
+// drill must find the violation.
 func TestDrillFindsBrokenGateways(t *testing.T) {
-	lose := fault.Event{At: 0, Verb: fault.DropResponse, Target: "*"}
+	dropResponses := fault.Event{At: 0, Verb: fault.DropResponse, Target: "*"}
 	for _, c := range []struct {
 		broken string
 		rule   int
 		events []fault.Event
 	}{
 		{"loses", 0, []fault.Event{{At: sec, Duration: sec, Verb: fault.Surge, Target: "*", Value: 1}}},
-		{"repeats", 1, []fault.Event{lose}},
-		{"repeats", 0, []fault.Event{lose}},
+		{"repeats", 1, []fault.Event{dropResponses}},
+		{"repeats", 0, []fault.Event{dropResponses}},
 		{"stale", 2, []fault.Event{{At: 200 * time.Millisecond, Duration: sec, Verb: fault.Drain, Target: "box-0"}}},
 		{"stale", 3, []fault.Event{{At: 200 * time.Millisecond, Duration: sec, Verb: fault.Replace, Target: "box-0"}, {At: sec, Verb: fault.Surge, Target: "*", Value: 3}}},
 		{"stale", 4, []fault.Event{{At: 0, Verb: fault.Surge, Target: "school-0", Value: 30}}},
@@ -94,13 +94,13 @@
 			t.Parallel()
 			r := run(t, c.broken, 4, c.events...)
 			if r.Rules[c.rule].Count == 0 {
-				t.Errorf("not found: %+v", r.Rules[c.rule])
+				t.Errorf("violation not found: %+v", r.Rules[c.rule])
 			}
 		})
 	}
 }
 
-// brokenGateway is a gateway without any decision: it forwards whatever comes, to one backend or to the newest.
+// brokenGateway runs a gateway that makes no decisions. It forwards every request, with the fault that how names.
 func brokenGateway(how string, args []string) {
 	var conf, listen string
 	for i := range args {
@@ -121,7 +121,7 @@
 	proxy := &httputil.ReverseProxy{Transport: t, Rewrite: func(r *httputil.ProxyRequest) {
 		list := first
 		target := list[n.Add(1)%int64(len(list))][2]
-		if how == "stale" { // all to the first backend of the first list, or to a replacement
+		if how == "stale" { // all requests to the first backend of the first list, or to a replacement
 			target = first[0][2]
 			if now := addrs(); strings.Contains(now[len(now)-1][1], "-r") {
 				target = now[len(now)-1][2]
@@ -146,20 +146,20 @@
 				again := r.Clone(context.Background())
 				again.Body = struct {
 					*bytes.Reader
-					nothing
-				}{bytes.NewReader(body), nothing{}}
-				proxy.ServeHTTP(&drop{h: http.Header{}}, again)
+					noopCloser
+				}{bytes.NewReader(body), noopCloser{}}
+				proxy.ServeHTTP(&discardResponse{h: http.Header{}}, again)
 			}
 			w.WriteHeader(429)
 			fmt.Fprint(w, `{"retry":"harmless"}`)
-			go func() { // and once more after the response
+			go func() { // repeat once more after the response
 				time.Sleep(2 * slack)
 				again := r.Clone(context.Background())
 				again.Body = struct {
 					*bytes.Reader
-					nothing
-				}{bytes.NewReader(body), nothing{}}
-				proxy.ServeHTTP(&drop{h: http.Header{}}, again)
+					noopCloser
+				}{bytes.NewReader(body), noopCloser{}}
+				proxy.ServeHTTP(&discardResponse{h: http.Header{}}, again)
 			}()
 		default:
 			proxy.ServeHTTP(w, r)
@@ -167,12 +167,12 @@
 	}))
 }
 
-type nothing struct{}
+type noopCloser struct{}
 
-func (nothing) Close() error { return nil }
+func (noopCloser) Close() error { return nil }
 
-type drop struct{ h http.Header }
+type discardResponse struct{ h http.Header }
 
-func (d *drop) Header() http.Header         { return d.h }
-func (d *drop) Write(b []byte) (int, error) { return len(b), nil }
-func (d *drop) WriteHeader(int)             {}
+func (d *discardResponse) Header() http.Header         { return d.h }
+func (d *discardResponse) Write(b []byte) (int, error) { return len(b), nil }
+func (d *discardResponse) WriteHeader(int)             {}
--- a/internal/drill/evidence.go
+++ b/internal/drill/evidence.go
@@ -12,25 +12,25 @@
 	"sandyard/invariant"
 )
 
-// UnansweredRequest is a request whose client got no answer, with what client and instance recorded of it. Times are
-// milliseconds since the drill began; 0: it did not come to that.
+// UnansweredRequest is a request whose client got no answer, with the records of the client and the instance about it. Times are
+// milliseconds since the start of the drill; 0: the event did not happen.
 type UnansweredRequest struct {
 	ID              string   `json:"id"`
 	Instance        int      `json:"door"`
 	Ending          string   `json:"ending"`
 	SentAt          int64    `json:"sent_at"`
 	Timeout         int64    `json:"timeout"`
-	StartedAt       int64    `json:"started_at"` // when the client's goroutine came to it
+	StartedAt       int64    `json:"started_at"` // when the client's goroutine began to process it
 	ConnectedAt     int64    `json:"connected_at"`
 	WrittenAt       int64    `json:"written_at"`
 	FirstByteAt     int64    `json:"first_byte_at"`
 	EndedAt         int64    `json:"ended_at"`
 	ClientAddr      string   `json:"client"`
-	ProcessorWait   int64    `json:"door_waited_for_processor"` // of the instance's threads together, from SentAt to EndedAt
-	InstanceRecords []string `json:"door_records"`              // of the connection, and of a late event loop
+	ProcessorWait   int64    `json:"door_waited_for_processor"` // total of the instance's threads from SentAt to EndedAt
+	InstanceRecords []string `json:"door_records"`              // log records of the connection and of delays of the event loop
 }
 
-// unansweredRequest notes how a request ended; mu is held.
+// unansweredRequest describes a request that ended without an answer. mu must be held.
 func (d *Drill) unansweredRequest(r *invariant.Request, ending invariant.Ending, times *callTimes) UnansweredRequest {
 	since := func(at time.Time) int64 {
 		if at.IsZero() {
@@ -53,10 +53,10 @@
 	}
 }
 
-// recordsMargin is how long after a request's end the instance's records of it are searched for.
+// recordsMargin is how long after the end of a request the instance's records of it may have been written.
 const recordsMargin = 2 * time.Second
 
-// addInstanceRecords adds what the instances logged of the connections of requests without an answer.
+// addInstanceRecords adds the instances' log records about the connections of unanswered requests.
 func (d *Drill) addInstanceRecords(unanswered []UnansweredRequest) {
 	for i := range unanswered {
 		u := &unanswered[i]
@@ -68,8 +68,8 @@
 	}
 }
 
-// logRecords returns an instance's records of a client's connection, and of its event loop when that was late, each with
-// its time in milliseconds since origin.
+// logRecords returns an instance's log records of a client's connection and of delays of the event loop, each with its time in
+// milliseconds since origin.
 func logRecords(path, client string, from, until, origin time.Time) (records []string) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -91,14 +91,14 @@
 	return records
 }
 
-// recordTime reads the time of a JSON log record, which comes first.
+// recordTime returns the time of a JSON log record, in which it is the first attribute.
 func recordTime(line string) (time.Time, error) {
 	_, rest, _ := strings.Cut(line, `"time":"`)
 	text, _, _ := strings.Cut(rest, `"`)
 	return time.Parse(time.RFC3339Nano, text)
 }
 
-// instanceProcesses are the process numbers of the instances, in their order.
+// instanceProcesses returns the process IDs of the instances, ordered by instance number.
 func (d *Drill) instanceProcesses() (pids []int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,10 +108,10 @@
 	return pids
 }
 
-// netstatFile has the counters of the machine's network.
+// netstatFile contains the network counters of the machine.
 const netstatFile = "/proc/net/netstat"
 
-// listenerOverflows is how many connections listeners of this machine have dropped since it started; 0 where that is not
+// listenerOverflows returns how many connections the listeners of this machine have dropped since it started, or 0 if that is not
 // known.
 func listenerOverflows() int {
 	text, err := os.ReadFile(netstatFile)
--- a/internal/drill/faults.go
+++ b/internal/drill/faults.go
@@ -13,18 +13,18 @@
 	"sandyard/internal/server"
 )
 
-// How faults of processes are played.
+// Timeouts of stopping backends and emulators.
 const (
-	finishTime = 4 * time.Second // that a removed backend has for what it holds: longer than any deadline
-	stopTime   = 5 * time.Second // for an emulator to end by itself
+	finishTimeout       = 4 * time.Second // for a removed backend to finish its requests; longer than any deadline
+	emulatorStopTimeout = 5 * time.Second // for an emulator to exit by itself
 )
 
-// verbsOnSockets are the verbs that mean something on real processes.
-var verbsOnSockets = []fault.Verb{fault.Slow, fault.Hang, fault.ResetResponse, fault.DropResponse, fault.ServerErrors, fault.Refuse, fault.ExtraResponse, fault.FalseReports,
+// supportedVerbs are the faults that can be injected into real processes.
+var supportedVerbs = []fault.Verb{fault.Slow, fault.Hang, fault.ResetResponse, fault.DropResponse, fault.ServerErrors, fault.Refuse, fault.ExtraResponse, fault.FalseReports,
 	fault.Stall, fault.NoReply, fault.Delay, fault.ResetTotals, fault.Kill, fault.Drain, fault.Replace, fault.Vanish, fault.Surge, fault.MoveTraffic}
 
-// playFault plays one event of the script.
-func (d *Drill) playFault(ctx context.Context, e fault.Event) error {
+// injectFault executes one event of the script.
+func (d *Drill) injectFault(ctx context.Context, e fault.Event) error {
 	d.logf("%s %s %g for %v", e.Verb, e.Target, e.Value, e.Duration)
 	switch e.Verb {
 	case fault.Surge:
@@ -42,9 +42,10 @@
 	case fault.Drain, fault.Replace, fault.Vanish:
 		return d.drain(ctx, e)
 	}
-	return d.playEmulatorFault(ctx, e)
+	return d.injectEmulatorFault(ctx, e)
 }
 
+// moveTraffic moves the traffic of the target's customers to the next instance.
 func (d *Drill) moveTraffic(e fault.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,11 +56,11 @@
 	}
 }
 
-// errNoTarget is an event whose target is none, or no longer.
+// errNoTarget is returned if the target of an event does not exist, or no longer exists.
 var errNoTarget = errors.New("no such target")
 
-// playEmulatorFault sets a fault at emulators, and clears it after its duration.
-func (d *Drill) playEmulatorFault(ctx context.Context, e fault.Event) error {
+// injectEmulatorFault sets a fault in emulators and clears it after its duration.
+func (d *Drill) injectEmulatorFault(ctx context.Context, e fault.Event) error {
 	controls := d.controlsOf(e.Target)
 	if len(controls) == 0 {
 		return errNoTarget
@@ -74,13 +75,13 @@
 	}
 	sleep(ctx, e.Duration)
 	for _, c := range controls {
-		// a backend that was removed meanwhile has taken its fault along
+		// a backend that was removed meanwhile cannot be reached, and its fault is gone as well
 		_ = server.SendFaultCommand(c, "clear "+string(e.Verb))
 	}
 	return nil
 }
 
-// controlsOf returns the control addresses of a target.
+// controlsOf returns the control addresses of the target's emulators.
 func (d *Drill) controlsOf(target string) (controls []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// kill ends an instance at once and restarts it after the event's duration.
+// kill kills an instance and restarts it after the event's duration.
 func (d *Drill) kill(ctx context.Context, e fault.Event) error {
 	i, err := strconv.Atoi(strings.TrimPrefix(e.Target, "door-"))
 	if err != nil || i < 0 || i >= len(d.instances) {
@@ -131,8 +132,8 @@
 	return nil
 }
 
-// drain lists a backend as draining and then removes it, with a replacement in slow start if asked for; one that vanishes is
-// removed without notice.
+// drain lists a backend as draining and then removes it. For Replace it also starts a replacement in slow start. For Vanish it
+// removes the backend without notice.
 func (d *Drill) drain(ctx context.Context, e fault.Event) error {
 	d.mu.Lock()
 	i := slices.IndexFunc(d.backends, func(b *backend) bool { return b.name == e.Target && b.listedState == listedUp })
@@ -170,6 +171,6 @@
 	if err := d.writeEndpoints(); err != nil {
 		return err
 	}
-	sleep(ctx, finishTime)
-	return b.process.stop(stopTime)
+	sleep(ctx, finishTimeout)
+	return b.process.stop(emulatorStopTimeout)
 }
--- a/internal/drill/files.go
+++ b/internal/drill/files.go
@@ -33,7 +33,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// openAPIText is the OpenAPI description of all instances.
+// openAPIText returns the OpenAPI description that all instances use.
 func openAPIText() string {
 	var s strings.Builder
 	s.WriteString("openapi: 3.0.3\ninfo: {title: drill, version: \"1\"}\nservers: [{url: /v1}]\npaths:\n")
@@ -43,7 +43,7 @@
 	return s.String()
 }
 
-// configText is an instance's gateway.yaml.
+// configText returns the gateway.yaml of an instance.
 func (d *Drill) configText(i int, counterAddr string) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "listen: \"127.0.0.1:0\"\nopenapi: openapi.yaml\ndoor: {number: %d, of: %d}\n", i, d.options.Instances)
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -17,11 +17,11 @@
 const (
 	listedUp       = "up"
 	listedDraining = "draining"
-	listedGone     = "gone" // not listed
+	listedGone     = "gone" // no longer in the list
 )
 
-// instanceStopTime is how long an instance may take for its graceful shutdown.
-const instanceStopTime = 10 * time.Second
+// instanceStopTimeout is how long the graceful shutdown of an instance may take.
+const instanceStopTimeout = 10 * time.Second
 
 // startAll starts the counter, the backends and the instances.
 func (d *Drill) startAll() error {
@@ -62,12 +62,12 @@
 	return nil
 }
 
-// configFile is the name of an instance's gateway.yaml.
+// configFile returns the path of the configuration file (gateway.yaml) of an instance.
 func (d *Drill) configFile(i int) string {
 	return filepath.Join(d.dir, fmt.Sprintf("gateway-%d.yaml", i))
 }
 
-// startInstance starts an instance, whose log says where it listens.
+// startInstance starts an instance, which logs its listen address.
 func (d *Drill) startInstance(i int, listen string) error {
 	p, r, err := d.startProcess(fmt.Sprintf("door-%d", i), "sandyard",
 		[]string{"serve", "--config", d.configFile(i), "--listen", listen, "--seed", strconv.FormatUint(d.options.Seed*100+uint64(i)+1, 10)}, false, nil)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// startBackend starts an emulated backend; what it records goes to the auditor.
+// startBackend starts an emulated backend and passes its records to the auditor.
 func (d *Drill) startBackend(name string, isCold bool) (*backend, error) {
 	args := []string{"box", "--name", name, "--record", "--cores", strconv.Itoa(cores), "--work", work.String(), "--queue", "48",
 		"--key-ttl", (keyTTL * 2).String(), "--seed", strconv.FormatUint(d.options.Seed+uint64(len(d.processes)), 10)}
@@ -106,7 +106,7 @@
 	return b, nil
 }
 
-// recordFact hands a line of a backend's record to the auditor.
+// recordFact passes a line of a backend's record to the auditor.
 func (d *Drill) recordFact(line []byte) {
 	var f struct {
 		At      int64             `json:"at"`
@@ -131,7 +131,7 @@
 	}
 }
 
-// stopAll stops the instances, which must end by themselves, and then the emulators.
+// stopAll stops the instances, which must exit by themselves, and then the emulators.
 func (d *Drill) stopAll() {
 	note := func(err error) {
 		if err != nil {
@@ -140,7 +140,7 @@
 	}
 	for _, p := range d.instances {
 		if p != nil {
-			note(p.stop(instanceStopTime))
+			note(p.stop(instanceStopTimeout))
 		}
 	}
 	d.mu.Lock()
@@ -150,13 +150,13 @@
 		select {
 		case <-b.process.done:
 		default:
-			note(b.process.stop(stopTime))
+			note(b.process.stop(emulatorStopTimeout))
 		}
 	}
-	note(d.counter.stop(stopTime))
+	note(d.counter.stop(emulatorStopTimeout))
 }
 
-// killAll ends what still runs.
+// killAll kills all processes that still run.
 func (d *Drill) killAll() {
 	for _, p := range d.processes {
 		p.cmd.Process.Kill()
--- a/internal/drill/process.go
+++ b/internal/drill/process.go
@@ -23,16 +23,17 @@
 	logFile *os.File
 }
 
-// readyLine is what a child says of itself in its line with "msg":"listening".
+// readyLine is the line with "msg":"listening" that a child process logs when it is ready.
 type readyLine struct {
 	Msg     string `json:"msg"`
 	Addr    string `json:"addr"`
 	Control string `json:"control"`
 }
 
-const maxStartTime = 15 * time.Second // after which a child that is not ready is killed
+const startTimeout = 15 * time.Second // a child that is not ready in this time is killed
 
-// startProcess runs a program of this drill. lines gets what the child prints; it is called by one goroutine.
+// startProcess starts a program of this drill and waits until it is ready. lines is called with each line that the child prints, by
+// one goroutine.
 func (d *Drill) startProcess(name, program string, args []string, stdout bool, lines func([]byte)) (*process, readyLine, error) {
 	exe, pre := d.command(program)
 	p := &process{name: name, cmd: exec.Command(exe, append(pre, args...)...), ready: make(chan readyLine, 1), done: make(chan struct{})}
@@ -62,15 +63,15 @@
 		return p, r, nil
 	case <-p.done:
 		return nil, readyLine{}, fmt.Errorf("%s ended before it was ready: %v; see %s", name, p.err, log.Name())
-	case <-time.After(maxStartTime):
+	case <-time.After(startTimeout):
 		p.kill()
-		return nil, readyLine{}, fmt.Errorf("%s was not ready within %v", name, maxStartTime)
+		return nil, readyLine{}, fmt.Errorf("%s was not ready within %v", name, startTimeout)
 	}
 }
 
-// spawning runs on one thread that never ends: the kernel sends a child's Pdeathsig when the thread that started it
-// does, which is sooner than the process may.
-var spawning = func() chan func() {
+// spawnRequests are functions that start processes. They run on one thread that never ends: the kernel sends a child its Pdeathsig
+// when the thread that started the child ends, which may be earlier than the end of this process.
+var spawnRequests = func() chan func() {
 	c := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -81,14 +82,15 @@
 	return c
 }()
 
-// Spawn starts a command that dies with this process.
+// Spawn starts a command that is killed when this process ends.
 func Spawn(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	err := make(chan error, 1)
-	spawning <- func() { err <- cmd.Start() }
+	spawnRequests <- func() { err <- cmd.Start() }
 	return <-err
 }
 
+// read passes the lines of the child to the log file and to lines until the child has ended.
 func (p *process) read(pipe io.Reader, lines func([]byte)) {
 	in := bufio.NewScanner(pipe)
 	in.Buffer(nil, 1<<20)
@@ -116,7 +118,7 @@
 	<-p.done
 }
 
-// stop asks the child to end and tells how it did.
+// stop sends SIGTERM to the child and returns an error if it fails or does not exit in time.
 func (p *process) stop(within time.Duration) error {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
--- a/internal/drill/traffic.go
+++ b/internal/drill/traffic.go
@@ -11,8 +11,8 @@
 	"sandyard/invariant"
 )
 
-// traffic starts operations at random times, each drawn from the seed alone: what becomes of one does not change the next.
-func (d *Drill) traffic(ctx context.Context, begun time.Time) error {
+// traffic starts operations at random times. Each is drawn from the seed alone, so the outcome of one does not change the next.
+func (d *Drill) traffic(ctx context.Context, startedAt time.Time) error {
 	var g errgroup.Group
 	rng := rand.New(rand.NewPCG(d.options.Seed, 11))
 	at, n := 0.0, 0
@@ -26,17 +26,18 @@
 		for ; s < len(weights)-1 && pick >= weights[s]; s++ {
 			pick -= weights[s]
 		}
-		if !sleep(ctx, time.Until(begun.Add(time.Duration(at*float64(time.Second))))) {
+		if !sleep(ctx, time.Until(startedAt.Add(time.Duration(at*float64(time.Second))))) {
 			break
 		}
 		n++
-		op, own := n, rand.New(rand.NewPCG(d.options.Seed, uint64(n)+1000))
-		g.Go(func() error { d.operate(ctx, op, d.customers[s], own); return nil })
+		op, opRNG := n, rand.New(rand.NewPCG(d.options.Seed, uint64(n)+1000))
+		g.Go(func() error { d.operate(ctx, op, d.customers[s], opRNG); return nil })
 	}
 	return g.Wait()
 }
 
-// rates returns the requests a second before customers' surges, each customer's weight in the traffic, and their sum.
+// rates returns the requests a second without surges of customers, the weight of each customer in the traffic, and the sum of the
+// weights.
 func (d *Drill) rates() (rate float64, weights []float64, sum float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,10 +56,10 @@
 	return d.options.Rate * d.totalSurge, weights, sum
 }
 
-// maxWorkFactor bounds a request's work, as a multiple of the mean: more would outlast deadlines by itself.
+// maxWorkFactor bounds the work of a request, as a multiple of the mean. More work would exceed deadlines by itself.
 const maxWorkFactor = 6
 
-// firstBackoff is the mean time until a client's first retry; it doubles for each further one.
+// firstBackoff is the mean backoff before a client's first retry. It doubles for each further retry.
 const firstBackoff = 100 * time.Millisecond
 
 // operate sends the request of one operation of a client, and its retries.
@@ -87,7 +88,7 @@
 	}
 }
 
-// send sends a request through one of its customer's instances, and notes it and its end.
+// send sends a request through one of its customer's instances, and records the request and its ending.
 func (d *Drill) send(r *invariant.Request, class classSpec, c *customer, attempt int, rng *rand.Rand) invariant.Ending {
 	d.mu.Lock()
 	r.Instance = (c.firstInstance + (c.moves+rng.IntN(4)/3)%2) % d.options.Instances
@@ -106,14 +107,14 @@
 	}
 	endedAt := d.now()
 	if responses > 0 {
-		endedAt = times.answered.Sub(d.origin) // not when this process came to read it
+		endedAt = times.answered.Sub(d.origin) // not when this process read it
 	}
 	d.auditor.RequestEnded(invariant.Outcome{ID: r.ID, Ending: ending, At: endedAt, Responses: responses})
 	return ending
 }
 
-// requestText renders a request of a client that waits for timeLeft from now on. One that is not idempotent has no key: a backend
-// would discard its repeats.
+// requestText returns a request of a client that waits for another timeLeft. A request that is not idempotent has no key, because a
+// backend would discard its repeats.
 func requestText(r *invariant.Request, class classSpec, attempt int, timeLeft time.Duration) string {
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: door\r\nX-Api-Key: key-%s\r\nX-Request-Id: %s\r\nX-Work: %.3f\r\nX-Patience: %d\r\nX-Retry: %d\r\n",
 		class.method, class.path, r.Customer, r.ID, r.Work.Seconds()*1000, max(0, timeLeft.Milliseconds()), attempt)
