--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -15,7 +15,7 @@
 	disconnectBound = 100 * time.Millisecond // within which an attempt may still begin after its client disconnected
 	deadlineSlack   = 150 * time.Millisecond // added to the time that an attempt may state to its backend
 	readyBound      = 10 * time.Second
-	maxMemoryGrown  = 16 << 20 // growth of an idle instance since its start (bytes)
+	maxMemoryGrown  = 16 << 20 // growth of an idle instance since the start of the check (bytes)
 	// disturbanceSpan is how long before and after a violation delays of the machine are taken into account.
 	disturbanceSpan = 500 * time.Millisecond
 )
--- a/internal/soak/facts.go
+++ b/internal/soak/facts.go
@@ -64,7 +64,7 @@
 	exit        error  // exit error if the process ended by itself; nil: status 0
 	crash       string // first line of a panic or fatal error in its log
 	idleExcess  int    // descriptors that an idle instance did not release
-	memoryGrown int64  // growth of resident memory while idle (bytes)
+	memoryGrown int64  // growth of resident memory since the start of the check (bytes)
 	threads     string // states of its threads at the SIGKILL
 }
 
