--- a/config/defaults.go
+++ b/config/defaults.go
@@ -23,7 +23,7 @@
 		Counter:    CounterSettings{Timeout: strictyaml.Duration(50 * time.Millisecond), MaxPending: 4096},
 		Units:      UnitSettings{Max: 1},
 		Log:        LogSettings{Format: "json", Level: "info"},
-		Trace:      Trace{Mode: "off", Share: 0.05, FileSize: 64 << 20, MaxTotalSize: 1 << 30, Buffer: 1 << 16},
+		Trace:      TraceSettings{Mode: "off", Share: 0.05, FileSize: 64 << 20, MaxTotalSize: 1 << 30, Buffer: 1 << 16},
 		Limits:     defaultLimits(),
 	}
 }
--- a/config/derive.go
+++ b/config/derive.go
@@ -40,7 +40,7 @@
 func (c *Config) deriveSettings(d *strictyaml.Document) {
 	c.Settings = c.decisionSettings()
 	for _, f := range c.Load.Fields {
-		c.Settings.LoadFields = append(c.Settings.LoadFields, loadFields[f.Means])
+		c.Settings.LoadFields = append(c.Settings.LoadFields, loadFields[f.Metric])
 		c.LoadReportNames = append(c.LoadReportNames, f.Name)
 	}
 	for i := range c.Plans {
--- a/config/endpoints.go
+++ b/config/endpoints.go
@@ -33,8 +33,8 @@
 // EndpointState is written up, draining or gone; an endpoint that is not listed is gone.
 type EndpointState decision.EndpointState
 
-// FromText reads a state. The error is ErrEndpointState.
-func (s *EndpointState) FromText(t string) error {
+// DecodeText reads a state. The error is ErrEndpointState.
+func (s *EndpointState) DecodeText(t string) error {
 	states := map[string]decision.EndpointState{"up": decision.Up, "draining": decision.Draining, "gone": decision.Removed}
 	state, ok := states[t]
 	if !ok {
@@ -47,8 +47,8 @@
 // Timestamp is a date and time, written as in RFC 3339.
 type Timestamp time.Time
 
-// FromText reads a time. The error is ErrTimestamp.
-func (w *Timestamp) FromText(t string) error {
+// DecodeText reads a time. The error is ErrTimestamp.
+func (w *Timestamp) DecodeText(t string) error {
 	at, err := time.Parse(time.RFC3339Nano, t)
 	if err != nil {
 		return ErrTimestamp
--- a/config/settings.go
+++ b/config/settings.go
@@ -26,7 +26,7 @@
 	Counter    CounterSettings    `yaml:"keeper"`
 	Units      UnitSettings       `yaml:"units"`
 	Limits     Limits             `yaml:"limits"`
-	Trace      Trace              `yaml:"trace"`
+	Trace      TraceSettings      `yaml:"trace"`
 	Admin      AdminSettings      `yaml:"admin"`
 	Log        LogSettings        `yaml:"log"`
 }
@@ -141,8 +141,8 @@
 
 // LoadField is one figure of a backend's load report.
 type LoadField struct {
-	Name  string `yaml:"name"` // as the report has it
-	Means string `yaml:"is"`   // in-flight, queue, utilization, latency, served, errors or other
+	Name   string `yaml:"name"` // as the report has it
+	Metric string `yaml:"is"`   // in-flight, queue, utilization, latency, served, errors or other
 }
 
 // ProbeSettings say whether and where backends are asked for their load.
@@ -211,8 +211,8 @@
 	ShutdownTimeout strictyaml.Duration `yaml:"shutdown-timeout"` // after which what is in flight is cut off; 30s by default
 }
 
-// Trace says what is recorded of the decisions, and where.
-type Trace struct {
+// TraceSettings says what is recorded of the decisions, and where.
+type TraceSettings struct {
 	Mode         string          `yaml:"mode"`      // off (the default), sampled or full
 	Folder       string          `yaml:"folder"`    // of the files, relative to gateway.yaml; it has to be there unless the mode is off
 	Share        float64         `yaml:"share"`     // of the requests, above 0 and up to 1, when sampled; 0.05 by default
--- a/config/validate.go
+++ b/config/validate.go
@@ -110,8 +110,8 @@
 		d.Reportf("probes.path", "%q: expected a path that begins with /", c.Probes.Path)
 	}
 	for i, f := range c.Load.Fields {
-		if _, ok := loadFields[f.Means]; !ok {
-			d.Reportf(fmt.Sprintf("load.fields[%d].is", i), "%q: expected in-flight, queue, utilization, latency, served, errors or other", f.Means)
+		if _, ok := loadFields[f.Metric]; !ok {
+			d.Reportf(fmt.Sprintf("load.fields[%d].is", i), "%q: expected in-flight, queue, utilization, latency, served, errors or other", f.Metric)
 		}
 		if f.Name == "" {
 			d.Reportf(fmt.Sprintf("load.fields[%d].name", i), "missing: the figure's name in the report")
--- a/coreid/coreid.go
+++ b/coreid/coreid.go
@@ -37,13 +37,13 @@
 
 // Mismatch is the error of a tool that gives no verdict because two cores differ.
 type Mismatch struct {
-	Mine   string // this program's identity
-	Theirs string // that of what it was given
-	Where  string // what that is, as "the trace"
+	Own    string // this program's identity
+	Other  string // that of what it was given
+	Source string // what that is, as "the trace"
 }
 
 func (m Mismatch) Error() string {
-	return "this program's core is " + m.Mine + ", that of " + m.Where + " is " + m.Theirs +
+	return "this program's core is " + m.Own + ", that of " + m.Source + " is " + m.Other +
 		": its verdicts could differ; use the tools of the same build"
 }
 
--- a/coreid/coreid_test.go
+++ b/coreid/coreid_test.go
@@ -20,7 +20,7 @@
 	}
 	err := Check("0123456789abcdef", "the trace")
 	var m Mismatch
-	if !errors.As(err, &m) || m.Mine != Core() || m.Theirs != "0123456789abcdef" || !strings.Contains(err.Error(), "the trace") {
+	if !errors.As(err, &m) || m.Own != Core() || m.Other != "0123456789abcdef" || !strings.Contains(err.Error(), "the trace") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -32,7 +32,7 @@
 // ends the recording and not the instance. A nil recorder records nothing.
 type recorder struct {
 	server    *Server
-	cfg       config.Trace
+	cfg       config.TraceSettings
 	dir       string
 	stop      chan struct{} // closed by close
 	done      chan struct{} // closed when the writing goroutine has ended
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -8,10 +8,10 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Text is a value with a form of its own, such as Duration.
-type Text interface {
-	// FromText reads the value; the error says what is expected, as in "expected a time such as 600ms".
-	FromText(string) error
+// TextDecoder is a value with a form of its own, such as Duration.
+type TextDecoder interface {
+	// DecodeText reads the value; the error says what is expected, as in "expected a time such as 600ms".
+	DecodeText(string) error
 }
 
 // decode reads a node into a value; field is its dotted name.
@@ -25,7 +25,7 @@
 		d.Reportf(field, "anchors, aliases and tags are not taken here")
 		return
 	}
-	if t, ok := v.Addr().Interface().(Text); ok {
+	if t, ok := v.Addr().Interface().(TextDecoder); ok {
 		d.text(n, t, field)
 		return
 	}
@@ -41,13 +41,13 @@
 	}
 }
 
-func (d *Document) text(n ast.Node, t Text, field string) {
+func (d *Document) text(n ast.Node, t TextDecoder, field string) {
 	s, ok := scalar(n)
 	if !ok {
 		d.Reportf(field, "expected a single value")
 		return
 	}
-	if err := t.FromText(s); err != nil {
+	if err := t.DecodeText(s); err != nil {
 		d.Report(field, strconv.Quote(s)+": "+err.Error(), err)
 	}
 }
--- a/internal/strictyaml/units.go
+++ b/internal/strictyaml/units.go
@@ -18,8 +18,8 @@
 // Duration is a time span, written as 600ms or 2.5s.
 type Duration time.Duration
 
-// FromText reads a time, 0 or more. The error is ErrDuration.
-func (t *Duration) FromText(s string) error {
+// DecodeText reads a time, 0 or more. The error is ErrDuration.
+func (t *Duration) DecodeText(s string) error {
 	d, err := time.ParseDuration(s)
 	if err != nil || d < 0 {
 		return ErrDuration
@@ -31,8 +31,8 @@
 // Rate is a rate in units per second, written as 12/s or 30/min.
 type Rate float64
 
-// FromText reads a rate, 0 or more. The error is ErrRate.
-func (r *Rate) FromText(s string) error {
+// DecodeText reads a rate, 0 or more. The error is ErrRate.
+func (r *Rate) DecodeText(s string) error {
 	number, per, ok := strings.Cut(s, "/")
 	x, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
 	each := map[string]float64{"s": 1, "min": 60, "h": 3600}[strings.TrimSpace(per)]
@@ -46,8 +46,8 @@
 // Size is a number of bytes, written as 64KiB or 1MiB.
 type Size int
 
-// FromText reads a size, 0 or more. The error is ErrSize.
-func (z *Size) FromText(s string) error {
+// DecodeText reads a size, 0 or more. The error is ErrSize.
+func (z *Size) DecodeText(s string) error {
 	units := []struct {
 		name string
 		by   int
--- a/proxy/configured.go
+++ b/proxy/configured.go
@@ -63,7 +63,7 @@
 	}
 	info.Operation, info.Class = operation, cfg.ClassByOperation[operation.Index]
 	var ok bool
-	if info.Units, ok = operation.Units.Of(h.Query, h.Get); !ok {
+	if info.Units, ok = operation.Units.ForRequest(h.Query, h.Get); !ok {
 		return &invalidUnits
 	}
 	class := &cfg.Settings.Classes[info.Class]
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -50,11 +50,11 @@
 	none := func(string) (string, bool) { return "", false }
 	for query, want := range map[string]float64{"": 2, "n=3": 3, "x=1&n=8": 8, "n=9": -1, "n=x": -1, "n=-1": -1, "n=NaN": -1,
 		"n=1&n=2": -1, "%6e=5": -1, "n=": -1, "n=3&%6E=1": -1} {
-		if u, ok := op.Units.Of(query, none); ok != (want >= 0) || ok && u != want {
+		if u, ok := op.Units.ForRequest(query, none); ok != (want >= 0) || ok && u != want {
 			t.Errorf("units of %q: %v %v, want %v", query, u, ok, want)
 		}
 	}
-	if n := testing.AllocsPerRun(100, func() { table.Match("GET", "/a/new/b"); op.Units.Of("x=1&n=8", none) }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { table.Match("GET", "/a/new/b"); op.Units.ForRequest("x=1&n=8", none) }); n != 0 {
 		t.Errorf("a look-up allocates %v times", n)
 	}
 }
--- a/routes/units.go
+++ b/routes/units.go
@@ -14,9 +14,9 @@
 	Max     float64 // a larger value is an error of the client's
 }
 
-// Of is what a call costs, given the query and a way to read header fields; ok is false if its parameter is no number
+// ForRequest is what a call costs, given the query and a way to read header fields; ok is false if its parameter is no number
 // from 0 to Max, or comes twice in the query. It allocates nothing, but for a parameter's name with escapes.
-func (u *Units) Of(query string, header func(name string) (string, bool)) (units float64, ok bool) {
+func (u *Units) ForRequest(query string, header func(name string) (string, bool)) (units float64, ok bool) {
 	var value string
 	found := false
 	switch u.In {
