--- a/config/customers.go
+++ b/config/customers.go
@@ -11,39 +11,39 @@
 	"sandyard/internal/strictyaml"
 )
 
-// digestPrefix begins a key that is written as the hexadecimal digits of its SHA-256.
+// digestPrefix marks a key that is configured as its SHA-256 in hexadecimal digits.
 const digestPrefix = "sha256:"
 
-// Customer is a customer as requests refer to it.
+// Customer is the customer to which a request belongs.
 type Customer struct {
 	Name          string
 	Plan          decision.PlanID
 	PlanName      string
-	Spread, First int // its requests come through Spread instances, from number First on
+	Spread, First int // its requests arrive at Spread instances, from number First on
 }
 
-// CustomerByKey finds the customer of a key, nil if there is none. It compares digests, so that the time that it takes
-// says nothing of other keys.
+// CustomerByKey returns the customer of a key, or nil if there is none. It compares digests of keys, so that its running
+// time reveals nothing about other keys.
 func (c *Config) CustomerByKey(key string) *Customer { return c.byKey[sha256.Sum256([]byte(key))] }
 
-// CustomerByName finds a customer by name, nil if there is none.
+// CustomerByName returns the customer with a name, or nil if there is none.
 func (c *Config) CustomerByName(name string) *Customer { return c.byName[name] }
 
-// ForInstance is the configuration as instance number n of a fleet of another size has it. Customers that come in
-// through all instances do so there, too.
-func (c *Config) ForInstance(n, of int) *Config {
+// ForInstance returns a copy of the configuration for instance number n of a fleet of another size, total. Customers whose
+// requests arrive at all instances are spread over all instances of that fleet, too.
+func (c *Config) ForInstance(n, total int) *Config {
 	d := *c
-	d.Instance.Number, d.Instance.Total = n, of
-	d.Settings.Self, d.Settings.Instances = n, of
+	d.Instance.Number, d.Instance.Total = n, total
+	d.Settings.Self, d.Settings.Instances = n, total
 	d.Settings.Plans = slices.Clone(c.Settings.Plans)
 	d.byKey, d.byName = map[[sha256.Size]byte]*Customer{}, map[string]*Customer{}
 	for name, customer := range c.byName {
-		own := *customer
-		if own.Spread == c.Instance.Total || own.Spread > of {
-			own.Spread = of
+		copied := *customer
+		if copied.Spread == c.Instance.Total || copied.Spread > total {
+			copied.Spread = total
 		}
-		own.First %= of
-		d.byName[name] = &own
+		copied.First %= total
+		d.byName[name] = &copied
 	}
 	for digest, customer := range c.byKey {
 		d.byKey[digest] = d.byName[customer.Name]
@@ -51,9 +51,9 @@
 	return &d
 }
 
-// indexCustomers validates the customers and makes them known by name and key.
+// indexCustomers validates the customers and indexes them by name and key.
 func (c *Config) indexCustomers(d *strictyaml.Document) {
-	holders := map[[sha256.Size]byte]string{}
+	owners := map[[sha256.Size]byte]string{}
 	for i := range c.Customers {
 		s, at := &c.Customers[i], fmt.Sprintf("studios[%d]", i)
 		customer := c.validateCustomer(d, at, s)
@@ -67,11 +67,11 @@
 			if !ok {
 				continue
 			}
-			if other, taken := holders[digest]; taken {
+			if other, taken := owners[digest]; taken {
 				d.Reportf(field, "the same key as one of %q", other)
 				continue
 			}
-			holders[digest], c.byKey[digest] = s.Name, customer
+			owners[digest], c.byKey[digest] = s.Name, customer
 		}
 	}
 	if len(c.Customers) == 0 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// validateCustomer validates one customer, but for its keys.
+// validateCustomer validates one customer except its keys, and returns it as requests refer to it.
 func (c *Config) validateCustomer(d *strictyaml.Document, at string, s *CustomerConfig) *Customer {
 	plan := slices.IndexFunc(c.Plans, func(p Plan) bool { return p.Name == s.Plan })
 	if plan < 0 {
@@ -88,7 +88,7 @@
 	if s.Name == "" {
 		d.Reportf(at+".name", "missing")
 	} else if c.byName[s.Name] != nil {
-		d.Reportf(at+".name", "%q stands twice", s.Name)
+		d.Reportf(at+".name", "%q occurs twice", s.Name)
 	}
 	spread := s.Instances.Spread
 	if spread == 0 {
@@ -103,7 +103,7 @@
 	return &Customer{Name: s.Name, Plan: decision.PlanID(plan), PlanName: s.Plan, Spread: spread, First: s.Instances.First}
 }
 
-// keyDigest is the digest by which a key is found.
+// keyDigest returns the digest by which a configured key is indexed. It reports an invalid key as a problem.
 func keyDigest(d *strictyaml.Document, field, key string) (digest [sha256.Size]byte, ok bool) {
 	digits, hashed := strings.CutPrefix(key, digestPrefix)
 	if !hashed {
--- a/config/defaults.go
+++ b/config/defaults.go
@@ -6,7 +6,7 @@
 	"sandyard/internal/strictyaml"
 )
 
-// defaults are the settings of an empty gateway.yaml.
+// defaults returns the settings for an empty gateway.yaml.
 func defaults() File {
 	return File{
 		Listen:   "127.0.0.1:8080",
--- a/config/derive.go
+++ b/config/derive.go
@@ -11,7 +11,7 @@
 	"sandyard/routes"
 )
 
-// The words of gateway.yaml for values, and what they mean.
+// The values of gateway.yaml that are written as words, and their meaning.
 var (
 	loadFields = map[string]decision.LoadField{
 		"in-flight":   decision.FieldInFlight,
@@ -35,8 +35,8 @@
 	}
 )
 
-// deriveSettings works out what the decisions need. A class of gateway.yaml becomes one class of the decisions for each
-// idempotency that operations of it have.
+// deriveSettings derives the settings of package decision. A class of gateway.yaml becomes one decision.Class for each
+// idempotency that its operations have.
 func (c *Config) deriveSettings(d *strictyaml.Document) {
 	c.Settings = c.decisionSettings()
 	for _, f := range c.Load.Fields {
@@ -49,7 +49,7 @@
 	c.deriveClasses(d, c.validateClasses(d))
 }
 
-// decisionSettings are the settings without load fields, plans and classes.
+// decisionSettings returns the settings without load fields, plans and classes.
 func (c *Config) decisionSettings() decision.Settings {
 	return decision.Settings{
 		Self:             c.Instance.Number,
@@ -106,15 +106,15 @@
 	}
 }
 
-// validateClasses reports what is wrong with classes. It returns their indexes by name.
+// validateClasses validates the classes and returns their indexes by name.
 func (c *Config) validateClasses(d *strictyaml.Document) map[string]int {
 	indexes := map[string]int{}
 	for i := range c.Classes {
 		k, at := &c.Classes[i], fmt.Sprintf("classes[%d]", i)
 		if k.Name == "" {
 			d.Reportf(at+".name", "missing")
-		} else if _, twice := indexes[k.Name]; twice {
-			d.Reportf(at+".name", "%q stands twice", k.Name)
+		} else if _, duplicate := indexes[k.Name]; duplicate {
+			d.Reportf(at+".name", "%q occurs twice", k.Name)
 		}
 		indexes[k.Name] = i
 		k.validate(d, at, time.Duration(c.Limits.ResponseMargin))
@@ -125,7 +125,7 @@
 	return indexes
 }
 
-// validate reports settings of a class that are out of bounds or don't fit together.
+// validate reports settings of a class that are out of range or contradict each other.
 func (k *Class) validate(d *strictyaml.Document, at string, responseMargin time.Duration) {
 	if _, ok := idempotencies[k.Idempotency]; !ok {
 		d.Reportf(at+".repeat", "%q: expected safe, keyed or unsafe", k.Idempotency)
@@ -151,16 +151,16 @@
 	}
 }
 
-// classUse is a class of gateway.yaml with what an operation says of repeated requests.
-type classUse struct {
+// classVariant identifies a decision.Class: a class of gateway.yaml and the idempotency that an operation declares.
+type classVariant struct {
 	index  int
 	repeat routes.Repeat
 }
 
-// deriveClasses gives each operation its class of the decisions. It reports operations that name no class or may count
-// more units than a request.
+// deriveClasses assigns each operation its decision.Class. It reports operations that name an unknown class or may cost
+// more units than a request may.
 func (c *Config) deriveClasses(d *strictyaml.Document, indexes map[string]int) {
-	ids := map[classUse]decision.ClassID{}
+	ids := map[classVariant]decision.ClassID{}
 	for _, op := range c.Routes.Operations {
 		i, ok := indexes[op.Class]
 		if !ok {
@@ -171,22 +171,22 @@
 		if units := max(op.Units.Fixed, op.Units.Max); units > max(1, c.Units.Max) {
 			c.reportOperation(d, op, fmt.Sprintf("up to %g units, more than units.most of %s (%g)", units, c.Path, c.Units.Max))
 		}
-		use := classUse{i, op.Repeat}
-		id, ok := ids[use]
+		variant := classVariant{i, op.Repeat}
+		id, ok := ids[variant]
 		if !ok {
-			id = c.addClass(use)
-			ids[use] = id
+			id = c.addClass(variant)
+			ids[variant] = id
 		}
 		c.ClassByOperation = append(c.ClassByOperation, id)
 	}
 }
 
-// addClass adds a class of the decisions.
-func (c *Config) addClass(use classUse) decision.ClassID {
-	k := &c.Classes[use.index]
+// addClass adds a decision.Class to the settings and returns its ID.
+func (c *Config) addClass(variant classVariant) decision.ClassID {
+	k := &c.Classes[variant.index]
 	class := k.decision()
-	if use.repeat.Given {
-		class.Idempotency, class.KeyScope, class.KeyTTL = use.repeat.Idempotency, use.repeat.KeyScope, use.repeat.KeyTTL
+	if variant.repeat.Given {
+		class.Idempotency, class.KeyScope, class.KeyTTL = variant.repeat.Idempotency, variant.repeat.KeyScope, variant.repeat.KeyTTL
 	}
 	id := decision.ClassID(len(c.Settings.Classes))
 	c.Settings.Classes = append(c.Settings.Classes, class)
@@ -195,5 +195,5 @@
 }
 
 func (c *Config) reportOperation(d *strictyaml.Document, op *routes.Operation, message string) {
-	d.Problems = append(d.Problems, diagnostic.Problem{File: c.beside(c.OpenAPI), Line: op.Line, Column: 1, Field: op.ID, Message: message})
+	d.Problems = append(d.Problems, diagnostic.Problem{File: c.resolvePath(c.OpenAPI), Line: op.Line, Column: 1, Field: op.ID, Message: message})
 }
--- a/config/endpoints.go
+++ b/config/endpoints.go
@@ -10,30 +10,31 @@
 	"sandyard/internal/strictyaml"
 )
 
-// MaxEndpoints bounds a list: a fleet has some thousands, and a list that is none should not fill the memory.
+// MaxEndpoints bounds the length of an endpoint list. A fleet has some thousands of endpoints; a file that is not an
+// endpoint list must not exhaust the memory.
 const MaxEndpoints = 100_000
 
-// Errors of values in a list of endpoints; they come as the cause of a diagnostic.Problem.
+// Errors of values in an endpoint list. Each is the cause of a diagnostic.Problem.
 var (
 	ErrEndpointState = errors.New("expected up, draining or gone")
 	ErrTimestamp     = errors.New("expected a time such as 2026-11-30T08:15:00Z")
 )
 
-// Endpoint is one entry of the list of endpoints.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Name    string        `yaml:"name"`    // unique in the list
 	Address string        `yaml:"address"` // host:port
-	Zone    string        `yaml:"zone"`    // one of the zones of gateway.yaml; "" if it is in none
-	Cell    int           `yaml:"cell"`    // group of backends that know each other's idempotency keys; 0 by default
+	Zone    string        `yaml:"zone"`    // one of the zones of gateway.yaml; "", the default: no zone
+	Cell    int           `yaml:"cell"`    // group of backends that share idempotency keys; 0 by default
 	State   EndpointState `yaml:"state"`   // up by default
-	Weight  float64       `yaml:"weight"`  // size next to other endpoints, 0 or more; 0, the default: not known
-	Started Timestamp     `yaml:"started"` // when its process started; absent: long ago, so that it is warm
+	Weight  float64       `yaml:"weight"`  // capacity relative to other endpoints, 0 or more; 0, the default: unknown
+	Started Timestamp     `yaml:"started"` // when its process started, for slow start; absent: long ago, so that it has its full capacity
 }
 
-// EndpointState is written up, draining or gone; an endpoint that is not listed is gone.
+// EndpointState is the state of an endpoint, written as up, draining or gone. An endpoint that is not listed is gone.
 type EndpointState decision.EndpointState
 
-// DecodeText reads a state. The error is ErrEndpointState.
+// DecodeText parses a state. The error is ErrEndpointState.
 func (s *EndpointState) DecodeText(t string) error {
 	states := map[string]decision.EndpointState{"up": decision.Up, "draining": decision.Draining, "gone": decision.Removed}
 	state, ok := states[t]
@@ -44,21 +45,21 @@
 	return nil
 }
 
-// Timestamp is a date and time, written as in RFC 3339.
+// Timestamp is a date and time in the format of RFC 3339.
 type Timestamp time.Time
 
-// DecodeText reads a time. The error is ErrTimestamp.
-func (w *Timestamp) DecodeText(t string) error {
+// DecodeText parses a date and time. The error is ErrTimestamp.
+func (ts *Timestamp) DecodeText(t string) error {
 	at, err := time.Parse(time.RFC3339Nano, t)
 	if err != nil {
 		return ErrTimestamp
 	}
-	*w = Timestamp(at)
+	*ts = Timestamp(at)
 	return nil
 }
 
-// ParseEndpoints reads a list of endpoints. The error is a diagnostic.Problems with all that is wrong; a list with
-// problems is refused as a whole.
+// ParseEndpoints parses an endpoint list. The error is a diagnostic.Problems with every problem. A list with problems is
+// rejected as a whole.
 func ParseEndpoints(path string, text []byte) ([]Endpoint, error) {
 	var f struct {
 		Endpoints []Endpoint `yaml:"boxes"`
@@ -84,7 +85,7 @@
 		if e.Name == "" {
 			d.Reportf(at+".name", "missing")
 		} else if names[e.Name] {
-			d.Reportf(at+".name", "%q stands twice", e.Name)
+			d.Reportf(at+".name", "%q occurs twice", e.Name)
 		}
 		names[e.Name] = true
 		if _, _, err := net.SplitHostPort(e.Address); err != nil {
--- a/config/load.go
+++ b/config/load.go
@@ -1,6 +1,6 @@
-// Package config reads the settings of an instance: gateway.yaml, the OpenAPI description that it names and the list of
-// endpoints. Every problem is reported with file, line and field, all at once. What it returns is immutable and may be
-// shared by goroutines. It decides nothing about requests; package decision does.
+// Package config reads the settings of an instance: gateway.yaml, and the OpenAPI description and endpoint list that it
+// names. It reports all problems at once, each with file, line and field. A Config is immutable and may be shared by
+// goroutines. Package config does not decide on requests; package decision does.
 package config
 
 import (
@@ -16,9 +16,9 @@
 	"sandyard/routes"
 )
 
-const digestBytes = 8 // of a SHA-256, in Config.Digest: enough to tell versions of a configuration apart
+const digestBytes = 8 // of a SHA-256 kept in Config.Digest: enough to distinguish versions of a configuration
 
-// Config is a configuration without problems.
+// Config is a valid configuration.
 type Config struct {
 	File
 	Path             string // of gateway.yaml
@@ -26,15 +26,15 @@
 	Routes           *routes.Table
 	ClassByOperation []decision.ClassID // by routes.Operation.Index
 	ClassNames       []string           // by decision.ClassID
-	LoadReportNames  []string           // of the figures, in the order of Settings.LoadFields
-	Digest           string             // of gateway.yaml and the description, in hexadecimal digits
-	Endpoints        []Endpoint         // as the list had them when it was read
+	LoadReportNames  []string           // names of the values in load reports, in the order of Settings.LoadFields
+	Digest           string             // of gateway.yaml and the OpenAPI description, in hexadecimal digits
+	Endpoints        []Endpoint         // content of the endpoint list when it was read
 	byKey            map[[sha256.Size]byte]*Customer
 	byName           map[string]*Customer
 }
 
-// Load reads gateway.yaml and the files it names. The error is a diagnostic.Problems with all that is wrong; of a file
-// that can't be read, errors.Is finds the cause, such as fs.ErrNotExist.
+// Load reads gateway.yaml and the files that it names. The error is a diagnostic.Problems with every problem. If a file
+// can't be read, errors.Is finds the cause, such as fs.ErrNotExist.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -44,7 +44,7 @@
 	digest := sha256.New()
 	digest.Write(text)
 	if c.OpenAPI != "" {
-		file := c.beside(c.OpenAPI)
+		file := c.resolvePath(c.OpenAPI)
 		if description, ok := readNamed(d, "openapi", file); ok {
 			digest.Write(description)
 			c.compileRoutes(d, file, description)
@@ -59,7 +59,7 @@
 	return c.finish(d)
 }
 
-// Parse is Load without a file system: the texts of the three files are given.
+// Parse is like Load, but takes the contents of the three files instead of reading them. It sets no Digest.
 func Parse(path string, text, description, endpoints []byte) (*Config, error) {
 	c, d := parse(path, text)
 	c.compileRoutes(d, c.OpenAPI, description)
@@ -67,24 +67,24 @@
 	return c.finish(d)
 }
 
-// EndpointsPath is where the list of endpoints is kept; "" if gateway.yaml names none.
-func (c *Config) EndpointsPath() string { return c.beside(c.Backends.File) }
+// EndpointsPath returns the path of the endpoint list, or "" if gateway.yaml names none.
+func (c *Config) EndpointsPath() string { return c.resolvePath(c.Backends.File) }
 
-// AdminSocket is where tools reach the instance; "" if nowhere.
-func (c *Config) AdminSocket() string { return c.beside(c.Admin.Socket) }
+// AdminSocket returns the path of the admin socket, or "" if there is none.
+func (c *Config) AdminSocket() string { return c.resolvePath(c.Admin.Socket) }
 
-// TraceFolder is where traces are kept; "" if nowhere.
-func (c *Config) TraceFolder() string { return c.beside(c.Trace.Folder) }
+// TraceFolder returns the directory of the trace files, or "" if none is set.
+func (c *Config) TraceFolder() string { return c.resolvePath(c.Trace.Folder) }
 
-// beside takes a path relative to gateway.yaml.
-func (c *Config) beside(name string) string {
+// resolvePath resolves a path relative to the directory of gateway.yaml. An empty path stays empty.
+func (c *Config) resolvePath(name string) string {
 	if name == "" || filepath.IsAbs(name) {
 		return name
 	}
 	return filepath.Join(filepath.Dir(c.Path), name)
 }
 
-// parse reads gateway.yaml and validates what depends on no other file.
+// parse reads gateway.yaml and validates the settings that do not depend on other files.
 func parse(path string, text []byte) (*Config, *strictyaml.Document) {
 	c := &Config{File: defaults(), Path: path, byKey: map[[sha256.Size]byte]*Customer{}, byName: map[string]*Customer{}}
 	d := strictyaml.Read(path, text, &c.File)
@@ -95,7 +95,7 @@
 	return c, d
 }
 
-// finish derives the settings of the decisions, which need all files.
+// finish derives the settings of package decision, which need all files, and returns the configuration or its problems.
 func (c *Config) finish(d *strictyaml.Document) (*Config, error) {
 	if c.Routes != nil && d.Readable() {
 		c.deriveSettings(d)
@@ -106,7 +106,7 @@
 	return c, nil
 }
 
-// readNamed reads a file that a field names.
+// readNamed reads a file that a field names. If it can't be read, it reports a problem at the field and returns false.
 func readNamed(d *strictyaml.Document, field, file string) ([]byte, bool) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-// addProblems adds the problems of another file.
+// addProblems adds the problems of another file to the document's.
 func addProblems(d *strictyaml.Document, err error) {
 	var problems diagnostic.Problems
 	if errors.As(err, &problems) {
@@ -140,7 +140,7 @@
 	d.Report("", err.Error(), err)
 }
 
-// fileErrorText is the text of an error of the file system, the same on all systems.
+// fileErrorText returns the text of a file system error in the same form on all systems.
 func fileErrorText(err error) string {
 	var pathError *os.PathError
 	if errors.As(err, &pathError) {
--- a/config/settings.go
+++ b/config/settings.go
@@ -4,16 +4,18 @@
 	"sandyard/internal/strictyaml"
 )
 
-// File is gateway.yaml as it is written. Its tags map the keys that operators write to the field's terms; of the rest
-// of the package only messages about problems name those keys. Times are written 600ms or 2.5s, rates 12/s, 30/min or 900/h,
-// sizes 64KiB; an absent key has the value of defaults.go, and plans[].price is 1. Unknown keys are problems.
+// File is the content of gateway.yaml. The tags hold the keys that operators write; elsewhere in the package the keys
+// appear only in messages about problems. Times are written 600ms or 2.5s, rates 12/s, 30/min or 900/h, and sizes 64KiB.
+// An absent key has its default from defaults.go; the default of plans[].price is 1. Unknown keys are reported as problems.
 type File struct {
-	// Listen is the host:port where clients connect; 127.0.0.1:8080 by default, port 0 lets the system choose.
+	// Listen is the address (host:port) that accepts client connections; 127.0.0.1:8080 by default. With port 0 the system
+	// chooses a free port.
 	Listen string `yaml:"listen"`
-	// OpenAPI is the file with the description that routes and costs come from, relative to gateway.yaml. It has to be there.
+	// OpenAPI is the path of the OpenAPI description that defines the routes and their costs, relative to gateway.yaml.
+	// Required.
 	OpenAPI    string             `yaml:"openapi"`
 	Instance   InstanceSettings   `yaml:"door"`
-	Zones      []string           `yaml:"zones"` // names of the zones that endpoints and instances refer to; none by default
+	Zones      []string           `yaml:"zones"` // names of the zones to which endpoints and instances can belong; none by default
 	Headers    HeaderSettings     `yaml:"headers"`
 	Classes    []Class            `yaml:"classes"` // at least one
 	Plans      []Plan             `yaml:"plans"`   // at least one
@@ -31,202 +33,220 @@
 	Log        LogSettings        `yaml:"log"`
 }
 
-// InstanceSettings say which instance of its fleet this is.
+// InstanceSettings identify this instance within its fleet.
 type InstanceSettings struct {
-	Number int    `yaml:"number"` // from 0 to Total-1; 0 by default
-	Total  int    `yaml:"of"`     // instances in the fleet; 1 by default
-	Zone   string `yaml:"zone"`   // one of Zones; "": the first of them
+	Number int    `yaml:"number"` // of this instance, from 0 to Total-1; 0 by default
+	Total  int    `yaml:"of"`     // number of instances in the fleet; 1 by default
+	Zone   string `yaml:"zone"`   // zone of this instance, one of Zones; "", the default: the first of Zones
 }
 
-// HeaderSettings name the fields of requests and responses that carry what the gateway needs.
+// HeaderSettings hold the names of the header fields that the gateway reads.
 type HeaderSettings struct {
-	Key     string `yaml:"key"`      // of requests: the customer's key; X-Api-Key by default. Authorization: Bearer is taken, too
-	Timeout string `yaml:"patience"` // of requests: milliseconds the client still waits; X-Patience by default
-	Retry   string `yaml:"retry"`    // of requests: attempts of the client before this one; X-Retry by default
-	Units   string `yaml:"units"`    // of responses: true units, where they settle later; X-Units by default
-}
-
-// Class is a class of requests, which operations of the description name.
+	// Key is the request field with the customer's key; X-Api-Key by default. "Authorization: Bearer KEY" is accepted as well.
+	Key string `yaml:"key"`
+	// Timeout is the request field with the time that the client still waits (milliseconds); X-Patience by default. It can
+	// only shorten the deadline of the class.
+	Timeout string `yaml:"patience"`
+	// Retry is the request field with the number of attempts that the client has already made; X-Retry by default.
+	Retry string `yaml:"retry"`
+	// Units is the response field with the actual units, read only with UnitSettings.SettleLater; X-Units by default.
+	Units string `yaml:"units"`
+}
+
+// Class is a request class. Operations of the OpenAPI description refer to it by name.
 type Class struct {
-	// Name is what operations call the class by.
+	// Name is the name by which operations refer to the class.
 	Name string `yaml:"name"`
-	// Idempotency says what a repeated request does: "safe" ones can be repeated freely, "keyed" ones under one
-	// idempotency key, "unsafe" ones never once they may have run. It has to be there.
+	// Idempotency says whether a request may be repeated: "safe" requests always, "keyed" requests with the same
+	// idempotency key, "unsafe" requests never once they may have run. Required.
 	Idempotency string `yaml:"repeat"`
-	// KeyScope is where a keyed request is known again: "all" backends (the default), those of its "zone" or its "cell".
+	// KeyScope is the group of backends that recognize the repeated key of a keyed request: "all" backends (the default),
+	// those of the same "zone", or those of the same "cell".
 	KeyScope string `yaml:"scope"`
-	// KeyTTL is how long backends remember a key; it has to be there for keyed classes.
+	// KeyTTL is how long backends remember an idempotency key. Required for keyed classes.
 	KeyTTL strictyaml.Duration `yaml:"key-ttl"`
-	// LatencyObjective is the time within which a response earns the full weight; above 0.
+	// LatencyObjective is the time within which a response has its full value. Required, above 0.
 	LatencyObjective strictyaml.Duration `yaml:"aim"`
-	// Deadline is how long clients wait at most, over all attempts; the objective or more, and above Limits.ResponseMargin.
+	// Deadline is the longest time that clients wait for a response, over all attempts. Required, at least LatencyObjective
+	// and above Limits.ResponseMargin.
 	Deadline strictyaml.Duration `yaml:"deadline"`
-	// PriorityWeight is what a request is worth next to those of other classes; 0, the default, is nothing.
+	// PriorityWeight is the value of a request relative to requests of other classes; 0 by default: no value.
 	PriorityWeight float64 `yaml:"worth"`
-	// LateShare is the part of the weight, 0 to 1, that a response later than the objective earns; 0 by default.
+	// LateShare is the share of that value, 0 to 1, that a response after LatencyObjective still has; 0 by default.
 	LateShare float64 `yaml:"late-share"`
-	// Stream says that responses are streamed: they have no deadline once they have begun.
+	// Stream says that responses are streamed, which removes their deadline once they have begun; false by default.
 	Stream bool `yaml:"stream"`
 }
 
-// Plan is what each customer on it is entitled to, over all instances together.
+// Plan holds the quota and the priority of each of its customers, over all instances together.
 type Plan struct {
 	Name           string          `yaml:"name"`
-	Rate           strictyaml.Rate `yaml:"rate"`       // units per second; 0, the default: no such quota
-	Burst          float64         `yaml:"burst"`      // units at once; 1 or more with a rate
-	MaxInFlight    int             `yaml:"open"`       // attempts at once; 0, the default: no such quota
-	WeightFactor   float64         `yaml:"price"`      // of the weight of a class; 1 by default
-	OverQuotaValue float64         `yaml:"over-worth"` // part of the weight that a request beyond the quota earns; 0 by default
-	OverQuotaCost  float64         `yaml:"over-cost"`  // part of the weight that an attempt beyond the quota costs; 0 by default
-	Ceiling        Ceiling         `yaml:"ceiling"`
-}
-
-// Ceiling bounds what a customer may send, inside its quota or not.
+	Rate           strictyaml.Rate `yaml:"rate"`       // quota in units per second; 0, the default: no quota on the rate
+	Burst          float64         `yaml:"burst"`      // units that may be used at once; required with a rate, 1 or more
+	MaxInFlight    int             `yaml:"open"`       // quota on attempts in flight at once; 0, the default: no such quota
+	WeightFactor   float64         `yaml:"price"`      // factor on the PriorityWeight of the class; 1 by default
+	OverQuotaValue float64         `yaml:"over-worth"` // value of a response beyond the quota, as a share of its value within the quota; 0 by default
+	// OverQuotaCost is the cost of a response beyond the quota, as the same share; 0 by default. Requests beyond the quota are
+	// rejected unless OverQuotaValue is above it.
+	OverQuotaCost float64 `yaml:"over-cost"`
+	Ceiling       Ceiling `yaml:"ceiling"`
+}
+
+// Ceiling is a hard limit on the use of a customer, in addition to the quota.
 type Ceiling struct {
-	Rate  strictyaml.Rate `yaml:"rate"`  // units per second, the plan's rate or more; 0, the default: no ceiling
-	Burst float64         `yaml:"burst"` // units at once; 0 by default
-	Slack float64         `yaml:"slack"` // units by which it may be passed; 0 by default
+	Rate  strictyaml.Rate `yaml:"rate"`  // units per second, at least the plan's rate; 0, the default: no ceiling
+	Burst float64         `yaml:"burst"` // units that may be used at once; 0 by default
+	Slack float64         `yaml:"slack"` // units by which the ceiling may be exceeded; 0 by default
 }
 
-// CustomerConfig is a customer with its keys.
+// CustomerConfig is a customer, with its plan and its keys.
 type CustomerConfig struct {
 	Name string `yaml:"name"`
 	Plan string `yaml:"plan"` // name of one of Plans
-	// Keys are at least one; a key is written plainly, or as sha256:HEX of it.
+	// Keys are the keys that identify the customer, at least one. A key is written in plain text or as sha256:HEX, with the
+	// hexadecimal SHA-256 of the key.
 	Keys      []string          `yaml:"keys"`
 	Instances CustomerInstances `yaml:"doors"`
 }
 
-// CustomerInstances are the instances through which a customer's requests come: Spread of them from First on, in a circle.
+// CustomerInstances are the instances that receive a customer's requests: Spread instances, beginning with number First.
+// After the last instance of the fleet the numbers continue with 0.
 type CustomerInstances struct {
-	First  int `yaml:"first"`  // number of an instance; 0 by default
-	Spread int `yaml:"spread"` // how many; 0, the default: all
+	First  int `yaml:"first"`  // number of the first instance; 0 by default
+	Spread int `yaml:"spread"` // number of instances; 0, the default: all
 }
 
-// BackendSettings say where the list of endpoints is and how backends behave.
+// BackendSettings locate the endpoint list and describe how backends behave.
 type BackendSettings struct {
-	// File is the list of endpoints, relative to gateway.yaml; it is watched. It has to be there.
+	// File is the path of the endpoint list, relative to gateway.yaml. The file is watched for changes. Required.
 	File string `yaml:"file"`
-	// DrainGrace is the time after which nothing new may reach a backend that is draining or gone; 2s by default.
+	// DrainGrace is the time after which a draining or removed backend must get no new requests; 2s by default.
 	DrainGrace strictyaml.Duration `yaml:"drain-grace"`
-	// Subscribe says that the gateway asks for the list, rather than being given it.
+	// Subscribe makes the gateway request a watch of the list. If false, the default, the list arrives without a request.
 	Subscribe bool `yaml:"subscribe"`
-	// PollInterval is the time within which a failed subscription is renewed; 0, the default: none.
+	// PollInterval is the longest time between polls of the list; 0, the default: none. It is recorded in traces as a part of
+	// the settings and has no other effect.
 	PollInterval strictyaml.Duration `yaml:"ask-within"`
-	// RejectedStatuses are those, from 400 to 599, with which a backend says that it rejected a request unseen; none by
-	// default. A status may only be listed if the backend surely did nothing: an unsafe request is sent again after it.
+	// RejectedStatuses are the statuses, from 400 to 599, with which a backend rejects a request without running it; none by
+	// default. List a status only if it guarantees that the request did not run: unsafe requests are retried after it.
 	RejectedStatuses []int             `yaml:"full-statuses"`
 	SlowStart        SlowStartSettings `yaml:"cold"`
 	Overload         OverloadSettings  `yaml:"overload"`
 }
 
-// SlowStartSettings say how a started backend warms up.
+// SlowStartSettings describe the slow start of a backend: its capacity grows while it warms up.
 type SlowStartSettings struct {
-	Share float64             `yaml:"share"` // least part of its capacity, above 0 and up to 1; 1, the default: it is warm at once
-	Time  strictyaml.Duration `yaml:"time"`  // after which it is warm; 0 by default
+	Share float64             `yaml:"share"` // share of its capacity that a backend has at its start, above 0 and up to 1; 1, the default: full capacity at once
+	Time  strictyaml.Duration `yaml:"time"`  // from start to full capacity; 0 by default
 }
 
-// OverloadSettings say what pushes a backend over that is warming up.
+// OverloadSettings describe the load at which a backend in slow start fails.
 type OverloadSettings struct {
-	Factor float64             `yaml:"factor"` // multiple of its present capacity; 0, the default: nothing does
-	Time   strictyaml.Duration `yaml:"time"`   // for which it is sent that much; 0 by default
+	Factor float64             `yaml:"factor"` // multiple of the backend's current capacity; 0, the default: no attempt is held back
+	Time   strictyaml.Duration `yaml:"time"`   // window over which the load is measured; 0, the default: no attempt is held back
 }
 
-// LoadSettings say which figures backends report, and how.
+// LoadSettings describe the load reports of backends.
 type LoadSettings struct {
-	// Via is "answers" (the endpoint-load-metrics field of responses), "probes" or "none", the default.
-	Via    string      `yaml:"via"`
+	// Via is how reports arrive: with "answers" (in the endpoint-load-metrics field of responses), with "probes", or "none",
+	// the default.
+	Via string `yaml:"via"`
+	// Fields are the values of a report that the gateway reads; none by default.
 	Fields []LoadField `yaml:"fields"`
 }
 
-// LoadField is one figure of a backend's load report.
+// LoadField is one value of a load report.
 type LoadField struct {
-	Name   string `yaml:"name"` // as the report has it
-	Metric string `yaml:"is"`   // in-flight, queue, utilization, latency, served, errors or other
+	Name   string `yaml:"name"` // name of the value in the report
+	Metric string `yaml:"is"`   // meaning of the value: in-flight, queue, utilization, latency, served, errors or other
 }
 
-// ProbeSettings say whether and where backends are asked for their load.
+// ProbeSettings control the probes that request load reports from backends.
 type ProbeSettings struct {
-	Allowed bool    `yaml:"allowed"` // false by default
-	Cost    float64 `yaml:"price"`   // of a probe, next to the weight of requests; 0 by default
-	Path    string  `yaml:"path"`    // of the request; /load by default
+	Allowed bool    `yaml:"allowed"` // allows probes; false by default. LoadSettings.Via "probes" requires it
+	Cost    float64 `yaml:"price"`   // cost of one probe, in requests; 0 by default
+	Path    string  `yaml:"path"`    // path of the probe request; /load by default
 }
 
-// AttemptSettings bound the attempts of a request.
+// AttemptSettings control the attempts of a request.
 type AttemptSettings struct {
-	Max     int  `yaml:"most"`          // for one request, 1 or more; 2 by default
-	Cancel  bool `yaml:"cancel"`        // attempts that are of no use any more are cancelled; true by default
-	Hedging bool `yaml:"second-copies"` // a request may have two attempts in flight; false by default
+	Max     int  `yaml:"most"`          // attempts per request, including the first, 1 or more; 2 by default
+	Cancel  bool `yaml:"cancel"`        // cancels attempts whose response is no longer needed; true by default
+	Hedging bool `yaml:"second-copies"` // allows two attempts of a request in flight; false by default. It has no effect yet, since requests are never hedged
 }
 
 // RetryAfterSettings say whether rejections carry Retry-After.
 type RetryAfterSettings struct {
-	Enabled bool                `yaml:"tell"` // false by default
-	Max     strictyaml.Duration `yaml:"most"` // longest wait that is told; 2s by default
+	Enabled bool                `yaml:"tell"` // adds Retry-After to responses that reject a request; false by default
+	Max     strictyaml.Duration `yaml:"most"` // longest wait that a response states; 2s by default
 }
 
-// CounterSettings say where the counter is that all instances share, and how it is called.
+// CounterSettings locate the counter that all instances share and bound the calls of it.
 type CounterSettings struct {
-	Address    string              `yaml:"address"` // host:port; "", the default: there is none
-	Timeout    strictyaml.Duration `yaml:"timeout"` // of a call, above 0; 50ms by default
-	Cost       float64             `yaml:"price"`   // of a call, next to the weight of requests; 0 by default
-	MaxPending int                 `yaml:"pending"` // calls in flight, 1 or more; 4096 by default
+	Address    string              `yaml:"address"` // host:port; "", the default: no counter is used
+	Timeout    strictyaml.Duration `yaml:"timeout"` // timeout of a call, above 0; 50ms by default
+	Cost       float64             `yaml:"price"`   // cost of a call, in requests; 0 by default. Recorded in traces only; no decision depends on it
+	MaxPending int                 `yaml:"pending"` // maximum calls in flight, 1 or more; 4096 by default. Further calls fail at once
 }
 
-// UnitSettings say how the units of requests are counted.
+// UnitSettings describe the units that requests cost.
 type UnitSettings struct {
-	Max         float64 `yaml:"most"`         // of one request; 1 by default
-	SettleLater bool    `yaml:"settle-later"` // units are an estimate and true ones come with the response; false by default
+	Max         float64 `yaml:"most"`         // maximum units of one request; 1 by default, and below 1 means 1
+	SettleLater bool    `yaml:"settle-later"` // a request's units are an estimate, and the response states the actual units; false by default
 }
 
-// Limits bound what an instance holds and how long it waits. docs/operate/front-door.md has what happens at each. All but
-// those that say so are above 0.
+// Limits bound the resources of an instance and the time that it waits. docs/operate/front-door.md describes what happens
+// at each limit. A limit must be above 0 unless its comment allows 0.
 type Limits struct {
-	Connections     int `yaml:"connections"`   // of clients; 10000 by default
-	BackendConns    int `yaml:"lines"`         // to all backends; 8192 by default
-	ConnsPerBackend int `yaml:"lines-per-box"` // to one backend; 256 by default
-	Queue           int `yaml:"queue"`         // events that wait for the loop; 8192 by default
-
-	Memory       strictyaml.Size `yaml:"memory"`      // of bodies that are held; 256MiB by default
-	Body         strictyaml.Size `yaml:"body"`        // of a request; no more than Memory; 1MiB by default, 0: requests with a body are rejected
-	Head         strictyaml.Size `yaml:"head"`        // of a message; 32KiB by default
-	Fields       int             `yaml:"fields"`      // of a head; 128 by default
-	HoldResponse strictyaml.Size `yaml:"hold-answer"` // larger responses flow, and can't be tried again; 64KiB by default
-	Response     strictyaml.Size `yaml:"answer"`      // a larger one counts as broken; 0, the default: there is no such bound
-
-	FirstTimeout strictyaml.Duration `yaml:"first-timeout"` // for a new connection's first request to be complete; 75s by default
-	HeadTimeout  strictyaml.Duration `yaml:"head-timeout"`  // for a later request's head; 10s by default
-	BodyTimeout  strictyaml.Duration `yaml:"body-timeout"`  // for its body; 30s by default
-	WriteTimeout strictyaml.Duration `yaml:"write-timeout"` // for a client to take 64 KiB; 15s by default
-	IdleTimeout  strictyaml.Duration `yaml:"idle-timeout"`  // of a client's connection without a request; 75s by default
-
-	ConnectTimeout     strictyaml.Duration `yaml:"connect-timeout"`  // to a backend; 250ms by default
-	BackendIdleTimeout strictyaml.Duration `yaml:"box-idle-timeout"` // connections idle for longer are not used; 15s by default
-	NonIdempotentIdle  strictyaml.Duration `yaml:"unsafe-idle"`      // the same for unsafe requests; 1s by default, 0: they get new ones
-	ReuseDelay         strictyaml.Duration `yaml:"line-rest"`        // between two requests on a connection, so that bytes behind a response are seen; 0 by default
-	ResponseMargin     strictyaml.Duration `yaml:"answer-margin"`    // kept off a client's timeout for the response to reach it; 20ms by default, may be 0
-	StreamIdleTimeout  strictyaml.Duration `yaml:"stream-silence"`   // of a backend within a response that flows; 30s by default
-
-	StopDelay       strictyaml.Duration `yaml:"stop-delay"`       // from the signal to stop until no more connections are accepted; 0 by default
-	ShutdownTimeout strictyaml.Duration `yaml:"shutdown-timeout"` // after which what is in flight is cut off; 30s by default
-}
-
-// TraceSettings says what is recorded of the decisions, and where.
+	Connections     int `yaml:"connections"`   // open client connections; 10000 by default
+	BackendConns    int `yaml:"lines"`         // open connections to all backends; 8192 by default
+	ConnsPerBackend int `yaml:"lines-per-box"` // open connections to one backend; 256 by default
+	Queue           int `yaml:"queue"`         // messages queued for the event loop at which new requests are rejected; 8192 by default. At half of it accepting pauses
+
+	Memory       strictyaml.Size `yaml:"memory"`      // memory for the requests that are held, over all connections; 256MiB by default
+	Body         strictyaml.Size `yaml:"body"`        // size of a request body, at most Memory; 1MiB by default. 0: requests with a body are rejected
+	Head         strictyaml.Size `yaml:"head"`        // size of the head of a message; 32KiB by default
+	Fields       int             `yaml:"fields"`      // number of fields in a head; 128 by default
+	HoldResponse strictyaml.Size `yaml:"hold-answer"` // a response up to this size is buffered whole; a larger one is streamed and can't be retried. 64KiB by default
+	Response     strictyaml.Size `yaml:"answer"`      // a larger response counts as malformed; 0, the default: no limit
+
+	FirstTimeout strictyaml.Duration `yaml:"first-timeout"` // from the opening of a client connection until its first request is complete; 75s by default
+	HeadTimeout  strictyaml.Duration `yaml:"head-timeout"`  // for the head of a request to arrive; 10s by default
+	BodyTimeout  strictyaml.Duration `yaml:"body-timeout"`  // for the body of a request to arrive; 30s by default
+	WriteTimeout strictyaml.Duration `yaml:"write-timeout"` // for a peer (client, backend or counter) to accept 64 KiB of output; 15s by default
+	IdleTimeout  strictyaml.Duration `yaml:"idle-timeout"`  // for an idle client connection to stay open; 75s by default
+
+	ConnectTimeout     strictyaml.Duration `yaml:"connect-timeout"`  // for a connection to a backend to be established; 250ms by default
+	BackendIdleTimeout strictyaml.Duration `yaml:"box-idle-timeout"` // a backend connection that has been idle for longer is closed; 15s by default
+	// NonIdempotentIdle is the idle time after which unsafe requests don't use a backend connection; 1s by default. With 0 each
+	// of them gets a new connection.
+	NonIdempotentIdle strictyaml.Duration `yaml:"unsafe-idle"`
+	// ReuseDelay is the minimum time between a response and the next request on a backend connection, so that extra bytes
+	// after the response are detected; 0 by default.
+	ReuseDelay        strictyaml.Duration `yaml:"line-rest"`
+	ResponseMargin    strictyaml.Duration `yaml:"answer-margin"`  // subtracted from the time that a client waits, so that the response reaches it in time; 20ms by default, may be 0
+	StreamIdleTimeout strictyaml.Duration `yaml:"stream-silence"` // for a backend to send more of a streamed response; 30s by default
+
+	StopDelay       strictyaml.Duration `yaml:"stop-delay"`       // from the stop signal until the listener closes; 0 by default
+	ShutdownTimeout strictyaml.Duration `yaml:"shutdown-timeout"` // from the stop signal until requests in flight are aborted; 30s by default
+}
+
+// TraceSettings control the recording of decisions.
 type TraceSettings struct {
 	Mode         string          `yaml:"mode"`      // off (the default), sampled or full
-	Folder       string          `yaml:"folder"`    // of the files, relative to gateway.yaml; it has to be there unless the mode is off
-	Share        float64         `yaml:"share"`     // of the requests, above 0 and up to 1, when sampled; 0.05 by default
-	FileSize     strictyaml.Size `yaml:"file-size"` // a file of this size is followed by another; 64KiB or more, 64MiB by default
-	MaxTotalSize strictyaml.Size `yaml:"most"`      // on disk; the oldest files go; 1GiB by default
-	Buffer       int             `yaml:"buffer"`    // steps that wait to be written, 64 or more; 65536 by default
+	Folder       string          `yaml:"folder"`    // directory for the files, relative to gateway.yaml; required unless Mode is off. It is created if it does not exist
+	Share        float64         `yaml:"share"`     // share of the requests that is recorded if Mode is sampled, above 0 and up to 1; 0.05 by default
+	FileSize     strictyaml.Size `yaml:"file-size"` // size at which the next file is begun; 64KiB or more, 64MiB by default
+	MaxTotalSize strictyaml.Size `yaml:"most"`      // size of all files together, beyond which the oldest are removed; FileSize or more, 1GiB by default
+	Buffer       int             `yaml:"buffer"`    // maximum steps that wait to be written, 64 or more; 65536 by default. Further steps are dropped and counted
 }
 
-// AdminSettings say where tools reach a running instance.
+// AdminSettings locate the admin socket, by which tools query a running instance.
 type AdminSettings struct {
-	Socket string `yaml:"socket"` // path of the unix socket, relative to gateway.yaml; "", the default: none
+	Socket string `yaml:"socket"` // path of the unix socket, relative to gateway.yaml; "", the default: no admin socket
 }
 
-// LogSettings say what is logged.
+// LogSettings control the log.
 type LogSettings struct {
 	Format string `yaml:"format"` // json (the default) or text
 	Level  string `yaml:"level"`  // debug, info (the default), warn or error; debug has a record for each final response
--- a/config/validate.go
+++ b/config/validate.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	minTraceFile   = 64 << 10 // bytes of a trace's file: less would make a file of every few frames
-	minTraceBuffer = 64       // steps: less would drop some whenever the disk is slow for a moment
+	minTraceFile   = 64 << 10 // minimum size of a trace file (bytes); with less, a file would hold only a few frames
+	minTraceBuffer = 64       // minimum buffer (steps); with less, steps would be dropped whenever the disk is slow for a moment
 )
 
-// validate reports what is wrong in gateway.yaml by itself, section by section. Classes come with the operations that
-// name them (derive.go), customers when they are indexed (customers.go).
+// validate validates the sections of gateway.yaml that do not depend on other files. Classes are validated together with
+// the operations that name them (derive.go), and customers when they are indexed (customers.go).
 func (c *Config) validate(d *strictyaml.Document) {
 	c.validateTop(d)
 	c.validateInstance(d)
@@ -29,23 +29,25 @@
 	c.validatePlans(d)
 }
 
-func reportBelow(d *strictyaml.Document, field string, x, least float64) {
-	if x < least {
-		d.Reportf(field, "%g: expected %g or more", x, least)
+// reportBelow reports a value below a minimum.
+func reportBelow(d *strictyaml.Document, field string, x, minimum float64) {
+	if x < minimum {
+		d.Reportf(field, "%g: expected %g or more", x, minimum)
 	}
 }
 
-func reportNoAddress(d *strictyaml.Document, field, address string) {
+// reportBadAddress reports an address that is not of the form host:port.
+func reportBadAddress(d *strictyaml.Document, field, address string) {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		d.Reportf(field, "%q: expected host:port", address)
 	}
 }
 
-// isShare says whether x is above 0 and at most 1; NaN is not.
+// isShare reports whether x is above 0 and at most 1. It is false for NaN.
 func isShare(x float64) bool { return x > 0 && x <= 1 }
 
 func (c *Config) validateTop(d *strictyaml.Document) {
-	reportNoAddress(d, "listen", c.Listen)
+	reportBadAddress(d, "listen", c.Listen)
 	if c.OpenAPI == "" {
 		d.Reportf("openapi", "missing: the description that routes and costs come from")
 	}
@@ -64,7 +66,7 @@
 	}
 	for i, z := range c.Zones {
 		if slices.Contains(c.Zones[:i], z) {
-			d.Reportf(fmt.Sprintf("zones[%d]", i), "%q stands twice", z)
+			d.Reportf(fmt.Sprintf("zones[%d]", i), "%q occurs twice", z)
 		}
 	}
 }
@@ -74,7 +76,7 @@
 	if c.Counter.Address == "" {
 		return
 	}
-	reportNoAddress(d, "keeper.address", c.Counter.Address)
+	reportBadAddress(d, "keeper.address", c.Counter.Address)
 	reportBelow(d, "keeper.pending", float64(c.Counter.MaxPending), 1)
 	if c.Counter.Timeout == 0 {
 		d.Reportf("keeper.timeout", "expected a time above 0")
@@ -178,7 +180,7 @@
 		if p.Name == "" {
 			d.Reportf(at+".name", "missing")
 		} else if seen[p.Name] {
-			d.Reportf(at+".name", "%q stands twice", p.Name)
+			d.Reportf(at+".name", "%q occurs twice", p.Name)
 		}
 		seen[p.Name] = true
 		if !d.Has(at + ".price") {
@@ -191,7 +193,7 @@
 	}
 }
 
-// validate reports figures of a plan that are out of bounds or don't fit together.
+// validate reports values of a plan that are out of range or contradict each other.
 func (p *Plan) validate(d *strictyaml.Document, at string) {
 	reportBelow(d, at+".burst", p.Burst, 0)
 	reportBelow(d, at+".open", float64(p.MaxInFlight), 0)
--- a/coreid/coreid.go
+++ b/coreid/coreid.go
@@ -1,6 +1,6 @@
-// Package coreid identifies the core that a program was built with, by a digest of everything that can change a decision.
-// Programs with the same identity decide the same from the same input; tools whose identity is another refuse to give a
-// verdict.
+// Package coreid identifies the core that a program was built with: a digest of everything that can change a decision.
+// Programs with the same identity make the same decisions from the same input. A tool with another identity than its input
+// gives no verdict.
 package coreid
 
 import (
@@ -16,16 +16,17 @@
 	"sandyard/trace"
 )
 
-// digestBytes is how much of the digest is kept: short enough to compare by eye, and builds are few.
+// digestBytes is the number of bytes of the digest that are kept: short enough to compare by eye, and sufficient because there
+// are few builds.
 const digestBytes = 8
 
-// other is part of the digest in tests only, which build programs with two cores from one source:
+// other is a part of the digest that only tests set, to build programs with two cores from the same source:
 // go build -ldflags '-X sandyard/coreid.other=x'
 var other string
 
-// Core returns this build's identity: 16 hexadecimal digits. It is a digest of the source text of the decision package with
-// all its constants, of routing and of reading settings, of the trace format's version and, since floating-point code may
-// differ between them, of the processor architecture.
+// Core returns this build's identity: 16 hexadecimal digits. It is a digest of the source text of packages decision (with all
+// its constants), routes and config, of the version of the trace format, and of the processor architecture, because
+// floating-point results may differ between architectures.
 var Core = sync.OnceValue(func() string {
 	h := sha256.New()
 	for _, s := range []string{decision.Text(), routes.Text(), config.Text(), trace.Format, runtime.GOARCH, other} {
@@ -35,22 +36,23 @@
 	return hex.EncodeToString(h.Sum(nil)[:digestBytes])
 })
 
-// Mismatch is the error of a tool that gives no verdict because two cores differ.
+// Mismatch is the error of a tool that gives no verdict because its core differs from that of its input.
 type Mismatch struct {
 	Own    string // this program's identity
-	Other  string // that of what it was given
-	Source string // what that is, as "the trace"
+	Other  string // identity of the input's core
+	Source string // name of the input, such as "the trace"
 }
 
+// Error returns a message with both identities and the source.
 func (m Mismatch) Error() string {
 	return "this program's core is " + m.Own + ", that of " + m.Source + " is " + m.Other +
 		": its verdicts could differ; use the tools of the same build"
 }
 
-// Check returns a Mismatch if an identity is not this build's. where says what it belongs to.
-func Check(theirs, where string) error {
-	if theirs != Core() {
-		return Mismatch{Core(), theirs, where}
+// Check returns a Mismatch if other is not this build's identity. source names the input that other belongs to.
+func Check(other, source string) error {
+	if other != Core() {
+		return Mismatch{Core(), other, source}
 	}
 	return nil
 }
--- a/coreid/coreid_test.go
+++ b/coreid/coreid_test.go
@@ -12,8 +12,8 @@
 	"sandyard/routes"
 )
 
-// A tool of another build that answers all the same misleads whoever is on call. Check must accept this build's identity and
-// return a Mismatch that names both for another.
+// TestCheckRefusesAnotherCore checks that Check accepts this build's identity, and returns a Mismatch with both identities for
+// any other. The verdict of a tool of another build would mislead the engineer on call.
 func TestCheckRefusesAnotherCore(t *testing.T) {
 	if err := Check(Core(), "the trace"); err != nil || len(Core()) != 2*digestBytes {
 		t.Errorf("%q: %v", Core(), err)
@@ -25,15 +25,15 @@
 	}
 }
 
-// TestTextHoldsEveryFile: a file of rules that the core's identity does not see would let two builds that decide, route,
-// charge or read settings differently pass for the same.
+// TestTextHoldsEveryFile checks that the texts in the core's identity contain all files of their packages. If one were missing,
+// builds that decide, route, charge or read settings differently could have the same identity.
 func TestTextHoldsEveryFile(t *testing.T) {
 	for folder, text := range map[string]string{"decision": decision.Text(), "config": config.Text(), "routes": routes.Text()} {
 		t.Run(folder, func(t *testing.T) { requireWholeText(t, filepath.Join("..", folder), text) })
 	}
 }
 
-// requireWholeText checks that a text holds each Go file of a folder but the tests, and nothing else.
+// requireWholeText checks that a text consists of the Go files of a folder, without the tests.
 func requireWholeText(t *testing.T, folder, text string) {
 	t.Helper()
 	files, err := os.ReadDir(folder)
--- a/internal/diagnostic/diagnostic.go
+++ b/internal/diagnostic/diagnostic.go
@@ -1,5 +1,5 @@
-// Package diagnostic holds the errors of inputs: problems of files that people write, all at once and each with its place,
-// and fields of messages with values that can't be taken.
+// Package diagnostic defines errors about inputs: the problems of a configuration file, collected and each with its position,
+// and errors about fields of messages with invalid values.
 package diagnostic
 
 import (
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong in a file. Line and Column count from 1; 0 stands for the file as a whole.
+// Problem is an error in a file. Line and Column begin at 1; a Line of 0 means the file as a whole.
 type Problem struct {
 	File         string
 	Line, Column int
-	Field        string // dotted, with indexes: plans[2].rate
-	Message      string // what is wrong and what would be right
-	Cause        error  // behind the message; nil if there is none
+	Field        string // dotted path with indexes, such as plans[2].rate; "": none
+	Message      string // what is wrong and what is expected
+	Cause        error  // error that caused the problem; nil if there is none
 }
 
-// Error is the message with file, line, column and field in front.
+// Error returns the message, preceded by file, line, column and field.
 func (p Problem) Error() string {
 	s := p.File
 	if p.Line > 0 {
@@ -30,13 +30,14 @@
 	return s + ": " + p.Message
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (p Problem) Unwrap() error { return p.Cause }
 
-// Problems is an error when it is not empty. errors.As finds each Problem and its cause.
+// Problems is a list of problems. It is an error unless it is empty. errors.Is and errors.As examine each Problem and its
+// cause.
 type Problems []Problem
 
-// Error is all messages, one a line.
+// Error returns all messages, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -45,7 +46,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap gives the problems one by one.
+// Unwrap returns the problems as separate errors.
 func (ps Problems) Unwrap() []error {
 	errs := make([]error, len(ps))
 	for i, p := range ps {
--- a/internal/diagnostic/field.go
+++ b/internal/diagnostic/field.go
@@ -5,29 +5,29 @@
 	"fmt"
 )
 
-// ErrMissing says that a field which has to be there is not.
+// ErrMissing is the error of a required field that is missing.
 var ErrMissing = errors.New("missing")
 
-// FieldError is a field of an input with a value that can't be taken.
+// FieldError is the error of a field with an invalid value.
 type FieldError struct {
-	Field string // dotted, as the input has it
-	Value string // as it was given
+	Field string // dotted path, as in the input
+	Value string // value in the input
 	Want  string // what is expected instead, such as "a number"
 }
 
-// Error names the field, its value and what is expected.
+// Error returns a message with the field, its value and what is expected.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: %q: expected %s", e.Field, e.Value, e.Want)
 }
 
-// PlaceError is an error at a place of an input, by the name of the place.
+// PlaceError is an error in a named place of an input, such as a field.
 type PlaceError struct {
 	Place string
 	Err   error
 }
 
-// Error is the cause with its place in front.
+// Error returns the cause, preceded by the place.
 func (e *PlaceError) Error() string { return e.Place + ": " + e.Err.Error() }
 
-// Unwrap gives the error without its place.
+// Unwrap returns the error without its place.
 func (e *PlaceError) Unwrap() error { return e.Err }
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -8,40 +8,41 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// TextDecoder is a value with a form of its own, such as Duration.
+// TextDecoder is a value that parses its own textual format, such as Duration.
 type TextDecoder interface {
-	// DecodeText reads the value; the error says what is expected, as in "expected a time such as 600ms".
+	// DecodeText parses the value. Its error says what is expected, as in "expected a time such as 600ms".
 	DecodeText(string) error
 }
 
-// decode reads a node into a value; field is its dotted name.
+// decode decodes a node into a value; field is the dotted name of the value.
 func (d *Document) decode(n ast.Node, v reflect.Value, field string) {
-	d.setPlace(n, field)
+	d.setPosition(n, field)
 	switch m := n.(type) {
 	case *ast.AnchorNode:
 		d.decode(m.Value, v, field)
 		return
 	case *ast.AliasNode, *ast.TagNode, *ast.MergeKeyNode:
-		d.Reportf(field, "anchors, aliases and tags are not taken here")
+		d.Reportf(field, "anchors, aliases and tags are not supported")
 		return
 	}
 	if t, ok := v.Addr().Interface().(TextDecoder); ok {
-		d.text(n, t, field)
+		d.decodeText(n, t, field)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		d.structure(n, v, field)
+		d.decodeStruct(n, v, field)
 	case reflect.Slice:
-		d.list(n, v, field)
+		d.decodeList(n, v, field)
 	case reflect.Map:
-		d.mapping(n, v, field)
+		d.decodeMap(n, v, field)
 	default:
-		d.scalar(n, v, field)
+		d.decodeScalar(n, v, field)
 	}
 }
 
-func (d *Document) text(n ast.Node, t TextDecoder, field string) {
+// decodeText decodes a single value with its own DecodeText method.
+func (d *Document) decodeText(n ast.Node, t TextDecoder, field string) {
 	s, ok := scalar(n)
 	if !ok {
 		d.Reportf(field, "expected a single value")
@@ -52,7 +53,8 @@
 	}
 }
 
-func (d *Document) list(n ast.Node, v reflect.Value, field string) {
+// decodeList decodes a list into a slice.
+func (d *Document) decodeList(n ast.Node, v reflect.Value, field string) {
 	sequence, ok := n.(*ast.SequenceNode)
 	if !ok {
 		d.Reportf(field, "expected a list")
@@ -65,7 +67,8 @@
 	}
 }
 
-func (d *Document) mapping(n ast.Node, v reflect.Value, field string) {
+// decodeMap decodes a mapping into a map with string keys.
+func (d *Document) decodeMap(n ast.Node, v reflect.Value, field string) {
 	pairs, ok := mappingPairs(n)
 	if !ok {
 		d.Reportf(field, "expected a mapping")
@@ -76,14 +79,14 @@
 		e := reflect.New(v.Type().Elem()).Elem()
 		key := p.Key.String()
 		if v.MapIndex(reflect.ValueOf(key)).IsValid() {
-			d.reportAt(p.Key, join(field, key), "stands twice")
+			d.reportAt(p.Key, join(field, key), "occurs twice")
 		}
 		d.decode(p.Value, e, join(field, key))
 		v.SetMapIndex(reflect.ValueOf(key), e)
 	}
 }
 
-// join is the dotted name of a field below another.
+// join returns the dotted name of field b in a, which is "" for the document itself.
 func join(a, b string) string {
 	if a == "" {
 		return b
@@ -91,7 +94,7 @@
 	return a + "." + b
 }
 
-// mappingPairs are the pairs of a mapping; a mapping of one pair is a node of its own kind.
+// mappingPairs returns the pairs of a mapping. The parser represents a mapping of one pair by another type of node.
 func mappingPairs(n ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch m := n.(type) {
 	case *ast.MappingNode:
@@ -102,8 +105,8 @@
 	return nil, false
 }
 
-// structure reads a mapping into a struct; keys that no field is tagged with are problems.
-func (d *Document) structure(n ast.Node, v reflect.Value, field string) {
+// decodeStruct decodes a mapping into a struct. A key that is not the yaml tag of a field is a problem.
+func (d *Document) decodeStruct(n ast.Node, v reflect.Value, field string) {
 	pairs, ok := mappingPairs(n)
 	if !ok {
 		if _, null := n.(*ast.NullNode); !null {
@@ -123,20 +126,20 @@
 		at := join(field, key)
 		line := p.Key.GetToken().Position.Line
 		if first, ok := seen[key]; ok {
-			d.reportAt(p.Key, at, "stands twice, first in line %d", first)
+			d.reportAt(p.Key, at, "occurs twice, first in line %d", first)
 			continue
 		}
 		seen[key] = line
 		i, ok := fields[key]
 		if !ok {
-			d.reportAt(p.Key, at, "unknown key%s", nearest(key, fields))
+			d.reportAt(p.Key, at, "unknown key%s", suggestion(key, fields))
 			continue
 		}
 		d.decode(p.Value, v.Field(i), at)
 	}
 }
 
-// scalar is the text of a plain value.
+// scalar returns the text of a scalar node; the second result is false for other nodes.
 func scalar(n ast.Node) (string, bool) {
 	switch m := n.(type) {
 	case *ast.StringNode:
@@ -149,8 +152,8 @@
 	return "", false
 }
 
-// scalar reads a plain value into a string, bool, int or float64.
-func (d *Document) scalar(n ast.Node, v reflect.Value, field string) {
+// decodeScalar decodes a scalar into a string, bool, int or float64.
+func (d *Document) decodeScalar(n ast.Node, v reflect.Value, field string) {
 	s, ok := scalar(n)
 	if !ok {
 		d.Reportf(field, "expected a single value")
--- a/internal/strictyaml/strictyaml.go
+++ b/internal/strictyaml/strictyaml.go
@@ -1,5 +1,5 @@
-// Package strictyaml reads YAML into structs: unknown keys, wrong types and values without their units are problems, and
-// reading goes on after each, so that all are reported at once, with file, line and field.
+// Package strictyaml decodes YAML into structs. Unknown keys, wrong types and values without units are problems. Decoding
+// continues after a problem, so that all problems are reported at once, each with file, line and field.
 package strictyaml
 
 import (
@@ -15,21 +15,21 @@
 	"sandyard/internal/diagnostic"
 )
 
-// Document is a file that was read, with its problems. Validation by its callers adds to them with Reportf. It belongs to
-// one goroutine.
+// Document is a decoded file with its problems. Callers that validate the values add further problems with Reportf. A
+// Document must not be used by several goroutines at once.
 type Document struct {
-	Problems diagnostic.Problems
-	file     string
-	places   map[string]place // of each field, by its dotted name
+	Problems  diagnostic.Problems
+	file      string
+	positions map[string]position // of each field, by its dotted name
 }
 
-// place is where a field stands in the file, from 1.
-type place struct{ line, column int }
+// position is the position of a field in the file; both numbers begin at 1.
+type position struct{ line, column int }
 
-// Read reads a document into a pointer to a struct whose fields name their keys in yaml tags. What is wrong is among the
-// document's problems; fields that could not be read keep their values.
-func Read(file string, text []byte, into any) *Document {
-	d := &Document{file: file, places: map[string]place{}}
+// Read decodes a document into target, a pointer to a struct whose fields have their keys in yaml tags. Errors are added to
+// the problems of the returned document; a field that can't be decoded keeps its value.
+func Read(file string, text []byte, target any) *Document {
+	d := &Document{file: file, positions: map[string]position{}}
 	f, err := parser.ParseBytes(text, 0)
 	if err != nil {
 		d.reportSyntax(err)
@@ -39,27 +39,27 @@
 		d.Problems = append(d.Problems, diagnostic.Problem{File: file, Line: 1, Message: "expected one document with settings"})
 		return d
 	}
-	d.decode(f.Docs[0].Body, reflect.ValueOf(into).Elem(), "")
+	d.decode(f.Docs[0].Body, reflect.ValueOf(target).Elem(), "")
 	return d
 }
 
-// Has says whether the document has a field, by its dotted name.
-func (d *Document) Has(field string) bool { _, ok := d.places[field]; return ok }
+// Has reports whether the document contains a field, given its dotted name.
+func (d *Document) Has(field string) bool { _, ok := d.positions[field]; return ok }
 
-// Readable says whether the document is YAML; without it nothing was read.
-func (d *Document) Readable() bool { return len(d.places) > 0 }
+// Readable reports whether the document is valid YAML. If it is not, no field was decoded.
+func (d *Document) Readable() bool { return len(d.positions) > 0 }
 
-// Reportf adds a problem at a field that was read, or at the nearest thing around it.
+// Reportf adds a problem at the position of a field, or of the innermost enclosing field that the document contains.
 func (d *Document) Reportf(field, format string, args ...any) {
 	d.Report(field, fmt.Sprintf(format, args...), nil)
 }
 
-// Report is Reportf for a problem with a cause, which errors.Is and errors.As find; it may be nil.
+// Report is like Reportf, but takes a message and its cause, which errors.Is and errors.As find. The cause may be nil.
 func (d *Document) Report(field, message string, cause error) {
 	p := diagnostic.Problem{File: d.file, Line: 1, Field: field, Message: message, Cause: cause}
 	for at := field; at != ""; {
-		if where, ok := d.places[at]; ok {
-			p.Line, p.Column = where.line, where.column
+		if found, ok := d.positions[at]; ok {
+			p.Line, p.Column = found.line, found.column
 			break
 		}
 		at = at[:max(0, strings.LastIndexAny(at, ".["))]
@@ -77,14 +77,14 @@
 	d.Problems = append(d.Problems, diagnostic.Problem{File: d.file, Line: line, Column: column, Message: "not YAML: " + message, Cause: err})
 }
 
-// reportAt reports a problem at a node and remembers the node as the field's place.
+// reportAt reports a problem at a node and records the node's position as that of the field.
 func (d *Document) reportAt(n ast.Node, field, format string, args ...any) {
-	d.setPlace(n, field)
+	d.setPosition(n, field)
 	d.Reportf(field, format, args...)
 }
 
-func (d *Document) setPlace(n ast.Node, field string) {
+func (d *Document) setPosition(n ast.Node, field string) {
 	if t := n.GetToken(); t != nil && t.Position != nil {
-		d.places[field] = place{t.Position.Line, t.Position.Column}
+		d.positions[field] = position{t.Position.Line, t.Position.Column}
 	}
 }
--- a/internal/strictyaml/suggest.go
+++ b/internal/strictyaml/suggest.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// maxEdits is the number of edits from which on a known key is too far from a mistyped one to be suggested.
-const maxEdits = 3
+// tooManyEdits is the edit distance from which a known key differs too much from a mistyped one to be suggested.
+const tooManyEdits = 3
 
-// nearest suggests a known key for a mistyped one.
-func nearest(key string, known map[string]int) string {
-	best, least := "", maxEdits
+// suggestion returns a text that suggests the known key nearest to a mistyped one, or "" if none is near enough.
+func suggestion(key string, known map[string]int) string {
+	best, least := "", tooManyEdits
 	for k := range known {
-		if n := edits(key, k); n < least || n == least && best != "" && k < best {
+		if n := editDistance(key, k); n < least || n == least && best != "" && k < best {
 			best, least = k, n
 		}
 	}
@@ -19,22 +19,22 @@
 	return fmt.Sprintf("; did you mean %q?", best)
 }
 
-// edits is the Levenshtein distance.
-func edits(a, b string) int {
+// editDistance returns the Levenshtein distance of two keys in bytes.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
 	for i := range len(a) {
-		last := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			change := last
+			change := diagonal
 			if a[i] != b[j] {
 				change++
 			}
-			last = row[j+1]
-			row[j+1] = min(change, last+1, row[j]+1)
+			diagonal = row[j+1]
+			row[j+1] = min(change, diagonal+1, row[j]+1)
 		}
 	}
 	return row[len(b)]
--- a/internal/strictyaml/units_test.go
+++ b/internal/strictyaml/units_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRatesAndSizesNeedTheirUnits: a bare number means seconds to one operator and minutes to the next. Values
-// without units, negative and immense ones are refused.
+// TestRatesAndSizesNeedTheirUnits checks that values without units, negative values and values that are too large are
+// rejected. A number without a unit could be read as per second by one operator and as per minute by another.
 func TestRatesAndSizesNeedTheirUnits(t *testing.T) {
 	var r Rate
 	var z Size
--- a/routes/compile.go
+++ b/routes/compile.go
@@ -14,21 +14,21 @@
 	"sandyard/internal/diagnostic"
 )
 
-// compiler builds a table and collects the problems of the description. It is used for one description.
+// compiler builds the table of one description and collects the description's problems.
 type compiler struct {
 	file     string
 	table    *Table
 	problems diagnostic.Problems
-	ids      map[string]int // lines of operations, by id
+	ids      map[string]int // lines of operations, by operation ID
 }
 
-// location is a place in the description.
+// location is a position in the description.
 type location struct {
 	line, column int
-	field        string // dotted
+	field        string // dotted path
 }
 
-// report adds a problem. A cause among args is kept for errors.Is and errors.As.
+// report adds a problem. An error among args becomes its cause, which errors.Is and errors.As find.
 func (c *compiler) report(at location, format string, args ...any) {
 	p := diagnostic.Problem{File: c.file, Line: at.line, Column: at.column, Field: at.field, Message: fmt.Sprintf(format, args...)}
 	for _, arg := range args {
@@ -39,11 +39,11 @@
 	c.problems = append(c.problems, p)
 }
 
-// nodeLocation is where a node stands, under the name of a field.
+// nodeLocation returns the position of a node, with the name of its field.
 func nodeLocation(n *yaml.Node, field string) location { return location{n.Line, n.Column, field} }
 
-// Compile reads a description. The error is a diagnostic.Problems with all that is wrong; the table is nil then.
-// References to other files and hosts are not followed.
+// Compile compiles an OpenAPI description into a table. If it fails, the error is a diagnostic.Problems with every problem,
+// and the table is nil. References to other files and hosts are not followed.
 func Compile(file string, text []byte) (*Table, error) {
 	c := &compiler{file: file, table: &Table{}, ids: map[string]int{}}
 	var root yaml.Node
@@ -52,7 +52,7 @@
 		return nil, c.problems.Err()
 	}
 	c.reportDuplicates(&root, "")
-	if len(c.problems) > 0 { // which of two declarations is meant can't be told
+	if len(c.problems) > 0 { // it is unknown which of two declarations is meant
 		return nil, c.problems.Err()
 	}
 	doc, err := libopenapi.NewDocumentWithConfiguration(text, &datamodel.DocumentConfiguration{
@@ -77,7 +77,7 @@
 	return c.table, nil
 }
 
-// yamlLine is the line that an error of the YAML reader names, 1 if it names none.
+// yamlLine returns the line that an error of the YAML parser names, or 1 if it names none.
 func yamlLine(err error) int {
 	_, rest, _ := strings.Cut(err.Error(), "line ")
 	n := 0
@@ -87,7 +87,7 @@
 	return max(1, n)
 }
 
-// reportDuplicates finds keys that stand twice in a mapping: a path declared twice with different costs among them.
+// reportDuplicates reports keys that occur twice in a mapping, such as a path that is declared twice with different costs.
 func (c *compiler) reportDuplicates(n *yaml.Node, at string) {
 	if n.Kind == yaml.MappingNode {
 		seen := map[string]int{}
@@ -112,7 +112,7 @@
 	}
 }
 
-// compilePaths puts every operation of the description into the table.
+// compilePaths adds every operation of the description to the table.
 func (c *compiler) compilePaths(doc *v3.Document) {
 	base := c.basePath(doc.Servers)
 	if doc.Paths == nil || doc.Paths.PathItems == nil || doc.Paths.PathItems.Len() == 0 {
@@ -124,7 +124,7 @@
 	}
 }
 
-// compilePath puts the operations of one path into the table.
+// compilePath adds the operations of one path to the table.
 func (c *compiler) compilePath(base, template string, item *v3.PathItem) {
 	at := location{1, 1, "paths." + template}
 	if low := item.GoLow(); low != nil && low.KeyNode != nil {
@@ -134,19 +134,19 @@
 	if !ok {
 		return
 	}
-	end := c.leaf(segments, template, at)
-	if end == nil {
+	leaf := c.addTemplate(segments, template, at)
+	if leaf == nil {
 		return
 	}
 	inherited := extensions(item.Extensions)
 	c.reportUnknown(inherited, at.field)
 	for pair := item.GetOperations().First(); pair != nil; pair = pair.Next() {
 		op := c.compileOperation(strings.ToUpper(pair.Key()), base+template, pair.Value(), inherited, at)
-		end.methods = append(end.methods, op)
+		leaf.methods = append(leaf.methods, op)
 	}
 }
 
-// basePath is the path of the first server, which all paths begin with.
+// basePath returns the path of the first server's URL, with which all paths of the description begin.
 func (c *compiler) basePath(servers []*v3.Server) string {
 	if len(servers) == 0 {
 		return ""
@@ -164,10 +164,11 @@
 	return strings.TrimSuffix(u.Path, "/")
 }
 
-// parameterSegment stands for a segment of a template that is a parameter, whatever its name.
+// parameterSegment represents a segment of a template that is a parameter, regardless of its name.
 const parameterSegment = "{}"
 
-// parseTemplate splits a path into segments; parameterSegment stands for a parameter.
+// parseTemplate splits a path template into segments. Parameters become parameterSegment. It reports an invalid template and
+// returns false.
 func (c *compiler) parseTemplate(path string, at location) ([]string, bool) {
 	if path == "" || path[0] != '/' {
 		c.report(at, "a path begins with /")
@@ -189,7 +190,7 @@
 			return nil, false
 		}
 		if names[name] {
-			c.report(at, "parameter {%s} stands twice in the path", name)
+			c.report(at, "parameter {%s} occurs twice in the path", name)
 			return nil, false
 		}
 		names[name] = true
@@ -198,9 +199,10 @@
 	return segments, true
 }
 
-// leaf walks to where a template ends. Two templates that end in one place differ in names of parameters at most:
-// no request could tell them apart (OpenAPI 3, Paths Object).
-func (c *compiler) leaf(segments []string, template string, at location) *node {
+// addTemplate adds the nodes of a template to the tree and returns the last one. If that node already ends another template,
+// the two differ at most in the names of their parameters and match the same requests (OpenAPI 3, Paths Object). It reports
+// such a template and returns nil.
+func (c *compiler) addTemplate(segments []string, template string, at location) *node {
 	n := &c.table.root
 	for _, s := range segments {
 		if s == parameterSegment {
@@ -228,7 +230,7 @@
 	return n
 }
 
-// compileOperation adds an operation to the table. What it does not say by extensions of its own it inherits from its path.
+// compileOperation adds an operation to the table. It inherits the extensions of its path that it does not set itself.
 func (c *compiler) compileOperation(method, template string, o *v3.Operation, inherited extensionMap, path location) *Operation {
 	at := location{path.line, 1, path.field + "." + strings.ToLower(method)}
 	if low := o.GoLow(); low != nil && low.KeyNode != nil {
@@ -240,7 +242,7 @@
 		op.ID = method + " " + template
 	}
 	if other, ok := c.ids[op.ID]; ok {
-		c.report(location{at.line, 1, at.field + ".operationId"}, "%q is that of line %d, too", op.ID, other)
+		c.report(location{at.line, 1, at.field + ".operationId"}, "%q is already used in line %d", op.ID, other)
 	}
 	c.ids[op.ID] = at.line
 	own := extensions(o.Extensions)
@@ -255,8 +257,8 @@
 	return op
 }
 
-// applyExtensions reads class, units and repeat. A lookup gives the value of an extension, nil if there is none, and its
-// field.
+// applyExtensions sets the class, units and idempotency of an operation from its extensions. lookup returns the value of an
+// extension, or nil if there is none, and its field.
 func (c *compiler) applyExtensions(op *Operation, at location, lookup func(name string) (*yaml.Node, string)) {
 	if value, field := lookup(extClass); value == nil {
 		c.report(at, "no %s: the operation has no class", extClass)
--- a/routes/extensions.go
+++ b/routes/extensions.go
@@ -13,7 +13,7 @@
 	"sandyard/decision"
 )
 
-// The extension fields of operations and paths.
+// The names of the extension fields of operations and paths.
 const (
 	extClass  = "x-sandyard-class"
 	extUnits  = "x-sandyard-units"
@@ -21,7 +21,7 @@
 	extPrefix = "x-sandyard-"
 )
 
-// The words of descriptions for values, and what they mean.
+// The values of extension fields that are written as words, and their meaning.
 var (
 	idempotencies = map[string]decision.Idempotency{
 		"safe":   decision.Idempotent,
@@ -35,9 +35,10 @@
 	}
 )
 
-// extensionMap holds values of our extensions by name.
+// extensionMap holds the values of this project's extension fields by name.
 type extensionMap map[string]*yaml.Node
 
+// extensions returns the extension fields whose names begin with extPrefix.
 func extensions(m *orderedmap.Map[string, *yaml.Node]) extensionMap {
 	out := extensionMap{}
 	for name, value := range m.FromOldest() {
@@ -48,6 +49,7 @@
 	return out
 }
 
+// reportUnknown reports extension fields that are not known.
 func (c *compiler) reportUnknown(extensions extensionMap, field string) {
 	for name, value := range extensions {
 		if name != extClass && name != extUnits && name != extRepeat {
@@ -56,7 +58,8 @@
 	}
 }
 
-// mappingKeys reads the plain values of a mapping that may have some keys.
+// mappingKeys returns the scalar values of a mapping by key. It reports keys other than the known ones, and values that are
+// not scalars.
 func (c *compiler) mappingKeys(n *yaml.Node, at string, known ...string) map[string]*yaml.Node {
 	out := map[string]*yaml.Node{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
@@ -74,7 +77,7 @@
 	return out
 }
 
-// parseNumber reads a number, 0 or more.
+// parseNumber parses a number, 0 or more. It reports an invalid one and returns 0.
 func (c *compiler) parseNumber(n *yaml.Node, at string) float64 {
 	x, err := strconv.ParseFloat(n.Value, 64)
 	if err != nil || !(x >= 0) || math.IsInf(x, 0) {
@@ -84,7 +87,7 @@
 	return x
 }
 
-// parseUnits reads what a call costs: a number, or a mapping that names the parameter which carries it.
+// parseUnits parses the cost of a request: a number, or a mapping that names the parameter with the number.
 func (c *compiler) parseUnits(value *yaml.Node, at string) Units {
 	switch value.Kind {
 	case yaml.ScalarNode:
@@ -117,7 +120,7 @@
 	return u
 }
 
-// parseRepeat reads what an operation says of repeated requests: a word, or a mapping of kind, ttl and scope.
+// parseRepeat parses the idempotency of an operation: a word, or a mapping with kind, ttl and scope.
 func (c *compiler) parseRepeat(value *yaml.Node, at string) Repeat {
 	r := Repeat{Given: true, Idempotency: decision.NotIdempotent}
 	kind := value
@@ -142,7 +145,7 @@
 	return r
 }
 
-// parseTTL reads a time above 0; it is 0 if there is no value.
+// parseTTL parses a duration above 0. It returns 0 if there is no value.
 func (c *compiler) parseTTL(n *yaml.Node, at string) time.Duration {
 	if n == nil {
 		return 0
@@ -154,7 +157,7 @@
 	return ttl
 }
 
-// parseScope reads where a key is known again; it is everywhere if there is no value.
+// parseScope parses the scope of an idempotency key. It returns KeyScopeAll if there is no value.
 func (c *compiler) parseScope(n *yaml.Node, at string) decision.KeyScope {
 	if n == nil {
 		return decision.KeyScopeAll
--- a/routes/path.go
+++ b/routes/path.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// isUnambiguous says whether a path can be read in one way only. A backend that decodes %61dmin, or resolves dot segments,
-// would see another path than the one that was matched and charged.
+// isUnambiguous reports whether every server interprets a path in the same way. A backend that decodes %61dmin, or resolves
+// dot segments, would see another path than the one that was matched and charged.
 func isUnambiguous(path string) bool {
 	for i := 0; i < len(path); i++ {
 		switch path[i] {
 		case '%':
-			if i+2 >= len(path) || !isNeededEscape(path[i+1], path[i+2]) {
+			if i+2 >= len(path) || !isRequiredEscape(path[i+1], path[i+2]) {
 				return false
 			}
 			i += 2
@@ -23,9 +23,10 @@
 	return true
 }
 
-// isNeededEscape says whether two digits escape a byte that can't stand for itself. An escaped unreserved character, and a
-// separator, an escape or a control character behind an escape, are read differently by different servers.
-func isNeededEscape(high, low byte) bool {
+// isRequiredEscape reports whether two hexadecimal digits escape a character that can't be written unescaped, and that is
+// safe. Servers differ in how they interpret an escaped unreserved character, and an escaped separator, percent sign or
+// control character.
+func isRequiredEscape(high, low byte) bool {
 	hi, lo := hexDigit(high), hexDigit(low)
 	if hi < 0 || lo < 0 {
 		return false
@@ -36,13 +37,13 @@
 	return !isUnreserved && !isDangerous
 }
 
-// isDotSegment says whether the rest of a path begins with a segment "." or "..".
+// isDotSegment reports whether the rest of a path begins with a segment "." or "..".
 func isDotSegment(rest string) bool {
 	segment, _, _ := strings.Cut(rest, "/")
 	return segment == "." || segment == ".."
 }
 
-// hexDigit is the value of a hexadecimal digit, -1 for another character.
+// hexDigit returns the value of a hexadecimal digit, or -1 for any other character.
 func hexDigit(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
--- a/routes/table.go
+++ b/routes/table.go
@@ -1,12 +1,12 @@
-// Package routes turns an OpenAPI 3 description into a table that finds, for a method and a path, the operation,
-// its class of requests and how many units it costs. A Table is immutable: any number of goroutines may match requests, and
-// a match allocates nothing.
+// Package routes compiles an OpenAPI 3 description into a table of routes. For a method and a path the table returns the
+// operation, with its request class and its cost in units. A Table is immutable, so any number of goroutines may match
+// requests. A match allocates nothing.
 //
-// A description says it with extension fields of an operation, or of a path for all its operations:
+// Class, cost and idempotency are extension fields of an operation, or of a path for all its operations:
 //
 //	x-sandyard-class: slot-booking          # a class of the configuration
 //	x-sandyard-units: 2                     # or {in: query, name: slots, default: 1, most: 8}
-//	x-sandyard-repeat: {kind: keyed, ttl: 6s, scope: all}   # or safe, or unsafe; absent: as the class says
+//	x-sandyard-repeat: {kind: keyed, ttl: 6s, scope: all}   # or safe, or unsafe; absent: as in the class
 package routes
 
 import (
@@ -16,19 +16,19 @@
 	"sandyard/decision"
 )
 
-// Repeat is what an operation says of repeated requests; the zero value leaves it to the class.
+// Repeat is the idempotency that an operation declares. With the zero value that of the class applies.
 type Repeat struct {
-	Given       bool // the operation says something
+	Given       bool // the operation declares its idempotency
 	Idempotency decision.Idempotency
 	KeyScope    decision.KeyScope // with IdempotentByKey
-	KeyTTL      time.Duration     // with IdempotentByKey: for which backends remember a key
+	KeyTTL      time.Duration     // with IdempotentByKey: how long backends remember a key
 }
 
 // Operation is one method of one path.
 type Operation struct {
-	ID       string // operationId, or method and template
+	ID       string // the operationId; if it is absent, method and template
 	Method   string // in upper case
-	Template string // with the base path
+	Template string // path template, including the base path
 	Class    string // name of a class of the configuration
 	Repeat   Repeat
 	Units    Units
@@ -42,29 +42,30 @@
 	root       node
 }
 
-// node is a place in the tree of path segments. Literals are tried before the parameter, so a concrete path goes
-// before a templated one (OpenAPI 3, Paths Object); what a literal leads to in vain is tried as a parameter next.
+// node is a node in the tree of path segments. Literals are tried before the parameter, because a concrete path has
+// precedence over a templated one (OpenAPI 3, Paths Object). If the subtree of a literal has no match, the parameter is tried.
 type node struct {
 	literal  map[string]*node
 	param    *node
 	methods  []*Operation
-	line     int    // of the template that ends here
+	line     int    // line of the template that ends at this node; 0: none does
 	template string // that template
 }
 
-// MatchResult says how a match ended.
+// MatchResult is the result of a match.
 type MatchResult int
 
-// The results, with the status that a request gets.
+// The results of a match, with the status of the response to the request.
 const (
 	Found            MatchResult = iota
 	PathNotFound                 // 404
-	MethodNotAllowed             // 405: the path is there
-	BadPath                      // 400: a path that two parsers could read differently
-	BadParams                    // 400: a parameter that carries units and is no number in its bounds
+	MethodNotAllowed             // 405: the path has other methods
+	BadPath                      // 400: a path that two parsers could interpret differently
+	BadParams                    // 400: the parameter with the units is not a number within its bounds
 )
 
-// Match finds the operation of a request; it is nil with any result but Found. HEAD is answered where GET is described.
+// Match returns the operation of a request, which is nil unless the result is Found. HEAD matches GET if the path has no
+// HEAD operation of its own.
 func (t *Table) Match(method, path string) (*Operation, MatchResult) {
 	if !isUnambiguous(path) {
 		return nil, BadPath
@@ -79,7 +80,7 @@
 	return nil, result
 }
 
-// match finds the operation below a node; if there is none, it may set result.
+// match finds the operation for the rest of a path below a node. If there is none, it may set result to MethodNotAllowed.
 func (n *node) match(method, rest string, result *MatchResult) *Operation {
 	segment, tail, more := strings.Cut(rest, "/")
 	if next := n.literal[segment]; next != nil {
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// matchNext goes on with the rest of a path, or ends at this node if there is no more.
+// matchNext matches the rest of a path below this node, or the method at this node if the path ends here.
 func (n *node) matchNext(method, tail string, more bool, result *MatchResult) *Operation {
 	if more {
 		return n.match(method, tail, result)
--- a/routes/text.go
+++ b/routes/text.go
@@ -9,6 +9,6 @@
 //go:embed *.go
 var source embed.FS
 
-// Text is the package's own source without its tests, file by file in the order of their names: two builds with the
-// same text route and charge alike. Files that are added are taken in by themselves.
+// Text returns the source of this package without its tests, in the order of file names. Two builds with the same text
+// route and charge requests in the same way. New files are included automatically.
 func Text() string { return sourcetext.Join(source) }
--- a/routes/units.go
+++ b/routes/units.go
@@ -5,17 +5,18 @@
 	"strings"
 )
 
-// Units is what a call of an operation costs: a fixed number, or one that a parameter carries.
+// Units is the cost of a request of an operation: a fixed number, or the value of a parameter.
 type Units struct {
-	Fixed   float64 // without a parameter
+	Fixed   float64 // cost if there is no parameter
 	In      string  // "query" or "header"; "" if fixed
-	Name    string  // of the parameter
-	Default float64 // if the parameter is absent
-	Max     float64 // a larger value is an error of the client's
+	Name    string  // name of the parameter
+	Default float64 // cost if the parameter is absent
+	Max     float64 // maximum; a larger value is an error of the client
 }
 
-// ForRequest is what a call costs, given the query and a way to read header fields; ok is false if its parameter is no number
-// from 0 to Max, or comes twice in the query. It allocates nothing, but for a parameter's name with escapes.
+// ForRequest returns the cost of a request with a query; header returns the value of a header field. ok is false if the
+// parameter is not a number from 0 to Max, or is ambiguous in the query (see findParameter). It allocates only to decode
+// parameter names with escapes.
 func (u *Units) ForRequest(query string, header func(name string) (string, bool)) (units float64, ok bool) {
 	var value string
 	found := false
@@ -39,8 +40,8 @@
 	return x, true
 }
 
-// findParameter finds a parameter of a query. ok is false if it stands there twice, or with escapes in its name: a backend
-// could read another value than the one that was charged.
+// findParameter returns the value of a query parameter. ok is false if the parameter occurs twice or with escapes in its name,
+// or if the escapes of any name are invalid: a backend could read another value than the one that was charged.
 func findParameter(query, name string) (value string, found, ok bool) {
 	for query != "" {
 		var pair string
@@ -60,7 +61,7 @@
 	return value, found, true
 }
 
-// decodesTo says whether a parameter's name is another one with escapes, or can't be decoded.
+// decodesTo reports whether key contains escapes and decodes to name, or can't be decoded.
 func decodesTo(key, name string) bool {
 	if strings.IndexByte(key, '%') < 0 && strings.IndexByte(key, '+') < 0 {
 		return false
@@ -69,7 +70,7 @@
 	return !ok || decoded == name
 }
 
-// unescape decodes a name of a query; ok is false if an escape is broken.
+// unescape decodes the name of a query parameter. ok is false if an escape is invalid.
 func unescape(s string) (decoded string, ok bool) {
 	out := make([]byte, 0, len(s))
 	for i := 0; i < len(s); i++ {
