--- a/trace/event.go
+++ b/trace/event.go
@@ -2,7 +2,7 @@
 
 import "sandyard/decision"
 
-// Event is a decision.Event in its stored form: one of the fields is set, or none where there is no event.
+// Event is the stored form of a decision.Event. One field is set, or none if there is no event.
 type Event struct {
 	Arrived          *decision.RequestArrived     `cbor:"1,keyasint,omitempty"`
 	Disconnected     *decision.ClientDisconnected `cbor:"2,keyasint,omitempty"`
@@ -14,7 +14,7 @@
 	Timer            *decision.TimerFired         `cbor:"8,keyasint,omitempty"`
 }
 
-// Action is a decision.Action in its stored form: one of the fields is set.
+// Action is the stored form of a decision.Action. One field is set.
 type Action struct {
 	Send           *decision.SendAttempt    `cbor:"1,keyasint,omitempty"`
 	Cancel         *decision.CancelAttempt  `cbor:"2,keyasint,omitempty"`
@@ -26,53 +26,53 @@
 	WatchEndpoints *decision.WatchEndpoints `cbor:"8,keyasint,omitempty"`
 }
 
-// NewEvent is the stored form of an event.
-func NewEvent(e decision.Event) (d Event) {
+// NewEvent returns the stored form of an event.
+func NewEvent(e decision.Event) (stored Event) {
 	switch e := e.(type) {
 	case decision.RequestArrived:
-		d.Arrived = &e
+		stored.Arrived = &e
 	case decision.ClientDisconnected:
-		d.Disconnected = &e
+		stored.Disconnected = &e
 	case decision.AttemptEnded:
-		d.AttemptEnded = &e
+		stored.AttemptEnded = &e
 	case decision.StreamStarted:
-		d.StreamStarted = &e
+		stored.StreamStarted = &e
 	case decision.ProbeEnded:
-		d.ProbeEnded = &e
+		stored.ProbeEnded = &e
 	case decision.CounterReplied:
-		d.CounterReplied = &e
+		stored.CounterReplied = &e
 	case decision.EndpointsChanged:
-		d.EndpointsChanged = &e
+		stored.EndpointsChanged = &e
 	case decision.TimerFired:
-		d.Timer = &e
+		stored.Timer = &e
 	}
-	return d
+	return stored
 }
 
-// Unwrap is the event itself; nil if there is none.
-func (d Event) Unwrap() decision.Event {
+// Unwrap returns the event, or nil if there is none.
+func (e Event) Unwrap() decision.Event {
 	switch {
-	case d.Arrived != nil:
-		return *d.Arrived
-	case d.Disconnected != nil:
-		return *d.Disconnected
-	case d.AttemptEnded != nil:
-		return *d.AttemptEnded
-	case d.StreamStarted != nil:
-		return *d.StreamStarted
-	case d.ProbeEnded != nil:
-		return *d.ProbeEnded
-	case d.CounterReplied != nil:
-		return *d.CounterReplied
-	case d.EndpointsChanged != nil:
-		return *d.EndpointsChanged
-	case d.Timer != nil:
-		return *d.Timer
+	case e.Arrived != nil:
+		return *e.Arrived
+	case e.Disconnected != nil:
+		return *e.Disconnected
+	case e.AttemptEnded != nil:
+		return *e.AttemptEnded
+	case e.StreamStarted != nil:
+		return *e.StreamStarted
+	case e.ProbeEnded != nil:
+		return *e.ProbeEnded
+	case e.CounterReplied != nil:
+		return *e.CounterReplied
+	case e.EndpointsChanged != nil:
+		return *e.EndpointsChanged
+	case e.Timer != nil:
+		return *e.Timer
 	}
 	return nil
 }
 
-// NewActions are the stored forms of actions.
+// NewActions returns the stored forms of actions.
 func NewActions(as []decision.Action) []Action {
 	out := make([]Action, len(as))
 	for i, a := range as {
@@ -98,25 +98,25 @@
 	return out
 }
 
-// Unwrap is the action itself.
-func (d Action) Unwrap() decision.Action {
+// Unwrap returns the action, or nil if no field is set.
+func (a Action) Unwrap() decision.Action {
 	switch {
-	case d.Send != nil:
-		return *d.Send
-	case d.Cancel != nil:
-		return *d.Cancel
-	case d.Reject != nil:
-		return *d.Reject
-	case d.Fail != nil:
-		return *d.Fail
-	case d.Probe != nil:
-		return *d.Probe
-	case d.AddToCounter != nil:
-		return *d.AddToCounter
-	case d.SetTimer != nil:
-		return *d.SetTimer
-	case d.WatchEndpoints != nil:
-		return *d.WatchEndpoints
+	case a.Send != nil:
+		return *a.Send
+	case a.Cancel != nil:
+		return *a.Cancel
+	case a.Reject != nil:
+		return *a.Reject
+	case a.Fail != nil:
+		return *a.Fail
+	case a.Probe != nil:
+		return *a.Probe
+	case a.AddToCounter != nil:
+		return *a.AddToCounter
+	case a.SetTimer != nil:
+		return *a.SetTimer
+	case a.WatchEndpoints != nil:
+		return *a.WatchEndpoints
 	}
 	return nil
 }
--- a/trace/explain.go
+++ b/trace/explain.go
@@ -8,7 +8,7 @@
 	"sandyard/decision"
 )
 
-// outcomeTexts are the words for the outcomes of attempts and calls that people read.
+// outcomeTexts are the names of outcomes in explanations.
 var outcomeTexts = [...]string{
 	decision.OK:              "answered",
 	decision.BackendError:    "error",
@@ -20,7 +20,7 @@
 	decision.NotSent:         "never sent",
 }
 
-// OutcomeText names the outcome of an attempt or a call.
+// OutcomeText returns the name of the outcome of an attempt or of a counter call.
 func OutcomeText(o decision.Outcome) string {
 	if o >= 0 && int(o) < len(outcomeTexts) {
 		return outcomeTexts[o]
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("outcome %d", o)
 }
 
-// Explain is one paragraph on how a request ended and why, which can be read to a customer.
+// Explain returns a paragraph that describes how a request ended and why, in terms that a customer understands.
 func (s *Histories) Explain(header Header, h *RequestHistory) string {
 	var b strings.Builder
 	explainArrival(&b, header, h)
@@ -43,6 +43,7 @@
 	return b.String()
 }
 
+// explainArrival writes when a request arrived, of which customer, and what it asked for.
 func explainArrival(b *strings.Builder, header Header, h *RequestHistory) {
 	plan := "of no known plan"
 	if h.Plan >= 0 && int(h.Plan) < len(header.Plans) {
@@ -56,6 +57,7 @@
 	fmt.Fprintf(b, "At %s UTC %q, %s, asked for %s (%g units) at front door %d.", clock, h.Customer, plan, operation, h.Units, header.Instance)
 }
 
+// explainCounter writes whether the counter was called, and how the call ended.
 func explainCounter(b *strings.Builder, call *CounterCall) {
 	switch {
 	case call == nil:
@@ -69,6 +71,7 @@
 	}
 }
 
+// explainAttempt writes where an attempt was sent, and how it ended.
 func (s *Histories) explainAttempt(b *strings.Builder, number int, a Attempt) {
 	name := s.BackendNames[a.Backend]
 	if name == "" {
@@ -82,6 +85,7 @@
 	fmt.Fprintf(b, ": %s after %s.", OutcomeText(a.Outcome), milliseconds(a.EndedAt-a.SentAt))
 }
 
+// explainEnd writes how a request ended.
 func explainEnd(b *strings.Builder, h *RequestHistory) {
 	took := milliseconds(h.Ended - h.At)
 	switch h.Outcome {
@@ -98,7 +102,7 @@
 	}
 }
 
-// rejectionText says why a request was rejected, to go on a sentence.
+// rejectionText returns the reason for a rejection, as the continuation of a sentence.
 func rejectionText(h *RequestHistory) string {
 	switch {
 	case len(h.Attempts) > 0:
--- a/trace/history.go
+++ b/trace/history.go
@@ -10,28 +10,28 @@
 type Attempt struct {
 	Backend decision.BackendID `json:"server"`
 	SentAt  time.Duration      `json:"sent_ns"`
-	EndedAt time.Duration      `json:"ended_ns"` // since the instance's time began; 0: not within the trace
+	EndedAt time.Duration      `json:"ended_ns"` // on the instance's clock; 0: not within the trace
 	Outcome decision.Outcome   `json:"outcome"`
 }
 
-// CounterCall is a call of the counter that a request waited for.
+// CounterCall is a call of the counter whose reply a request waits for.
 type CounterCall struct {
 	Name      string           `json:"name"`
 	Amount    float64          `json:"amount"`
 	SentAt    time.Duration    `json:"asked_ns"`
-	RepliedAt time.Duration    `json:"heard_ns"` // 0: there was no reply within the trace
+	RepliedAt time.Duration    `json:"heard_ns"` // 0: no reply within the trace
 	Outcome   decision.Outcome `json:"how"`
 	Total     float64          `json:"total"`
 }
 
-// RequestHistory is what became of one request. Times are since the instance's time began.
+// RequestHistory is the history of one request. Times are on the instance's clock, which begins at 0.
 type RequestHistory struct {
 	Request     decision.RequestID    `json:"request"`
 	At          time.Duration         `json:"at_ns"`
 	Customer    string                `json:"customer"`
 	Class       decision.ClassID      `json:"class"`
 	Plan        decision.PlanID       `json:"plan"`
-	Operation   int                   `json:"op"` // its operation in Header.Operations, from 1; 0: not known
+	Operation   int                   `json:"op"` // number of its operation in Header.Operations, from 1; 0: unknown
 	Units       float64               `json:"units"`
 	TimeLeft    time.Duration         `json:"left_ns"`
 	Retry       bool                  `json:"retry"`
@@ -45,27 +45,27 @@
 // Outcome is how a request ended.
 type Outcome string
 
-// The outcomes of requests, as tools print them.
+// The outcomes of a request. Tools print these values.
 const (
-	Open               Outcome = "open" // the trace ends first
+	Open               Outcome = "open" // the trace ends before the request
 	Served             Outcome = "served"
 	Rejected           Outcome = "refused"
 	Failed             Outcome = "failed"
 	ClientDisconnected Outcome = "left"
 )
 
-// Histories puts records together by request. It belongs to one goroutine.
+// Histories groups records by request. It must not be used by several goroutines at once.
 type Histories struct {
 	All          []*RequestHistory // in the order of arrival
 	BackendNames map[decision.BackendID]string
-	Dropped      uint64 // records that the trace lacks
-	Steps        uint64 // of the decisions
+	Dropped      uint64 // number of records that are missing from the trace
+	Steps        uint64 // number of steps of package decision
 
 	byID         map[decision.RequestID]*RequestHistory
-	pendingCalls map[string][]*CounterCall // that wait for a reply, by name, in order
+	pendingCalls map[string][]*CounterCall // calls without a reply, by name, in the order in which they were sent
 }
 
-// NewHistories begins without any request.
+// NewHistories returns Histories without requests.
 func NewHistories() *Histories {
 	return &Histories{
 		BackendNames: map[decision.BackendID]string{},
@@ -74,10 +74,10 @@
 	}
 }
 
-// Find is a request's history, nil if the trace has none.
+// Find returns the history of a request, or nil if the trace has none.
 func (s *Histories) Find(id decision.RequestID) *RequestHistory { return s.byID[id] }
 
-// Add takes the next record in.
+// Add adds the next record of the trace.
 func (s *Histories) Add(r Record) {
 	s.Dropped += r.Dropped
 	if r.Backend != nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// addEvent takes a record's event in. It returns the history that begins with it, nil if none does.
+// addEvent adds the event of a record. If the event is the arrival of a request, it returns the new history, else nil.
 func (s *Histories) addEvent(r Record) *RequestHistory {
 	switch e := r.Event; {
 	case e.Arrived != nil:
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// addAction takes an action in; arrived is the request that arrived with the same record, nil if none did.
+// addAction adds an action. arrived is the request that arrived in the same record, or nil.
 func (s *Histories) addAction(a Action, at time.Duration, arrived *RequestHistory) {
 	switch {
 	case a.Send != nil:
@@ -131,6 +131,7 @@
 	}
 }
 
+// begin adds the history of a request that arrived.
 func (s *Histories) begin(r Record) *RequestHistory {
 	a := r.Event.Arrived
 	h := &RequestHistory{Request: a.Request, At: r.At, Customer: a.Customer, Class: a.Class, Plan: a.Plan, Operation: r.Operation,
@@ -140,7 +141,8 @@
 	return h
 }
 
-// end ends a request that is open; it returns nil for one that is not. The first end holds.
+// end sets the outcome of a request and returns its history. If the request is unknown or has already ended, it changes
+// nothing and returns nil.
 func (s *Histories) end(id decision.RequestID, outcome Outcome, at time.Duration) *RequestHistory {
 	h := s.byID[id]
 	if h == nil || h.Outcome != Open {
@@ -150,6 +152,7 @@
 	return h
 }
 
+// endAttempt sets the outcome of an attempt. A successful attempt also ends its request.
 func (s *Histories) endAttempt(e *decision.AttemptEnded, at time.Duration) {
 	h := s.byID[e.Request]
 	if h == nil || e.Attempt >= len(h.Attempts) {
@@ -162,6 +165,7 @@
 	}
 }
 
+// endCall assigns a reply of the counter to the oldest call of that name without one.
 func (s *Histories) endCall(e *decision.CounterReplied, at time.Duration) {
 	pending := s.pendingCalls[e.Name]
 	if len(pending) == 0 {
--- a/trace/reader.go
+++ b/trace/reader.go
@@ -9,14 +9,15 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Errors of reading; they come wrapped, with the place. ErrTruncated alone is no damage: a killed process wrote no more.
+// Errors of reading. They are returned wrapped, with the offset in the file. ErrTruncated does not mean corruption: a process
+// that was killed leaves such a file.
 var (
 	ErrFormat    = errors.New("trace: not a trace of this version")
 	ErrTruncated = errors.New("trace: the file ends within a frame")
-	ErrCorrupt   = errors.New("trace: a frame is broken")
+	ErrCorrupt   = errors.New("trace: a frame is corrupt")
 )
 
-// Reader reads a file. It belongs to one goroutine.
+// Reader reads a file. It must not be used by several goroutines at once.
 type Reader struct {
 	Header Header
 	file   []byte
@@ -24,11 +25,11 @@
 	zip    *zstd.Decoder
 }
 
-// NewReader reads the start of a file. The error is ErrFormat, ErrTruncated or ErrCorrupt, wrapped, or that of the decoder.
+// NewReader reads the header of a file. The error is ErrFormat, ErrTruncated or ErrCorrupt, wrapped, or that of the decoder.
 func NewReader(file []byte) (*Reader, error) {
 	if len(file) < len(Format) || string(file[:len(Format)]) != Format {
 		first := file[:min(len(file), 24)]
-		return nil, fmt.Errorf("%w: it begins %q, expected %q", ErrFormat, first, Format)
+		return nil, fmt.Errorf("%w: the file begins with %q, expected %q", ErrFormat, first, Format)
 	}
 	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(4*maxFrameBytes))
 	if err != nil {
@@ -41,15 +42,15 @@
 	}
 	if err != nil {
 		z.Close()
-		return nil, fmt.Errorf("its head: %w", err)
+		return nil, fmt.Errorf("header: %w", err)
 	}
 	return r, nil
 }
 
-// Close frees the decompressor; the reader can't be used any more.
+// Close releases the decompressor. The reader must not be used after it.
 func (r *Reader) Close() { r.zip.Close() }
 
-// Next is the next frame's records; nil at the end. After ErrTruncated or ErrCorrupt there is no more.
+// Next returns the records of the next frame, or nil at the end of the file. After an error it must not be called again.
 func (r *Reader) Next() ([]Record, error) {
 	if r.offset == len(r.file) {
 		return nil, nil
@@ -65,7 +66,7 @@
 	return records, nil
 }
 
-// frame is the payload of the next frame.
+// frame reads the next frame and returns its payload.
 func (r *Reader) frame() ([]byte, error) {
 	rest := r.file[r.offset:]
 	if len(rest) < frameHeaderBytes {
@@ -80,7 +81,7 @@
 	}
 	p := rest[frameHeaderBytes : frameHeaderBytes+n]
 	if crc32.Checksum(p, castagnoli) != sum {
-		return nil, fmt.Errorf("%w: at byte %d: its checksum differs", ErrCorrupt, r.offset)
+		return nil, fmt.Errorf("%w: at byte %d: checksum mismatch", ErrCorrupt, r.offset)
 	}
 	b, err := r.zip.DecodeAll(p, nil)
 	if err != nil {
@@ -90,8 +91,9 @@
 	return b, nil
 }
 
-// Each calls begin, if there is one, with a file's header, and f with every record. A file that a kill cut off is read up to its
-// last complete frame, whose end in bytes is then returned as cut; 0 says that the file is complete. Errors of begin and f are returned as they are.
+// Each calls begin, unless it is nil, with the header of a file, and f with every record. If the file is truncated, because
+// the process was killed, Each reads it up to the last complete frame and returns the end of that frame as cut (bytes); 0
+// means that the file is complete. Errors of begin and f are returned unchanged.
 func Each(file []byte, begin func(Header) error, f func(Header, Record) error) (cut int, err error) {
 	r, err := NewReader(file)
 	if err != nil {
--- a/trace/recorded_test.go
+++ b/trace/recorded_test.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	recordGolden = flag.Bool("record-golden", false, "write what is told of the recorded trace anew, for a change of behaviour that is meant")
-	recordStates = flag.Bool("record-states", false, "put this build's states in the place of the recorded ones, for a change of what a state holds that is meant; the steps stay")
+	recordGolden = flag.Bool("record-golden", false, "rewrite the golden file of the recorded trace, for an intended change of behaviour")
+	recordStates = flag.Bool("record-states", false, "replace the recorded states with those of this build, for an intended change of the contents of a state; the steps stay")
 )
 
 const (
@@ -24,36 +24,37 @@
 	recordedHistories = "testdata/recorded-before-renaming.golden"
 )
 
-// each calls f with the items of the recorded trace, and checks that it is read whole.
+// eachRecorded calls f with the records of the recorded trace, and checks that the whole trace is read.
 func eachRecorded(t *testing.T, f func(Header, Record)) {
 	t.Helper()
 	b, err := os.ReadFile(recordedTrace)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut, err := Each(b, nil, func(h Header, it Record) error { f(h, it); return nil })
+	cut, err := Each(b, nil, func(h Header, record Record) error { f(h, record); return nil })
 	if err != nil || cut != 0 {
 		t.Fatalf("cut at %d, %v", cut, err)
 	}
 }
 
-// TestRecordedTraceGivesTheSameHistories: a trace of core 4a62adf9f07493b3 (commit 0a5d9aa, 68 s of a proxy instance on sockets with slow,
-// silent, failing, cold and draining servers, changes of the list, and a counter that was silent and late) is read whole, and
-// what is told of its requests is what it was: the counts, every 40th request with its explanation, and a digest of all.
+// TestRecordedTraceGivesTheSameHistories checks that a recorded trace is read completely and gives the same histories as when
+// it was recorded: the counts, every 40th request with its explanation, and a digest of all. The trace is of core
+// 4a62adf9f07493b3 (commit 0a5d9aa): 68 s of a proxy instance on sockets, with backends that were slow, unresponsive, failing,
+// in slow start or draining, changes of the endpoint list, and a counter that was unresponsive or late.
 func TestRecordedTraceGivesTheSameHistories(t *testing.T) {
 	var head Header
 	s, states := NewHistories(), 0
 	kinds := map[string]int{}
-	eachRecorded(t, func(h Header, it Record) {
+	eachRecorded(t, func(h Header, record Record) {
 		head = h
-		s.Add(it)
-		if it.Snapshot != nil {
+		s.Add(record)
+		if record.Snapshot != nil {
 			states++
 		}
-		if e := it.Event.Unwrap(); e != nil {
+		if e := record.Event.Unwrap(); e != nil {
 			kinds["event"]++
 		}
-		kinds["action"] += len(it.Actions)
+		kinds["action"] += len(record.Actions)
 	})
 	if states != 3 || s.Steps != 9303 || s.Dropped != 0 || len(s.All) != 2603 {
 		t.Errorf("%d states, %d steps, %d dropped, %d requests; recorded were 3, 9303, 0 and 2603", states, s.Steps, s.Dropped, len(s.All))
@@ -103,7 +104,7 @@
 	}
 }
 
-// openRecorded begins to read the recorded trace.
+// openRecorded returns a reader of the recorded trace.
 func openRecorded(t *testing.T) *Reader {
 	t.Helper()
 	file, err := os.ReadFile(recordedTrace)
@@ -118,7 +119,7 @@
 	return r
 }
 
-// rewriteRecordedStates writes the recorded trace anew with this build's states; head, events and actions stay.
+// rewriteRecordedStates rewrites the recorded trace with the states of this build. Header, events and actions stay the same.
 func rewriteRecordedStates(t *testing.T) {
 	r := openRecorded(t)
 	replay, err := NewReplay(r.Header)
@@ -161,7 +162,7 @@
 	}
 }
 
-// logStateChange puts the replay's state in the place of a recorded one, and logs what is another in it.
+// logStateChange replaces a recorded state with the replay's, and logs the fields that differ.
 func logStateChange(t *testing.T, recorded *decision.State, replay *Replay) {
 	own, err := replay.Gateway().Snapshot()
 	if err != nil {
@@ -176,19 +177,19 @@
 	*recorded = own
 }
 
-// TestRecordedTraceReplays: this build's module decides each step of the recorded trace as it was decided, and comes to the
-// recorded states; so it does where it begins from each of the states. The core's identity, which tools compare, is not.
+// TestRecordedTraceReplays checks that this build takes the recorded actions in each step of the recorded trace and reaches the
+// recorded states, from the first step and from each of the states. The core identity, which tools compare, is not checked.
 func TestRecordedTraceReplays(t *testing.T) {
 	if *recordStates {
 		rewriteRecordedStates(t)
 	}
 	const steps, states = 9303, 3
-	for from := 0; from <= states; from++ { // 0: from the first step; else from the state of this number
+	for from := 0; from <= states; from++ { // 0: from the first step; otherwise from the state with this number
 		var r *Replay
 		seen := 0
-		eachRecorded(t, func(h Header, it Record) {
+		eachRecorded(t, func(h Header, record Record) {
 			if from > 0 {
-				h.Part = 1 // as if in a later part, which begins at a state
+				h.Part = 1 // as in a later part, where a replay begins at a state
 			}
 			if r == nil {
 				var err error
@@ -196,13 +197,13 @@
 					t.Fatal(err)
 				}
 			}
-			if it.Snapshot != nil {
+			if record.Snapshot != nil {
 				seen++
 			}
-			if from > 0 && (it.Initial || it.Snapshot != nil && seen < from) {
+			if from > 0 && (record.Initial || record.Snapshot != nil && seen < from) {
 				return
 			}
-			if err := r.Step(h, it); err != nil {
+			if err := r.Step(h, record); err != nil {
 				t.Fatal(err)
 			}
 		})
@@ -219,7 +220,7 @@
 		}
 		all, left := got.Steps+got.Skipped, states
 		if from > 0 {
-			all, left = all+1, states-from+1 // the first step has no part in it
+			all, left = all+1, states-from+1 // the first step is not replayed
 		}
 		if all != steps || got.States != left || got.Steps < 500 || from == 0 && got.Skipped != 0 {
 			t.Errorf("from state %d: %s", from, b)
@@ -231,8 +232,8 @@
 	}
 }
 
-// TestRecordedTraceIsWrittenAlike: what is read of the recorded trace is written as the same bytes: the names and numbers
-// within the format, those of the module's settings, events, actions and states among them, are what they were.
+// TestRecordedTraceIsWrittenAlike checks that the recorded trace is encoded to the same bytes after it is decoded. So the names
+// and numbers in the format have not changed, including those of package decision's settings, events, actions and states.
 func TestRecordedTraceIsWrittenAlike(t *testing.T) {
 	r := openRecorded(t)
 	head, err := codec.enc.Marshal(r.Header)
@@ -258,7 +259,7 @@
 			}
 		}
 		if !bytes.Equal(b, again) {
-			t.Fatalf("frame %d is written as other bytes:\n%q\nrecorded was\n%q", frames, clip(again, b), clip(b, again))
+			t.Fatalf("frame %d is encoded differently:\n%q\nrecorded was\n%q", frames, clip(again, b), clip(b, again))
 		}
 		size += len(b)
 		if r.offset == len(r.file) {
@@ -268,7 +269,7 @@
 	t.Logf("%d frames, %d bytes", frames+1, size)
 }
 
-// clip is a, from a little before it differs from b.
+// clip returns the part of a around its first difference from b.
 func clip(a, b []byte) []byte {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -13,27 +13,28 @@
 
 // Errors of traces that can't be replayed.
 var (
-	ErrSampled     = errors.New("trace: a sample of the requests can't be replayed: what the module decided depends on all")
-	ErrNoFirstStep = errors.New("trace: an event before the module's first step")
+	ErrSampled     = errors.New("trace: a sampled trace can't be replayed: each decision depends on all requests")
+	ErrNoFirstStep = errors.New("trace: an event before the gateway's first step")
 )
 
-// Replay hands recorded events to this program's decisions and compares each step's actions. It belongs to one goroutine.
+// Replay passes recorded events to this program's gateway and compares the actions of each step with the recorded ones. It
+// must not be used by several goroutines at once.
 type Replay struct {
 	Steps             uint64        `json:"steps"`
-	Differences       uint64        `json:"differ"`      // steps and states that differ
-	FirstDifference   string        `json:"first"`       // in words; "" if there is none
-	FirstDifferenceAt time.Duration `json:"first_at_ns"` // when it was
-	Dropped           uint64        `json:"dropped"`     // steps that the trace lacks
-	Uncertain         uint64        `json:"uncertain"`   // differing steps behind a gap, which the gap may explain
-	Skipped           uint64        `json:"skipped"`     // steps before the first state, in a series that does not begin with part 0
-	States            uint64        `json:"states"`      // recorded states that were compared with, or gone on from
+	Differences       uint64        `json:"differ"`      // number of steps and states that differ
+	FirstDifference   string        `json:"first"`       // description of the first difference; "" if there is none
+	FirstDifferenceAt time.Duration `json:"first_at_ns"` // time of the first difference
+	Dropped           uint64        `json:"dropped"`     // number of steps that are missing from the trace
+	Uncertain         uint64        `json:"uncertain"`   // number of differing steps after missing ones, which may be the cause
+	Skipped           uint64        `json:"skipped"`     // number of steps before the first state, if the trace does not begin with part 0
+	States            uint64        `json:"states"`      // number of recorded states that were compared with, or restored
 
 	gateway  *decision.Gateway
-	afterGap bool // steps are missing since the last state
+	afterGap bool // steps are missing after the last state
 }
 
-// NewReplay begins where the recorded gateway began, or in a later part at the first state that it holds. The error is
-// ErrSampled.
+// NewReplay returns a Replay that begins with the first step of the recorded gateway or, in a part other than 0, with the
+// first recorded state. The error is ErrSampled.
 func NewReplay(h Header) (*Replay, error) {
 	if h.Share < 1 {
 		return nil, ErrSampled
@@ -41,14 +42,14 @@
 	return &Replay{}, nil
 }
 
-// Step takes the next record. The error says that the replay can't go on; differences are counted.
+// Step processes the next record. Differences are counted and are not errors; after an error the replay can't continue.
 func (r *Replay) Step(h Header, record Record) error {
 	if record.Dropped > 0 {
 		r.Dropped += record.Dropped
 		r.afterGap = true
 	}
 	if record.Snapshot != nil {
-		return r.state(h, record)
+		return r.compareState(h, record)
 	}
 	if record.Initial {
 		gateway, first, err := decision.New(h.Settings, h.Seed, h.StartedAt)
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// compareStep holds the actions of a step against the recorded ones.
+// compareStep compares the actions of a step with the recorded ones.
 func (r *Replay) compareStep(record Record, actions []decision.Action) {
 	r.Steps++
 	difference, same := compare(record.Actions, actions)
@@ -86,6 +87,7 @@
 	r.addDifference(fmt.Sprintf("%T: %s", record.Event.Unwrap(), difference), record.At)
 }
 
+// addDifference counts a difference, and keeps the first one.
 func (r *Replay) addDifference(text string, at time.Duration) {
 	r.Differences++
 	if r.FirstDifference == "" {
@@ -93,8 +95,9 @@
 	}
 }
 
-// state compares a recorded state with the gateway's; behind a gap, or at the start of a later part, it goes on from it.
-func (r *Replay) state(h Header, record Record) error {
+// compareState compares a recorded state with the gateway's. After missing steps, or at the start of a part other than 0, it
+// restores the recorded state instead.
+func (r *Replay) compareState(h Header, record Record) error {
 	r.States++
 	if r.gateway == nil || r.afterGap {
 		gateway, err := decision.Restore(h.Settings, *record.Snapshot)
@@ -109,21 +112,21 @@
 		return err
 	}
 	if !bytes.Equal(encoded(own), encoded(*record.Snapshot)) {
-		r.addDifference("the module's state is another than the recorded one", record.At)
+		r.addDifference("the gateway's state differs from the recorded one", record.At)
 	}
 	return nil
 }
 
-// encoded is the stored form of a state.
+// encoded returns the stored form of a state.
 func encoded(s decision.State) []byte {
 	b, err := codec.enc.Marshal(s)
 	if err != nil {
-		panic(err) // it has nothing that can't be encoded
+		panic(err) // every field of a state can be encoded
 	}
 	return b
 }
 
-// compare returns the first difference between recorded and present actions, in words.
+// compare returns a description of the first difference between recorded and current actions, and whether they are the same.
 func compare(recorded []Action, got []decision.Action) (string, bool) {
 	for i := range max(len(recorded), len(got)) {
 		switch {
@@ -140,7 +143,7 @@
 	return "", true
 }
 
-// equal compares two actions; amounts that are both no number are alike.
+// equal reports whether two actions are the same. Two NaN amounts count as the same.
 func equal(a, b decision.Action) bool {
 	if x, ok := a.(decision.AddToCounter); ok {
 		if y, ok := b.(decision.AddToCounter); ok && math.IsNaN(x.Amount) && math.IsNaN(y.Amount) {
@@ -151,5 +154,6 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// Gateway is the gateway as it stands; nil before the first step or state. It must be handed no event.
+// Gateway returns the gateway in its current state, or nil before the first step or state. The caller must not pass events to
+// it.
 func (r *Replay) Gateway() *decision.Gateway { return r.gateway }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestEveryEventAndActionSurvivesEncoding: every kind of event and action comes back as it was.
+// TestEveryEventAndActionSurvivesEncoding checks that every type of event and action is decoded as it was encoded.
 func TestEveryEventAndActionSurvivesEncoding(t *testing.T) {
 	got, err := readAll(sampleFile(t))
 	if err != nil || len(got) != len(sampleRecords()) {
@@ -84,12 +84,12 @@
 	x, err := codec.enc.Marshal(NewEvent(decision.AttemptEnded{Load: []float64{math.NaN()}}))
 	var e Event
 	if err != nil || codec.dec.Unmarshal(x, &e) != nil || !math.IsNaN(e.AttemptEnded.Load[0]) {
-		t.Error("a figure that is none does not come back as none")
+		t.Error("NaN in a load report is not decoded as NaN")
 	}
 }
 
-// TestTruncatedFileIsReadToItsLastFrame: a file that ends anywhere is read up to its last complete
-// frame, and the error says that it was cut.
+// TestTruncatedFileIsReadToItsLastFrame checks that a file that ends at any byte is read up to its last complete frame, and that
+// the error is ErrTruncated.
 func TestTruncatedFileIsReadToItsLastFrame(t *testing.T) {
 	whole := sampleFile(t)
 	last := -1
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestCorruptBytesAreFound: a disk that changes a byte must not make a trace say something else. A changed byte is
-// found, or changes nothing; reading never panics.
+// TestCorruptBytesAreFound checks that reading a file with a changed byte fails or returns fewer records, and never panics. A
+// fault of the disk must not go undetected and change what a trace says.
 func TestCorruptBytesAreFound(t *testing.T) {
 	whole := sampleFile(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -118,26 +118,26 @@
 		b[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
 		got, err := readAll(b)
 		if err == nil && len(got) == len(sampleRecords()) {
-			t.Fatalf("byte %d changed and nobody noticed", at)
+			t.Fatalf("byte %d changed and the reader did not detect it", at)
 		}
 	})
 	for _, s := range []string{"", "sandyard-trace 2\n", "x", Format} {
 		if _, err := readAll([]byte(s)); err == nil {
-			t.Errorf("%q is read", s)
+			t.Errorf("%q is accepted", s)
 		}
 	}
 }
 
-// TestSampledTraceIsNotReplayed: what was decided on a request depends on all others. Replaying a sample would report
-// differences that are none.
+// TestSampledTraceIsNotReplayed checks that a sampled trace can't be replayed. Decisions on a request depend on all other
+// requests, so the replay of a sample would report false differences.
 func TestSampledTraceIsNotReplayed(t *testing.T) {
 	if _, err := NewReplay(Header{Share: 0.5}); !errors.Is(err, ErrSampled) {
 		t.Errorf("a replay of a sample: %v", err)
 	}
 }
 
-// TestReplayFindsAnotherDecision: a build that would decide otherwise is reported, with the first step; behind a gap the
-// difference counts as uncertain, since the missing steps may be its reason.
+// TestReplayFindsAnotherDecision checks that a replay reports a build that decides differently, with the first differing step.
+// After missing steps the difference counts as uncertain, because these steps may be its cause.
 func TestReplayFindsAnotherDecision(t *testing.T) {
 	h := Header{Share: 1, Settings: decision.Settings{Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: time.Second}}}}
 	_, first, err := decision.New(h.Settings, 0, 0)
--- a/trace/writer.go
+++ b/trace/writer.go
@@ -9,12 +9,11 @@
 )
 
 const (
-	maxArrayItems = 1 << 20 // of an array in a frame: ten times config.MaxEndpoints
-	maxMapPairs   = 1 << 16 // of a map in a frame; no record has nearly as many fields
+	maxArrayItems = 1 << 20 // maximum items of an array in a frame: ten times config.MaxEndpoints
+	maxMapPairs   = 1 << 16 // maximum pairs of a map in a frame; records have far fewer fields
 )
 
-// codec encodes and decodes the stored form. Fields that this version does not know are errors: a trace that was read
-// without them would replay to something else.
+// codec encodes and decodes the stored form. Unknown fields are errors: a replay without them could have different results.
 var codec = func() (m struct {
 	enc cbor.EncMode
 	dec cbor.DecMode
@@ -24,7 +23,7 @@
 		panic(err)
 	}
 	opt := cbor.DecOptions{MaxArrayElements: maxArrayItems, MaxMapPairs: maxMapPairs, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
-		UTF8: cbor.UTF8DecodeInvalid} // names of customers are whatever the configuration has
+		UTF8: cbor.UTF8DecodeInvalid} // names of customers may contain any bytes, as in the configuration
 	if m.dec, err = opt.DecMode(); err != nil {
 		panic(err)
 	}
@@ -33,16 +32,16 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Writer makes the bytes of a file. It belongs to one goroutine.
+// Writer encodes a file. It must not be used by several goroutines at once.
 type Writer struct{ zip *zstd.Encoder }
 
-// NewWriter makes a Writer. The error is that of the compressor.
+// NewWriter returns a Writer. The error is that of the compressor.
 func NewWriter() (*Writer, error) {
 	z, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	return &Writer{zip: z}, err
 }
 
-// Begin is the start of a file: the magic line and the header's frame.
+// Begin returns the start of a file: Format and the frame of the header.
 func (w *Writer) Begin(h Header) ([]byte, error) {
 	b, err := codec.enc.Marshal(h)
 	if err != nil {
@@ -51,7 +50,7 @@
 	return w.frame([]byte(Format), b), nil
 }
 
-// Frame is a frame of records.
+// Frame returns a frame of records.
 func (w *Writer) Frame(records []Record) ([]byte, error) {
 	b, err := codec.enc.Marshal(records)
 	if err != nil {
@@ -60,7 +59,7 @@
 	return w.frame(nil, b), nil
 }
 
-// frame appends a frame with a payload.
+// frame appends a frame with a payload to to, and returns the result.
 func (w *Writer) frame(to, payload []byte) []byte {
 	compressed := w.zip.EncodeAll(payload, nil)
 	to = binary.BigEndian.AppendUint32(to, uint32(len(compressed)))
