--- a/config/derive.go
+++ b/config/derive.go
@@ -11,7 +11,7 @@
 	"sandyard/routes"
 )
 
-// The values of gateway.yaml that are written as words, and their meaning.
+// The names of values in gateway.yaml, and the values.
 var (
 	loadFields = map[string]decision.LoadField{
 		"in-flight":   decision.FieldInFlight,
@@ -134,7 +134,7 @@
 		d.Reportf(at+".scope", "%q: expected all, zone or cell", k.KeyScope)
 	}
 	if k.Idempotency == "keyed" && k.KeyTTL == 0 {
-		d.Reportf(at+".key-ttl", "a keyed class needs how long boxes remember its keys")
+		d.Reportf(at+".key-ttl", "missing: how long boxes remember the keys of a keyed class")
 	}
 	if k.LatencyObjective == 0 {
 		d.Reportf(at+".aim", "expected a time above 0")
--- a/config/settings.go
+++ b/config/settings.go
@@ -35,7 +35,7 @@
 
 // InstanceSettings identify this instance within its fleet.
 type InstanceSettings struct {
-	Number int    `yaml:"number"` // of this instance, from 0 to Total-1; 0 by default
+	Number int    `yaml:"number"` // number of this instance, from 0 to Total-1; 0 by default
 	Total  int    `yaml:"of"`     // number of instances in the fleet; 1 by default
 	Zone   string `yaml:"zone"`   // zone of this instance, one of Zones; "", the default: the first of Zones
 }
@@ -164,7 +164,7 @@
 // ProbeSettings control the probes that request load reports from backends.
 type ProbeSettings struct {
 	Allowed bool    `yaml:"allowed"` // allows probes; false by default. LoadSettings.Via "probes" requires it
-	Cost    float64 `yaml:"price"`   // cost of one probe, in requests; 0 by default
+	Cost    float64 `yaml:"price"`   // cost of one probe, in requests; 0 by default. No probes are sent if it is too high
 	Path    string  `yaml:"path"`    // path of the probe request; /load by default
 }
 
@@ -172,7 +172,7 @@
 type AttemptSettings struct {
 	Max     int  `yaml:"most"`          // attempts per request, including the first, 1 or more; 2 by default
 	Cancel  bool `yaml:"cancel"`        // cancels attempts whose response is no longer needed; true by default
-	Hedging bool `yaml:"second-copies"` // allows two attempts of a request in flight; false by default. It has no effect yet, since requests are never hedged
+	Hedging bool `yaml:"second-copies"` // allows two attempts of a request in flight; false by default. It has no effect, since requests are never hedged
 }
 
 // RetryAfterSettings say whether rejections carry Retry-After.
--- a/routes/compile.go
+++ b/routes/compile.go
@@ -175,7 +175,7 @@
 		return nil, false
 	}
 	if !isUnambiguous(strings.NewReplacer("{", "", "}", "").Replace(path)) || strings.ContainsAny(path, "?# ") {
-		c.report(at, "a path without dot segments, queries and needless escapes is expected")
+		c.report(at, "expected a path without dot segments, queries and unnecessary escapes")
 		return nil, false
 	}
 	segments := strings.Split(path[1:], "/")
@@ -223,7 +223,7 @@
 		n = next
 	}
 	if n.line > 0 {
-		c.report(at, "the same requests as %s in line %d; keep one", n.template, n.line)
+		c.report(at, "matches the same requests as %s in line %d; keep one", n.template, n.line)
 		return nil
 	}
 	n.line, n.template = at.line, template
--- a/routes/extensions.go
+++ b/routes/extensions.go
@@ -21,7 +21,7 @@
 	extPrefix = "x-sandyard-"
 )
 
-// The values of extension fields that are written as words, and their meaning.
+// The names of values in extension fields, and the values.
 var (
 	idempotencies = map[string]decision.Idempotency{
 		"safe":   decision.Idempotent,
@@ -113,14 +113,14 @@
 		u.Default = c.parseNumber(n, at+".default")
 	}
 	if n := keys["most"]; n == nil {
-		c.report(nodeLocation(value, at+".most"), "expected the most units that a call may ask for")
+		c.report(nodeLocation(value, at+".most"), "expected the maximum units of a request")
 	} else if u.Max = c.parseNumber(n, at+".most"); u.Default > u.Max {
 		c.report(nodeLocation(n, at+".most"), "less than the default, %g", u.Default)
 	}
 	return u
 }
 
-// parseRepeat parses the idempotency of an operation: a word, or a mapping with kind, ttl and scope.
+// parseRepeat parses the idempotency of an operation: one of its names, or a mapping with kind, ttl and scope.
 func (c *compiler) parseRepeat(value *yaml.Node, at string) Repeat {
 	r := Repeat{Given: true, Idempotency: decision.NotIdempotent}
 	kind := value
@@ -140,7 +140,7 @@
 	}
 	r.Idempotency = idempotency
 	if idempotency == decision.IdempotentByKey && r.KeyTTL == 0 {
-		c.report(nodeLocation(value, at+".ttl"), "a keyed operation needs how long boxes remember its keys")
+		c.report(nodeLocation(value, at+".ttl"), "missing: how long boxes remember the keys of a keyed operation")
 	}
 	return r
 }
--- a/trace/recorded_test.go
+++ b/trace/recorded_test.go
@@ -232,9 +232,9 @@
 	}
 }
 
-// TestRecordedTraceIsWrittenAlike checks that the recorded trace is encoded to the same bytes after it is decoded. So the names
+// TestRecordedTraceIsEncodedUnchanged checks that the recorded trace is encoded to the same bytes after it is decoded. So the names
 // and numbers in the format have not changed, including those of package decision's settings, events, actions and states.
-func TestRecordedTraceIsWrittenAlike(t *testing.T) {
+func TestRecordedTraceIsEncodedUnchanged(t *testing.T) {
 	r := openRecorded(t)
 	head, err := codec.enc.Marshal(r.Header)
 	if err != nil {
