--- a/config/defaults.go
+++ b/config/defaults.go
@@ -6,7 +6,7 @@
 	"sandyard/internal/strictyaml"
 )
 
-// defaults are the settings of an empty gateway.yaml.
+// defaults returns the settings for an empty gateway.yaml.
 func defaults() File {
 	return File{
 		Listen:   "127.0.0.1:8080",
@@ -23,7 +23,7 @@
 		Counter:    CounterSettings{Timeout: strictyaml.Duration(50 * time.Millisecond), MaxPending: 4096},
 		Units:      UnitSettings{Max: 1},
 		Log:        LogSettings{Format: "json", Level: "info"},
-		Trace:      Trace{Mode: "off", Share: 0.05, FileSize: 64 << 20, MaxTotalSize: 1 << 30, Buffer: 1 << 16},
+		Trace:      TraceSettings{Mode: "off", Share: 0.05, FileSize: 64 << 20, MaxTotalSize: 1 << 30, Buffer: 1 << 16},
 		Limits:     defaultLimits(),
 	}
 }
