--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -10,9 +10,9 @@
 
 // Bench runs the sandyard-bench program.
 func Bench(args []string, out, errs io.Writer) int {
-	if len(args) > 0 && strings.HasPrefix(args[0], asProgram) {
+	if len(args) > 0 && strings.HasPrefix(args[0], programPrefix) {
 		var err error
-		switch rest := args[1:]; strings.TrimPrefix(args[0], asProgram) {
+		switch rest := args[1:]; strings.TrimPrefix(args[0], programPrefix) {
 		case "sandyard":
 			return Gateway(rest, out, errs)
 		case "box":
@@ -44,7 +44,7 @@
 	if b.Rounds < 1 || !(b.Seconds > 0) {
 		return fmt.Errorf("at least one round and more than 0 seconds are needed")
 	}
-	return bench.Run(bench.Options{Conns: b.Conns, Seconds: b.Seconds, Rounds: b.Rounds, Idle: b.Idle, Out: c.Out, Command: self})
+	return bench.Run(bench.Options{Conns: b.Conns, Seconds: b.Seconds, Rounds: b.Rounds, Idle: b.Idle, Out: c.Out, Command: childCommand})
 }
 
 // benchTools is "sandyard-bench tools".
@@ -60,7 +60,7 @@
 	if b.Rounds < 1 || !(b.Seconds > 0) || !(b.Rate > 0) || b.Lookups < 1 {
 		return fmt.Errorf("at least one round and one look, and more than 0 seconds and requests are needed")
 	}
-	return bench.Tools(bench.ToolOptions{Options: bench.Options{Conns: b.Conns, Seconds: b.Seconds, Rounds: b.Rounds, Out: c.Out, Command: self},
+	return bench.Tools(bench.ToolOptions{Options: bench.Options{Conns: b.Conns, Seconds: b.Seconds, Rounds: b.Rounds, Out: c.Out, Command: childCommand},
 		Rate: b.Rate, Lookups: b.Lookups, Query: func(socket, path string) error {
 			var v any
 			return queryAdmin(socket, path, &v)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -31,7 +31,7 @@
 
 // A mistake in a configuration must be found before it serves: check names the file and the line.
 func TestCheckReportsMistakes(t *testing.T) {
-	if code, out, _ := run(gateway, "check", "--config", "../../examples/kilns/gateway.yaml"); code != Fine || !strings.Contains(out, "good") {
+	if code, out, _ := run(gateway, "check", "--config", "../../examples/kilns/gateway.yaml"); code != Success || !strings.Contains(out, "good") {
 		t.Errorf("%d %s", code, out)
 	}
 	bad := filepath.Join(t.TempDir(), "g.yaml")
@@ -79,13 +79,13 @@
 // Whoever looks into an incident reads the trace with these commands: each must show the recorded requests.
 func TestTraceCommandsReadATrace(t *testing.T) {
 	f := traceFile(t, coreid.Core())
-	if code, out, errs := run(tracer, "replay", f); code != Fine || !strings.Contains(out, "4 steps replayed and 0 states compared, 0 differ") {
+	if code, out, errs := run(tracer, "replay", f); code != Success || !strings.Contains(out, "4 steps replayed and 0 states compared, 0 differ") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
-	if code, out, _ := run(tracer, "show", "--outcome", "refused", f); code != Fine || !strings.Contains(out, "refused (quota)") || !strings.Contains(out, "1 of 2 requests") {
+	if code, out, _ := run(tracer, "show", "--outcome", "refused", f); code != Success || !strings.Contains(out, "refused (quota)") || !strings.Contains(out, "1 of 2 requests") {
 		t.Errorf("%d %s", code, out)
 	}
-	if code, out, _ := run(tracer, "explain", "2", f); code != Fine || !strings.Contains(out, "beyond what the plan allows") {
+	if code, out, _ := run(tracer, "explain", "2", f); code != Success || !strings.Contains(out, "beyond what the plan allows") {
 		t.Errorf("%d %s", code, out)
 	}
 	if code, _, _ := run(tracer, "follow", "3", f); code != Failure {
@@ -96,7 +96,7 @@
 // A tool of another build could give a verdict that the running gateway would not give. A tool whose core is another must say
 // so and give none, whichever of the two is older; for traces and for a running gateway.
 func TestToolsOfAnotherCoreGiveNoVerdict(t *testing.T) {
-	if code, out, errs := run(tracer, "replay", traceFile(t, "0123456789abcdef")); code != OtherCore || out != "" || !strings.Contains(errs, "verdicts could differ") {
+	if code, out, errs := run(tracer, "replay", traceFile(t, "0123456789abcdef")); code != CoreMismatch || out != "" || !strings.Contains(errs, "verdicts could differ") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
 	mine, other := gatewaySocket(t, coreid.Core()), gatewaySocket(t, "0123456789abcdef")
@@ -116,7 +116,7 @@
 	} {
 		args := c.args
 		if c.tool != nil {
-			if code, out, errs := run(c.tool, strings.Fields(args+other)...); code != OtherCore || strings.Contains(out, "{") || !strings.Contains(errs, "verdicts could differ") {
+			if code, out, errs := run(c.tool, strings.Fields(args+other)...); code != CoreMismatch || strings.Contains(out, "{") || !strings.Contains(errs, "verdicts could differ") {
 				t.Errorf("%s, a front door of another core: %d %s %s", args, code, out, errs)
 			}
 			args += mine
@@ -129,7 +129,7 @@
 		}
 		b, err := exec.Command(exe, strings.Fields(args)...).CombinedOutput()
 		var ee *exec.ExitError
-		if !errors.As(err, &ee) || ee.ExitCode() != OtherCore || !strings.Contains(string(b), coreid.Core()) {
+		if !errors.As(err, &ee) || ee.ExitCode() != CoreMismatch || !strings.Contains(string(b), coreid.Core()) {
 			t.Errorf("%s %s, of another core: %v %s", c.program, args, err, b)
 		}
 	}
@@ -159,7 +159,7 @@
 
 // The simulator's commands must agree with each other on a seed: its script, its digest, its replay.
 func TestSimCommands(t *testing.T) {
-	if code, out, errs := run(sim, "run", "--seeds", "1-5", "--quiet"); code != Fine || !strings.Contains(out, "5 seeds, 0 broken") || !strings.Contains(out, "not reached:") {
+	if code, out, errs := run(sim, "run", "--seeds", "1-5", "--quiet"); code != Success || !strings.Contains(out, "5 seeds, 0 broken") || !strings.Contains(out, "not reached:") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
 	_, a, _ := run(sim, "digest", "3")
@@ -198,7 +198,7 @@
 	} {
 		code, out, errs := run(c.tool, append(strings.Fields(c.args), "--output", "json")...)
 		var v any
-		if d := json.NewDecoder(strings.NewReader(out)); code != Fine || d.Decode(&v) != nil || !strings.Contains(fmt.Sprint(v), c.want) {
+		if d := json.NewDecoder(strings.NewReader(out)); code != Success || d.Decode(&v) != nil || !strings.Contains(fmt.Sprint(v), c.want) {
 			t.Errorf("%s: %d %s %s: %v", c.args, code, out, errs, v)
 		}
 	}
@@ -212,7 +212,7 @@
 	f := traceFile(t, coreid.Core())
 	b, _ := os.ReadFile(f)
 	os.WriteFile(f, b[:len(b)-3], 0o600)
-	if code, out, _ := run(tracer, "info", f); code != Fine || !strings.Contains(out, "cut at ") {
+	if code, out, _ := run(tracer, "info", f); code != Success || !strings.Contains(out, "cut at ") {
 		t.Errorf("%d %s", code, out)
 	}
 }
@@ -220,7 +220,7 @@
 // The program must complete a shell's command line, and print what makes the shell ask.
 func TestCompletionOfCommandLines(t *testing.T) {
 	for _, shell := range []string{"bash", "zsh", "fish"} {
-		if code, out, errs := run(tracer, "completion", shell); code != Fine || !strings.Contains(out, "sandyard-trace") {
+		if code, out, errs := run(tracer, "completion", shell); code != Success || !strings.Contains(out, "sandyard-trace") {
 			t.Errorf("%s: %d %s %s", shell, code, out, errs)
 		}
 	}
@@ -229,7 +229,7 @@
 	}
 	for line, want := range map[string]string{"sandyard-trace ex": "explain\n", "sandyard-trace show --outc": "--outcome\n", "sandyard-trace show --output j": "json\n"} {
 		t.Setenv("COMP_LINE", line)
-		if code, out, _ := run(tracer, "sandyard-trace"); code != Fine || out != want {
+		if code, out, _ := run(tracer, "sandyard-trace"); code != Success || out != want {
 			t.Errorf("%s: %d %q", line, code, out)
 		}
 	}
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -14,14 +14,14 @@
 	"sandyard/internal/simulation"
 )
 
-// asProgram is the first argument that makes sandyard-drill run as one of the programs it drills, so that a drill needs one
+// programPrefix is the first argument that makes sandyard-drill run as one of the programs it drills, so that a drill needs one
 // file only.
-const asProgram = "--as="
+const programPrefix = "--as="
 
 // Drill runs the sandyard-drill program.
 func Drill(args []string, out, errs io.Writer) int {
-	if len(args) > 0 && strings.HasPrefix(args[0], asProgram) {
-		switch strings.TrimPrefix(args[0], asProgram) {
+	if len(args) > 0 && strings.HasPrefix(args[0], programPrefix) {
+		switch strings.TrimPrefix(args[0], programPrefix) {
 		case "sandyard":
 			return Gateway(args[1:], out, errs)
 		case "sandyard-emulator":
@@ -53,7 +53,7 @@
 }
 
 func (a drillArgs) Run(c *Console) error {
-	opt := drill.Options{Seed: a.Seed, Seconds: a.Seconds, Instances: a.Instances, Backends: a.Backends, Rate: a.Rate, LogDir: a.Keep, Command: self}
+	opt := drill.Options{Seed: a.Seed, Seconds: a.Seconds, Instances: a.Instances, Backends: a.Backends, Rate: a.Rate, LogDir: a.Keep, Command: childCommand}
 	if a.Instances < 2 || a.Backends < 1 || !(a.Seconds > 0) || !(a.Rate > 0) {
 		return fmt.Errorf("at least 2 doors, 1 box, and more than 0 seconds and requests are needed")
 	}
@@ -91,12 +91,12 @@
 	return nil
 }
 
-func self(program string) (string, []string) {
+func childCommand(program string) (string, []string) {
 	exe, err := os.Executable()
 	if err != nil {
 		exe = os.Args[0]
 	}
-	return exe, []string{asProgram + program}
+	return exe, []string{programPrefix + program}
 }
 
 func printReport(out io.Writer, r drill.Report) {
--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -47,8 +47,8 @@
 	Record         bool          `help:"Print what happens as lines of JSON."`
 }
 
-// BackendFact is one line of an emulated backend's record.
-type BackendFact struct {
+// BackendEvent is one line of an emulated backend's record.
+type BackendEvent struct {
 	At      int64              `json:"at"` // Unix time in nanoseconds
 	Backend string             `json:"box"`
 	Kind    emulator.EventKind `json:"kind"`
@@ -115,7 +115,7 @@
 	var facts func(emulator.Event)
 	if b.Record {
 		facts = func(f emulator.Event) {
-			rec.write(BackendFact{time.Now().UnixNano(), f.Backend, f.Kind, f.ID, f.Key})
+			rec.write(BackendEvent{time.Now().UnixNano(), f.Backend, f.Kind, f.ID, f.Key})
 		}
 	}
 	backend, err := server.StartBackend(b.Listen, emulator.BackendConfig{Name: b.Name, Cores: b.Cores, Queue: b.Queue, Work: b.Work, WorkVariation: b.Spread,
--- a/internal/cli/hunt.go
+++ b/internal/cli/hunt.go
@@ -66,8 +66,8 @@
 		r.Workers = runtime.GOMAXPROCS(0)
 	}
 	debug.SetGCPercent(runGCPercent)
-	begun := time.Now()
-	best, o, runs, err := r.hunt(c, rule, opt, begun).Run()
+	started := time.Now()
+	best, o, runs, err := r.hunt(c, rule, opt, started).Run()
 	if err != nil {
 		return err
 	}
@@ -75,27 +75,27 @@
 		return fmt.Errorf("no run fits into %g minutes", r.Minutes)
 	}
 	if r.json() {
-		return json.NewEncoder(c.Out).Encode(newHuntResult(best, o, rule, runs, time.Since(begun)))
+		return json.NewEncoder(c.Out).Encode(newHuntResult(best, o, rule, runs, time.Since(started)))
 	}
-	fmt.Fprintf(c.Out, "%d runs in %v; nearest to breaking \"%s\": %.3f of the limit, %s\n", runs, time.Since(begun).Round(time.Second), simulation.RuleNames()[rule],
+	fmt.Fprintf(c.Out, "%d runs in %v; nearest to breaking \"%s\": %.3f of the limit, %s\n", runs, time.Since(started).Round(time.Second), simulation.RuleNames()[rule],
 		o.Nearness(rule), o.Verdict.Rules[rule].Limit)
 	return r.writeScript(c, best, o, rule, opt)
 }
 
 // hunt returns the hunt that the flags describe.
-func (r simHunt) hunt(c *Console, rule int, opt simulation.Options, begun time.Time) *simulation.Hunt {
+func (r simHunt) hunt(c *Console, rule int, opt simulation.Options, started time.Time) *simulation.Hunt {
 	limit := time.Duration(r.Minutes * float64(time.Minute))
 	runs := 0
 	return &simulation.Hunt{Rule: rule, Profile: r.profile(), Options: opt, Workers: r.Workers, Seed: r.Seed,
 		Stop: func() bool {
-			if r.Runs > 0 && runs >= r.Runs || time.Since(begun) >= limit {
+			if r.Runs > 0 && runs >= r.Runs || time.Since(started) >= limit {
 				return true
 			}
 			runs++
 			return false
 		},
 		Improved: func(s *simulation.Script, o simulation.Outcome, n int) {
-			fmt.Fprintf(c.Errs, "run %d, %v: %.3f of the limit; %d troubles, %d doors, %d boxes, %g a second\n", n, time.Since(begun).Round(time.Second),
+			fmt.Fprintf(c.Errs, "run %d, %v: %.3f of the limit; %d troubles, %d doors, %d boxes, %g a second\n", n, time.Since(started).Round(time.Second),
 				o.Nearness(rule), len(s.Events), s.Instances, s.Backends.Count, s.Rate)
 		}}
 }
--- a/internal/cli/mutantreport.go
+++ b/internal/cli/mutantreport.go
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("%s: %s; runs %v, %.0f s", s.Name, s.verdict(), s.Seeds, slices.Max(append(s.Seconds, 0)))
 }
 
-func printSearched(out io.Writer, all []searchResult) error {
+func printSearchResults(out io.Writer, all []searchResult) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "taken away\tguards\tsearches that found it\tof them by breeding\tby\truns, mean\tworst\tseconds of a core, mean")
 	seen, visible := 0, 0
--- a/internal/cli/mutants.go
+++ b/internal/cli/mutants.go
@@ -54,9 +54,9 @@
 	}
 	switch {
 	case r.Scripts:
-		return r.playScripts(c, dir, unmutated, selected)
+		return r.runScripts(c, dir, unmutated, selected)
 	case r.CostScriptSeeds > 0:
-		return r.playCostScripts(c, dir, unmutated, selected)
+		return r.runCostScripts(c, dir, unmutated, selected)
 	}
 	results, err := r.searchAll(c, dir, unmutated, selected)
 	if err != nil {
@@ -65,7 +65,7 @@
 	if r.json() {
 		err = printJSON(c.Out, results)
 	} else {
-		err = printSearched(c.Out, results)
+		err = printSearchResults(c.Out, results)
 	}
 	if failed := searchFailure(results); failed != nil {
 		return failed
--- a/internal/cli/mutantscripts.go
+++ b/internal/cli/mutantscripts.go
@@ -16,9 +16,9 @@
 // minDeviations is how many standard errors must lie between runs with a guard and without it.
 const minDeviations = 3.0
 
-// playCostScripts checks each script in whose runs a guard matters: without the guard less value is served, or the counter is
+// runCostScripts checks each script in whose runs a guard matters: without the guard less value is served, or the counter is
 // called more, beyond chance, and with it no rule is broken.
-func (r simMutants) playCostScripts(c *Console, dir, whole string, all []mutation.Mutation) error {
+func (r simMutants) runCostScripts(c *Console, dir, whole string, all []mutation.Mutation) error {
 	if r.CostScriptSeeds < 2 {
 		return errors.New("--days 1: chance needs two seeds at least")
 	}
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// playScripts checks that each script finds its mutation, and nothing without it.
-func (r simMutants) playScripts(c *Console, dir, whole string, all []mutation.Mutation) error {
-	begun := time.Now()
+// runScripts checks that each script finds its mutation, and nothing without it.
+func (r simMutants) runScripts(c *Console, dir, whole string, all []mutation.Mutation) error {
+	started := time.Now()
 	breaks := func(program, script string) (simulation.Outcome, error) {
 		text, err := exec.Command(program, "replay", "--output", "json", script).Output()
 		var o simulation.Outcome
@@ -85,6 +85,6 @@
 		}
 		fmt.Fprintf(c.Out, "%s: found by its script, %s\n", m.Name, with.Findings[0].Rule)
 	}
-	fmt.Fprintf(c.Out, "%d mistakes found by their scripts in %v\n", len(all), time.Since(begun).Round(100*time.Millisecond))
+	fmt.Fprintf(c.Out, "%d mistakes found by their scripts in %v\n", len(all), time.Since(started).Round(100*time.Millisecond))
 	return nil
 }
--- a/internal/cli/node_stall_test.go
+++ b/internal/cli/node_stall_test.go
@@ -19,8 +19,8 @@
 	stallDrainGrace = 400 * time.Millisecond
 	// stallSocketSlack is what the platform adds to every time limit on sockets.
 	stallSocketSlack = 50 * time.Millisecond
-	// stallClients is how many clients send a request to a process that stands still.
-	stallClients = 8
+	// stalledClients is how many clients send a request to a process that stands still.
+	stalledClients = 8
 	// stallRounds is how often each stall is tried: which of its goroutines a process runs first when it runs again is by chance.
 	stallRounds = 8
 )
@@ -28,13 +28,13 @@
 // stallNotice is the notice that the first backend drains and the second is up.
 const stallNotice = `{"seq":8,"whole":false,"hosts":[{"host":"a","dial":"%s","health":"leaving","share":1},{"host":"b","dial":"%s","health":"active","share":1}]}` + "\n"
 
-// firstBytes keeps when requests came to a backend.
-type firstBytes struct {
+// requestTimes keeps when requests came to a backend.
+type requestTimes struct {
 	mu sync.Mutex
 	at []time.Time
 }
 
-func (f *firstBytes) serve(c net.Conn, in *bufio.Reader) {
+func (f *requestTimes) serve(c net.Conn, in *bufio.Reader) {
 	for {
 		if _, err := in.Peek(1); err != nil {
 			return
@@ -50,7 +50,7 @@
 }
 
 // after returns how many requests came later than a moment, and by how much the last did.
-func (f *firstBytes) after(moment time.Time) (count int, late time.Duration) {
+func (f *requestTimes) after(moment time.Time) (count int, late time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, at := range f.at {
@@ -125,7 +125,7 @@
 
 // testStall stops a process some time after a heartbeat, and lets it run again; a notice and requests come meanwhile.
 func testStall(t *testing.T, after, stall time.Duration, beats bool) {
-	var draining firstBytes
+	var draining requestTimes
 	a, b := startPeer(t, draining.serve), startPeer(t, serveHTTP)
 	discovery := startStallDiscovery(t, fmt.Sprintf(stallNotice, a, b))
 	p := startProcess(t, func(listen string) string {
@@ -136,7 +136,7 @@
 	p.waitForReady()
 	watch := <-discovery.watches
 	var clients []net.Conn
-	for id := range stallClients {
+	for id := range stalledClients {
 		status, c := p.request(fmt.Sprintf(nodeRequest, id+1))
 		if status != 200 {
 			t.Fatalf("request %d: %d", id, status)
@@ -165,6 +165,6 @@
 	allowed := stallDrainGrace + stallSocketSlack
 	if count, late := draining.after(noticedAt.Add(allowed)); count > 0 {
 		t.Errorf("%d of %d requests came to the draining backend after its grace, the last %v after the notice; allowed are %v",
-			count, stallClients, late+allowed, allowed)
+			count, stalledClients, late+allowed, allowed)
 	}
 }
--- a/internal/cli/outputs_test.go
+++ b/internal/cli/outputs_test.go
@@ -20,8 +20,8 @@
 	took       = regexp.MustCompile(`"took_ns":\d+`)
 )
 
-// mistaken is a copy of an example's files with words replaced; it returns its gateway.yaml.
-func mistaken(t *testing.T, example string, words map[string][]string) string {
+// exampleWithMistakes is a copy of an example's files with words replaced; it returns its gateway.yaml.
+func exampleWithMistakes(t *testing.T, example string, words map[string][]string) string {
 	dir := filepath.Join(t.TempDir(), example)
 	if err := os.CopyFS(dir, os.DirFS("../../examples/"+example)); err != nil {
 		t.Fatal(err)
@@ -87,12 +87,12 @@
 		play(gw, "", "check", "--config", "../../examples/"+c+"/gateway.yaml")
 	}
 	for _, c := range []string{
-		mistaken(t, "kilns", map[string][]string{
+		exampleWithMistakes(t, "kilns", map[string][]string{
 			"gateway.yaml": {"aim: 600ms", "aim: 6s", "rate: 1/s, burst: 5", "rate: fast, burst: -5", "two-wheels, plan: studio", "two-wheels, plan: nosuch",
 				"[key-two-wheels]", "[key-glaze-lane]", "repeat: unsafe", "repeat: perhaps", "share: 0.22", "share: 3", "is: in-flight", "is: flight", "attempts:", "tries: 4\nattempts:"},
 			"openapi.yaml": {"x-sandyard-class: firing", "x-sandyard-class: nosuch"},
 			"boxes.yaml":   {"state: up", "state: asleep", "cell: 1", "cell: one"}}),
-		mistaken(t, "kiln-fleet", map[string][]string{
+		exampleWithMistakes(t, "kiln-fleet", map[string][]string{
 			"gateway.yaml": {"first: 30, spread: 25", "first: 300, spread: 0", "zones: [back-shed]", "zones: [back-yard]", "slack: 5}", "slack: -1}"},
 			"openapi.yaml": {"operationId: ", "operationID: "}, "boxes.yaml": {"name: ", "nom: "}}),
 	} {
@@ -105,7 +105,7 @@
 	for _, what := range []string{"POST /v1/firings", "GET /v1/slots", "POST /v1/payments", "DELETE /v1/slots", "GET /nowhere", "GET /v1/bookings/%zz"} {
 		play(ro, "", append([]string{"match", "--config", config, "--studio", "hill-school", "--output", "json"}, strings.Fields(what)...)...)
 	}
-	next := filepath.Join(filepath.Dir(mistaken(t, "kilns", map[string][]string{"openapi.yaml": {"/payments:", "/fees:", "operationId: book\n", "operationId: book\n      x-sandyard-units: 3\n"}})), "openapi.yaml")
+	next := filepath.Join(filepath.Dir(exampleWithMistakes(t, "kilns", map[string][]string{"openapi.yaml": {"/payments:", "/fees:", "operationId: book\n", "operationId: book\n      x-sandyard-units: 3\n"}})), "openapi.yaml")
 	for _, form := range []string{"table", "json"} {
 		play(ro, filepath.Dir(filepath.Dir(next)), "diff", "--output", form, "--trace", recorded, api, next)
 		play(tr, "", "show", "--output", form, "--studio", "clay-corner", "--class", "payment", "--from", "5s", "--to", "15s", recorded)
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -15,13 +15,13 @@
 
 // Exit statuses of all programs.
 const (
-	Fine    = 0
+	Success = 0
 	Failure = 1 // the work was done and its outcome is bad, or it could not be done
 	Usage   = 2 // the command line is wrong, or a file that is checked with its places
-	// NotPlayed: a run could not be played, or not be judged.
-	NotPlayed = 2
-	// OtherCore: the tool's core is not that of what it was given.
-	OtherCore = 3
+	// Inconclusive: a run could not be played, or not be judged.
+	Inconclusive = 2
+	// CoreMismatch: the tool's core is not that of what it was given.
+	CoreMismatch = 3
 )
 
 // program parses a command line by a kong grammar, runs the command, and turns what comes of it into an exit status. What is
@@ -48,13 +48,13 @@
 	}
 	switch err := ctx.Run(); {
 	case err == nil:
-		return Fine
-	case errors.Is(err, errNotPlayed):
+		return Success
+	case errors.Is(err, errInconclusive):
 		fmt.Fprintln(errs, name+":", err)
-		return NotPlayed
+		return Inconclusive
 	case errors.As(err, &coreid.Mismatch{}):
 		fmt.Fprintln(errs, name+":", err)
-		return OtherCore
+		return CoreMismatch
 	case errors.As(err, &diagnostic.Problems{}):
 		fmt.Fprintln(errs, err)
 		return Usage
--- a/internal/cli/quota.go
+++ b/internal/cli/quota.go
@@ -92,7 +92,7 @@
 	var r *trace.Replay
 	var head trace.Header
 	var first, last time.Duration
-	begun, plan := false, decision.PlanID(-1)
+	started, plan := false, decision.PlanID(-1)
 	stop := errors.New("far enough")
 	err := traceFiles{q.Trace}.eachRecord(c, func(h trace.Header) error {
 		if err := coreid.Check(h.Core, "the trace"); err != nil {
@@ -104,18 +104,18 @@
 			r, err = trace.NewReplay(h)
 		}
 		return err
-	}, func(h trace.Header, it trace.Record) error {
-		if !begun {
-			first, begun = it.At, true
+	}, func(h trace.Header, record trace.Record) error {
+		if !started {
+			first, started = record.At, true
 		}
-		if q.At > 0 && it.At > first+q.At {
+		if q.At > 0 && record.At > first+q.At {
 			return stop
 		}
-		if a := it.Event.Arrived; a != nil && a.Customer == q.Customer {
+		if a := record.Event.Arrived; a != nil && a.Customer == q.Customer {
 			plan = a.Plan
 		}
-		last = max(last, it.At)
-		return r.Step(h, it)
+		last = max(last, record.At)
+		return r.Step(h, record)
 	})
 	if err != nil && !errors.Is(err, stop) {
 		return quota.View{}, err
--- a/internal/cli/routesdiff.go
+++ b/internal/cli/routesdiff.go
@@ -155,8 +155,8 @@
 // compareUnits returns how many customers there are in the traces, and those whose traffic would have drawn other units.
 func (d routesDiff) compareUnits(c *Console, cost map[string][2]float64) (customers int, otherwise []customerUnits, err error) {
 	by := map[string]*customerUnits{}
-	err = traceFiles{d.Trace}.eachRecord(c, nil, func(h trace.Header, it trace.Record) error {
-		a := it.Event.Arrived
+	err = traceFiles{d.Trace}.eachRecord(c, nil, func(h trace.Header, record trace.Record) error {
+		a := record.Event.Arrived
 		if a == nil {
 			return nil
 		}
@@ -166,7 +166,7 @@
 			by[a.Customer] = s
 		}
 		s.Before += a.Units
-		if ch, ok := cost[nameAt(h.Operations, it.Operation-1)]; ok {
+		if ch, ok := cost[nameAt(h.Operations, record.Operation-1)]; ok {
 			s.After += ch[1]
 		} else {
 			s.After += a.Units
--- a/internal/cli/simrun.go
+++ b/internal/cli/simrun.go
@@ -85,7 +85,7 @@
 
 // reportTo has a sweep print its finds and its progress.
 func (r simRun) reportTo(c *Console, w *simulation.Sweep) {
-	begun, total, violating := time.Now(), w.Last-w.First+1, 0
+	started, total, violating := time.Now(), w.Last-w.First+1, 0
 	if !r.json() {
 		w.OnFind = func(f simulation.Find) {
 			violating++
@@ -97,7 +97,7 @@
 	}
 	w.Progress = func(n uint64) {
 		if n%progressSeeds == 0 {
-			took := time.Since(begun)
+			took := time.Since(started)
 			left := time.Duration(float64(took) * float64(total-n) / float64(n))
 			fmt.Fprintf(c.Errs, "%d of %d seeds, %d broken, %v, about %v left\n", n, total, violating, took.Round(time.Second), left.Round(time.Second))
 		}
@@ -172,14 +172,14 @@
 		}
 	}
 	total := len(verbs) * (len(verbs) - 1) / 2
-	fmt.Fprintf(out, "not reached: %s\n", joinOrNothing(missed))
+	fmt.Fprintf(out, "not reached: %s\n", joinOrNone(missed))
 	fmt.Fprintf(out, "pairs of troubles in one run: %d of %d\n", total-len(unpaired), total)
 	if len(unpaired) > 0 && len(unpaired) <= 40 {
 		fmt.Fprintf(out, "never together: %s\n", strings.Join(unpaired, ", "))
 	}
 }
 
-func joinOrNothing(xs []string) string {
+func joinOrNone(xs []string) string {
 	if len(xs) == 0 {
 		return "nothing"
 	}
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -14,8 +14,8 @@
 	"sandyard/internal/soak"
 )
 
-// errNotPlayed is a run that could not be played, or whose machine was too late for what it shows.
-var errNotPlayed = errors.New("not played")
+// errInconclusive is a run that could not be played, or whose machine was too late for what it shows.
+var errInconclusive = errors.New("not played")
 
 // soakArgs is "sandyard-drill soak".
 type soakArgs struct {
@@ -28,30 +28,30 @@
 
 // soakTotals are what came of the seeds so far.
 type soakTotals struct {
-	played, broken, notPlayed int
-	metCrossing               int
+	runs, violating, inconclusive int
+	reachedRace                   int
 }
 
 // add counts a run.
 func (t *soakTotals) add(report soak.Report) {
-	t.played++
+	t.runs++
 	if report.Exposure.ReachedRace {
-		t.metCrossing++
+		t.reachedRace++
 	}
 	if len(report.Violations) > 0 {
-		t.broken++
+		t.violating++
 	} else if len(report.Unjudged) > 0 {
-		t.notPlayed++
+		t.inconclusive++
 	}
 }
 
 // err is the command's outcome.
 func (t *soakTotals) err() error {
 	switch {
-	case t.broken > 0:
-		return fmt.Errorf("%d seeds broke a rule", t.broken)
-	case t.notPlayed > 0:
-		return fmt.Errorf("%w: %d seeds", errNotPlayed, t.notPlayed)
+	case t.violating > 0:
+		return fmt.Errorf("%d seeds broke a rule", t.violating)
+	case t.inconclusive > 0:
+		return fmt.Errorf("%w: %d seeds", errInconclusive, t.inconclusive)
 	}
 	return nil
 }
@@ -73,11 +73,11 @@
 	runs.SetLimit(max(1, a.Workers))
 	for seed := first; seed <= last && ctx.Err() == nil; seed++ {
 		runs.Go(func() error {
-			report, err := soak.Run(ctx, seed, soak.Options{Command: self, LogDir: a.Keep, Scenario: soak.Scenario(a.Scenario)})
+			report, err := soak.Run(ctx, seed, soak.Options{Command: childCommand, LogDir: a.Keep, Scenario: soak.Scenario(a.Scenario)})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				totals.notPlayed++
+				totals.inconclusive++
 				_, err = fmt.Fprintln(c.Errs, err)
 				return err
 			}
@@ -90,7 +90,7 @@
 	}
 	if !a.json() {
 		fmt.Fprintf(c.Out, "%d seeds played, %d broke a rule, %d could not be played or judged; %d of the played met the crossing\n",
-			totals.played, totals.broken, totals.notPlayed, totals.metCrossing)
+			totals.runs, totals.violating, totals.inconclusive, totals.reachedRace)
 	}
 	return totals.err()
 }
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -31,7 +31,7 @@
 // eachRecord calls f with every item of the files; a file that was cut off by a kill is read to its last whole frame.
 func (t traceFiles) eachRecord(c *Console, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) error {
 	for _, name := range t.Files {
-		cut, err := eachRecordOf(name, begin, f)
+		cut, err := eachRecordInFile(name, begin, f)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// eachRecordOf does so for one file and returns where it is cut off, or 0.
-func eachRecordOf(name string, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) (cut int, err error) {
+// eachRecordInFile does so for one file and returns where it is cut off, or 0.
+func eachRecordInFile(name string, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) (cut int, err error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return 0, err
@@ -61,13 +61,13 @@
 	return head, s, err
 }
 
-// traceOne is what commands about one request take.
-type traceOne struct {
+// requestArgs is what commands about one request take.
+type requestArgs struct {
 	Request uint64 `arg:"" help:"The request's number, as show has it."`
 	traceFiles
 }
 
-func (t traceOne) find(c *Console) (trace.Header, *trace.Histories, *trace.RequestHistory, error) {
+func (t requestArgs) find(c *Console) (trace.Header, *trace.Histories, *trace.RequestHistory, error) {
 	head, s, err := t.histories(c)
 	if err != nil {
 		return head, nil, nil, err
@@ -81,7 +81,7 @@
 
 // traceFollow is "sandyard-trace follow".
 type traceFollow struct {
-	traceOne
+	requestArgs
 	output
 }
 
@@ -116,7 +116,7 @@
 
 // traceExplain is "sandyard-trace explain".
 type traceExplain struct {
-	traceOne
+	requestArgs
 	output
 }
 
--- a/internal/cli/traceinfo.go
+++ b/internal/cli/traceinfo.go
@@ -63,7 +63,7 @@
 func readFileInfo(name string) (fileInfo, error) {
 	v := fileInfo{File: name}
 	var first, last time.Duration
-	truncatedAt, err := eachRecordOf(name, func(h trace.Header) error {
+	truncatedAt, err := eachRecordInFile(name, func(h trace.Header) error {
 		v.Instance, v.Part, v.Core, v.SameCore, v.Config, v.Share = h.Instance, h.Part, h.Core, h.Core == coreid.Core(), h.Config, h.Share
 		v.Plans, v.Operations, v.From = h.Plans, h.Operations, time.Unix(0, h.Origin).Add(h.StartedAt).UTC()
 		return nil
--- a/internal/cli/tracereplay.go
+++ b/internal/cli/tracereplay.go
@@ -18,7 +18,7 @@
 func (t traceReplay) Run(c *Console) error {
 	var r *trace.Replay
 	next := 0
-	begun := time.Now()
+	started := time.Now()
 	err := t.eachRecord(c, func(h trace.Header) error {
 		if err := coreid.Check(h.Core, "the trace"); err != nil {
 			return err
@@ -33,11 +33,11 @@
 		}
 		next = h.Part + 1
 		return nil
-	}, func(h trace.Header, it trace.Record) error { return r.Step(h, it) })
+	}, func(h trace.Header, record trace.Record) error { return r.Step(h, record) })
 	if err != nil {
 		return err
 	}
-	took := time.Since(begun).Seconds()
+	took := time.Since(started).Seconds()
 	if t.json() {
 		if err := printJSON(c.Out, r); err != nil {
 			return err
