--- a/cmd/sandyard-bench/main.go
+++ b/cmd/sandyard-bench/main.go
@@ -1,4 +1,4 @@
-// Command sandyard-bench measures a proxy instance beside proxies that decide nothing, in one run.
+// Command sandyard-bench compares a proxy instance with proxies that make no decisions, in one run.
 package main
 
 import (
--- a/cmd/sandyard-drill/main.go
+++ b/cmd/sandyard-drill/main.go
@@ -1,4 +1,4 @@
-// Command sandyard-drill plays a bad day on real sockets and checks the five rules.
+// Command sandyard-drill runs a fleet under faults on real sockets and checks the five rules.
 package main
 
 import (
--- a/cmd/sandyard-emulator/main.go
+++ b/cmd/sandyard-emulator/main.go
@@ -1,5 +1,5 @@
-// Command sandyard-emulator runs emulated backends and an emulated counter to try a proxy instance against, with faults
-// that are set while they run.
+// Command sandyard-emulator runs emulated backends and an emulated counter for tests of a proxy instance. Their faults can be
+// set while they run.
 package main
 
 import (
--- a/cmd/sandyard-quota/main.go
+++ b/cmd/sandyard-quota/main.go
@@ -1,4 +1,4 @@
-// Command sandyard-quota prints what is used and left of a customer's quota, from a running instance or from a trace.
+// Command sandyard-quota prints the used and the remaining quota of a customer, from a running instance or from a trace.
 package main
 
 import (
--- a/cmd/sandyard-routes/main.go
+++ b/cmd/sandyard-routes/main.go
@@ -1,4 +1,4 @@
-// Command sandyard-routes prints the operation, class and cost that an instance finds for a request.
+// Command sandyard-routes prints the operation, class and cost that an instance determines for a request.
 package main
 
 import (
--- a/cmd/sandyard-sim/main.go
+++ b/cmd/sandyard-sim/main.go
@@ -1,4 +1,4 @@
-// Command sandyard-sim runs whole deployments in virtual time, under faults drawn from a seed.
+// Command sandyard-sim simulates whole deployments in virtual time, under faults that are generated from a seed.
 package main
 
 import (
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost runs the decisions of many instances on the simulator's wire: batches of messages on standard input,
-// actions on standard output. It ends with 0 when the input ends between batches, else with 1.
+// Command simhost runs the decision logic of many instances for a simulator. It reads batches of messages from standard
+// input and writes the actions to standard output, in the simulator's wire format. Its exit status is 0 if the input ends
+// between batches, else 1.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run reads batches and writes the replies to them until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := simwire.NewReader(in), simwire.NewWriter(out)
 	h := host{gateways: map[string]*decision.Gateway{}}
@@ -42,6 +43,7 @@
 	}
 }
 
+// write writes the replies and the end of the batch.
 func write(w *simwire.Writer, replies []reply) error {
 	for _, r := range replies {
 		for _, a := range r.actions {
@@ -51,16 +53,17 @@
 	return w.Done()
 }
 
-// reply holds the actions that an instance takes on one message.
+// reply holds the actions of an instance in response to one message.
 type reply struct {
 	instance string
 	actions  []decision.Action
 }
 
-// host holds the instances that run, by name.
+// host holds the running instances by name.
 type host struct{ gateways map[string]*decision.Gateway }
 
-// handleBatch hands each message to its instance. Actions of an instance that stops in the same batch are void.
+// handleBatch passes each message to its instance and returns the replies. When an instance stops, its earlier replies in the batch
+// are discarded.
 func (h *host) handleBatch(b simwire.Batch) ([]reply, error) {
 	var replies []reply
 	for _, m := range b.Messages {
@@ -80,7 +83,7 @@
 	return replies, nil
 }
 
-// handle starts an instance or hands it an event. An event of an instance that does not run has no effect.
+// handle starts an instance or passes it an event. It ignores an event for an instance that is not running.
 func (h *host) handle(m simwire.Message, now time.Duration) ([]decision.Action, error) {
 	if m.Kind == simwire.Start {
 		g, first, err := decision.New(m.Settings, m.Seed, now)
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,4 +1,4 @@
-// Package deploy has no code: it tests the checks in .ci that a landing rests on.
+// Package deploy has no code. It tests the scripts in .ci that check a change before it is merged.
 package deploy
 
 import (
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-const redTests = `package red
+const failingTests = `package red
 
 import (
 	"flag"
@@ -26,50 +26,50 @@
 func TestOneSeed(t *testing.T)   { if *seed == 3 { t.Fatal("a fault of this seed") } }
 `
 
-const twice = "\nimport \"testing\"\n\nfunc TestTwice(t *testing.T) { t.Fatal() }\n"
+const failingTwin = "\nimport \"testing\"\n\nfunc TestTwice(t *testing.T) { t.Fatal() }\n"
 
 func entry(lines ...string) string { return strings.Join(lines, "\n") + "\n" }
 
-func red(test string) string {
+func testEntry(test string) string {
 	return entry("test: . "+test, "command: go test . -run ^"+test+"$", "seen: it is so", "issue: 32")
 }
 
-var bench = entry("bench: drain on roll", "command: REAL SITE --seed 4", "seen: BROKEN: drain", "issue: 32")
+var benchEntry = entry("bench: drain on roll", "command: REAL SITE --seed 4", "seen: BROKEN: drain", "issue: 32")
 
-// TestKnownRed: the check of KNOWN-RED.txt passes over exactly the tests it names, prints those and the cases of the bench,
-// and refuses entries that say nothing true or too little.
+// TestKnownRed: .ci/known-red must make CI skip exactly the tests that KNOWN-RED.txt names, must print them and the bench entries,
+// and must reject entries that are incomplete, malformed or no longer true.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../.ci/known-red")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	for name, text := range map[string]string{"go.mod": "module red\n\ngo 1.24\n", "red_test.go": redTests,
-		"other/o_test.go": "package other\n" + twice, "more/m_test.go": "package more\n" + twice} {
+	for name, text := range map[string]string{"go.mod": "module red\n\ngo 1.24\n", "red_test.go": failingTests,
+		"other/o_test.go": "package other\n" + failingTwin, "more/m_test.go": "package more\n" + failingTwin} {
 		os.MkdirAll(filepath.Dir(filepath.Join(dir, name)), 0o700)
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, c := range []struct {
-		name, file, says, skip string
-		ok                     bool
+		name, file, output, skip string
+		ok                       bool
 	}{
 		{"empty", "", "", "", true},
-		{"two", red("TestFails") + "\n" + red("TestFailsToo"), "known red: . TestFails: it is so (32)", "-skip ^(TestFails|TestFailsToo)$", true},
-		{"no newline at the end", strings.TrimSuffix(red("TestFails"), "\n"), "known red", "-skip ^(TestFails)$", true},
-		{"four, with blank lines around", "\n\n" + red("TestFails") + "\n \n\n" + red("TestFailsToo") + "\n" + red("TestPanics") + "\n" + bench + "\n",
+		{"two", testEntry("TestFails") + "\n" + testEntry("TestFailsToo"), "known red: . TestFails: it is so (32)", "-skip ^(TestFails|TestFailsToo)$", true},
+		{"no newline at the end", strings.TrimSuffix(testEntry("TestFails"), "\n"), "known red", "-skip ^(TestFails)$", true},
+		{"four, with blank lines around", "\n\n" + testEntry("TestFails") + "\n \n\n" + testEntry("TestFailsToo") + "\n" + testEntry("TestPanics") + "\n" + benchEntry + "\n",
 			"known red: . TestPanics", "-skip ^(TestFails|TestFailsToo|TestPanics)$", true},
-		{"a bench", bench, "known red, not run here: bench drain on roll: REAL SITE --seed 4: BROKEN: drain (32)", "", true},
-		{"what was learned since", bench + "since: 0 of 9\nsince: 1 of 9\n", "--seed 4: BROKEN: drain; since: 0 of 9; since: 1 of 9 (32)", "", true},
-		{"a test, and what was learned since", red("TestFails") + "since: 0 of 9\n", "known red: . TestFails: it is so; since: 0 of 9 (32)", "-skip ^(TestFails)$", true},
+		{"a bench", benchEntry, "known red, not run here: bench drain on roll: REAL SITE --seed 4: BROKEN: drain (32)", "", true},
+		{"what was learned since", benchEntry + "since: 0 of 9\nsince: 1 of 9\n", "--seed 4: BROKEN: drain; since: 0 of 9; since: 1 of 9 (32)", "", true},
+		{"a test, and what was learned since", testEntry("TestFails") + "since: 0 of 9\n", "known red: . TestFails: it is so; since: 0 of 9 (32)", "-skip ^(TestFails)$", true},
 		{"fails by its seed", entry("test: . TestOneSeed", "command: go test . -run '^TestOneSeed$' -seed 3", "seen: x", "issue: 1"), "known red: . TestOneSeed", "-skip ^(TestOneSeed)$", true},
-		{"panics in another goroutine", red("TestPanicsBeside"), "known red: . TestPanicsBeside", "-skip ^(TestPanicsBeside)$", true},
+		{"panics in another goroutine", testEntry("TestPanicsBeside"), "known red: . TestPanicsBeside", "-skip ^(TestPanicsBeside)$", true},
 		{"hangs", entry("test: . TestHangs", "command: go test . -run ^TestHangs$ -timeout 1s", "seen: x", "issue: 1"), "known red: . TestHangs", "-skip ^(TestHangs)$", true},
 
-		{"no such test", red("TestFail"), "entry 1: . has no TestFail", "", false},
-		{"passes", red("TestFails") + "\n" + red("TestPasses"), "entry 2: TestPasses passes by now", "-skip ^(TestFails)$", false},
-		{"passes, and a good one follows", red("TestPasses") + "\n" + red("TestFails") + "\n" + bench, "entry 1: TestPasses passes by now", "-skip ^(TestFails)$", false},
+		{"no such test", testEntry("TestFail"), "entry 1: . has no TestFail", "", false},
+		{"passes", testEntry("TestFails") + "\n" + testEntry("TestPasses"), "entry 2: TestPasses passes by now", "-skip ^(TestFails)$", false},
+		{"passes, and a good one follows", testEntry("TestPasses") + "\n" + testEntry("TestFails") + "\n" + benchEntry, "entry 1: TestPasses passes by now", "-skip ^(TestFails)$", false},
 		{"passes by its seed", entry("test: . TestOneSeed", "command: go test . -run TestOneSeed -seed 4", "seen: x", "issue: 1"), "entry 1: TestOneSeed passes by now", "", false},
 		{"another fails", entry("test: . TestPasses", "command: go test . -run 'TestFails$|TestPasses'", "seen: x", "issue: 1"), "but not by TestPasses", "", false},
 		{"a command that can't run", entry("test: . TestFails", "command: go test . -run TestFails -nosuch", "seen: x", "issue: 1"), "but not by TestFails", "", false},
@@ -86,10 +86,10 @@
 		{"a bench without what was seen", entry("bench: b", "command: x", "issue: 1"), "entry 1: no seen", "", false},
 		{"a bench without an issue", entry("bench: b", "command: x", "seen: x"), "entry 1: no issue", "", false},
 		{"only what was learned since", entry("bench: b", "command: x", "since: x", "issue: 1"), "entry 1: no seen", "", false},
-		{"an empty value", bench + "\n" + entry("bench: b", "command: ", "seen: x", "issue: 1"), "entry 2: no command", "", false},
-		{"an unknown key", bench + "owner: me\n", "line 5: unknown key owner", "", false},
-		{"a key twice", bench + "issue: 33\n", "line 5: issue stands twice", "", false},
-		{"a line without a key", bench + "and so on\n", "line 5: expected 'key: value'", "", false},
+		{"an empty value", benchEntry + "\n" + entry("bench: b", "command: ", "seen: x", "issue: 1"), "entry 2: no command", "", false},
+		{"an unknown key", benchEntry + "owner: me\n", "line 5: unknown key owner", "", false},
+		{"a key twice", benchEntry + "issue: 33\n", "line 5: issue stands twice", "", false},
+		{"a line without a key", benchEntry + "and so on\n", "line 5: expected 'key: value'", "", false},
 		{"the form before", ". TestFails: it is so (32)\n", "line 1: expected 'key: value'", "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -98,11 +98,11 @@
 			cmd := exec.Command("bash", "-c", script+" "+list+" 3>"+skip)
 			cmd.Dir = dir
 			out, err := cmd.CombinedOutput()
-			if (err == nil) != c.ok || !strings.Contains(string(out), c.says) {
+			if (err == nil) != c.ok || !strings.Contains(string(out), c.output) {
 				t.Errorf("%v: %s", err, out)
 			}
 			if b, _ := os.ReadFile(skip); strings.TrimSpace(string(b)) != c.skip {
-				t.Errorf("skips %q, want %q", b, c.skip)
+				t.Errorf("skip flags %q, want %q", b, c.skip)
 			}
 		})
 	}
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -1,5 +1,5 @@
-// Package bench measures a gateway beside what a user would pick instead, all in one run: direct, through net/http/httputil's
-// reverse proxy and through a fasthttp proxy, both without any decision.
+// Package bench measures a gateway and the alternatives to it in one run: direct connections to the backend, net/http/httputil's
+// reverse proxy and a fasthttp proxy. Neither proxy makes any decisions.
 package bench
 
 import (
@@ -14,29 +14,29 @@
 	"sandyard/internal/http1"
 )
 
-// Result is what a load measured.
+// Result holds the measurements of a load.
 type Result struct {
 	Done    uint64 // responses
-	NotOK   uint64 // of them with a status other than 200
+	NotOK   uint64 // responses with a status other than 200
 	Took    time.Duration
 	Latency *hdrhistogram.Histogram // in microseconds
 }
 
-// PerSecond returns the throughput in responses a second.
+// PerSecond returns the throughput (responses per second).
 func (r Result) PerSecond() float64 { return float64(r.Done) / r.Took.Seconds() }
 
-// maxLatency is in microseconds: a minute, longer than any timeout.
+// maxLatency is the greatest latency that a histogram records (us): a minute, longer than any timeout.
 const maxLatency = 60_000_000
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, 3) }
 
-// Timeouts of a load's connections.
+// Timeouts of the connections of a load.
 const (
 	dialTimeout     = 5 * time.Second
-	responseTimeout = 10 * time.Second // after the load's end
+	responseTimeout = 10 * time.Second // from the end of the load
 )
 
-// benchConn is a connection that sends the same request again and again.
+// benchConn is a connection that sends the same request repeatedly.
 type benchConn struct {
 	conn    net.Conn
 	reader  *http1.Reader
@@ -52,7 +52,7 @@
 	return &benchConn{conn: c, reader: http1.NewResponses(http1.Limits{}), request: req, buffer: make([]byte, 8<<10)}, nil
 }
 
-// roundTrip sends the request and reads its response.
+// roundTrip sends the request and reads the response.
 func (c *benchConn) roundTrip() (status int, err error) {
 	if _, err := c.conn.Write(c.request); err != nil {
 		return 0, err
@@ -81,10 +81,10 @@
 	}
 }
 
-// Load sends requests over a number of connections for a time. With a rate, in requests a second over all connections, each
-// connection sends on a schedule of its own (an open loop), and latencies count from when a request was due if the response
-// before it was late, so that waiting for a slow response is not left out. Without one, each sends as soon as it has its
-// response (a closed loop).
+// Load sends requests over a number of connections for the duration d. A rate above 0, in requests per second over all
+// connections, makes an open loop: each connection sends on its own schedule. If a response arrives after the next request is
+// due, the latency of that request is measured from its due time, so that the wait for a slow response is included. A rate of
+// 0 makes a closed loop: each connection sends as soon as it has received the response.
 func Load(addr string, req []byte, conns int, rate float64, d time.Duration) (Result, error) {
 	all := make([]*benchConn, 0, conns)
 	defer func() {
@@ -99,19 +99,19 @@
 		}
 		all = append(all, c)
 	}
-	begun := time.Now()
+	started := time.Now()
 	results, errs := make([]Result, conns), make([]error, conns)
 	var wg sync.WaitGroup
 	for i, c := range all {
-		first, gap := begun, time.Duration(0)
+		first, interval := started, time.Duration(0)
 		if rate > 0 {
-			gap = time.Duration(float64(conns) / rate * float64(time.Second))
-			first = begun.Add(gap * time.Duration(i) / time.Duration(conns))
+			interval = time.Duration(float64(conns) / rate * float64(time.Second))
+			first = started.Add(interval * time.Duration(i) / time.Duration(conns))
 		}
-		wg.Go(func() { results[i], errs[i] = c.run(first, gap, begun.Add(d)) })
+		wg.Go(func() { results[i], errs[i] = c.run(first, interval, started.Add(d)) })
 	}
 	wg.Wait()
-	total := Result{Took: time.Since(begun), Latency: newHistogram()}
+	total := Result{Took: time.Since(started), Latency: newHistogram()}
 	for _, r := range results {
 		total.Done, total.NotOK = total.Done+r.Done, total.NotOK+r.NotOK
 		total.Latency.Merge(r.Latency)
@@ -122,15 +122,16 @@
 	return total, nil
 }
 
-// run sends requests from a time until another, one each gap; 0: as soon as there is a response.
-func (c *benchConn) run(due time.Time, gap time.Duration, end time.Time) (Result, error) {
+// run sends requests from due to end at the given interval. If the interval is 0, it sends each request as soon as it has received
+// the response to the previous one.
+func (c *benchConn) run(due time.Time, interval time.Duration, end time.Time) (Result, error) {
 	r := Result{Latency: newHistogram()}
 	c.conn.SetDeadline(end.Add(responseTimeout))
 	for due.Before(end) {
-		from := due
-		if wait := time.Until(due); gap == 0 || wait > 0 {
+		measuredFrom := due
+		if wait := time.Until(due); interval == 0 || wait > 0 {
 			time.Sleep(wait)
-			from = time.Now() // the timer's own lateness is not the target's
+			measuredFrom = time.Now() // excludes the delay of the timer from the target's latency
 		}
 		status, err := c.roundTrip()
 		now := time.Now()
@@ -141,9 +142,9 @@
 			r.NotOK++
 		}
 		r.Done++
-		r.Latency.RecordValue(max(1, now.Sub(from).Microseconds()))
-		if gap > 0 {
-			due = due.Add(gap)
+		r.Latency.RecordValue(max(1, now.Sub(measuredFrom).Microseconds()))
+		if interval > 0 {
+			due = due.Add(interval)
 		} else {
 			due = now
 		}
--- a/internal/bench/programs.go
+++ b/internal/bench/programs.go
@@ -12,13 +12,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The programs that a gateway is measured with and against. Each runs as a process of its own and prints where it listens.
+// This file has the backend and the proxies that a gateway is compared with. Each runs as a separate process and prints the
+// address that it listens on.
 
+// listening prints the address of a listener as a line of JSON.
 func listening(out io.Writer, ln net.Listener) {
 	fmt.Fprintf(out, "{\"msg\":\"listening\",\"addr\":%q}\n", ln.Addr())
 }
 
-// Backend responds at once, so that what is measured is the way through a proxy. It returns when serving fails.
+// Backend runs a backend that responds immediately, so that the latency of a proxy dominates the measurement. It returns an
+// error when serving fails.
 func Backend(out io.Writer) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,8 +36,8 @@
 	return s.Serve(ln)
 }
 
-// ReverseProxy is net/http/httputil's, with a transport that keeps as many connections as it needs. It returns when serving
-// fails.
+// ReverseProxy runs net/http/httputil's reverse proxy, with a transport that keeps as many idle connections as it needs. It
+// returns an error when serving fails.
 func ReverseProxy(out io.Writer, backend string) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +53,7 @@
 	return http.Serve(ln, p)
 }
 
-// FastHTTP is a proxy made of fasthttp's client and server. It returns when serving fails.
+// FastHTTP runs a proxy that consists of fasthttp's client and server. It returns an error when serving fails.
 func FastHTTP(out io.Writer, backend string) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -15,14 +15,15 @@
 	"time"
 )
 
-// Options says what to measure.
+// Options configures a measurement.
 type Options struct {
 	Conns   []int
-	Seconds float64 // of each load
-	Rounds  int     // targets are measured in turn; medians are printed
-	Idle    int     // idle connections whose memory is measured; 0: none
+	Seconds float64 // duration of each load (s)
+	Rounds  int     // in each round every target is measured once; medians over the rounds are printed
+	Idle    int     // number of idle connections whose memory is measured; 0: no such measurement
 	Out     io.Writer
-	// Command says how to run a program as a child: "sandyard", "box", "reverseproxy" or "fasthttp".
+	// Command returns the executable and the first arguments that run a program as a child. Programs are "sandyard", "box",
+	// "reverseproxy" and "fasthttp".
 	Command func(program string) (exe string, args []string)
 }
 
@@ -33,10 +34,10 @@
 	cmd  *exec.Cmd
 }
 
-// start starts a program, and returns once it has printed where it listens.
+// start starts a program and waits until it has printed the address that it listens on.
 func (o Options) start(name string, args ...string) (*target, error) {
-	exe, pre := o.Command(name)
-	cmd := exec.Command(exe, append(pre, args...)...)
+	exe, programArgs := o.Command(name)
+	cmd := exec.Command(exe, append(programArgs, args...)...)
 	cmd.Stderr = nil
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -75,9 +76,10 @@
 paths: {/look: {get: {x-sandyard-class: c, responses: {"200": {description: fine}}}}}
 `
 
-// targets are processes to be ended.
+// targets are processes that are killed at the end of the measurement.
 type targets []*target
 
+// stop kills the processes and waits for them.
 func (ps *targets) stop() {
 	for _, p := range *ps {
 		p.cmd.Process.Kill()
@@ -85,9 +87,9 @@
 	}
 }
 
-// startGateway starts a gateway before a backend, with its files in a folder. extra is more of its gateway.yaml.
-func (o Options) startGateway(dir, backend, extra string) (*target, error) {
-	for name, text := range map[string]string{"gateway.yaml": gatewayYAML + extra, "openapi.yaml": openapiYAML,
+// startGateway starts a gateway for a backend and writes its files to dir. extraConfig is appended to its gateway.yaml.
+func (o Options) startGateway(dir, backend, extraConfig string) (*target, error) {
+	for name, text := range map[string]string{"gateway.yaml": gatewayYAML + extraConfig, "openapi.yaml": openapiYAML,
 		"boxes.yaml": fmt.Sprintf("boxes: [{name: b, address: %q}]\n", backend)} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			return nil, err
@@ -96,8 +98,8 @@
 	return o.start("sandyard", "serve", "--config", filepath.Join(dir, "gateway.yaml"), "--listen", "127.0.0.1:0")
 }
 
-// warmUp is a load before the first that is measured: a gateway that has just started estimates how long responses take, and
-// may reject some until it knows.
+// warmUp applies a load before the measurements: a gateway that has just started has no estimate of response times yet, and may
+// reject some requests until it has one.
 func warmUp(p *target) error {
 	if _, err := Load(p.addr, benchRequest, 4, 0, 500*time.Millisecond); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
@@ -105,10 +107,10 @@
 	return nil
 }
 
-// benchRequest is the request that all loads consist of.
+// benchRequest is the request that all loads send.
 var benchRequest = []byte("GET /look HTTP/1.1\r\nHost: bench\r\nX-Api-Key: k\r\nUser-Agent: bench\r\nAccept: */*\r\n\r\n")
 
-// Run measures all targets and prints the results. The error is that of a target that failed, or did not respond with 200.
+// Run measures all targets and prints the results. It returns an error if a target fails or responds with a status other than 200.
 func Run(o Options) error {
 	dir, err := os.MkdirTemp("", "sandyard-bench-")
 	if err != nil {
@@ -158,11 +160,11 @@
 	return xs[len(xs)/2]
 }
 
-// quantiles are the percentiles of latency that are printed.
+// quantiles are the printed percentiles of latency.
 var quantiles = []float64{50, 99, 99.9}
 
-// measureConns loads all targets over a number of connections: for their throughput, and then for their latency at a rate
-// that all can serve.
+// measureConns measures all targets over a number of connections: first their throughput, then their latency at a rate that all
+// of them can serve.
 func (o Options) measureConns(all []*target, conns int, d time.Duration) error {
 	throughput := map[string][]float64{}
 	for range o.Rounds {
@@ -172,7 +174,7 @@
 				return err
 			}
 			if r.NotOK > 0 {
-				return fmt.Errorf("%s: %d bad answers of %d", t.name, r.NotOK, r.Done)
+				return fmt.Errorf("%s: %d of %d responses have a status other than 200", t.name, r.NotOK, r.Done)
 			}
 			throughput[t.name] = append(throughput[t.name], r.PerSecond())
 		}
@@ -198,6 +200,7 @@
 	return nil
 }
 
+// printConns prints the throughput and the added latency of each target.
 func (o Options) printConns(all []*target, throughput map[string][]float64, latency map[string]map[float64][]float64) {
 	fmt.Fprintf(o.Out, "%-14s %12s %14s %10s %10s %10s\n", "", "most a second", "of reverseproxy", "p50", "p99", "p99.9")
 	for _, t := range all {
@@ -218,7 +221,7 @@
 	}
 }
 
-// measureIdle measures what idle connections cost a process in resident memory, in bytes.
+// measureIdle measures and prints the resident memory that idle connections use in each target but the first, the backend.
 func (o Options) measureIdle(targets []*target) error {
 	fmt.Fprintf(o.Out, "\n%d idle connections, resident memory\n", o.Idle)
 	for _, t := range targets[1:] {
@@ -248,7 +251,7 @@
 	return nil
 }
 
-// residentMemory returns a process's resident memory in bytes.
+// residentMemory returns the resident memory of a process (bytes).
 func residentMemory(pid int) (int, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
--- a/internal/bench/tools.go
+++ b/internal/bench/tools.go
@@ -17,19 +17,19 @@
 	"sandyard/trace"
 )
 
-// ToolOptions says how to measure what recording and queries of the admin socket cost.
+// ToolOptions configures a measurement of the costs of trace recording and of admin socket queries.
 type ToolOptions struct {
 	Options
-	Rate    float64 // of the open loop, a second
-	Lookups int     // queries of one customer a second; one in wouldEvery asks what the gateway would decide
-	// Query sends a query to a gateway's admin socket.
+	Rate    float64 // of the open loop (requests per second)
+	Lookups int     // queries per second, all for one customer; one in wouldEvery queries what the gateway would decide
+	// Query sends a query to a gateway's admin socket and returns an error if it fails.
 	Query func(socket, path string) error
 }
 
-// variant is a gateway under measurement, and its results by round.
+// variant is a gateway in one of the compared configurations, with its results by round.
 type variant struct {
 	name        string
-	extra       string // of its gateway.yaml
+	extraConfig string // appended to its gateway.yaml
 	queried     bool
 	target      *target
 	adminSocket string
@@ -37,11 +37,11 @@
 	throughput  []float64
 	p50         []float64
 	p99         []float64
-	cpu         []float64 // processor time of a request, in microseconds
+	cpu         []float64 // processor time per request (us)
 }
 
-// Tools measures gateways that record, and that are queried, against one that does neither, in turn in one run; and a second
-// one that does neither, which shows the noise. What was recorded is then read and replayed.
+// Tools compares a gateway that records a trace and one whose admin socket is queried with a plain gateway. All are measured in
+// turn in one run. A second plain gateway shows the noise. Tools then reads and replays the recorded trace.
 func Tools(o ToolOptions) error {
 	dir, err := os.MkdirTemp("", "sandyard-bench-")
 	if err != nil {
@@ -55,15 +55,15 @@
 		return err
 	}
 	processes = append(processes, backend)
-	all := []*variant{{name: "plain"}, {name: "plain, again"}, {name: "recording", extra: "trace: {mode: full, folder: traces, most: 8GiB}\n"},
-		{name: "looked at", extra: "admin: {socket: admin.sock}\n", queried: true}}
+	all := []*variant{{name: "plain"}, {name: "plain, again"}, {name: "recording", extraConfig: "trace: {mode: full, folder: traces, most: 8GiB}\n"},
+		{name: "looked at", extraConfig: "admin: {socket: admin.sock}\n", queried: true}}
 	for i, v := range all {
 		v.dir = filepath.Join(dir, fmt.Sprint(i))
 		if err := os.Mkdir(v.dir, 0o700); err != nil {
 			return err
 		}
 		v.adminSocket = filepath.Join(v.dir, "admin.sock")
-		if v.target, err = o.startGateway(v.dir, backend.addr, v.extra); err != nil {
+		if v.target, err = o.startGateway(v.dir, backend.addr, v.extraConfig); err != nil {
 			return err
 		}
 		processes = append(processes, v.target)
@@ -86,7 +86,7 @@
 		}
 		o.print(all, conns)
 	}
-	fmt.Fprintf(o.Out, "\n%d looks were answered\n", queries.Load())
+	fmt.Fprintf(o.Out, "\n%d queries were answered\n", queries.Load())
 	rec := all[2]
 	if err := rec.target.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -97,7 +97,7 @@
 	return o.readTraces(filepath.Join(rec.dir, "traces"))
 }
 
-// round loads one gateway in a closed loop and then in an open one.
+// round measures one gateway in a closed loop and then in an open loop.
 func (o ToolOptions) round(v *variant, conns int, queries *atomic.Int64) error {
 	d := time.Duration(o.Seconds * float64(time.Second))
 	var wg sync.WaitGroup
@@ -106,7 +106,7 @@
 	if v.queried {
 		wg.Go(func() { queryErr = o.queryAdmin(v.adminSocket, stop, queries) })
 	}
-	most, err := Load(v.target.addr, benchRequest, conns, 0, d)
+	closed, err := Load(v.target.addr, benchRequest, conns, 0, d)
 	var open Result
 	var before, after time.Duration
 	if err == nil {
@@ -123,18 +123,19 @@
 	if err = errors.Join(err, queryErr); err != nil {
 		return fmt.Errorf("%s: %w", v.name, err)
 	}
-	if n := most.NotOK + open.NotOK; n > 0 {
-		return fmt.Errorf("%s: %d bad answers of %d", v.name, n, most.Done+open.Done)
+	if n := closed.NotOK + open.NotOK; n > 0 {
+		return fmt.Errorf("%s: %d of %d responses have a status other than 200", v.name, n, closed.Done+open.Done)
 	}
-	v.throughput, v.cpu = append(v.throughput, most.PerSecond()), append(v.cpu, float64((after-before).Microseconds())/float64(open.Done))
+	v.throughput, v.cpu = append(v.throughput, closed.PerSecond()), append(v.cpu, float64((after-before).Microseconds())/float64(open.Done))
 	v.p50, v.p99 = append(v.p50, float64(open.Latency.ValueAtQuantile(50))), append(v.p99, float64(open.Latency.ValueAtQuantile(99)))
 	return nil
 }
 
-// wouldEvery is in queries: asking what the gateway would decide copies its state, at most four times a second.
+// wouldEvery is the number of queries for each /v1/would query, which asks what the gateway would decide. For such a query the
+// gateway copies its state, at most four times a second.
 const wouldEvery = 25
 
-// queryAdmin queries the admin socket until it is stopped.
+// queryAdmin queries an admin socket until stop is closed or a query fails, and counts the queries.
 func (o ToolOptions) queryAdmin(socket string, stop chan struct{}, queries *atomic.Int64) error {
 	tick := time.NewTicker(time.Second / time.Duration(max(1, o.Lookups)))
 	defer tick.Stop()
@@ -155,6 +156,7 @@
 	}
 }
 
+// print prints the results of the variants as shares of the first variant's.
 func (o ToolOptions) print(all []*variant, conns int) {
 	fmt.Fprintf(o.Out, "\n%d connections; open loop at %.0f a second; as shares of the plain one's in the same round: median (least to most)\n", conns, o.Rate)
 	fmt.Fprintf(o.Out, "%-14s %12s %26s %26s %26s %26s\n", "", "most a second", "of plain", "processor a request", "p50", "p99")
@@ -171,30 +173,30 @@
 	}
 }
 
-// readTraces reads what was recorded, checks that it is complete, replays it, and prints sizes and rates.
+// readTraces reads the recorded trace files, checks that they are complete, replays them and prints sizes and rates.
 func (o ToolOptions) readTraces(folder string) error {
 	files, err := os.ReadDir(folder)
 	if err != nil {
 		return err
 	}
 	var total traceCounts
-	begun := time.Now()
+	started := time.Now()
 	for _, f := range files {
 		if err := total.add(folder, f.Name()); err != nil {
 			return err
 		}
 	}
-	reading := time.Since(begun)
+	reading := time.Since(started)
 	if total.steps == 0 {
 		return errors.New("nothing was recorded")
 	}
 	slices.SortFunc(total.names, func(a, b string) int { return total.part[a] - total.part[b] })
-	begun = time.Now()
+	started = time.Now()
 	replay, err := replayTraces(folder, total.names)
 	if err != nil {
 		return err
 	}
-	replaying := time.Since(begun)
+	replaying := time.Since(started)
 	_, err = fmt.Fprintf(o.Out, "%d files, %.1f MiB: %d steps with %d actions, %d dropped; %.1f bytes a step\nread: %.0f steps a second; read and replayed: %.0f steps a second, %d differ, %d of them behind a gap\n",
 		len(total.names), float64(total.bytes)/(1<<20), total.steps, total.actions, total.dropped, float64(total.bytes)/float64(total.steps),
 		float64(total.steps)/reading.Seconds(), float64(replay.Steps)/replaying.Seconds(), replay.Differences, replay.Uncertain)
@@ -204,14 +206,15 @@
 	return err
 }
 
-// traceCounts is what the files of a recording hold.
+// traceCounts holds the totals of the files of a recording.
 type traceCounts struct {
 	names                   []string
-	part                    map[string]int // of the recording, by file
+	part                    map[string]int // number of the part, by file
 	bytes                   int
 	steps, actions, dropped uint64
 }
 
+// add reads a file and adds its counts.
 func (t *traceCounts) add(folder, name string) error {
 	if t.part == nil {
 		t.part = map[string]int{}
@@ -228,7 +231,7 @@
 	return err
 }
 
-// replayTraces replays the files of a recording in the order of their parts.
+// replayTraces replays the files of a recording in the given order, which must be that of their parts.
 func replayTraces(folder string, names []string) (replay *trace.Replay, err error) {
 	for _, name := range names {
 		if _, err := eachRecord(folder, name, func(h trace.Header) (err error) {
@@ -243,7 +246,8 @@
 	return replay, nil
 }
 
-// eachRecord calls functions with the header and the records of a file, and returns its size. A truncated file is an error.
+// eachRecord calls begin with the header and each with every record of a file, and returns the file's size (bytes). It returns an
+// error if the file is truncated.
 func eachRecord(folder, name string, begin func(trace.Header) error, each func(trace.Header, trace.Record) error) (size int, err error) {
 	text, err := os.ReadFile(filepath.Join(folder, name))
 	if err != nil {
@@ -259,8 +263,8 @@
 	return len(text), nil
 }
 
-// processorTime returns the processor time that a process has used: utime and stime of proc(5)'s stat, in ticks of 10 ms. The
-// name before them may hold anything, so that fields count from its closing parenthesis.
+// processorTime returns the processor time that a process has used: the sum of utime and stime in /proc/PID/stat (ticks of
+// 10 ms), see proc(5). The fields are counted from the closing parenthesis of the process name, which may contain any character.
 func processorTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/cli/adminclient.go
+++ b/internal/cli/adminclient.go
@@ -12,8 +12,8 @@
 	"sandyard/internal/http1"
 )
 
-// queryAdmin gets a response from a gateway's admin socket. It fails with a coreid.Mismatch if the gateway's core is another,
-// and with the gateway's own words if the status is not 200.
+// queryAdmin sends a GET request to a gateway's admin socket and decodes the JSON response into a value. It returns a
+// coreid.Mismatch if the gateway has another core identity, and the gateway's error text if the status is not 200.
 func queryAdmin(socket, path string, into any) error {
 	c, err := net.DialTimeout("unix", socket, 2*time.Second)
 	if err != nil {
@@ -24,8 +24,8 @@
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: admin\r\n\r\n", path); err != nil {
 		return err
 	}
-	rd := http1.NewResponses(http1.Limits{})
-	rd.Expect("GET")
+	responses := http1.NewResponses(http1.Limits{})
+	responses.Expect("GET")
 	text, err := io.ReadAll(io.LimitReader(c, 1<<20))
 	if err != nil {
 		return err
@@ -33,14 +33,14 @@
 	var head *http1.Head
 	var body []byte
 	for {
-		n, part, err := rd.Feed(text)
-		text = text[n:]
+		used, part, err := responses.Feed(text)
+		text = text[used:]
 		if err != nil {
 			return err
 		}
 		switch part.Kind {
 		case http1.More:
-			return errors.New("the front door's answer is cut off")
+			return errors.New("the front door's response is truncated")
 		case http1.HeadEnd:
 			head = part.Head
 			core, _ := head.Get("Sandyard-Core")
@@ -53,7 +53,7 @@
 			if head.Status != 200 {
 				var e struct{ Error string }
 				json.Unmarshal(body, &e)
-				return fmt.Errorf("the front door says: %s", e.Error)
+				return fmt.Errorf("the front door reports an error: %s", e.Error)
 			}
 			return json.Unmarshal(body, into)
 		}
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -32,7 +32,7 @@
 	return program("sandyard-bench", "A front door beside proxies without decisions, in one run.", &b, args, out, errs, &Console{out, errs})
 }
 
-// benchArgs is "sandyard-bench measure".
+// benchArgs is the command "sandyard-bench measure".
 type benchArgs struct {
 	Conns   []int   `default:"1,64,1024" help:"Numbers of connections."`
 	Seconds float64 `default:"3" help:"Seconds of each load."`
@@ -47,7 +47,7 @@
 	return bench.Run(bench.Options{Conns: b.Conns, Seconds: b.Seconds, Rounds: b.Rounds, Idle: b.Idle, Out: c.Out, Command: childCommand})
 }
 
-// benchTools is "sandyard-bench tools".
+// benchTools is the command "sandyard-bench tools".
 type benchTools struct {
 	Conns   []int   `default:"64" help:"Numbers of connections."`
 	Seconds float64 `default:"3" help:"Seconds of each load."`
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -18,32 +18,35 @@
 	"sandyard/trace"
 )
 
+// run runs a program and returns its exit status and what it printed to standard output and standard error.
 func run(f func([]string, *bytes.Buffer, *bytes.Buffer) int, args ...string) (int, string, string) {
 	var out, errs bytes.Buffer
 	return f(args, &out, &errs), out.String(), errs.String()
 }
 
-func gateway(a []string, o, e *bytes.Buffer) int { return Gateway(a, o, e) }
-func tracer(a []string, o, e *bytes.Buffer) int  { return Trace(a, o, e) }
-func quotas(a []string, o, e *bytes.Buffer) int  { return Quota(a, o, e) }
-func router(a []string, o, e *bytes.Buffer) int  { return Routes(a, o, e) }
-func sim(a []string, o, e *bytes.Buffer) int     { return Sim(a, o, e) }
+func gatewayTool(a []string, o, e *bytes.Buffer) int { return Gateway(a, o, e) }
+func traceTool(a []string, o, e *bytes.Buffer) int   { return Trace(a, o, e) }
+func quotaTool(a []string, o, e *bytes.Buffer) int   { return Quota(a, o, e) }
+func routesTool(a []string, o, e *bytes.Buffer) int  { return Routes(a, o, e) }
+func simTool(a []string, o, e *bytes.Buffer) int     { return Sim(a, o, e) }
 
-// A mistake in a configuration must be found before it serves: check names the file and the line.
+// TestCheckReportsMistakes: check must find a mistake in a configuration, and name the file and the line, before the configuration
+// is used to serve.
 func TestCheckReportsMistakes(t *testing.T) {
-	if code, out, _ := run(gateway, "check", "--config", "../../examples/kilns/gateway.yaml"); code != Success || !strings.Contains(out, "good") {
+	if code, out, _ := run(gatewayTool, "check", "--config", "../../examples/kilns/gateway.yaml"); code != Success || !strings.Contains(out, "good") {
 		t.Errorf("%d %s", code, out)
 	}
 	bad := filepath.Join(t.TempDir(), "g.yaml")
 	os.WriteFile(bad, []byte("listen: 1\nplans: [{rate: 3}]\n"), 0o600)
-	if code, _, errs := run(gateway, "check", "--config", bad); code != Usage || !strings.Contains(errs, "g.yaml:2") {
+	if code, _, errs := run(gatewayTool, "check", "--config", bad); code != Usage || !strings.Contains(errs, "g.yaml:2") {
 		t.Errorf("%d %s", code, errs)
 	}
-	if code, _, _ := run(gateway, "nonsense"); code != Usage {
+	if code, _, _ := run(gatewayTool, "nonsense"); code != Usage {
 		t.Error(code)
 	}
 }
 
+// traceFile writes a trace of two requests of a customer with a quota of 1 unit, recorded by a core, and returns its path.
 func traceFile(t *testing.T, core string) string {
 	h := trace.Header{Core: core, Share: 1, Plans: []string{"hobby"}, Classes: []string{"c"}, Operations: []string{"book"},
 		Settings: decision.Settings{Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: time.Second}}, Plans: []decision.Plan{{Rate: 1, Burst: 1}}}}
@@ -76,30 +79,30 @@
 	return name
 }
 
-// Whoever looks into an incident reads the trace with these commands: each must show the recorded requests.
+// TestTraceCommandsReadATrace: incidents are investigated with these commands; each must show the recorded requests.
 func TestTraceCommandsReadATrace(t *testing.T) {
 	f := traceFile(t, coreid.Core())
-	if code, out, errs := run(tracer, "replay", f); code != Success || !strings.Contains(out, "4 steps replayed and 0 states compared, 0 differ") {
+	if code, out, errs := run(traceTool, "replay", f); code != Success || !strings.Contains(out, "4 steps replayed and 0 states compared, 0 differ") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
-	if code, out, _ := run(tracer, "show", "--outcome", "refused", f); code != Success || !strings.Contains(out, "refused (quota)") || !strings.Contains(out, "1 of 2 requests") {
+	if code, out, _ := run(traceTool, "show", "--outcome", "refused", f); code != Success || !strings.Contains(out, "refused (quota)") || !strings.Contains(out, "1 of 2 requests") {
 		t.Errorf("%d %s", code, out)
 	}
-	if code, out, _ := run(tracer, "explain", "2", f); code != Success || !strings.Contains(out, "beyond what the plan allows") {
+	if code, out, _ := run(traceTool, "explain", "2", f); code != Success || !strings.Contains(out, "beyond what the plan allows") {
 		t.Errorf("%d %s", code, out)
 	}
-	if code, _, _ := run(tracer, "follow", "3", f); code != Failure {
-		t.Error("a request that is not there")
+	if code, _, _ := run(traceTool, "follow", "3", f); code != Failure {
+		t.Error("follow reports no failure for a request that the trace does not have")
 	}
 }
 
-// A tool of another build could give a verdict that the running gateway would not give. A tool whose core is another must say
-// so and give none, whichever of the two is older; for traces and for a running gateway.
+// TestToolsOfAnotherCoreGiveNoVerdict: the verdict of a tool from another build could differ from the gateway's decision. A tool
+// must report a different core identity and give no verdict, whichever of the two is older, for traces and running gateways.
 func TestToolsOfAnotherCoreGiveNoVerdict(t *testing.T) {
-	if code, out, errs := run(tracer, "replay", traceFile(t, "0123456789abcdef")); code != CoreMismatch || out != "" || !strings.Contains(errs, "verdicts could differ") {
+	if code, out, errs := run(traceTool, "replay", traceFile(t, "0123456789abcdef")); code != CoreMismatch || out != "" || !strings.Contains(errs, "verdicts could differ") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
-	mine, other := gatewaySocket(t, coreid.Core()), gatewaySocket(t, "0123456789abcdef")
+	sameCore, otherCore := gatewaySocket(t, coreid.Core()), gatewaySocket(t, "0123456789abcdef")
 	file := traceFile(t, coreid.Core())
 	dir := t.TempDir()
 	for _, c := range []struct {
@@ -108,18 +111,18 @@
 		args    string
 	}{
 		{"sandyard-trace", nil, "replay " + file},
-		{"sandyard-quota", quotas, "show --studio b --socket "},
-		{"sandyard-quota", quotas, "would --studio b --socket "},
-		{"sandyard-quota", quotas, "total --studio b --socket "},
+		{"sandyard-quota", quotaTool, "show --studio b --socket "},
+		{"sandyard-quota", quotaTool, "would --studio b --socket "},
+		{"sandyard-quota", quotaTool, "total --studio b --socket "},
 		{"sandyard-quota", nil, "show --studio a --trace " + file},
-		{"sandyard-routes", router, "match GET /a --socket "},
+		{"sandyard-routes", routesTool, "match GET /a --socket "},
 	} {
 		args := c.args
 		if c.tool != nil {
-			if code, out, errs := run(c.tool, strings.Fields(args+other)...); code != CoreMismatch || strings.Contains(out, "{") || !strings.Contains(errs, "verdicts could differ") {
-				t.Errorf("%s, a front door of another core: %d %s %s", args, code, out, errs)
+			if code, out, errs := run(c.tool, strings.Fields(args+otherCore)...); code != CoreMismatch || strings.Contains(out, "{") || !strings.Contains(errs, "verdicts could differ") {
+				t.Errorf("%s, gateway with another core: status %d, %s %s", args, code, out, errs)
 			}
-			args += mine
+			args += sameCore
 		}
 		exe := filepath.Join(dir, c.program)
 		if _, err := os.Stat(exe); err != nil {
@@ -130,12 +133,13 @@
 		b, err := exec.Command(exe, strings.Fields(args)...).CombinedOutput()
 		var ee *exec.ExitError
 		if !errors.As(err, &ee) || ee.ExitCode() != CoreMismatch || !strings.Contains(string(b), coreid.Core()) {
-			t.Errorf("%s %s, of another core: %v %s", c.program, args, err, b)
+			t.Errorf("%s %s, tool with another core: %v %s", c.program, args, err, b)
 		}
 	}
 }
 
-// gatewaySocket answers everything on an admin socket with an empty object, as a gateway of a core.
+// gatewaySocket serves an admin socket that responds to every request with an empty object, as a gateway with the given core
+// identity.
 func gatewaySocket(t *testing.T, core string) string {
 	path := filepath.Join(t.TempDir(), "a.sock")
 	ln, err := net.Listen("unix", path)
@@ -157,44 +161,44 @@
 	return path
 }
 
-// The simulator's commands must agree with each other on a seed: its script, its digest, its replay.
+// TestSimCommands: the simulator's commands must treat a seed and the script that is generated from it as the same run.
 func TestSimCommands(t *testing.T) {
-	if code, out, errs := run(sim, "run", "--seeds", "1-5", "--quiet"); code != Success || !strings.Contains(out, "5 seeds, 0 broken") || !strings.Contains(out, "not reached:") {
+	if code, out, errs := run(simTool, "run", "--seeds", "1-5", "--quiet"); code != Success || !strings.Contains(out, "5 seeds, 0 broken") || !strings.Contains(out, "not reached:") {
 		t.Errorf("%d %s %s", code, out, errs)
 	}
-	_, a, _ := run(sim, "digest", "3")
-	if _, b, _ := run(sim, "digest", "3"); a != b || len(a) != 17 {
+	_, a, _ := run(simTool, "digest", "3")
+	if _, b, _ := run(simTool, "digest", "3"); a != b || len(a) != 17 {
 		t.Errorf("%q %q", a, b)
 	}
-	_, script, _ := run(sim, "generate", "3")
+	_, script, _ := run(simTool, "generate", "3")
 	f := filepath.Join(t.TempDir(), "s.yaml")
 	os.WriteFile(f, []byte(script), 0o600)
-	if _, b, _ := run(sim, "digest", f); a != b {
-		t.Errorf("the script of a seed is another run: %q %q", a, b)
+	if _, b, _ := run(simTool, "digest", f); a != b {
+		t.Errorf("the digests of a seed and of its script differ: %q %q", a, b)
 	}
 	os.WriteFile(f, []byte("version: 9\n"), 0o600)
-	if code, _, errs := run(sim, "replay", f); code != Usage || !strings.Contains(errs, "version") {
+	if code, _, errs := run(simTool, "replay", f); code != Usage || !strings.Contains(errs, "version") {
 		t.Errorf("%d %s", code, errs)
 	}
 }
 
-// Every command of the tools that prints a table must print the same as JSON.
+// TestCommandsPrintTablesAsJSON: each command that prints a table must be able to print the same content as JSON.
 func TestCommandsPrintTablesAsJSON(t *testing.T) {
 	f, api := traceFile(t, coreid.Core()), "../../examples/kilns/openapi.yaml"
 	for _, c := range []struct {
 		tool func([]string, *bytes.Buffer, *bytes.Buffer) int
 		args string
-		want string // as Go prints what was decoded
+		want string // part of the decoded value, as fmt.Sprint prints it
 	}{
-		{tracer, "show " + f, "plan_name:hobby"},
-		{tracer, "follow 2 " + f, "operation:book"},
-		{tracer, "explain 2 " + f, "beyond what the plan allows"},
-		{tracer, "replay " + f, "steps:4"},
-		{tracer, "info " + f, "arrivals:2"},
-		{router, "diff " + api + " " + api, "differences:[]"},
-		{router, "match --config ../../examples/kilns/gateway.yaml GET /nowhere", "status:401"},
-		{sim, "replay 3", "Digest:"},
-		{sim, "run --seeds 3 --quiet", "seeds:1"},
+		{traceTool, "show " + f, "plan_name:hobby"},
+		{traceTool, "follow 2 " + f, "operation:book"},
+		{traceTool, "explain 2 " + f, "beyond what the plan allows"},
+		{traceTool, "replay " + f, "steps:4"},
+		{traceTool, "info " + f, "arrivals:2"},
+		{routesTool, "diff " + api + " " + api, "differences:[]"},
+		{routesTool, "match --config ../../examples/kilns/gateway.yaml GET /nowhere", "status:401"},
+		{simTool, "replay 3", "Digest:"},
+		{simTool, "run --seeds 3 --quiet", "seeds:1"},
 	} {
 		code, out, errs := run(c.tool, append(strings.Fields(c.args), "--output", "json")...)
 		var v any
@@ -202,34 +206,35 @@
 			t.Errorf("%s: %d %s %s: %v", c.args, code, out, errs, v)
 		}
 	}
-	if code, _, errs := run(tracer, "info", "--output", "xml", f); code != Usage || !strings.Contains(errs, "--output") {
+	if code, _, errs := run(traceTool, "info", "--output", "xml", f); code != Usage || !strings.Contains(errs, "--output") {
 		t.Errorf("%d %s", code, errs)
 	}
 }
 
-// A trace that a kill cut off must not pass for a complete one: info says that it is truncated, and what is complete.
+// TestTraceInfoReportsTruncation: a trace file that is truncated because its process was killed must not be taken for a complete
+// one. info must report the truncation.
 func TestTraceInfoReportsTruncation(t *testing.T) {
 	f := traceFile(t, coreid.Core())
 	b, _ := os.ReadFile(f)
 	os.WriteFile(f, b[:len(b)-3], 0o600)
-	if code, out, _ := run(tracer, "info", f); code != Success || !strings.Contains(out, "cut at ") {
+	if code, out, _ := run(traceTool, "info", f); code != Success || !strings.Contains(out, "cut at ") {
 		t.Errorf("%d %s", code, out)
 	}
 }
 
-// The program must complete a shell's command line, and print what makes the shell ask.
+// TestCompletionOfCommandLines: a program must complete a shell's command line, and print the commands that enable completion.
 func TestCompletionOfCommandLines(t *testing.T) {
 	for _, shell := range []string{"bash", "zsh", "fish"} {
-		if code, out, errs := run(tracer, "completion", shell); code != Success || !strings.Contains(out, "sandyard-trace") {
+		if code, out, errs := run(traceTool, "completion", shell); code != Success || !strings.Contains(out, "sandyard-trace") {
 			t.Errorf("%s: %d %s %s", shell, code, out, errs)
 		}
 	}
-	if code, _, _ := run(tracer, "completion", "edlin"); code != Usage {
+	if code, _, _ := run(traceTool, "completion", "edlin"); code != Usage {
 		t.Error(code)
 	}
 	for line, want := range map[string]string{"sandyard-trace ex": "explain\n", "sandyard-trace show --outc": "--outcome\n", "sandyard-trace show --output j": "json\n"} {
 		t.Setenv("COMP_LINE", line)
-		if code, out, _ := run(tracer, "sandyard-trace"); code != Success || out != want {
+		if code, out, _ := run(traceTool, "sandyard-trace"); code != Success || out != want {
 			t.Errorf("%s: %d %q", line, code, out)
 		}
 	}
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -9,12 +9,13 @@
 	"github.com/alecthomas/kong"
 )
 
-// completion prints what a shell has to run to complete the program's command lines. The program completes when it finds
-// COMP_LINE set, as bash and zsh do.
+// completion is the command that prints the shell commands that enable completion of the program's command line. The program
+// prints completions if COMP_LINE is set in its environment, as bash and zsh do.
 type completion struct {
 	Shell string `arg:"" enum:"bash,zsh,fish" help:"One of bash, zsh, fish."`
 }
 
+// completions holds the shell commands by shell. BIN stands for the path of the program, NAME for its name.
 var completions = map[string]string{
 	"bash": "complete -C 'BIN' NAME\n",
 	"zsh":  "autoload -U +X bashcompinit && bashcompinit\ncomplete -C 'BIN' NAME\n",
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -14,8 +14,8 @@
 	"sandyard/internal/simulation"
 )
 
-// programPrefix is the first argument that makes sandyard-drill run as one of the programs it drills, so that a drill needs one
-// file only.
+// programPrefix is the prefix of a first argument that names a program to run as. With it a single executable can start the
+// other programs of a drill or benchmark as its children.
 const programPrefix = "--as="
 
 // Drill runs the sandyard-drill program.
@@ -39,7 +39,7 @@
 		&Console{out, errs})
 }
 
-// drillArgs is "sandyard-drill".
+// drillArgs is the command "sandyard-drill play", which is the default command of sandyard-drill.
 type drillArgs struct {
 	Seed      uint64  `default:"1" help:"Seed of the traffic."`
 	Seconds   float64 `default:"45" help:"Seconds of traffic."`
@@ -91,6 +91,7 @@
 	return nil
 }
 
+// childCommand returns the executable and the first arguments that run a program as a child from this executable.
 func childCommand(program string) (string, []string) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -99,17 +100,18 @@
 	return exe, []string{programPrefix + program}
 }
 
+// printReport prints the rules' cases and violations, the results by plan and the unexpected exits.
 func printReport(out io.Writer, r drill.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "seed %d: %d tries in %.0f s, %d troubles; %.3f of the worth asked for was served\n\n", r.Seed, r.Requests, r.Seconds,
 		r.Faults, r.ValueShare)
 	fmt.Fprintln(w, "rule\tcases\tviolations\tnearest\tof")
 	for _, rule := range r.Rules {
-		seen := fmt.Sprint(rule.Cases)
+		cases := fmt.Sprint(rule.Cases)
 		if rule.Cases == 0 {
-			seen = "not exercised"
+			cases = "not exercised"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.2f\t%s\n", rule.Name, seen, rule.Count, rule.Nearest, rule.Limit)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.2f\t%s\n", rule.Name, cases, rule.Count, rule.Nearest, rule.Limit)
 	}
 	fmt.Fprintln(w, "\nplan\ttries\tserved\tof them late\trefused\tfailed\tlost\tcut\tno door\tworth served")
 	for _, p := range r.Plans {
--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -28,7 +28,7 @@
 		&Console{out, errs})
 }
 
-// emulateBackendCommand is "sandyard-emulator box".
+// emulateBackendCommand is the command "sandyard-emulator box".
 type emulateBackendCommand struct {
 	Name           string        `default:"box" help:"Its name in records and answers."`
 	Listen         string        `default:"127.0.0.1:0" help:"Address to listen on."`
@@ -47,7 +47,7 @@
 	Record         bool          `help:"Print what happens as lines of JSON."`
 }
 
-// BackendEvent is one line of an emulated backend's record.
+// BackendEvent is an event of an emulated backend, printed as one line of JSON.
 type BackendEvent struct {
 	At      int64              `json:"at"` // Unix time in nanoseconds
 	Backend string             `json:"box"`
@@ -56,14 +56,14 @@
 	Key     string             `json:"key,omitempty"`
 }
 
-// Ready is the first line that an emulator prints.
+// Ready is the first line that an emulator prints, as JSON.
 type Ready struct {
 	Msg     string `json:"msg"` // "listening"
 	Addr    string `json:"addr"`
 	Control string `json:"control"`
 }
 
-// lineWriter writes lines from a goroutine of its own, so that a slow reader does not hold up the backend.
+// lineWriter writes lines of JSON in a separate goroutine, so that a slow reader does not block the backend.
 type lineWriter struct {
 	mu    sync.Mutex
 	lines []byte
@@ -88,6 +88,7 @@
 	return r
 }
 
+// write queues a value as a line of JSON. It does not block.
 func (r *lineWriter) write(v any) {
 	b, _ := json.Marshal(v)
 	r.mu.Lock()
@@ -99,7 +100,7 @@
 	}
 }
 
-// close writes what is left, and ends the goroutine.
+// close writes the queued lines and ends the goroutine.
 func (r *lineWriter) close() {
 	select {
 	case r.wake <- struct{}{}:
@@ -110,57 +111,57 @@
 }
 
 func (b emulateBackendCommand) Run(c *Console) error {
-	rec := newLineWriter(c.Out)
-	defer rec.close()
-	var facts func(emulator.Event)
+	lines := newLineWriter(c.Out)
+	defer lines.close()
+	var onEvent func(emulator.Event)
 	if b.Record {
-		facts = func(f emulator.Event) {
-			rec.write(BackendEvent{time.Now().UnixNano(), f.Backend, f.Kind, f.ID, f.Key})
+		onEvent = func(event emulator.Event) {
+			lines.write(BackendEvent{time.Now().UnixNano(), event.Backend, event.Kind, event.ID, event.Key})
 		}
 	}
 	backend, err := server.StartBackend(b.Listen, emulator.BackendConfig{Name: b.Name, Cores: b.Cores, Queue: b.Queue, Work: b.Work, WorkVariation: b.Spread,
 		SlowStartShare: b.SlowStartShare, SlowStartTime: b.SlowStartTime, OverloadFactor: b.OverloadFactor, OverloadTime: b.OverloadTime, KeyTTL: b.KeyTTL,
-		BodySize: b.Body, Seed: b.Seed}, facts)
+		BodySize: b.Body, Seed: b.Seed}, onEvent)
 	if err != nil {
 		return err
 	}
 	defer backend.Close()
-	return serveUntilSignal(rec, backend.Addr(), b.Control, backend)
+	return serveUntilSignal(lines, backend.Addr(), b.Control, backend)
 }
 
-// serveUntilSignal prints where an emulator listens, and waits for SIGTERM or SIGINT.
-func serveUntilSignal(rec *lineWriter, addr, control string, f server.FaultTarget) error {
+// serveUntilSignal serves an emulator's fault control, prints the addresses and waits for SIGTERM or SIGINT.
+func serveUntilSignal(out *lineWriter, addr, control string, target server.FaultTarget) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	at, stop, err := server.ServeFaultControl(control, f)
+	controlAddr, stop, err := server.ServeFaultControl(control, target)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	rec.write(Ready{"listening", addr, at.String()})
+	out.write(Ready{"listening", addr, controlAddr.String()})
 	<-signals
 	return nil
 }
 
-// emulateCounterCommand is "sandyard-emulator keeper".
+// emulateCounterCommand is the command "sandyard-emulator keeper".
 type emulateCounterCommand struct {
 	Listen  string `default:"127.0.0.1:0" help:"Address to listen on."`
 	Control string `default:"127.0.0.1:0" help:"Address on which faults are set."`
 }
 
 func (s emulateCounterCommand) Run(c *Console) error {
-	rec := newLineWriter(c.Out)
-	defer rec.close()
+	lines := newLineWriter(c.Out)
+	defer lines.close()
 	k, err := server.StartCounter(s.Listen)
 	if err != nil {
 		return err
 	}
 	defer k.Close()
-	return serveUntilSignal(rec, k.Addr(), s.Control, k)
+	return serveUntilSignal(lines, k.Addr(), s.Control, k)
 }
 
-// setFaultCommand is "sandyard-emulator set".
+// setFaultCommand is the command "sandyard-emulator set".
 type setFaultCommand struct {
 	Control string   `required:"" help:"The stand-in's control address." placeholder:"ADDR"`
 	Fault   []string `arg:"" help:"The fault, with its value."`
@@ -174,7 +175,7 @@
 	return err
 }
 
-// clearFaultCommand is "sandyard-emulator clear".
+// clearFaultCommand is the command "sandyard-emulator clear".
 type clearFaultCommand struct {
 	Control string `required:"" help:"The stand-in's control address." placeholder:"ADDR"`
 	Fault   string `arg:"" help:"The fault."`
--- a/internal/cli/exposure.go
+++ b/internal/cli/exposure.go
@@ -7,7 +7,7 @@
 	"sandyard/internal/exposure"
 )
 
-// exposureArgs is "sandyard-drill exposure".
+// exposureArgs is the command "sandyard-drill exposure".
 type exposureArgs struct {
 	Folders []string      `arg:"" type:"existingdir" help:"Folders, each with the logs (*.log) of a play's instances."`
 	Grace   time.Duration `default:"1s" help:"Drain grace of the deployment."`
@@ -15,17 +15,17 @@
 	output
 }
 
-// Run prints a line for each play.
+// Run prints the exposure of the run in each folder.
 func (a exposureArgs) Run(c *Console) error {
 	for _, folder := range a.Folders {
-		play, err := exposure.ReadFolder(folder, a.Grace, a.Reuse)
+		run, err := exposure.ReadFolder(folder, a.Grace, a.Reuse)
 		if err != nil {
 			return err
 		}
 		if a.json() {
-			err = json.NewEncoder(c.Out).Encode(play)
+			err = json.NewEncoder(c.Out).Encode(run)
 		} else {
-			err = play.Print(c.Out)
+			err = run.Print(c.Out)
 		}
 		if err != nil {
 			return err
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -21,7 +21,7 @@
 		&Console{out, errs})
 }
 
-// version is "sandyard version".
+// version is the command "version" of several programs.
 type version struct{}
 
 func (version) Run(c *Console) error {
@@ -38,7 +38,7 @@
 	return err
 }
 
-// check is "sandyard check".
+// check is the command "sandyard check".
 type check struct {
 	Config string `required:"" type:"path" help:"The gateway.yaml to check." placeholder:"FILE"`
 }
--- a/internal/cli/hunt.go
+++ b/internal/cli/hunt.go
@@ -13,7 +13,7 @@
 	"sandyard/internal/simulation"
 )
 
-// simHunt is "sandyard-sim hunt".
+// simHunt is the command "sandyard-sim hunt".
 type simHunt struct {
 	simCommon
 	Rule    string  `required:"" help:"Name of the rule, or a part of it that no other has; a wrong one lists them." placeholder:"NAME"`
@@ -26,31 +26,31 @@
 	output
 }
 
-// huntResult is what a hunt prints.
+// huntResult is the output of a hunt as JSON.
 type huntResult struct {
 	Runs     int              `json:"runs"`
 	Seconds  float64          `json:"seconds"`
-	Nearness float64          `json:"nearness"` // share of the limit
+	Nearness float64          `json:"nearness"` // of the script that comes nearest to breaking the rule, as a share of the limit
 	Find     *simulation.Find `json:"find,omitempty"`
 	Script   string           `json:"script"`
 }
 
-// rule finds a rule by its name or a part of it.
+// rule returns the index of the rule whose name is the flag's value, or of the only one whose name contains it.
 func (r simHunt) rule() (int, error) {
 	names := simulation.RuleNames()
-	var fit []int
+	var matching []int
 	for i, n := range names {
 		if n == r.Rule {
 			return i, nil
 		}
 		if strings.Contains(n, r.Rule) {
-			fit = append(fit, i)
+			matching = append(matching, i)
 		}
 	}
-	if len(fit) != 1 {
+	if len(matching) != 1 {
 		return 0, fmt.Errorf("--rule %q: expected one of: %s", r.Rule, strings.Join(names, "; "))
 	}
-	return fit[0], nil
+	return matching[0], nil
 }
 
 func (r simHunt) Run(c *Console) error {
@@ -82,7 +82,7 @@
 	return r.writeScript(c, best, o, rule, opt)
 }
 
-// hunt returns the hunt that the flags describe.
+// hunt returns a hunt that is configured by the flags.
 func (r simHunt) hunt(c *Console, rule int, opt simulation.Options, started time.Time) *simulation.Hunt {
 	limit := time.Duration(r.Minutes * float64(time.Minute))
 	runs := 0
@@ -109,19 +109,19 @@
 	return result
 }
 
-// writeScript shrinks the nearest script and writes it. A script that breaks a rule is an error.
+// writeScript shrinks the nearest script and writes it. It returns an error if the script breaks a rule.
 func (r simHunt) writeScript(c *Console, best *simulation.Script, o simulation.Outcome, rule int, opt simulation.Options) error {
 	what := fmt.Sprintf("Comes to %.3f of the limit of \"%s\".", o.Nearness(rule), simulation.RuleNames()[rule])
-	holds := func(x simulation.Outcome) bool {
+	keep := func(x simulation.Outcome) bool {
 		return len(x.Findings) == 0 && x.Nearness(rule) >= keptNearness*o.Nearness(rule)
 	}
 	if len(o.Findings) > 0 {
 		f := o.Findings[0]
-		what, holds = fmt.Sprintf("Breaks \"%s\": %s", f.Rule, f.What), simulation.Breaks(f.Rule)
+		what, keep = fmt.Sprintf("Breaks \"%s\": %s", f.Rule, f.What), simulation.Breaks(f.Rule)
 		fmt.Fprintln(c.Out, what)
 	}
 	if r.Shrink > 0 {
-		best = simulation.Shrink(best, opt, holds, r.Shrink, nil)
+		best = simulation.Shrink(best, opt, keep, r.Shrink, nil)
 	}
 	if err := writeText(c, r.To, "# "+what+"\n"+best.Text()); err != nil {
 		return err
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// writeText writes a text to a file, or prints it if there is no name.
+// writeText writes a text to a file, or prints it if the file name is empty.
 func writeText(c *Console, file, text string) error {
 	if file == "" {
 		_, err := io.WriteString(c.Out, text)
@@ -141,5 +141,5 @@
 	return os.WriteFile(file, []byte(text), 0o644)
 }
 
-// keptNearness is the share of its nearness that a script keeps when it is made smaller.
+// keptNearness is the least share of its nearness that a script may retain when it is shrunk.
 const keptNearness = 0.9
--- a/internal/cli/mutants.go
+++ b/internal/cli/mutants.go
@@ -16,7 +16,7 @@
 	"sandyard/internal/simulation"
 )
 
-// simMutants is "sandyard-sim mutants".
+// simMutants is the command "sandyard-sim mutants".
 type simMutants struct {
 	Root            string   `default:"." type:"existingdir" help:"Folder of the source."`
 	Only            []string `help:"Names of the mistakes to try; all if absent." placeholder:"NAME"`
@@ -73,7 +73,7 @@
 	return err
 }
 
-// selected returns the mutations that the flags ask for.
+// selected returns the mutations that the flags select.
 func (r simMutants) selected() ([]mutation.Mutation, error) {
 	all, err := mutation.List()
 	if err != nil {
@@ -97,9 +97,9 @@
 	return w.Flush()
 }
 
-// searchAll searches for each mutation, several at once, and prints a line as each is done.
+// searchAll searches for the mutations in r.Workers goroutines and prints a line when each search ends.
 func (r simMutants) searchAll(c *Console, dir, unmutated string, all []mutation.Mutation) ([]searchResult, error) {
-	var base simulation.SweepResult // that costs are compared with
+	var base simulation.SweepResult // of the unmutated source, for the comparison of costs
 	if slices.ContainsFunc(all, func(m mutation.Mutation) bool { return m.Rule == mutation.CostOnly }) {
 		var err error
 		if base, err = r.sweep(unmutated, r.First, r.CostSeeds, r.Workers, true, ""); err != nil {
@@ -128,8 +128,8 @@
 	return results, nil
 }
 
-// searchFailure returns the error of a search that failed, or one that names the mutations that a rule can see and no
-// search found.
+// searchFailure returns the error of the first search that failed, or else one that names the mutations that a rule can
+// detect and that no search found.
 func searchFailure(results []searchResult) error {
 	var missed []string
 	for _, s := range results {
@@ -141,12 +141,12 @@
 		}
 	}
 	if len(missed) > 0 {
-		return fmt.Errorf("a rule can see these, and no search found them: %s", strings.Join(missed, ", "))
+		return fmt.Errorf("no search found these mistakes, which a rule can detect: %s", strings.Join(missed, ", "))
 	}
 	return nil
 }
 
-// build builds the simulator, with a mutation if an overlay is given.
+// build builds the simulator, with the mutation of the overlay unless overlay is empty.
 func (r simMutants) build(to, overlay string) error {
 	args := []string{"build", "-o", to}
 	if overlay != "" {
--- a/internal/cli/mutantscripts.go
+++ b/internal/cli/mutantscripts.go
@@ -13,48 +13,48 @@
 	"sandyard/internal/simulation"
 )
 
-// minDeviations is how many standard errors must lie between runs with a guard and without it.
+// minDeviations is the least significant difference between runs with a guard and without it, in standard errors.
 const minDeviations = 3.0
 
-// runCostScripts checks each script in whose runs a guard matters: without the guard less value is served, or the counter is
-// called more, beyond chance, and with it no rule is broken.
-func (r simMutants) runCostScripts(c *Console, dir, whole string, all []mutation.Mutation) error {
+// runCostScripts checks that each cost script shows the effect of its guard: without the guard significantly less value is
+// served, or the counter is called significantly more often. With the guard no run of the script may break a rule.
+func (r simMutants) runCostScripts(c *Console, dir, unmutated string, all []mutation.Mutation) error {
 	if r.CostScriptSeeds < 2 {
-		return errors.New("--days 1: chance needs two seeds at least")
+		return errors.New("--days 1: at least two seeds are needed to estimate the standard error")
 	}
-	var same []string
+	var indistinct []string
 	for _, m := range all {
 		program, err := r.buildMutant(dir, m)
 		if err != nil {
 			return err
 		}
-		day := filepath.Join(r.Root, "internal", "simulation", "testdata", m.CostScript)
-		var o [2]simulation.SweepResult
-		for i, p := range []string{whole, program} {
-			if o[i], err = r.sweep(p, 1, r.CostScriptSeeds, r.Workers, true, day); err != nil {
+		script := filepath.Join(r.Root, "internal", "simulation", "testdata", m.CostScript)
+		var results [2]simulation.SweepResult // without the mutation, and with it
+		for i, p := range []string{unmutated, program} {
+			if results[i], err = r.sweep(p, 1, r.CostScriptSeeds, r.Workers, true, script); err != nil {
 				return err
 			}
 		}
-		if len(o[0].Finds) > 0 {
-			return fmt.Errorf("%s breaks a rule with the defence, seed %d: %s", m.CostScript, o[0].Finds[0].Seed, o[0].Finds[0].What)
+		if len(results[0].Finds) > 0 {
+			return fmt.Errorf("%s breaks a rule with the guard in place, seed %d: %s", m.CostScript, results[0].Finds[0].Seed, results[0].Finds[0].What)
 		}
 		s := searchResult{Name: m.Name, Rule: m.Rule}
-		s.compare(o[0], o[1])
+		s.compare(results[0], results[1])
 		fmt.Fprintf(c.Out, "%s: %s\n", m.Name, s.verdict())
 		if s.ValueDeviations > -minDeviations && s.CallsDeviations < minDeviations {
-			same = append(same, m.Name)
+			indistinct = append(indistinct, m.Name)
 		}
 	}
-	if len(same) > 0 {
-		return fmt.Errorf("their days don't tell these from the whole: %s", strings.Join(same, ", "))
+	if len(indistinct) > 0 {
+		return fmt.Errorf("no significant difference between the runs with and without the guard: %s", strings.Join(indistinct, ", "))
 	}
 	return nil
 }
 
-// runScripts checks that each script finds its mutation, and nothing without it.
-func (r simMutants) runScripts(c *Console, dir, whole string, all []mutation.Mutation) error {
+// runScripts checks that each script breaks the mutation's rule with the mutation, and no rule without it.
+func (r simMutants) runScripts(c *Console, dir, unmutated string, all []mutation.Mutation) error {
 	started := time.Now()
-	breaks := func(program, script string) (simulation.Outcome, error) {
+	replay := func(program, script string) (simulation.Outcome, error) {
 		text, err := exec.Command(program, "replay", "--output", "json", script).Output()
 		var o simulation.Outcome
 		var exit *exec.ExitError
@@ -69,21 +69,21 @@
 			return err
 		}
 		script := filepath.Join(r.Root, "internal", "simulation", "testdata", m.Script)
-		with, err := breaks(program, script)
+		mutated, err := replay(program, script)
 		if err != nil {
 			return err
 		}
-		without, err := breaks(whole, script)
+		original, err := replay(unmutated, script)
 		if err != nil {
 			return err
 		}
-		if len(without.Findings) > 0 {
-			return fmt.Errorf("%s breaks a rule without a mistake: %s", m.Script, without.Findings[0].What)
+		if len(original.Findings) > 0 {
+			return fmt.Errorf("%s breaks a rule without the mistake: %s", m.Script, original.Findings[0].What)
 		}
-		if len(with.Findings) == 0 || with.Findings[0].Rule != m.Rule {
-			return fmt.Errorf("%s does not find %s: %v", m.Script, m.Name, with.Findings)
+		if len(mutated.Findings) == 0 || mutated.Findings[0].Rule != m.Rule {
+			return fmt.Errorf("%s does not find %s: %v", m.Script, m.Name, mutated.Findings)
 		}
-		fmt.Fprintf(c.Out, "%s: found by its script, %s\n", m.Name, with.Findings[0].Rule)
+		fmt.Fprintf(c.Out, "%s: found by its script, %s\n", m.Name, mutated.Findings[0].Rule)
 	}
 	fmt.Fprintf(c.Out, "%d mistakes found by their scripts in %v\n", len(all), time.Since(started).Round(100*time.Millisecond))
 	return nil
--- a/internal/cli/mutantsearch.go
+++ b/internal/cli/mutantsearch.go
@@ -13,10 +13,10 @@
 	"sandyard/internal/simulation"
 )
 
-// sweep runs a simulator over seeds, each with its own script or all with one.
-func (r simMutants) sweep(program string, first, n uint64, workers int, goOn bool, script string) (simulation.SweepResult, error) {
+// sweep runs the simulator program over n seeds: each with the script that is generated from it, or all with the given script.
+func (r simMutants) sweep(program string, first, n uint64, workers int, continueAfterViolation bool, script string) (simulation.SweepResult, error) {
 	args := []string{"run", "--output", "json", "--quiet", "--workers", fmt.Sprint(workers), "--seeds", fmt.Sprintf("%d-%d", first, first+n-1)}
-	if goOn {
+	if continueAfterViolation {
 		args = append(args, "--go-on")
 	}
 	if script != "" {
@@ -37,7 +37,7 @@
 	return o, nil
 }
 
-// hunt evolves scripts that come near to breaking a rule, on one core, so that it goes the same way each time.
+// hunt runs the simulator program's hunt for violations of a rule. It uses one worker, so that it is reproducible.
 func (r simMutants) hunt(program, rule string, seed uint64) (h huntResult, err error) {
 	cmd := exec.Command(program, "hunt", "--output", "json", "--rule", rule, "--runs", fmt.Sprint(r.EvolveRuns), "--minutes", "60", "--seed", fmt.Sprint(seed),
 		"--workers", "1")
@@ -50,10 +50,10 @@
 	return h, json.Unmarshal(text, &h)
 }
 
-// searchSeedStep lies between the first seeds of searches for one mutation, so that they share none.
+// searchSeedStep is the distance between the first seeds of the searches for a mutation. It keeps their ranges of seeds disjoint.
 const searchSeedStep = 1_000_003
 
-// search searches for a mutation, or compares what it costs if no rule sees it.
+// search searches for a mutation, or measures its cost if no rule can detect it.
 func (r simMutants) search(dir string, m mutation.Mutation, base simulation.SweepResult) searchResult {
 	s := searchResult{Name: m.Name, Guards: m.Guards, Rule: m.Rule, Because: m.Because}
 	program, err := r.buildMutant(dir, m)
@@ -71,7 +71,7 @@
 	return s
 }
 
-// searchCost compares a mutation's runs with those of the source as it is.
+// searchCost compares a mutation's runs with those of the unmutated source.
 func (r simMutants) searchCost(s *searchResult, program string, base simulation.SweepResult) error {
 	o, err := r.sweep(program, r.First, r.CostSeeds, 1, true, "")
 	if err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// searchViolations searches for runs in which a mutation breaks a rule: by a sweep, and by a hunt where that finds none.
+// searchViolations searches for runs in which a mutation breaks a rule: by a sweep, and by a hunt if the sweep finds none.
 func (r simMutants) searchViolations(s *searchResult, program string) error {
 	for k := range r.Starts {
 		first := r.First + uint64(k)*searchSeedStep
@@ -111,34 +111,34 @@
 	return nil
 }
 
-// searchResult is what became of one mutation.
+// searchResult is the result of the searches for one mutation.
 type searchResult struct {
 	Name            string            `json:"name"`
 	Guards          string            `json:"guards"`
 	Rule            string            `json:"rule"`
 	Because         string            `json:"because,omitempty"`
-	Found           []simulation.Find `json:"found"`                 // one for each search that found it
-	Seeds           []uint64          `json:"seeds"`                 // runs that it took, evolved scripts included, by search; what was spent where nothing was found
-	Evolved         int               `json:"bred"`                  // searches that found it by evolved scripts only
-	Seconds         []float64         `json:"seconds"`               // of one core
-	ValueChange     float64           `json:"worth,omitempty"`       // of the value served, as a share
-	ValueDeviations float64           `json:"worth_noise,omitempty"` // the same in standard errors
-	CallsChange     float64           `json:"calls,omitempty"`       // of the calls to the counter, as a share
-	CallsDeviations float64           `json:"calls_noise,omitempty"` // the same in standard errors
+	Found           []simulation.Find `json:"found"`                 // one for each search that found the mutation
+	Seeds           []uint64          `json:"seeds"`                 // runs of each search, evolved scripts included, whether it found the mutation or not
+	Evolved         int               `json:"bred"`                  // searches that found the mutation only with an evolved script
+	Seconds         []float64         `json:"seconds"`               // by search: time with one worker (s)
+	ValueChange     float64           `json:"worth,omitempty"`       // relative change of the value served
+	ValueDeviations float64           `json:"worth_noise,omitempty"` // the same change in standard errors
+	CallsChange     float64           `json:"calls,omitempty"`       // relative change of the counter calls
+	CallsDeviations float64           `json:"calls_noise,omitempty"` // the same change in standard errors
 	Failure         string            `json:"failure,omitempty"`
 }
 
-// compare sets what a mutation costs in runs of the same seeds.
-func (s *searchResult) compare(whole, without simulation.SweepResult) {
-	n := len(whole.ValueServed)
+// compare sets the cost of a mutation from runs of the same seeds without it and with it.
+func (s *searchResult) compare(unmutated, mutated simulation.SweepResult) {
+	n := len(unmutated.ValueServed)
 	calls := [2][]float64{make([]float64, n), make([]float64, n)}
-	sum, asked := 0.0, 0.0
+	sumValue, sumCalls := 0.0, 0.0
 	for i := range n {
-		calls[0][i], calls[1][i] = float64(whole.CounterCalls[i]), float64(without.CounterCalls[i])
-		sum, asked = sum+whole.ValueServed[i], asked+float64(whole.CounterCalls[i])
+		calls[0][i], calls[1][i] = float64(unmutated.CounterCalls[i]), float64(mutated.CounterCalls[i])
+		sumValue, sumCalls = sumValue+unmutated.ValueServed[i], sumCalls+float64(unmutated.CounterCalls[i])
 	}
-	mean, units := pairedDifference(whole.ValueServed, without.ValueServed)
-	s.ValueChange, s.ValueDeviations = mean*float64(n)/max(1, sum), units
-	mean, units = pairedDifference(calls[0], calls[1])
-	s.CallsChange, s.CallsDeviations = mean*float64(n)/max(1, asked), units
+	mean, deviations := pairedDifference(unmutated.ValueServed, mutated.ValueServed)
+	s.ValueChange, s.ValueDeviations = mean*float64(n)/max(1, sumValue), deviations
+	mean, deviations = pairedDifference(calls[0], calls[1])
+	s.CallsChange, s.CallsDeviations = mean*float64(n)/max(1, sumCalls), deviations
 }
--- a/internal/cli/nearness.go
+++ b/internal/cli/nearness.go
@@ -9,7 +9,7 @@
 	"sandyard/internal/simulation"
 )
 
-// printNearness shows for each rule how many runs came how near to its limit.
+// printNearness prints a histogram for each rule: the number of runs by their nearness to the rule's limit.
 func printNearness(out io.Writer, o simulation.SweepResult) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "\nshare of the limit\t")
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -15,20 +15,20 @@
 	"sandyard/internal/server"
 )
 
-// heapShareOfMemoryLimit is the share of limits.memory_mb that the collector keeps the heap below; stacks, code and the
-// kernel's part come besides.
+// heapShareOfMemoryLimit is the share of limits.memory_mb that is set as the Go runtime's memory limit. The rest is for memory
+// that this limit does not cover: code, and memory that the kernel uses for the process.
 const heapShareOfMemoryLimit = 0.7
 
-// node is "sandyard node".
+// node is the command "sandyard node".
 type node struct {
 	Config string `env:"NODE_CONFIG" required:"" type:"path" help:"The platform's configuration." placeholder:"FILE"`
 }
 
-// Run runs one instance on the platform, until SIGTERM or SIGINT. At SIGHUP it reads the configuration again and goes on
-// with its addresses of discovery and counter.
+// Run runs one instance on the platform until SIGTERM or SIGINT. On SIGHUP it reads the configuration again and switches to
+// its addresses of discovery and of the counter.
 func (k node) Run(c *Console) error {
-	reloads := make(chan os.Signal, 1)     // buffered, capacity 1: signals that come during a reload ask for one more
-	signal.Notify(reloads, syscall.SIGHUP) // to the end: one that comes during the shutdown must not kill the process
+	reloads := make(chan os.Signal, 1)     // capacity 1: signals that arrive during a reload cause one more reload
+	signal.Notify(reloads, syscall.SIGHUP) // never reset: a SIGHUP during the shutdown must not kill the process
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	settings, err := k.read()
@@ -51,7 +51,7 @@
 	return instance.Serve(ctx)
 }
 
-// applyMachineLimits bounds the processors that are used and the memory of the heap; 0 leaves them as they are.
+// applyMachineLimits sets GOMAXPROCS and the runtime's memory limit. A limit of 0 leaves the runtime's setting unchanged.
 func applyMachineLimits(limits platform.Limits) {
 	if limits.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)))
@@ -61,8 +61,8 @@
 	}
 }
 
-// reloadAtSignal reads the configuration at each signal until done is closed. Nobody waits for its end: a reload that is
-// under way then changes nothing any more. A file that can't be read leaves all as it was.
+// reloadAtSignal reads the configuration on each signal until done is closed. The caller does not wait for it to return: a
+// reload that is in progress at that time has no effect. If the file can't be read, the addresses stay unchanged.
 func (k node) reloadAtSignal(reloads <-chan os.Signal, done <-chan struct{}, instance *server.Server, log *slog.Logger) {
 	for {
 		select {
@@ -75,13 +75,13 @@
 			log.Error("reload: the last configuration stays in force", "error", err)
 			continue
 		}
-		counter := settings.Config.Counter.Address // none where the settings allow none
+		counter := settings.Config.Counter.Address // empty if the settings allow no counter
 		log.Info("reload", "discovery", settings.Discovery, "counter", counter)
 		instance.SetAddresses(settings.Discovery, counter)
 	}
 }
 
-// read reads and checks the platform's configuration; its errors name the file and the field.
+// read reads and validates the platform's configuration. Its errors name the file and the field.
 func (k node) read() (*platform.Node, error) {
 	text, err := os.ReadFile(k.Config)
 	if err != nil {
--- a/internal/cli/node_stall_test.go
+++ b/internal/cli/node_stall_test.go
@@ -17,23 +17,24 @@
 
 const (
 	stallDrainGrace = 400 * time.Millisecond
-	// stallSocketSlack is what the platform adds to every time limit on sockets.
+	// stallSocketSlack is the tolerance that the platform adds to every time limit on sockets.
 	stallSocketSlack = 50 * time.Millisecond
-	// stalledClients is how many clients send a request to a process that stands still.
+	// stalledClients is the number of clients that send a request while the process is stopped.
 	stalledClients = 8
-	// stallRounds is how often each stall is tried: which of its goroutines a process runs first when it runs again is by chance.
+	// stallRounds is the number of runs of each stall: the order in which a resumed process runs its goroutines is random.
 	stallRounds = 8
 )
 
-// stallNotice is the notice that the first backend drains and the second is up.
+// stallNotice is a notice of discovery that backend a drains and backend b is up.
 const stallNotice = `{"seq":8,"whole":false,"hosts":[{"host":"a","dial":"%s","health":"leaving","share":1},{"host":"b","dial":"%s","health":"active","share":1}]}` + "\n"
 
-// requestTimes keeps when requests came to a backend.
+// requestTimes records when the first byte of each request arrived at a backend.
 type requestTimes struct {
 	mu sync.Mutex
 	at []time.Time
 }
 
+// serve responds to the requests of a connection and records their times.
 func (f *requestTimes) serve(c net.Conn, in *bufio.Reader) {
 	for {
 		if _, err := in.Peek(1); err != nil {
@@ -49,28 +50,28 @@
 	}
 }
 
-// after returns how many requests came later than a moment, and by how much the last did.
-func (f *requestTimes) after(moment time.Time) (count int, late time.Duration) {
+// after returns the number of requests that arrived after a moment, and the time from the moment to the last of them.
+func (f *requestTimes) after(moment time.Time) (count int, last time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, at := range f.at {
 		if at.After(moment) {
 			count++
-			late = max(late, at.Sub(moment))
+			last = max(last, at.Sub(moment))
 		}
 	}
-	return count, late
+	return count, last
 }
 
-// TestStalledNodeSendsNothingToDrainingBackend: a process that had not run for more than a drain grace, in which a notice came,
-// forwarded requests to the draining backend once it ran again: the watch's deadline had passed meanwhile, and it was ended
-// with the notice unread.
+// TestStalledNodeSendsNothingToDrainingBackend: a process was stopped for longer than the drain grace, and a notice arrived
+// meanwhile. When it resumed it forwarded requests to the draining backend: the deadline of the watch had passed during the
+// stop, and the process ended the watch without reading the notice.
 func TestStalledNodeSendsNothingToDrainingBackend(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		after time.Duration // of the heartbeat: when the process stops running
-		stall time.Duration
-		beats bool // a heartbeat comes at the stall's end
+		name      string
+		after     time.Duration // time from the heartbeat to the stop of the process
+		stall     time.Duration
+		heartbeat bool // a heartbeat arrives at the end of the stall
 	}{
 		{"the watch's deadline does not pass", 200 * time.Millisecond, 1500 * time.Millisecond, false},
 		{"the watch's deadline passes", 1500 * time.Millisecond, 2000 * time.Millisecond, false},
@@ -79,13 +80,14 @@
 		for round := range stallRounds {
 			t.Run(fmt.Sprintf("%s/%d", strings.ReplaceAll(c.name, " ", "_"), round), func(t *testing.T) {
 				t.Parallel()
-				testStall(t, c.after, c.stall, c.beats)
+				testStall(t, c.after, c.stall, c.heartbeat)
 			})
 		}
 	}
 }
 
-// stallDiscovery is a discovery that notifies once: on the watch that stands, and on those that are opened later.
+// stallDiscovery is a discovery that sends its notice on each watch that is opened after notified is closed. The test writes
+// the notice to the watch that is already open.
 type stallDiscovery struct {
 	addr     string
 	notice   string
@@ -112,7 +114,8 @@
 
 func writeChunk(c net.Conn, text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 
-// stop stops the process, and returns once none of its threads runs any more: on a busy machine they do so for some milliseconds.
+// stop stops the process with SIGSTOP, and returns when all of its threads have stopped: on a busy machine they continue for some
+// milliseconds.
 func (p *nodeProcess) stop() {
 	p.t.Helper()
 	p.cmd.Process.Signal(syscall.SIGSTOP)
@@ -123,8 +126,8 @@
 	}
 }
 
-// testStall stops a process some time after a heartbeat, and lets it run again; a notice and requests come meanwhile.
-func testStall(t *testing.T, after, stall time.Duration, beats bool) {
+// testStall stops a process some time after a heartbeat and resumes it. A notice and requests arrive while it is stopped.
+func testStall(t *testing.T, after, stall time.Duration, heartbeat bool) {
 	var draining requestTimes
 	a, b := startPeer(t, draining.serve), startPeer(t, serveHTTP)
 	discovery := startStallDiscovery(t, fmt.Sprintf(stallNotice, a, b))
@@ -153,7 +156,7 @@
 		fmt.Fprintf(c, nodeRequest, 100+id)
 	}
 	time.Sleep(stall)
-	if beats {
+	if heartbeat {
 		writeChunk(watch, "\n")
 	}
 	p.cmd.Process.Signal(syscall.SIGCONT)
@@ -163,8 +166,8 @@
 		}
 	}
 	allowed := stallDrainGrace + stallSocketSlack
-	if count, late := draining.after(noticedAt.Add(allowed)); count > 0 {
-		t.Errorf("%d of %d requests came to the draining backend after its grace, the last %v after the notice; allowed are %v",
-			count, stalledClients, late+allowed, allowed)
+	if count, last := draining.after(noticedAt.Add(allowed)); count > 0 {
+		t.Errorf("%d of %d requests arrived at the draining backend after its drain grace, the last %v after the notice; the limit is %v",
+			count, stalledClients, last+allowed, allowed)
 	}
 }
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -18,7 +18,7 @@
 	"sandyard/internal/loopback"
 )
 
-// TestMain lets the test binary run an instance as a process of its own, with few descriptors.
+// TestMain runs an instance with few descriptors, instead of the tests, if TEST_AS_NODE is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("TEST_AS_NODE") != "" {
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: nodeSockets, Max: nodeSockets}); err != nil {
@@ -29,6 +29,7 @@
 	os.Exit(m.Run())
 }
 
+// nodeSockets is the limit of descriptors of an instance under test.
 const nodeSockets = 64
 
 const nodeText = `{"name":"n0","listen":"%s","discovery":"%s","counter":"%s","seed":"1f","limits":{"cores":1,"memory_mb":64,"sockets":%d},
@@ -39,7 +40,8 @@
 const nodeRequest = "GET /api?client=0000000000000001 HTTP/1.1\r\nHost: o\r\nX-Request-Id: %016x\r\nX-Class: look\r\nX-Tier: team\r\n" +
 	"X-Deadline-Ms: 4000\r\nX-Call-Terms: units=1,spread=2,first=0\r\n\r\n"
 
-// startPeer accepts connections and handles each until it returns.
+// startPeer starts a listener that calls handle for each connection, and closes the connection when handle returns. It returns
+// the listener's address.
 func startPeer(t *testing.T, handle func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +64,7 @@
 	return ln.Addr().String()
 }
 
-// nodeProcess is an instance on the platform as a process.
+// nodeProcess is a process that runs an instance on the platform.
 type nodeProcess struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -108,27 +110,27 @@
 	}
 }
 
-// waitForLog reads the log up to a line that has all of what.
-func (p *nodeProcess) waitForLog(what ...string) {
+// waitForLog reads the log up to a line that contains all of the given texts.
+func (p *nodeProcess) waitForLog(texts ...string) {
 	p.t.Helper()
 	last := ""
 next:
 	for p.log.Scan() {
 		last = p.log.Text()
-		for _, w := range what {
+		for _, w := range texts {
 			if !strings.Contains(p.log.Text(), w) {
 				continue next
 			}
 		}
 		return
 	}
-	p.t.Fatalf("not logged: %v (%v), the last record is %q", what, p.log.Err(), last)
+	p.t.Fatalf("not logged: %v (%v); the last line is %q", texts, p.log.Err(), last)
 }
 
-// maxTimeToReady is how long a process may take until it is ready, by the operators' gate.
+// maxTimeToReady is the time that the operators' platform allows a process until it is ready.
 const maxTimeToReady = 10 * time.Second
 
-// waitForReady asks until the process says that it is ready.
+// waitForReady requests /ready until the process reports that it is ready.
 func (p *nodeProcess) waitForReady() {
 	p.t.Helper()
 	for deadline := time.Now().Add(maxTimeToReady); time.Now().Before(deadline); {
@@ -141,7 +143,8 @@
 	p.t.Fatalf("not ready within %v", maxTimeToReady)
 }
 
-// request sends a request on a new connection that stays open, and returns the status.
+// request sends a request on a new connection, and returns the response's status (0 if there is no response) and the connection,
+// which stays open.
 func (p *nodeProcess) request(request string) (int, net.Conn) {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.listen)
@@ -179,9 +182,9 @@
 	}
 }
 
-// TestNodeWithFewDescriptors: idle clients take all connections that there may be, in a process with few descriptors, while
-// discovery is silent. Requests must still be served, the configuration be read at SIGHUP, and the new discovery and
-// counter be reached: each has its share of the descriptors.
+// TestNodeWithFewDescriptors: idle clients use up all client connections of a process with few descriptors, while discovery sends
+// nothing. The process must still serve requests, read the configuration on SIGHUP, and connect to the new discovery and
+// counter: descriptors are reserved for each of these.
 func TestNodeWithFewDescriptors(t *testing.T) {
 	backend, other := startPeer(t, serveHTTP), startPeer(t, serveHTTP)
 	text := func(discovery, counter, backend string) func(string) string {
@@ -191,8 +194,8 @@
 	}
 	p := startProcess(t, text(startPeer(t, discardInput), startPeer(t, serveCounter), backend))
 	p.waitForLog("msg=listening")
-	p.waitForReady()            // with the list that it was started with
-	for range 3 * nodeSockets { // more than may be held
+	p.waitForReady()            // with the endpoint list of its configuration
+	for range 3 * nodeSockets { // more than the process may hold
 		c, err := net.Dial("tcp", p.listen)
 		if err != nil {
 			t.Fatal(err)
@@ -200,7 +203,7 @@
 		defer c.Close()
 	}
 	for id := range 10 {
-		for try := 0; ; try++ { // at the limit of connections a new one may be rejected
+		for try := 0; ; try++ { // at the connection limit a new connection may be rejected
 			s, _ := p.request(fmt.Sprintf(nodeRequest, 100*id+try))
 			if s == 200 {
 				break
@@ -223,9 +226,9 @@
 	p.waitForLog("list of boxes", "seq=9")
 }
 
-// TestNodeSignals: signals come in close order. A SIGHUP with a broken file must leave all as it was; after two at once the
-// last file holds; SIGTERM right behind a SIGHUP, twice, must end the process in order, with status 0. A broken file at the
-// start is one line with the field, and status 1.
+// TestNodeSignals sends signals in quick succession. A SIGHUP with a malformed file must change nothing. After two SIGHUPs at once
+// the last file must be in force. Two SIGTERMs directly after a SIGHUP must end the process gracefully, with status 0. A
+// malformed file at the start must give one line that names the field, and status 1.
 func TestNodeSignals(t *testing.T) {
 	discovery := startPeer(t, func(c net.Conn, in *bufio.Reader) {
 		http.ReadRequest(in)
@@ -247,7 +250,7 @@
 	p.waitForLog("msg=reload")
 	p.waitForReady() // before discovery's first message requests are rejected: "a new process" in docs/design/platform.md
 	if s, _ := p.request(fmt.Sprintf(nodeRequest, 1)); s != 200 {
-		t.Errorf("served: %d", s)
+		t.Errorf("status %d after the reload, expected 200", s)
 	}
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.cmd.Process.Signal(syscall.SIGTERM)
@@ -255,7 +258,7 @@
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.waitForLog("msg=stopped")
 	if err := <-p.exited; err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the process ended with %v, expected status 0", err)
 	}
 
 	bad := strings.Replace(text("127.0.0.1:1"), `"active"`, `"up"`, 1)
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -5,14 +5,14 @@
 	"io"
 )
 
-// output is the choice of what a command prints: a table for people or JSON for programs.
+// output is the flag that selects a command's output format: a table for people or JSON for programs.
 type output struct {
 	Output string `enum:"table,json" default:"table" help:"What to print: table or json."`
 }
 
 func (o output) json() bool { return o.Output == "json" }
 
-// printJSON prints a value as JSON over several lines, for commands that print one.
+// printJSON prints a value as indented JSON. Commands that print several values print one line of JSON for each instead.
 func printJSON(out io.Writer, v any) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
--- a/internal/cli/outputs_test.go
+++ b/internal/cli/outputs_test.go
@@ -11,22 +11,23 @@
 	"testing"
 )
 
-var recordOutputs = flag.Bool("record-outputs", false, "write what the programs print anew, for a change of it that is meant")
+var recordOutputs = flag.Bool("record-outputs", false, "record the programs' outputs again, after an intended change")
 
 const outputsFile = "testdata/outputs.golden"
 
 var (
 	subcommand = regexp.MustCompile(`(?m)^  ([a-z]+)( .*)?$`)
-	took       = regexp.MustCompile(`"took_ns":\d+`)
+	tookField  = regexp.MustCompile(`"took_ns":\d+`)
 )
 
-// exampleWithMistakes is a copy of an example's files with words replaced; it returns its gateway.yaml.
-func exampleWithMistakes(t *testing.T, example string, words map[string][]string) string {
+// exampleWithMistakes copies an example's files, replaces the first of each pair of texts with the second, and returns the path
+// of the copy's gateway.yaml.
+func exampleWithMistakes(t *testing.T, example string, replacements map[string][]string) string {
 	dir := filepath.Join(t.TempDir(), example)
 	if err := os.CopyFS(dir, os.DirFS("../../examples/"+example)); err != nil {
 		t.Fatal(err)
 	}
-	for name, pairs := range words {
+	for name, pairs := range replacements {
 		b, err := os.ReadFile(filepath.Join(dir, name))
 		if err != nil {
 			t.Fatal(err)
@@ -45,24 +46,24 @@
 	return filepath.Join(dir, "gateway.yaml")
 }
 
-// TestOutputsAreAsRecorded: what the programs print is for people and for other programs; a change that is to leave it alone
-// must leave each word: the help of every command, the mistakes found in configurations with their places, scripts, and JSON.
+// TestOutputsAreAsRecorded: people and programs read the outputs of the programs. Only an intended change may alter them: the help
+// of every command, the reported mistakes in configurations with their places, scripts, and JSON.
 func TestOutputsAreAsRecorded(t *testing.T) {
 	t.Setenv("COLUMNS", "80")
 	type tool struct {
 		name string
 		run  func([]string, *bytes.Buffer, *bytes.Buffer) int
 	}
-	gw, tr, qu, ro, si := tool{"sandyard", gateway}, tool{"sandyard-trace", tracer}, tool{"sandyard-quota", quotas}, tool{"sandyard-routes", router}, tool{"sandyard-sim", sim}
+	gw, tr, qu, ro, si := tool{"sandyard", gatewayTool}, tool{"sandyard-trace", traceTool}, tool{"sandyard-quota", quotaTool}, tool{"sandyard-routes", routesTool}, tool{"sandyard-sim", simTool}
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
-	play := func(p tool, hide string, args ...string) string {
+	record := func(p tool, hide string, args ...string) string {
 		code, out, errs := run(p.run, args...)
 		text := fmt.Sprintf("$ %s %s\n%s%sstatus %d\n\n", p.name, strings.Join(args, " "), out, errs, code)
-		text = took.ReplaceAllString(text, `"took_ns":N`)
+		text = tookField.ReplaceAllString(text, `"took_ns":N`)
 		text = strings.ReplaceAll(text, root+"/", "REPO/")
 		if hide != "" {
 			text = strings.ReplaceAll(text, hide, "DIR")
@@ -73,18 +74,18 @@
 	for _, p := range []tool{gw, tr, qu, ro, si, {"sandyard-bench", func(a []string, o, e *bytes.Buffer) int { return Bench(a, o, e) }},
 		{"sandyard-drill", func(a []string, o, e *bytes.Buffer) int { return Drill(a, o, e) }},
 		{"sandyard-emulator", func(a []string, o, e *bytes.Buffer) int { return Emulator(a, o, e) }}} {
-		help := play(p, "", "--help")
+		help := record(p, "", "--help")
 		_, list, ok := strings.Cut(help, "Commands:\n")
-		subs := subcommand.FindAllStringSubmatch(list, -1)
-		if !ok || len(subs) < 2 {
+		subcommands := subcommand.FindAllStringSubmatch(list, -1)
+		if !ok || len(subcommands) < 2 {
 			t.Fatalf("%s lists no commands: %s", p.name, help)
 		}
-		for _, m := range subs {
-			play(p, "", m[1], "--help")
+		for _, m := range subcommands {
+			record(p, "", m[1], "--help")
 		}
 	}
 	for _, c := range []string{"kilns", "kiln-fleet"} {
-		play(gw, "", "check", "--config", "../../examples/"+c+"/gateway.yaml")
+		record(gw, "", "check", "--config", "../../examples/"+c+"/gateway.yaml")
 	}
 	for _, c := range []string{
 		exampleWithMistakes(t, "kilns", map[string][]string{
@@ -96,22 +97,22 @@
 			"gateway.yaml": {"first: 30, spread: 25", "first: 300, spread: 0", "zones: [back-shed]", "zones: [back-yard]", "slack: 5}", "slack: -1}"},
 			"openapi.yaml": {"operationId: ", "operationID: "}, "boxes.yaml": {"name: ", "nom: "}}),
 	} {
-		play(gw, filepath.Dir(filepath.Dir(c)), "check", "--config", c)
+		record(gw, filepath.Dir(filepath.Dir(c)), "check", "--config", c)
 	}
-	play(si, "", "generate", "3")
-	play(si, "", "run", "--seeds", "1000-1003", "--workers", "2", "--quiet", "--output", "json")
+	record(si, "", "generate", "3")
+	record(si, "", "run", "--seeds", "1000-1003", "--workers", "2", "--quiet", "--output", "json")
 
 	const config, api, recorded = "../../examples/kilns/gateway.yaml", "../../examples/kilns/openapi.yaml", "../../trace/testdata/recorded-before-renaming.trace"
 	for _, what := range []string{"POST /v1/firings", "GET /v1/slots", "POST /v1/payments", "DELETE /v1/slots", "GET /nowhere", "GET /v1/bookings/%zz"} {
-		play(ro, "", append([]string{"match", "--config", config, "--studio", "hill-school", "--output", "json"}, strings.Fields(what)...)...)
+		record(ro, "", append([]string{"match", "--config", config, "--studio", "hill-school", "--output", "json"}, strings.Fields(what)...)...)
 	}
 	next := filepath.Join(filepath.Dir(exampleWithMistakes(t, "kilns", map[string][]string{"openapi.yaml": {"/payments:", "/fees:", "operationId: book\n", "operationId: book\n      x-sandyard-units: 3\n"}})), "openapi.yaml")
 	for _, form := range []string{"table", "json"} {
-		play(ro, filepath.Dir(filepath.Dir(next)), "diff", "--output", form, "--trace", recorded, api, next)
-		play(tr, "", "show", "--output", form, "--studio", "clay-corner", "--class", "payment", "--from", "5s", "--to", "15s", recorded)
+		record(ro, filepath.Dir(filepath.Dir(next)), "diff", "--output", form, "--trace", recorded, api, next)
+		record(tr, "", "show", "--output", form, "--studio", "clay-corner", "--class", "payment", "--from", "5s", "--to", "15s", recorded)
 		for _, r := range []string{"1", "500", "1303", "2600"} {
-			play(tr, "", "follow", r, "--output", form, recorded)
-			play(tr, "", "explain", r, "--output", form, recorded)
+			record(tr, "", "follow", r, "--output", form, recorded)
+			record(tr, "", "explain", r, "--output", form, recorded)
 		}
 	}
 	if *recordOutputs {
@@ -124,13 +125,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, was := strings.Split(got.String(), "\n\n$ "), strings.Split(string(b), "\n\n$ ")
-	if len(now) != len(was) {
-		t.Errorf("%d calls, recorded were %d", len(now), len(was))
+	outputs, recordedOutputs := strings.Split(got.String(), "\n\n$ "), strings.Split(string(b), "\n\n$ ")
+	if len(outputs) != len(recordedOutputs) {
+		t.Errorf("%d commands were run, %d are recorded", len(outputs), len(recordedOutputs))
 	}
-	for i := range min(len(now), len(was)) {
-		if now[i] != was[i] {
-			t.Errorf("now\n%s\nrecorded was\n%s", now[i], was[i])
+	for i := range min(len(outputs), len(recordedOutputs)) {
+		if outputs[i] != recordedOutputs[i] {
+			t.Errorf("output\n%s\nrecorded output\n%s", outputs[i], recordedOutputs[i])
 		}
 	}
 }
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -1,4 +1,4 @@
-// Package cli is the programs' command lines.
+// Package cli implements the command lines of all programs.
 package cli
 
 import (
@@ -16,16 +16,16 @@
 // Exit statuses of all programs.
 const (
 	Success = 0
-	Failure = 1 // the work was done and its outcome is bad, or it could not be done
-	Usage   = 2 // the command line is wrong, or a file that is checked with its places
-	// Inconclusive: a run could not be played, or not be judged.
+	Failure = 1 // the command failed, or its result is negative, such as a violated rule
+	Usage   = 2 // the command line is invalid, or an input file is, with errors that name the places in it
+	// Inconclusive: a run could not be carried out or could not be judged.
 	Inconclusive = 2
-	// CoreMismatch: the tool's core is not that of what it was given.
+	// CoreMismatch: the core identity of the tool differs from that of the trace or the running gateway.
 	CoreMismatch = 3
 )
 
-// program parses a command line by a kong grammar, runs the command, and turns what comes of it into an exit status. What is
-// bound is what the commands' Run methods take.
+// program parses a command line by a kong grammar, runs the selected command and returns the exit status for its error. The
+// values of bind are passed to the commands' Run methods by their types.
 func program(name, about string, grammar any, args []string, out, errs io.Writer, bind ...any) int {
 	status := -1
 	k, err := kong.New(grammar, kong.Name(name), kong.Description(about), kong.Writers(out, errs), kong.Bind(bind...),
@@ -64,5 +64,5 @@
 	}
 }
 
-// Console is where a program prints.
+// Console holds the standard output and standard error of a program.
 type Console struct{ Out, Errs io.Writer }
--- a/internal/cli/quota.go
+++ b/internal/cli/quota.go
@@ -27,7 +27,7 @@
 	return program("sandyard-quota", "How a studio stands with its quota.", &g, args, out, errs, &Console{out, errs})
 }
 
-// quotaShow is "sandyard-quota show".
+// quotaShow is the command "sandyard-quota show".
 type quotaShow struct {
 	Customer string        `name:"studio" required:"" help:"The studio's name."`
 	Socket   string        `help:"The front door's admin socket." placeholder:"PATH"`
@@ -57,7 +57,7 @@
 	return printView(c.Out, v)
 }
 
-// printView prints how a customer stands with its quota, as one instance sees it.
+// printView prints one instance's view of a customer's use of its quota.
 func printView(out io.Writer, v quota.View) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "studio\t%q\n", v.Customer)
@@ -77,9 +77,9 @@
 	case !v.UsesCounter:
 		fmt.Fprintf(w, "keeper\tnot asked: this front door alone serves it, or there is no keeper\n")
 	case v.CounterTotalAge < 0:
-		fmt.Fprintf(w, "keeper\thas told nothing yet\n")
+		fmt.Fprintf(w, "keeper\tno reply yet\n")
 	default:
-		fmt.Fprintf(w, "keeper\ttold a recent use of %.2f units over all front doors, %.3f s ago\n", v.CounterTotal, v.CounterTotalAge)
+		fmt.Fprintf(w, "keeper\treported a recent use of %.2f units over all front doors, %.3f s ago\n", v.CounterTotal, v.CounterTotalAge)
 	}
 	if v.OverQuotaFor > 0 {
 		fmt.Fprintf(w, "beyond its quota\tfor another %.3f s at least\n", v.OverQuotaFor)
@@ -87,13 +87,13 @@
 	return w.Flush()
 }
 
-// viewFromTrace replays traces up to a time and returns the customer's view then.
+// viewFromTrace replays traces up to a time and returns the view of the customer at that time.
 func (q quotaShow) viewFromTrace(c *Console) (quota.View, error) {
 	var r *trace.Replay
 	var head trace.Header
 	var first, last time.Duration
 	started, plan := false, decision.PlanID(-1)
-	stop := errors.New("far enough")
+	errReachedTime := errors.New("the replay reached the requested time")
 	err := traceFiles{q.Trace}.eachRecord(c, func(h trace.Header) error {
 		if err := coreid.Check(h.Core, "the trace"); err != nil {
 			return err
@@ -109,7 +109,7 @@
 			first, started = record.At, true
 		}
 		if q.At > 0 && record.At > first+q.At {
-			return stop
+			return errReachedTime
 		}
 		if a := record.Event.Arrived; a != nil && a.Customer == q.Customer {
 			plan = a.Plan
@@ -117,20 +117,20 @@
 		last = max(last, record.At)
 		return r.Step(h, record)
 	})
-	if err != nil && !errors.Is(err, stop) {
+	if err != nil && !errors.Is(err, errReachedTime) {
 		return quota.View{}, err
 	}
 	if r == nil || r.Gateway() == nil {
-		return quota.View{}, errors.New("the trace holds no state to look at")
+		return quota.View{}, errors.New("the trace contains no recorded state")
 	}
 	if r.Dropped > 0 {
-		fmt.Fprintf(c.Errs, "%d steps are missing from the trace: the figures may be off\n", r.Dropped)
+		fmt.Fprintf(c.Errs, "%d steps are missing from the trace: the figures may be inaccurate\n", r.Dropped)
 	}
 	st, known := r.Gateway().Customer(q.Customer)
 	return quota.Inspect(head.Settings, plan, q.Customer, st, known, last), nil
 }
 
-// quotaWould is "sandyard-quota would".
+// quotaWould is the command "sandyard-quota would".
 type quotaWould struct {
 	Customer string  `name:"studio" required:"" help:"The studio's name."`
 	Units    float64 `default:"1" help:"Units of the try."`
--- a/internal/cli/quota_test.go
+++ b/internal/cli/quota_test.go
@@ -12,8 +12,8 @@
 	"sandyard/internal/server"
 )
 
-// The name and its weight come from the gateway, the total from the counter; where one of them has nothing the command must
-// say so and print no total.
+// TestQuotaTotalReadsCounter: the counter's name for a customer and its weight come from the gateway, the total comes from the
+// counter. If one of them has no entry, the command must report that and print no total.
 func TestQuotaTotalReadsCounter(t *testing.T) {
 	k, err := server.StartCounter("127.0.0.1:0")
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 	defer ln.Close()
 	answers := make(chan string, 1)
-	go func() { // a gateway of this build
+	go func() { // a gateway with the core identity of this build
 		for {
 			c, err := ln.Accept()
 			if err != nil {
--- a/internal/cli/quotatotal.go
+++ b/internal/cli/quotatotal.go
@@ -13,7 +13,7 @@
 	"sandyard/internal/server"
 )
 
-// quotaTotal is "sandyard-quota total".
+// quotaTotal is the command "sandyard-quota total".
 type quotaTotal struct {
 	Customer string `name:"studio" required:"" help:"The studio's name."`
 	Socket   string `required:"" help:"The admin socket of a front door that serves it: it knows the name." placeholder:"PATH"`
@@ -21,14 +21,14 @@
 	output
 }
 
-// totalView is what total prints.
+// totalView is the output of quotaTotal.
 type totalView struct {
 	Customer    string  `json:"studio"`
 	Name        string  `json:"name"`
 	CounterAddr string  `json:"keeper"`
-	Held        bool    `json:"held"`    // the counter has the name
-	Units       float64 `json:"units"`   // recent use over all instances, as it decays
-	ExpiresIn   float64 `json:"lives_s"` // seconds until the counter drops the name; -1: never
+	Held        bool    `json:"held"`    // the counter has a value for the name
+	Units       float64 `json:"units"`   // recent use over all instances, with older use decayed
+	ExpiresIn   float64 `json:"lives_s"` // time until the counter drops the name (s); -1: never
 }
 
 func (q quotaTotal) Run(c *Console) error {
@@ -37,25 +37,25 @@
 		return err
 	}
 	if !n.Known {
-		return fmt.Errorf("the front door has not seen %q lately, or shares it with no other: the keeper holds nothing of it", q.Customer)
+		return fmt.Errorf("the front door has not seen %q lately, or no other front door serves it: the keeper has no total of it", q.Customer)
 	}
 	if q.Counter != "" {
 		n.CounterAddr = q.Counter
 	}
 	v := totalView{Customer: q.Customer, Name: n.Name, CounterAddr: n.CounterAddr, ExpiresIn: -1}
-	got, err := callCounter(n.CounterAddr, []string{"GET", n.Name}, []string{"PTTL", n.Name})
+	values, err := callCounter(n.CounterAddr, []string{"GET", n.Name}, []string{"PTTL", n.Name})
 	if err != nil {
 		return fmt.Errorf("keeper %s: %w", n.CounterAddr, err)
 	}
-	if got[0].Type != resp.Null {
-		x, ok := got[0].Float()
+	if values[0].Type != resp.Null {
+		x, ok := values[0].Float()
 		if !ok || !(n.Weight > 0) {
-			return fmt.Errorf("keeper %s holds %.40q under %s, which is no total", n.CounterAddr, got[0].Str, n.Name)
+			return fmt.Errorf("keeper %s holds %.40q under %s, which is no total", n.CounterAddr, values[0].Str, n.Name)
 		}
 		v.Held, v.Units = true, x/n.Weight
 	}
-	if got[1].Type == resp.Integer && got[1].Int >= 0 {
-		v.ExpiresIn = float64(got[1].Int) / 1000
+	if values[1].Type == resp.Integer && values[1].Int >= 0 {
+		v.ExpiresIn = float64(values[1].Int) / 1000
 	}
 	if q.json() {
 		return json.NewEncoder(c.Out).Encode(v)
@@ -77,7 +77,7 @@
 	return w.Flush()
 }
 
-// callCounter sends commands to a counter and returns their replies. An error reply is an error.
+// callCounter sends commands to a counter and returns their replies. It returns an error if a reply is an error.
 func callCounter(addr string, commands ...[]string) ([]resp.Value, error) {
 	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
@@ -92,8 +92,8 @@
 	if _, err := c.Write(out); err != nil {
 		return nil, err
 	}
-	var rd resp.Reader
-	var got []resp.Value
+	var replies resp.Reader
+	var values []resp.Value
 	b := make([]byte, 4096)
 	for {
 		n, err := c.Read(b)
@@ -101,18 +101,18 @@
 			return nil, err
 		}
 		for in := b[:n]; ; {
-			used, v, whole, err := rd.Feed(in)
+			used, v, complete, err := replies.Feed(in)
 			if err != nil {
 				return nil, err
 			}
-			if in = in[used:]; !whole {
+			if in = in[used:]; !complete {
 				break
 			}
 			if v.Type == resp.SimpleError {
-				return nil, fmt.Errorf("it says %.80q", v.Str)
+				return nil, fmt.Errorf("error reply %.80q", v.Str)
 			}
-			if got = append(got, v); len(got) == len(commands) {
-				return got, nil
+			if values = append(values, v); len(values) == len(commands) {
+				return values, nil
 			}
 		}
 	}
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -23,7 +23,7 @@
 	return program("sandyard-routes", "What a front door makes of requests, from its files, by its own code.", &g, args, out, errs, &Console{out, errs})
 }
 
-// routesMatch is "sandyard-routes match".
+// routesMatch is the command "sandyard-routes match".
 type routesMatch struct {
 	Config   string   `type:"path" xor:"from" required:"" help:"The gateway.yaml." placeholder:"FILE"`
 	Socket   string   `xor:"from" required:"" help:"Or a running front door's admin socket: it answers by what it has." placeholder:"PATH"`
@@ -34,14 +34,14 @@
 	Request []string `name:"what" arg:"" help:"METHOD and target, or - for lines of METHOD TARGET [STUDIO] on standard input."`
 }
 
-// match queries a running gateway, or runs the gateway's own code with the configuration's files.
+// match classifies a request with the gateway's own code if there is a configuration, or else queries a running gateway.
 func (m routesMatch) match(cfg *config.Config, method, target, customer string) (proxy.InspectionResult, error) {
-	l := proxy.Inspection{Method: method, Target: target, Fields: m.Header, Key: m.Key, Customer: customer}
+	inspection := proxy.Inspection{Method: method, Target: target, Fields: m.Header, Key: m.Key, Customer: customer}
 	if cfg != nil {
-		return l.Run(cfg), nil
+		return inspection.Run(cfg), nil
 	}
 	var out proxy.InspectionResult
-	return out, queryAdmin(m.Socket, "/v1/match?"+l.Query(), &out)
+	return out, queryAdmin(m.Socket, "/v1/match?"+inspection.Query(), &out)
 }
 
 func (m routesMatch) Run(c *Console) error {
@@ -68,10 +68,10 @@
 	return fmt.Errorf("expected METHOD TARGET, or -")
 }
 
-// maxLine bounds a line of standard input, in bytes: far longer than a target may be.
+// maxLine is the maximum length of a line of standard input (bytes). It is far above that of a valid target.
 const maxLine = 1 << 20
 
-// matchLines matches lines of METHOD TARGET [STUDIO].
+// matchLines classifies the requests of lines METHOD TARGET [STUDIO].
 func (m routesMatch) matchLines(cfg *config.Config, lines io.Reader, p *matchPrinter) error {
 	in := bufio.NewScanner(lines)
 	in.Buffer(nil, maxLine)
@@ -94,7 +94,7 @@
 	return in.Err()
 }
 
-// matchPrinter prints results as rows of a table, or as JSON if that is set.
+// matchPrinter prints results as JSON if json is set, or else as rows of a table.
 type matchPrinter struct {
 	table *tabwriter.Writer
 	json  *json.Encoder
--- a/internal/cli/routesdiff.go
+++ b/internal/cli/routesdiff.go
@@ -12,7 +12,7 @@
 	"sandyard/trace"
 )
 
-// routesDiff is "sandyard-routes diff".
+// routesDiff is the command "sandyard-routes diff".
 type routesDiff struct {
 	Old   string   `arg:"" type:"existingfile" help:"The description in force."`
 	New   string   `arg:"" type:"existingfile" help:"The one to come."`
@@ -27,19 +27,19 @@
 	What      string `json:"what"`
 }
 
-// customerUnits is what a customer's traffic in traces draws, in units.
+// customerUnits is the cost of a customer's traffic in the traces (units) under the old description and the new one.
 type customerUnits struct {
 	Customer string  `json:"studio"`
 	Before   float64 `json:"was"`
 	After    float64 `json:"now"`
 }
 
-// comparison is what diff prints.
+// comparison is the output of routesDiff.
 type comparison struct {
 	Operations  [2]int          `json:"operations"` // of each description
 	Differences []difference    `json:"differences"`
 	Customers   int             `json:"studios,omitempty"`   // in the traces
-	Changed     []customerUnits `json:"otherwise,omitempty"` // customers whose traffic would draw other units, the largest increase first
+	Changed     []customerUnits `json:"otherwise,omitempty"` // customers whose cost differs, the largest increase first
 }
 
 func (d routesDiff) Run(c *Console) error {
@@ -75,7 +75,7 @@
 // tableDiff collects the differences between two descriptions.
 type tableDiff struct {
 	found []difference
-	cost  map[string][2]float64 // units before and after, by the old operation's id, where both are fixed
+	cost  map[string][2]float64 // old and new units by the operation's id in the old description, if both are fixed
 }
 
 func (t *tableDiff) add(kind, operation, format string, args ...any) {
@@ -84,7 +84,7 @@
 
 func operationKey(op *routes.Operation) string { return op.Method + " " + op.Template }
 
-// diffTables compares two descriptions. Differences are sorted by kind and operation.
+// diffTables compares two descriptions and returns their differences, sorted by kind and operation.
 func diffTables(old, now *routes.Table) *tableDiff {
 	t := &tableDiff{found: []difference{}, cost: map[string][2]float64{}}
 	before, after := map[string]*routes.Operation{}, map[string]bool{}
@@ -114,7 +114,7 @@
 	return t
 }
 
-// compare adds the differences between two forms of an operation.
+// compare adds the differences between the old and the new description of an operation.
 func (t *tableDiff) compare(key string, was, op *routes.Operation) {
 	if was.Class != op.Class {
 		t.add("class", key, "%s (line %d) to %s (line %d)", was.Class, was.Line, op.Class, op.Line)
@@ -135,8 +135,8 @@
 
 func (d routesDiff) print(c *Console, out comparison) error {
 	w := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
-	for _, l := range out.Differences {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", l.Kind, l.Operation, l.What)
+	for _, difference := range out.Differences {
+		fmt.Fprintf(w, "%s\t%s\t%s\n", difference.Kind, difference.Operation, difference.What)
 	}
 	w.Flush()
 	fmt.Fprintf(c.Out, "%d differences in %d and %d operations\n", len(out.Differences), out.Operations[0], out.Operations[1])
@@ -152,36 +152,36 @@
 	return err
 }
 
-// compareUnits returns how many customers there are in the traces, and those whose traffic would have drawn other units.
-func (d routesDiff) compareUnits(c *Console, cost map[string][2]float64) (customers int, otherwise []customerUnits, err error) {
-	by := map[string]*customerUnits{}
+// compareUnits returns the number of customers in the traces, and the customers whose traffic would have cost more or fewer units.
+func (d routesDiff) compareUnits(c *Console, cost map[string][2]float64) (customers int, changed []customerUnits, err error) {
+	byCustomer := map[string]*customerUnits{}
 	err = traceFiles{d.Trace}.eachRecord(c, nil, func(h trace.Header, record trace.Record) error {
 		a := record.Event.Arrived
 		if a == nil {
 			return nil
 		}
-		s := by[a.Customer]
+		s := byCustomer[a.Customer]
 		if s == nil {
 			s = &customerUnits{Customer: a.Customer}
-			by[a.Customer] = s
+			byCustomer[a.Customer] = s
 		}
 		s.Before += a.Units
-		if ch, ok := cost[nameAt(h.Operations, record.Operation-1)]; ok {
-			s.After += ch[1]
+		if units, ok := cost[nameAt(h.Operations, record.Operation-1)]; ok {
+			s.After += units[1]
 		} else {
 			s.After += a.Units
 		}
 		return nil
 	})
-	for _, s := range by {
+	for _, s := range byCustomer {
 		if s.Before != s.After {
-			otherwise = append(otherwise, *s)
+			changed = append(changed, *s)
 		}
 	}
-	slices.SortFunc(otherwise, func(a, b customerUnits) int {
+	slices.SortFunc(changed, func(a, b customerUnits) int {
 		return cmp.Or(cmp.Compare(b.After-b.Before, a.After-a.Before), strings.Compare(a.Customer, b.Customer))
 	})
-	return len(by), otherwise, err
+	return len(byCustomer), changed, err
 }
 
 func unitsText(u routes.Units) string {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -16,7 +16,7 @@
 	"sandyard/internal/server"
 )
 
-// serve is "sandyard serve".
+// serve is the command "sandyard serve".
 type serve struct {
 	Config       string        `required:"" type:"path" help:"The gateway.yaml to serve." placeholder:"FILE"`
 	Listen       string        `help:"Address to listen on, instead of the configured one." placeholder:"ADDR"`
@@ -25,7 +25,7 @@
 	Seed         uint64        `help:"Seed of the decisions; drawn if absent."`
 }
 
-// Run serves until SIGTERM or SIGINT, and then until what is under way is answered.
+// Run serves until SIGTERM or SIGINT, and then until the requests in flight are answered or the shutdown timeout expires.
 func (s serve) Run(c *Console) error {
 	cfg, err := config.Load(s.Config)
 	if err != nil {
@@ -57,10 +57,10 @@
 	return instance.Serve(ctx)
 }
 
-// logger returns a logger that writes to w at the configured level and in the configured format: text, or else JSON.
+// logger returns a logger that writes to w with the configured level and format: text, or else JSON.
 func logger(w io.Writer, cfg *config.Config) *slog.Logger {
 	var level slog.Level
-	level.UnmarshalText([]byte(cfg.Log.Level)) // checked with the configuration
+	level.UnmarshalText([]byte(cfg.Log.Level)) // valid: config.Load checks it
 	opt := &slog.HandlerOptions{Level: level}
 	if cfg.Log.Format == "text" {
 		return slog.New(slog.NewTextHandler(w, opt))
@@ -68,12 +68,12 @@
 	return slog.New(slog.NewJSONHandler(w, opt))
 }
 
-// anyAddress makes a listener take a free port of this machine.
+// anyAddress is a listen address on the loopback interface with a port that the system chooses.
 const anyAddress = "127.0.0.1:0"
 
-// startEmulators starts an emulated counter and the listed backends at the addresses that the configuration gives them, or
-// at others of this machine where those are taken; the configuration gets the counter's. It returns the addresses of the
-// backends by name, and a function that stops all.
+// startEmulators starts an emulated counter, if the configuration has one, and emulates the listed backends. Each listens on
+// its configured address, or on anyAddress if that address is in use. The counter's address is written to cfg.
+// startEmulators returns the addresses of the backends by name, and a function that stops all emulators.
 func startEmulators(cfg *config.Config, work time.Duration, log *slog.Logger) (map[string]string, func(), error) {
 	var running []interface{ Close() }
 	stop := func() {
@@ -105,7 +105,7 @@
 	return addresses, stop, nil
 }
 
-// startEmulatedCounter starts an emulated counter at an address (host:port), or at anyAddress where that is taken.
+// startEmulatedCounter starts an emulated counter at an address (host:port), or at anyAddress if that address is in use.
 func startEmulatedCounter(addr string) (*server.EmulatedCounter, error) {
 	counter, err := server.StartCounter(addr)
 	if errors.Is(err, syscall.EADDRINUSE) {
@@ -114,7 +114,7 @@
 	return counter, err
 }
 
-// startEmulatedBackend starts an emulated backend at an address (host:port), or at anyAddress where that is taken.
+// startEmulatedBackend starts an emulated backend at an address (host:port), or at anyAddress if that address is in use.
 func startEmulatedBackend(addr string, cfg emulator.BackendConfig) (*server.EmulatedBackend, error) {
 	backend, err := server.StartBackend(addr, cfg, nil)
 	if errors.Is(err, syscall.EADDRINUSE) {
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -27,7 +27,7 @@
 		&Console{out, errs})
 }
 
-// simCommon has the flags of commands that generate scripts.
+// simCommon holds the flags of the commands that generate scripts.
 type simCommon struct {
 	Config        string  `type:"existingfile" help:"Configuration to run on, instead of the built-in one." placeholder:"gateway.yaml"`
 	Seconds       float64 `default:"16" help:"Most seconds of traffic, when a script is drawn."`
@@ -54,17 +54,17 @@
 	return opt, nil
 }
 
-// script returns the script of a seed, or of a file.
-func (c simCommon) script(what string) (*simulation.Script, simulation.Options, error) {
-	if seed, err := strconv.ParseUint(what, 10, 53); err == nil {
+// script returns the script that is generated from a seed, or read from a file, and the options to run it with.
+func (c simCommon) script(seedOrFile string) (*simulation.Script, simulation.Options, error) {
+	if seed, err := strconv.ParseUint(seedOrFile, 10, 53); err == nil {
 		opt, err := c.options()
 		return simulation.Generate(seed, c.profile()), opt, err
 	}
-	text, err := os.ReadFile(what)
+	text, err := os.ReadFile(seedOrFile)
 	if err != nil {
 		return nil, simulation.Options{}, err
 	}
-	s, err := simulation.ReadScript(what, text)
+	s, err := simulation.ReadScript(seedOrFile, text)
 	if err != nil {
 		return nil, simulation.Options{}, err
 	}
@@ -75,9 +75,9 @@
 	return s, opt, err
 }
 
-// run runs the script of a seed, or of a file.
-func (c simCommon) run(what string) (*simulation.Script, simulation.Options, simulation.Outcome, error) {
-	s, opt, err := c.script(what)
+// run runs the script that is generated from a seed, or read from a file.
+func (c simCommon) run(seedOrFile string) (*simulation.Script, simulation.Options, simulation.Outcome, error) {
+	s, opt, err := c.script(seedOrFile)
 	if err != nil {
 		return nil, opt, simulation.Outcome{}, err
 	}
@@ -85,7 +85,7 @@
 	return s, opt, o, err
 }
 
-// simReplay is "sandyard-sim replay".
+// simReplay is the command "sandyard-sim replay".
 type simReplay struct {
 	simCommon
 	Script                 string        `arg:"" help:"A seed, or a script's file."`
@@ -121,6 +121,7 @@
 	return nil
 }
 
+// printOutcome prints the rules' cases and violations, the results by plan, the findings and the digest of a run.
 func printOutcome(out io.Writer, o simulation.Outcome) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "rule\tcases\tviolations\tnearest\tof")
@@ -138,7 +139,7 @@
 	fmt.Fprintf(out, "digest %016x, %d events, %d tries, %v\n", o.Digest, o.Events, o.Requests, o.Virtual)
 }
 
-// simShrink is "sandyard-sim shrink".
+// simShrink is the command "sandyard-sim shrink".
 type simShrink struct {
 	simCommon
 	Script string `arg:"" help:"A seed, or a script's file."`
@@ -169,7 +170,7 @@
 	return writeText(c, r.To, text)
 }
 
-// simDigest is "sandyard-sim digest".
+// simDigest is the command "sandyard-sim digest".
 type simDigest struct {
 	simCommon
 	Script string `arg:"" help:"A seed, or a script's file."`
@@ -184,7 +185,7 @@
 	return err
 }
 
-// simGenerate is "sandyard-sim generate".
+// simGenerate is the command "sandyard-sim generate".
 type simGenerate struct {
 	simCommon
 	Seed uint64 `arg:"" help:"The seed."`
--- a/internal/cli/simrun.go
+++ b/internal/cli/simrun.go
@@ -16,7 +16,7 @@
 	"sandyard/internal/simulation"
 )
 
-// simRun is "sandyard-sim run".
+// simRun is the command "sandyard-sim run".
 type simRun struct {
 	simCommon
 	Seeds                  string `default:"1-200" help:"Seeds, as FROM-TO."`
@@ -64,12 +64,14 @@
 	return nil
 }
 
-// runGCPercent is the garbage collector's target in sweeps: runs are short, and their garbage is all they leave.
+// runGCPercent is the GOGC value of sweeps and hunts. Runs are short, and all memory
+// that they leave is garbage.
 const runGCPercent = 400
 
-// progressSeeds is how many seeds lie between two lines of progress.
+// progressSeeds is the number of seeds between two progress lines.
 const progressSeeds = 500
 
+// parseSeeds parses FROM-TO, or a single seed.
 func parseSeeds(text string) (first, last uint64, err error) {
 	from, to, ok := strings.Cut(text, "-")
 	if !ok {
@@ -83,7 +85,7 @@
 	return first, last, nil
 }
 
-// reportTo has a sweep print its finds and its progress.
+// reportTo makes a sweep print its finds and its progress.
 func (r simRun) reportTo(c *Console, w *simulation.Sweep) {
 	started, total, violating := time.Now(), w.Last-w.First+1, 0
 	if !r.json() {
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// replayCommand returns the command that runs a seed of the sweep again, with its log.
+// replayCommand returns the command line that runs a seed of the sweep again.
 func (r simRun) replayCommand(seed uint64) string {
 	if r.Script != "" {
 		return fmt.Sprintf("sandyard-sim run --script %s --seeds %d", r.Script, seed)
@@ -128,6 +130,7 @@
 	return fmt.Sprintf("sandyard-sim replay %d%s", seed, r.flags())
 }
 
+// flags returns the flags as text, for a command line. The flags that have their default values are left out.
 func (c simCommon) flags() string {
 	s := ""
 	if c.Config != "" {
@@ -139,7 +142,7 @@
 	return s
 }
 
-// printCoverage prints what a sweep reached, and what it did not.
+// printCoverage prints which states, scenarios, exemptions and pairs of faults a sweep reached, and which it did not.
 func printCoverage(out io.Writer, o simulation.SweepResult) {
 	reached, pairs := o.Reached, o.FaultPairs
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -151,7 +154,7 @@
 	for _, k := range slices.Sorted(maps.Keys(o.Scenarios)) {
 		fmt.Fprintf(w, "%s\t%d\n", k, o.Scenarios[k])
 	}
-	fmt.Fprintln(w, "\nlet pass by a check\ttimes")
+	fmt.Fprintln(w, "\nexempted by a check\ttimes")
 	for _, k := range slices.Sorted(maps.Keys(o.Exemptions)) {
 		fmt.Fprintf(w, "%s\t%d\n", k, o.Exemptions[k])
 	}
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -14,10 +14,11 @@
 	"sandyard/internal/soak"
 )
 
-// errInconclusive is a run that could not be played, or whose machine was too late for what it shows.
+// errInconclusive is the error of a soak some of whose runs could not be carried out, or not be judged because of delays of
+// the machine.
 var errInconclusive = errors.New("not played")
 
-// soakArgs is "sandyard-drill soak".
+// soakArgs is the command "sandyard-drill soak".
 type soakArgs struct {
 	Seeds    string `default:"1-20" help:"Seeds, as FROM-TO."`
 	Workers  int    `default:"1" help:"Runs side by side."`
@@ -26,7 +27,7 @@
 	output
 }
 
-// soakTotals are what came of the seeds so far.
+// soakTotals counts the results of the runs so far.
 type soakTotals struct {
 	runs, violating, inconclusive int
 	reachedRace                   int
@@ -45,7 +46,7 @@
 	}
 }
 
-// err is the command's outcome.
+// err returns the command's error: violations take precedence over inconclusive runs.
 func (t *soakTotals) err() error {
 	switch {
 	case t.violating > 0:
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// Run plays the seeds, and prints a line for each as it ends.
+// Run runs the seeds and prints a line for each when its run ends.
 func (a soakArgs) Run(c *Console) error {
 	first, last, err := parseSeeds(a.Seeds)
 	if err != nil {
@@ -95,7 +96,7 @@
 	return totals.err()
 }
 
-// print writes a run's line.
+// print prints the line of a run.
 func (a soakArgs) print(c *Console, report soak.Report) error {
 	if a.json() {
 		return json.NewEncoder(c.Out).Encode(report)
--- a/internal/cli/statistics.go
+++ b/internal/cli/statistics.go
@@ -4,8 +4,8 @@
 	"math"
 )
 
-// pairedDifference returns the mean of paired differences, and how many standard errors it is from 0.
-func pairedDifference(a, b []float64) (mean, units float64) {
+// pairedDifference returns the mean of the paired differences b[i]-a[i], and its distance from 0 in standard errors.
+func pairedDifference(a, b []float64) (mean, deviations float64) {
 	n := float64(len(a))
 	if n < 2 {
 		return 0, 0
--- a/internal/cli/traceinfo.go
+++ b/internal/cli/traceinfo.go
@@ -12,31 +12,31 @@
 	"sandyard/trace"
 )
 
-// traceInfo is "sandyard-trace info".
+// traceInfo is the command "sandyard-trace info".
 type traceInfo struct {
 	traceFiles
 	output
 }
 
-// fileInfo is what info prints of a file.
+// fileInfo is the output of traceInfo for a file.
 type fileInfo struct {
 	File        string    `json:"file"`
 	Instance    int       `json:"door"`
 	Part        int       `json:"part"`
 	Core        string    `json:"core"`
-	SameCore    bool      `json:"same_core"` // as this program's
+	SameCore    bool      `json:"same_core"` // Core is this program's core identity
 	Config      string    `json:"config"`    // digest
 	Share       float64   `json:"share"`
 	Plans       []string  `json:"plans"`
 	Operations  []string  `json:"operations"`
 	From        time.Time `json:"from"`
-	Seconds     float64   `json:"seconds"` // from the first step to the last
+	Seconds     float64   `json:"seconds"` // time from the first step to the last (s)
 	Steps       uint64    `json:"steps"`
 	Arrivals    uint64    `json:"arrivals"`
 	Dropped     uint64    `json:"dropped"`
 	States      uint64    `json:"states"`
 	Bytes       int64     `json:"bytes"`
-	TruncatedAt int       `json:"cut_at"` // byte up to which the file could be read; 0: it is complete
+	TruncatedAt int       `json:"cut_at"` // byte up to which the file could be read; 0: the file is complete
 }
 
 func (t traceInfo) Run(c *Console) error {
--- a/internal/cli/tracereplay.go
+++ b/internal/cli/tracereplay.go
@@ -9,7 +9,7 @@
 	"sandyard/trace"
 )
 
-// traceReplay is "sandyard-trace replay".
+// traceReplay is the command "sandyard-trace replay".
 type traceReplay struct {
 	traceFiles
 	output
@@ -54,7 +54,7 @@
 	if r.Differences > 0 {
 		fmt.Fprintf(c.Out, "first at %v: %s\n", r.FirstDifferenceAt, r.FirstDifference)
 		if r.Uncertain == r.Differences {
-			fmt.Fprintln(c.Out, "all of them stand behind steps that the trace lacks, which may be why; what followed can't be told")
+			fmt.Fprintln(c.Out, "all of them follow steps that are missing from the trace, which may explain them: no verdict on them is possible")
 			return nil
 		}
 		return errReplayDiffers
@@ -62,4 +62,5 @@
 	return nil
 }
 
-var errReplayDiffers = errors.New("the core decides otherwise than the trace says")
+// errReplayDiffers is returned if steps or states differ that no gap in the trace may explain.
+var errReplayDiffers = errors.New("the core's decisions differ from those in the trace")
--- a/internal/cli/traceshow.go
+++ b/internal/cli/traceshow.go
@@ -11,7 +11,7 @@
 	"sandyard/trace"
 )
 
-// traceShow is "sandyard-trace show".
+// traceShow is the command "sandyard-trace show".
 type traceShow struct {
 	traceFiles
 	Customer string        `name:"studio" help:"Only this studio's."`
@@ -24,6 +24,7 @@
 	output
 }
 
+// nameAt returns the name at an index, or the index itself if the list has no such name.
 func nameAt(list []string, i int) string {
 	if i >= 0 && i < len(list) {
 		return list[i]
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// matches reports whether a request is one that the flags ask for.
+// matches reports whether a request matches the flags. at is its arrival time after that of the first request.
 func (t traceShow) matches(head trace.Header, histories *trace.Histories, request *trace.RequestHistory, at time.Duration) bool {
 	switch {
 	case t.Customer != "" && request.Customer != t.Customer,
@@ -82,7 +83,7 @@
 	return t.Backend == "" || hasAttemptAt(histories, request, t.Backend)
 }
 
-// rejectReasons are added to the outcome of requests that were rejected before an attempt.
+// rejectReasons are appended to the printed outcome of requests that were rejected before an attempt.
 var rejectReasons = map[decision.RejectReason]string{decision.OverQuota: " (quota)", decision.NoCapacity: " (no room)"}
 
 func printRequest(w io.Writer, head trace.Header, request *trace.RequestHistory, at time.Duration) {
@@ -95,16 +96,16 @@
 		float64((request.Ended-request.At).Microseconds())/1000)
 }
 
-func hasAttemptAt(s *trace.Histories, st *trace.RequestHistory, backend string) bool {
-	for _, a := range st.Attempts {
-		if s.BackendNames[a.Backend] == backend {
+func hasAttemptAt(histories *trace.Histories, request *trace.RequestHistory, backend string) bool {
+	for _, a := range request.Attempts {
+		if histories.BackendNames[a.Backend] == backend {
 			return true
 		}
 	}
 	return false
 }
 
-// requestReport is a request with the names that its history has as numbers.
+// requestReport is the history of a request with the names of what the history identifies by numbers.
 type requestReport struct {
 	*trace.RequestHistory
 	ClassName string   `json:"class_name"`
@@ -113,10 +114,10 @@
 	Backends  []string `json:"boxes"` // of its attempts
 }
 
-func newRequestReport(head trace.Header, s *trace.Histories, st *trace.RequestHistory) requestReport {
-	v := requestReport{RequestHistory: st, ClassName: nameAt(head.Classes, int(st.Class)), PlanName: nameAt(head.Plans, int(st.Plan)), Operation: nameAt(head.Operations, st.Operation-1), Backends: []string{}}
-	for _, a := range st.Attempts {
-		v.Backends = append(v.Backends, s.BackendNames[a.Backend])
+func newRequestReport(head trace.Header, histories *trace.Histories, request *trace.RequestHistory) requestReport {
+	v := requestReport{RequestHistory: request, ClassName: nameAt(head.Classes, int(request.Class)), PlanName: nameAt(head.Plans, int(request.Plan)), Operation: nameAt(head.Operations, request.Operation-1), Backends: []string{}}
+	for _, a := range request.Attempts {
+		v.Backends = append(v.Backends, histories.BackendNames[a.Backend])
 	}
 	return v
 }
--- a/internal/codecheck/exceptions.go
+++ b/internal/codecheck/exceptions.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// errException is a line of the exceptions that can't be read.
+// errException is the error of a malformed line in the file of exceptions.
 var errException = errors.New("expected 'FILE-PATTERN WORD: reason'")
 
-// exception allows a withdrawn word in the files of a pattern, as path.Match understands it.
+// exception allows a withdrawn word in the files that match a pattern of path.Match.
 type exception struct {
 	pattern string
 	word    string
@@ -19,10 +19,10 @@
 	used    bool
 }
 
-// exceptions are the places where a withdrawn word may stand: it means something else there, or it is a name of a format.
+// exceptions allow withdrawn words in files in which they have another meaning or are names of a format.
 type exceptions []*exception
 
-// readExceptions reads a file of lines 'FILE-PATTERN WORD: reason'; empty lines and those that begin with # are passed over.
+// readExceptions reads a file of lines 'FILE-PATTERN WORD: reason'. It ignores empty lines and lines that begin with #.
 func readExceptions(file string) (exceptions, error) {
 	if file == "" {
 		return nil, nil
@@ -49,7 +49,7 @@
 	return all, nil
 }
 
-// allow tells whether an exception covers a use, and notes that it was needed.
+// allow reports whether an exception covers a use, and marks that exception as used.
 func (e exceptions) allow(use wordUse) bool {
 	for _, one := range e {
 		if match, _ := path.Match(one.pattern, use.file); match && one.word == use.word {
@@ -60,7 +60,7 @@
 	return false
 }
 
-// unused are the exceptions that nothing needed.
+// unused returns the lines of the exceptions that covered no use.
 func (e exceptions) unused() (texts []string) {
 	for _, one := range e {
 		if !one.used {
--- a/internal/codecheck/main.go
+++ b/internal/codecheck/main.go
@@ -1,10 +1,10 @@
-// Command codecheck reads the Go files below a folder and refuses what readers of the code should not meet: identifiers
-// with words that were withdrawn in favour of the field's terms (docs/glossary.md), exported items without a doc comment, and
-// pages that name tests or Go files that are not there. It prints the counts that the project watches: long functions, long files and errors without a type.
+// Command codecheck checks the Go files and the Markdown pages below a folder. It reports identifiers that contain a withdrawn
+// word, for which docs/glossary.md has the term to use, exported items without a doc comment, and pages that name tests or Go files
+// that do not exist. It also prints counts that the project monitors: long functions, long files and errors without a type.
 //
 //	go run ./internal/codecheck [-exceptions FILE] [FOLDER]
 //
-// It ends with status 1 if something is refused, and with 2 if it can't read the files or the exceptions.
+// It exits with status 1 if it reports anything, and with 2 if it can't read the files or the exceptions.
 package main
 
 import (
@@ -17,7 +17,7 @@
 )
 
 func main() {
-	exceptions := flag.String("exceptions", "internal/codecheck/exceptions.txt", "file of the words that are allowed, and where; empty for none")
+	exceptions := flag.String("exceptions", "internal/codecheck/exceptions.txt", "file of the exceptions: files in which a withdrawn word is allowed; empty for none")
 	flag.Parse()
 	folder := "."
 	if flag.NArg() > 0 {
@@ -32,10 +32,10 @@
 	}
 }
 
-// errRefused says that something was found that must not be there; what it is has been printed.
+// errRefused is returned if the check found a fault. The faults have been printed.
 var errRefused = errors.New("refused")
 
-// run checks a folder, prints what is refused and the counts, and returns errRefused if anything is.
+// run checks a folder and prints the faults and the counts. It returns errRefused if there is a fault.
 func run(folder, exceptionsFile string, out io.Writer) error {
 	allowed, err := readExceptions(exceptionsFile)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// printCounts prints the figures, one a line.
+// printCounts prints one line for each count.
 func (r *report) printCounts(out io.Writer) {
 	byWord := map[string]int{}
 	for _, use := range r.wordUses {
--- a/internal/codecheck/main_test.go
+++ b/internal/codecheck/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// folderWith makes a folder of files and returns its path.
+// folderWith creates a folder with files and returns its path.
 func folderWith(t *testing.T, files map[string]string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestWithdrawnWordsAreRefused: a word that comes back, in a field, a local variable or a test, is refused with its place;
-// an exception for the file lets it stand, and one that nothing needs is refused itself.
+// TestWithdrawnWordsAreRefused: a withdrawn word in a field, a local variable or a test must be reported with its place, unless an
+// exception allows it for the file. Unused and malformed exceptions must be reported too.
 func TestWithdrawnWordsAreRefused(t *testing.T) {
 	folder := folderWith(t, map[string]string{
 		"a/a.go":          "// Package a is one.\npackage a\n\ntype state struct{ keeperTotal int }\n",
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestCountsOfLengthsErrorsAndComments: what is counted, and what is not: tests' functions, methods that a well-known
-// interface documents, constants of a documented group.
+// TestCountsOfLengthsErrorsAndComments: functions of tests, methods that a well-known interface documents and constants of a
+// documented group must not be counted.
 func TestCountsOfLengthsErrorsAndComments(t *testing.T) {
 	long := func(name string, lines int) string {
 		return "func " + name + "() {" + strings.Repeat("\n", lines-1) + "}\n"
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestPagesNameWhatIsThere: a test that was renamed leaves a page that names nothing behind; pages that record what was once
-// measured keep the names of then.
+// TestPagesNameWhatIsThere: pages must not name a test or file that no longer exists, such as one that was renamed. Pages that
+// record past measurements keep the names of their time.
 func TestPagesNameWhatIsThere(t *testing.T) {
 	folder := folderWith(t, map[string]string{
 		"a/a.go":                 "// Package a is one.\npackage a\n",
--- a/internal/codecheck/pages.go
+++ b/internal/codecheck/pages.go
@@ -11,25 +11,26 @@
 	"strings"
 )
 
-// recordFolders hold pages that say what was at a time: their names of tests and files are those of then.
-var recordFolders = []string{"docs/incidents", "docs/measurements", "journal"}
+// historyFolders hold pages that describe the past. They name tests and files by the names of that time, and are not checked.
+var historyFolders = []string{"docs/incidents", "docs/measurements", "journal"}
 
-// recordPages are single pages of the same kind.
-var recordPages = []string{"CHANGELOG.md", "docs/ROADMAP.md"}
+// historyPages are single pages that are not checked for the same reason.
+var historyPages = []string{"CHANGELOG.md", "docs/ROADMAP.md"}
 
 var (
 	testName = regexp.MustCompile(`\b(?:Test|Benchmark|Fuzz)[A-Z][A-Za-z0-9]*\b`)
 	fileName = regexp.MustCompile("`([A-Za-z0-9_./-]+\\.go)`")
 )
 
-// missingName is a test or a Go file that a page names and the code does not have.
+// missingName is the name in a page of a test or Go file that does not exist.
 type missingName struct {
 	page string
 	line int
 	name string
 }
 
-// readPages finds what the pages below a folder name that its code lacks. It needs the folder's Go files read before.
+// readPages finds the tests and Go files that the pages below a folder name and that do not exist. The folder's Go files must
+// have been read before.
 func (r *report) readPages(folder string) error {
 	return filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -41,12 +42,12 @@
 		}
 		relative = filepath.ToSlash(relative)
 		if entry.IsDir() {
-			if relative != "." && (strings.HasPrefix(entry.Name(), ".") || slices.Contains(recordFolders, relative)) {
+			if relative != "." && (strings.HasPrefix(entry.Name(), ".") || slices.Contains(historyFolders, relative)) {
 				return filepath.SkipDir
 			}
 			return nil
 		}
-		if !strings.HasSuffix(path, ".md") || slices.Contains(recordPages, relative) {
+		if !strings.HasSuffix(path, ".md") || slices.Contains(historyPages, relative) {
 			return nil
 		}
 		return r.readPage(folder, path, relative)
@@ -76,8 +77,8 @@
 	return lines.Err()
 }
 
-// noteTests notes the names of a test file's tests.
-func (r *report) noteTests(file *ast.File) {
+// recordTests records the names of the tests in a file.
+func (r *report) recordTests(file *ast.File) {
 	for _, declaration := range file.Decls {
 		if function, ok := declaration.(*ast.FuncDecl); ok && function.Recv == nil && testName.MatchString(function.Name.Name) {
 			r.testNames[function.Name.Name] = true
--- a/internal/codecheck/report.go
+++ b/internal/codecheck/report.go
@@ -11,21 +11,21 @@
 	"unicode"
 )
 
-// The bounds of the counts, in lines. A function or a file beyond them is more than a reader holds in view at once.
+// Limits of the lengths that are counted (lines). Functions and files above them are too long to keep in view at once.
 const (
 	longFunction     = 40
 	veryLongFunction = 60
 	longFile         = 400
 )
 
-// withdrawnWords are the words of the former naming, as parts of identifiers: docs/glossary.md has the term for each.
+// withdrawnWords are words that identifiers must not contain. docs/glossary.md has the term to use instead of each.
 var withdrawnWords = []string{
 	"able", "asker", "askers", "borne", "box", "boxes", "breed", "breeds", "dear", "door", "doors", "heard", "keeper", "keepers", "lets",
 	"line", "lines", "look", "looks", "luck", "mend", "mends", "pace", "standin", "standins", "studio", "studios", "tally", "tallies",
 	"tenant", "tenants", "told", "trouble", "troubles", "wary", "way", "ways", "wish", "wishes",
 }
 
-// wordUse is a use of an identifier that has a withdrawn word.
+// wordUse is an occurrence of an identifier that contains a withdrawn word.
 type wordUse struct {
 	file       string
 	line       int
@@ -33,14 +33,14 @@
 	word       string
 }
 
-// namedItem is an exported item at a place.
+// namedItem is an exported item and its place.
 type namedItem struct {
 	file string
 	line int
 	name string
 }
 
-// report is what was found in a folder's Go files. Test files count for words only.
+// report holds the findings in a folder's Go files. Test files are checked for words, and their tests' names are recorded.
 type report struct {
 	files         *token.FileSet
 	wordUses      []wordUse
@@ -48,15 +48,15 @@
 	functionLines []int
 	longFiles     []string
 	errorsInPlace int // calls of errors.New and fmt.Errorf within functions
-	namedErrors   int // variables of a package that errors.New or fmt.Errorf made
-	errorTypes    int // types with a method Error
+	namedErrors   int // calls of errors.New and fmt.Errorf that initialize variables of a package
+	errorTypes    int // methods named Error
 	testNames     map[string]bool
 	missing       []missingName
 }
 
 func newReport() *report { return &report{files: token.NewFileSet(), testNames: map[string]bool{}} }
 
-// readFolder takes in all Go files below a folder, but for those in testdata and in folders whose names begin with a dot.
+// readFolder reads all Go files below a folder, except those in testdata and in folders whose names begin with a dot.
 func (r *report) readFolder(folder string) error {
 	return filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -86,7 +86,7 @@
 	}
 	r.findWords(file, name)
 	if strings.HasSuffix(name, "_test.go") {
-		r.noteTests(file)
+		r.recordTests(file)
 		return nil
 	}
 	if r.files.Position(file.FileEnd).Line > longFile {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// findWords notes each identifier with a withdrawn word, fields and labels included.
+// findWords records each identifier that contains a withdrawn word, including those of fields and labels.
 func (r *report) findWords(file *ast.File, name string) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		identifier, ok := node.(*ast.Ident)
@@ -116,27 +116,27 @@
 
 func (r *report) lineOf(node ast.Node) int { return r.files.Position(node.Pos()).Line }
 
-// splitWords takes an identifier apart where a capital or an underscore begins a word; the words are in lower case.
+// splitWords splits an identifier into words, in lower case. Capitals begin a word; underscores and digits separate words.
 func splitWords(identifier string) []string {
 	var words []string
 	start := 0
-	letters := []rune(identifier)
+	runes := []rune(identifier)
 	cut := func(end int) {
 		if end > start {
-			words = append(words, strings.ToLower(string(letters[start:end])))
+			words = append(words, strings.ToLower(string(runes[start:end])))
 		}
 		start = end
 	}
-	for i, letter := range letters {
+	for i, char := range runes {
 		switch {
-		case letter == '_' || unicode.IsDigit(letter):
+		case char == '_' || unicode.IsDigit(char):
 			cut(i)
 			start = i + 1
-		case unicode.IsUpper(letter) && i > 0 && (!unicode.IsUpper(letters[i-1]) || i+1 < len(letters) && unicode.IsLower(letters[i+1])):
+		case unicode.IsUpper(char) && i > 0 && (!unicode.IsUpper(runes[i-1]) || i+1 < len(runes) && unicode.IsLower(runes[i+1])):
 			cut(i)
 		}
 	}
-	cut(len(letters))
+	cut(len(runes))
 	return words
 }
 
@@ -163,7 +163,7 @@
 	}
 }
 
-// implementsStandardMethod tells whether a method's meaning is that of a well-known interface, which documents it.
+// implementsStandardMethod reports whether a method has the name of a method of a well-known interface, which documents it.
 func implementsStandardMethod(function *ast.FuncDecl) bool {
 	standard := []string{"Error", "Unwrap", "Is", "As", "String", "Read", "Write", "Close", "Len", "Less", "Swap", "Push", "Pop"}
 	return function.Recv != nil && slices.Contains(standard, function.Name.Name)
@@ -206,7 +206,7 @@
 	}
 }
 
-// countErrorCalls counts the calls of errors.New and fmt.Errorf below a node.
+// countErrorCalls returns the number of calls of errors.New and fmt.Errorf below a node.
 func countErrorCalls(node ast.Node) (calls int) {
 	ast.Inspect(node, func(node ast.Node) bool {
 		selector, ok := node.(*ast.SelectorExpr)
@@ -222,6 +222,7 @@
 	return calls
 }
 
+// functionsOver returns the number of functions that are longer than a number of lines.
 func (r *report) functionsOver(lines int) (count int) {
 	for _, length := range r.functionLines {
 		if length > lines {
