--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// traceFile writes a trace of two requests of a customer with a quota of 1 unit, recorded by a core, and returns its path.
+// traceFile writes a trace of two requests of 1 unit each, on a plan with a burst of 1 unit, and returns its path. core is the
+// core identity in its header.
 func traceFile(t *testing.T, core string) string {
 	h := trace.Header{Core: core, Share: 1, Plans: []string{"hobby"}, Classes: []string{"c"}, Operations: []string{"book"},
 		Settings: decision.Settings{Classes: []decision.Class{{LatencyObjective: time.Second, Deadline: time.Second}}, Plans: []decision.Plan{{Rate: 1, Burst: 1}}}}
--- a/internal/codecheck/main_test.go
+++ b/internal/codecheck/main_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestCountsOfLengthsErrorsAndComments: functions of tests, methods that a well-known interface documents and constants of a
-// documented group must not be counted.
+// TestCountsOfLengthsErrorsAndComments checks the counts. Functions of tests, methods that a well-known interface documents and
+// constants of a documented group must not be counted.
 func TestCountsOfLengthsErrorsAndComments(t *testing.T) {
 	long := func(name string, lines int) string {
 		return "func " + name + "() {" + strings.Repeat("\n", lines-1) + "}\n"
