--- a/decision/admission.go
+++ b/decision/admission.go
@@ -11,10 +11,11 @@
 // This file decides which requests are admitted and which are shed. Each priority has a PI controller that adjusts the
 // admitted fraction of its customers so that the backends' utilization (load.go) stays at the set point. The priority
 // of a request is the weight of its class times the weight of its plan; the lowest priority is shed first. Requests
-// beyond their quota whose plan pays for such use share one more controller, below all others. The mechanism is that of
-// T. Abdelzaher, K. Shin and N. Bhatti, "Performance Guarantees for Web Server End-Systems: A Control-Theoretical
-// Approach" (2002), sections 4 (the control loop) and 5 (priorities): the set point of a controller is the utilization
-// that the controllers of higher priority leave.
+// beyond their quota are rejected, unless their plan gives an answer beyond the quota a value above its cost. Such
+// requests share one more controller, below all others. The mechanism is that of T. Abdelzaher, K. Shin and N. Bhatti,
+// "Performance Guarantees for Web Server End-Systems: A Control-Theoretical Approach" (2002), sections 4 (the control
+// loop) and 5 (priorities): the set point of a controller is the utilization that the controllers of higher priority
+// leave.
 //
 // A customer is admitted while its hash is below the admitted fraction. All instances therefore shed the same
 // customers, and the controller sheds either all or none of a customer's requests of its priority.
@@ -24,7 +25,7 @@
 	// step shows before the next one and there are few steps during a fault.
 	controlPeriod = 300 * time.Millisecond
 	// controlGainMargin is G of the paper (section 4), the factor by which the gain stays below the critical gain: a
-	// queue integrates, so a larger gain makes the admitted fraction oscillate.
+	// queue accumulates the excess of arrivals, so a larger gain makes the admitted fraction oscillate.
 	controlGainMargin = 20.0
 	// workAverageTime is the time constant with which offered and admitted work decay: long compared with
 	// controlPeriod, short compared with changes of traffic.
@@ -38,7 +39,7 @@
 	// offeredWorkDivisor sets the minimum offered work of a controller: the admitted work of all controllers divided by
 	// this. Without a minimum the gain would be unbounded.
 	offeredWorkDivisor = 20
-	// minDivisor prevents divisions by zero without any work; any real work is far above it.
+	// minDivisor is a lower bound for divisors that are zero while there is no work. Any actual work is far above it.
 	minDivisor = 1e-9
 )
 
@@ -56,7 +57,7 @@
 // which is limited to the range 0 to 1, so the integral part cannot wind up.
 func (c *piController) update(available, share, totalWork, elapsed float64) {
 	controlError := available - share
-	// The utilization if all offered work were admitted, p_max of the paper.
+	// peakUtilization is the utilization that would result if all offered work were admitted, p_max of the paper.
 	peakUtilization := utilizationSetPoint * max(c.offeredWork, totalWork/offeredWorkDivisor) / max(totalWork, minDivisor)
 	proportionalGain := math.Sqrt(3) / (2 * controlGainMargin * peakUtilization)
 	// The gain is per second. The division by the elapsed time here and the multiplication below cancel except for
@@ -138,8 +139,8 @@
 type quotaDecision int
 
 const (
-	// beyondQuota means that the quota does not allow the request. If the shared counter had added its units, they have
-	// been refunded, or they remain there because the counter may not be called (decideByTotal).
+	// beyondQuota means that the quota does not allow the request. If the shared counter had added the request's units,
+	// they have been refunded, or they remain in the counter because it may not be called (decideByTotal).
 	beyondQuota quotaDecision = iota
 	// insideUncounted means that the quota allows the request as far as this instance knows, or that the quota was not
 	// checked because the request will be shed anyway. The shared counter is not known to hold its units.
@@ -163,8 +164,8 @@
 
 // admitOrShed sends the first attempt of a request or rejects the request. It rejects a request whose customer is
 // outside the admitted fraction of the priority, that would exceed the ceiling of its plan, that is beyond the quota
-// under a plan that does not pay for such use, or that no backend could answer in time (sendAttempt). It is called once
-// for each request that has not ended.
+// under a plan that gives such use no value above its cost, or that no backend could answer in time (sendAttempt). It
+// is called at most once for each request, and only before the request has ended.
 func (g *Gateway) admitOrShed(request *requestRecord, quota quotaDecision) {
 	controller := g.admission.controller(request.class, request.customer.plan)
 	if quota == beyondQuota {
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -10,14 +10,15 @@
 // its request and the estimates of the other files. Latencies are in seconds.
 
 const (
-	// maxLatencyRatio is the expected latency, as a share of the objective, above which no attempt is begun: its
-	// answer would be late, and it would delay others. A request that may have run is an exception, since it would fail
-	// without an answer.
+	// maxLatencyRatio is the expected latency, as a share of the objective, above which no attempt is begun: its answer
+	// would be late, and it would delay others. A request that may have run is an exception: if a retry by its client
+	// is not safe, it would end in a failure.
 	maxLatencyRatio = 0.8
 	// timeoutDeviations is the number of deviations above the mean latency after which an attempt times out if a retry
 	// is possible: an answer rarely arrives later than that.
 	timeoutDeviations = 8.0
-	// latencySmoothing is the weight of a new latency in the mean of its class: some twenty attempts show a trend.
+	// latencySmoothing is the weight of a new latency in the mean of its class: the mean follows about the last twenty
+	// attempts.
 	latencySmoothing = 0.05
 	// lostAttemptTTL is how long a request is kept after its deadline if its attempts have not ended.
 	lostAttemptTTL = 30 * time.Second
@@ -73,8 +74,8 @@
 func newClassLatency(classes []Class) []latencyEstimate {
 	var latencies []latencyEstimate
 	for _, class := range classes {
-		first := class.LatencyObjective.Seconds() * initialLatencyShare
-		latencies = append(latencies, latencyEstimate{mean: first, deviation: first})
+		initial := class.LatencyObjective.Seconds() * initialLatencyShare
+		latencies = append(latencies, latencyEstimate{mean: initial, deviation: initial})
 	}
 	return latencies
 }
@@ -111,12 +112,12 @@
 }
 
 // answersTooLate reports whether a backend is expected to answer so late that no attempt should be begun. It returns
-// false for a request that may have run, since that would fail without an answer.
+// false for a request that may have run (maxLatencyRatio).
 func (g *Gateway) answersTooLate(backend *backendRecord, request *requestRecord) bool {
 	return g.expectedLatencyRatioAt(backend) > maxLatencyRatio && !request.mayHaveRun
 }
 
-// attemptTimeout returns the timeout of the last attempt of a request: all the time that is left, or less if a safe
+// attemptTimeout returns the timeout of the latest attempt of a request: all the time that is left, or less if a safe
 // retry could still answer in time.
 func (g *Gateway) attemptTimeout(request *requestRecord, left time.Duration) time.Duration {
 	class := g.settings.Classes[request.class]
@@ -178,7 +179,7 @@
 	g.recordOverload(class, event.Outcome, took)
 }
 
-// closeAttempt marks an attempt as ended. If the counter counts it as an attempt in flight, it is subtracted there.
+// closeAttempt marks an attempt as ended. If the counter counts the attempt as in flight, closeAttempt subtracts it.
 func (g *Gateway) closeAttempt(request *requestRecord, attempt *attemptRecord) {
 	if !attempt.open {
 		return
--- a/decision/attempt_test.go
+++ b/decision/attempt_test.go
@@ -37,6 +37,6 @@
 		}
 	}
 	if sent < 4 || sent > 20 {
-		t.Errorf("%d simultaneous attempts at two backends that take 100 ms per request, with an objective of 1 s", sent)
+		t.Errorf("%d simultaneous attempts at two backends that take 100 ms per request, with an objective of 1 s, want 4 to 20", sent)
 	}
 }
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -7,13 +7,14 @@
 
 // This file decides which backend gets the next attempt of a request: among a few backends drawn at random, the one
 // with the lowest cost. The cost is the expected latency (load.go), slightly increased for another zone, plus the risk
-// of a failure (outlier.go), all in latency objectives. Comparing only a few backends prevents all instances from
-// sending to the one backend that looks best. A warming backend is drawn in proportion to its capacity share, and may
-// be skipped (slowstart.go). Backends that already got an attempt of the request come last. If the request may have
-// run, backends that do not know its idempotency key are excluded.
+// of a failure (outlier.go), all in units of the latency objective. Comparing only a few backends prevents all
+// instances from sending to the one backend that looks best. A warming backend is drawn in proportion to its capacity
+// share, and may be skipped (slowstart.go). Backends that already got an attempt of the request come last. If the
+// request may have run, backends that do not know its idempotency key are excluded.
 
 const (
-	// candidatesPerChoice is the number of backends that are compared; two give most of the gain over one at random.
+	// candidatesPerChoice is the number of backends that are compared. Two would already give most of the gain over one
+	// at random.
 	candidatesPerChoice = 3
 	// extraCandidates times the failure rate over all backends is the number of additional candidates: if many backends
 	// fail, those that work have to be found.
@@ -25,7 +26,8 @@
 	// otherZoneFactor is the factor on the expected latency in another zone. It only decides between otherwise equal
 	// backends.
 	otherZoneFactor = 1.005
-	// failureCost is the cost of a certain failure, in latency objectives: about the time to detect it and to retry.
+	// failureCost is the cost of a failure that is sure to occur, in units of the latency objective: about the time to
+	// detect it and to retry.
 	failureCost = 1.0
 )
 
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// costAt returns the cost of an attempt of a class at a backend, in latency objectives.
+// costAt returns the cost of an attempt of a class at a backend, in units of the latency objective.
 func (g *Gateway) costAt(backend *backendRecord, class ClassID) float64 {
 	latencyRatio := g.expectedLatencyRatioAt(backend)
 	if backend.Zone != g.settings.Zone {
--- a/decision/countersync.go
+++ b/decision/countersync.go
@@ -14,23 +14,22 @@
 // If this instance does not know whether a request is inside the quota, the request's units are added and the request
 // is held until the reply; if it was beyond the quota, the units are refunded. Units that are admitted without a call
 // are added a little later, in one call. A counter that is slow or rejects calls is called less: calls are made at
-// random, with a higher probability for more valuable requests. A counter that has lost its totals (a restart) is
-// detected by a total far below the expected one. Until the use before that has decayed, nothing is admitted beyond a
-// ceiling's split.
+// random, with a higher probability for more valuable requests. A total far below the expected one indicates that the
+// counter has lost its totals, for example in a restart. Until the use before the loss has decayed, nothing is admitted
+// beyond a ceiling's split.
 
 const (
 	// counterNameTTL is how long the counter keeps a name. It is longer than maxCounterNamePeriod.
 	counterNameTTL = time.Minute
 	// maxCounterNamePeriod is the longest time for which a name is used. The total under the next name starts at zero.
 	maxCounterNamePeriod = 50 * time.Second
-	// maxCounterNameFades bounds the same period in fade times: weights grow to e to this power, well within the range
-	// of a float64 at full precision.
+	// maxCounterNameFades bounds the same period in fade times. The weight of a unit stays below e to this power, well
+	// within the range that a float64 represents with full precision.
 	maxCounterNameFades = 45.0
-	// maxCustomerInName is the maximum length of a customer's id, in bytes, that is used in a name. A hash replaces a
-	// longer id.
+	// maxCustomerInName is the maximum length, in bytes, of a customer's id in a name. A hash replaces a longer id.
 	maxCustomerInName = 40
-	// counterResetRatio is the share of the expected total below which the counter is assumed to have lost it. A
-	// smaller difference may be use that was refunded.
+	// counterResetRatio is the share of the expected total below which the counter is assumed to have lost its totals.
+	// A smaller difference may be use that was refunded.
 	counterResetRatio = 0.5
 	// maxOverQuotaWait is the longest time, in seconds, until the counter may be called again for a customer beyond its
 	// quota: the customer's use at other instances may have stopped.
@@ -41,7 +40,8 @@
 	// pendingUseKeepShare is the share of a quota above which pending use waits for a later call instead of being
 	// dropped: less than that hardly changes a decision.
 	pendingUseKeepShare = 0.1
-	// rejectedCallFactor reduces the call probability after a call that was rejected: the counter is at its limit.
+	// rejectedCallFactor reduces the call probability after a call that failed without being slow, such as a rejection:
+	// the counter is at its limit.
 	rejectedCallFactor = 0.85
 	// slowCallFactor reduces the call probability after a call that was slow or timed out: all callers of the counter
 	// have to wait then.
@@ -54,7 +54,7 @@
 	// counterRecoveryTime is long enough for the counter to recover from an overload.
 	counterRecoveryTime = 4 * time.Second
 	// minCallProbability is the minimum of callProbability, at which calls still detect that the counter has recovered.
-	// The probability of a call for one request is this times its callPriority, which may be near 0.
+	// The probability of a call for one request is callProbability times its callPriority, which may be near 0.
 	minCallProbability = 0.15
 )
 
@@ -176,7 +176,7 @@
 	g.counter.pendingUseQueue = append(g.counter.pendingUseQueue, customer)
 }
 
-// flushPendingUse adds pending use that is due to the counter.
+// flushPendingUse adds to the counter the pending use whose delay has passed.
 func (g *Gateway) flushPendingUse() {
 	queue := g.counter.pendingUseQueue
 	waiting := queue[:0]
@@ -245,10 +245,10 @@
 	}
 }
 
-// recordTotal records a customer's total. A total far below the expected one means that the counter may have lost it.
-// The counter is distrusted until the use before that has decayed, because it would allow too much until then. A change
-// of the customer's name in the counter (counterNameOf) looks the same: the total under the new name starts at zero,
-// the counter is distrusted as well, and the customer may spend up to one more burst.
+// recordTotal records a customer's total. A total far below the expected one means that the counter may have lost its
+// totals. The counter is distrusted until the use before the loss has decayed, because it would allow too much until
+// then. A change of the customer's name in the counter (counterNameOf) looks the same: the total under the new name
+// starts at zero, the counter is distrusted as well, and the customer may spend up to one more burst.
 func (g *Gateway) recordTotal(customer *customerRecord, total float64) {
 	expected := customer.counterTotal * customer.quota.fade(g.now-customer.counterTotalAt)
 	if customer.counterTotalAt > 0 && total < counterResetRatio*expected {
@@ -288,8 +288,8 @@
 	}
 	plan := &g.settings.Plans[customer.plan]
 	beyondSplit := !customer.ceilingAllows(plan, units)
-	unsplitPartUsedUp := g.now < customer.counterDistrustedUntil || before+units > ceilingCounterShare*plan.CeilingBurst
-	if beyondSplit && unsplitPartUsedUp {
+	unsplitPartUnavailable := g.now < customer.counterDistrustedUntil || before+units > ceilingCounterShare*plan.CeilingBurst
+	if beyondSplit && unsplitPartUnavailable {
 		request.rejectReason = OverQuota
 		g.refundUnits(request)
 		g.finishWithLocalResponse(request)
--- a/decision/countersync_test.go
+++ b/decision/countersync_test.go
@@ -10,7 +10,7 @@
 )
 
 // A counter that restarts loses its totals, so it would allow a customer to use its ceiling a second time. Its reply is
-// far below the expected total: nothing beyond the split is admitted until the use before has decayed.
+// far below the expected total: nothing beyond the split is admitted until the use before the restart has decayed.
 func TestCounterResetBlocksUseBeyondCeilingSplit(t *testing.T) {
 	set := basicSettings()
 	set.Instances = 2
@@ -36,7 +36,7 @@
 	driver.advance(time.Second) // the fade time
 	third := admit()
 	if first < 10 || second > 0 || third < 10 {
-		t.Errorf("admitted %d, then %d after the counter lost its totals, then %d", first, second, third)
+		t.Errorf("admitted %d, then %d after the counter lost its totals, then %d; want at least 10, 0, at least 10", first, second, third)
 	}
 }
 
@@ -47,7 +47,7 @@
 	set.Instances = 2
 	set.Plans = []decision.Plan{{Rate: 10, Burst: 10, WeightFactor: 1}}
 	driver := startDriver(t, set, 0, upEndpoints(1, 2, 3)...)
-	seen, late, spike := 0, 0, 300.0
+	seen, admittedLast, spike := 0, 0, 300.0
 	for driver.now < 20*time.Second {
 		driver.advance(25 * time.Millisecond)
 		for ; seen < len(driver.actions); seen++ {
@@ -59,12 +59,12 @@
 		if id, backend, ok := driver.request("a", 0, 2); ok {
 			driver.endAttempt(id, backend, decision.OK)
 			if driver.now > 10*time.Second {
-				late++
+				admittedLast++
 			}
 		}
 	}
-	if late < 40 {
-		t.Errorf("%d admitted in the last 10 s, want at least 40 of the split of 50", late)
+	if admittedLast < 40 {
+		t.Errorf("%d admitted in the last 10 s, want at least 40 of the split of 50", admittedLast)
 	}
 }
 
@@ -72,7 +72,7 @@
 func TestInFlightLimitCountsOtherInstances(t *testing.T) {
 	cases := []struct {
 		name      string
-		elsewhere float64
+		elsewhere float64 // attempts in flight at other instances
 		want      int
 	}{{"nobody else", 0, 3}, {"two in flight elsewhere", 2, 1}, {"the limit reached elsewhere", 3, 0}}
 	for _, c := range cases {
--- a/decision/driver_test.go
+++ b/decision/driver_test.go
@@ -140,7 +140,7 @@
 }
 
 // sendRequests sends n requests of a class at a constant rate and returns the number of attempts at each backend.
-// behave returns the latency and the outcome of an attempt; after a latency of zero the attempt never ends.
+// behave returns the latency and the outcome of an attempt; if the latency is zero, the attempt never ends.
 func sendRequests(driver *driver, class decision.ClassID, n int, gap time.Duration,
 	behave func(backend decision.BackendID) (time.Duration, decision.Outcome)) map[decision.BackendID]int {
 	type attempt struct {
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -72,7 +72,8 @@
 	g.endpoints.removeNotUp()
 }
 
-// removeNotUp removes the backends that may get no more attempts from the list, and deletes removed backends.
+// removeNotUp takes the backends that may get no more attempts out of the list of backends that are up, and deletes
+// removed backends.
 func (t *endpointTable) removeNotUp() {
 	for _, backend := range t.known {
 		t.deleteIfRemoved(backend)
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -13,7 +13,7 @@
 		Classes: []decision.Class{{Idempotency: decision.Idempotent, LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1}},
 		Plans:   []decision.Plan{{Rate: 10, Burst: 20, WeightFactor: 1}},
 	}
-	g, first, err := decision.New(settings, 1, 0) // carry out first, which sets a timer
+	g, first, err := decision.New(settings, 1, 0) // first holds the first action to carry out, which sets a timer
 	if err != nil {
 		panic(err)
 	}
--- a/decision/load.go
+++ b/decision/load.go
@@ -28,8 +28,8 @@
 	maxReportedCPU = 1.2
 	// maxReportedInFlight bounds the reported requests in flight, for the same reason.
 	maxReportedInFlight = 1000.0
-	// maxProbeCost is the cost of a probe, in requests, from which no probes are sent: their load would outweigh the
-	// benefit of their reports.
+	// maxProbeCost is the cost of a probe, in requests, at or above which no probes are sent: their load would outweigh
+	// the benefit of their reports.
 	maxProbeCost = 0.05
 	// loadReportTTL is the time without a report of CPU utilization after which only the latency ratio is used.
 	loadReportTTL = 4 * time.Second
@@ -39,7 +39,8 @@
 	// maxSlowness bounds the slowness of a backend relative to the others, and with it the effect of one very slow
 	// attempt.
 	maxSlowness = 10.0
-	// slownessWeight is the weight of one latency in a backend's slowness: some thirty attempts show a trend.
+	// slownessWeight is the weight of one latency in a backend's slowness: the slowness follows about the last thirty
+	// attempts.
 	slownessWeight = 0.03
 )
 
@@ -114,7 +115,8 @@
 // queueLengthAt estimates the number of requests in progress at one backend. It starts with the mean over all backends
 // and moves it by 1/n towards n times this instance's attempts at the backend, where n is the number of instances.
 // (n-1)/n of the result is attributed to the other instances, and this instance's attempts are added. The backend's own
-// load report is not used separately: all instances would send to the backend whose queue was short a moment ago.
+// load report is not used separately. Otherwise all instances would send to the backend whose queue was short a moment
+// ago.
 func (g *Gateway) queueLengthAt(backend *backendRecord) float64 {
 	instances := float64(g.settings.Instances)
 	others := g.queueLength()
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -17,7 +17,7 @@
 	// failurePrior is the number of prior attempts that are added to the observed ones. In failureRisk they fail as
 	// often as attempts at all backends do; their number is small, so that one failure is significant if failures are
 	// rare. slowstart.go uses it in two places: workingShare adds twice this number of successful attempts, endPeriod
-	// adds this number.
+	// adds this number of successful attempts.
 	failurePrior = 0.5
 	// suspectLatencies is the time without an answer, in mean latencies, after which an attempt in flight counts as a
 	// failure: a backend that hangs gives no answers, and the timeouts of its attempts come too late.
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -15,10 +15,10 @@
 // admit a request from a full bucket. Such requests are admitted at random: a request is admitted once the tokens reach
 // a random share of its units, and each such admission draws a new share. The tokens become negative by the admission,
 // so that the fleet admits as much as the splits accumulate, as long as the instances remember the customer. A bucket
-// holds at most one request (MaxUnits); tokens beyond that are lost, and the more so the less often an instance
-// receives the customer's requests. A customer that is new to an instance starts with the tokens that its split would
-// have accumulated since the instance started, for at most customerIdleTTL. After a time without requests, the customer
-// may exceed its burst by these tokens.
+// holds at most one request (MaxUnits), and tokens beyond that are lost. The less often an instance receives the
+// customer's requests, the more tokens it loses. A customer that is new to an instance starts with the tokens that its
+// split would have accumulated since the instance started, for at most customerIdleTTL. After a time without requests,
+// the customer may exceed its burst by these tokens.
 //
 // The ceiling of a plan has its own bucket. It must never be exceeded by more than its slack, even if the counter does
 // not reply or has lost its totals. The ceiling is therefore always split; only a part of it (ceilingCounterShare) is
@@ -42,8 +42,8 @@
 	unconfirmedQuotaWeight = 0.4
 	// demandMemory is the time constant with which an instance's record of a customer's demand decays.
 	demandMemory = 5 * time.Second
-	// demandPrior is the weight, in units, of the share of all requests under the plan that were inside their quota,
-	// against the customer's own demand: for a rarely seen customer, the plan's other customers decide.
+	// demandPrior is the weight, in units, of the plan's insideShare against the customer's own demand: for a rarely
+	// seen customer, the plan's other customers decide.
 	demandPrior = 0.5
 	// customersPerSweep is the number of customers that are checked per housekeeping run. It bounds the time of a run,
 	// however many customers there are.
@@ -82,7 +82,8 @@
 	return quota
 }
 
-// countsInFlight reports whether the counted use is attempts in flight, because the plan has no rate.
+// countsInFlight reports whether the counted use is attempts in flight, because the plan has neither a rate nor a
+// ceiling.
 func (q *planQuota) countsInFlight() bool { return q.rate == 0 }
 
 // fade returns the factor by which a total decays in the elapsed time.
@@ -111,8 +112,8 @@
 	// The last reply of the shared counter.
 	counterTotal           float64       // decayed use at all instances at counterTotalAt
 	counterTotalAt         time.Duration // 0: never
-	overQuotaUntil         time.Duration // the customer is beyond its quota by that total until then
-	counterDistrustedUntil time.Duration // the counter had lost its total; the use before that has decayed by then
+	overQuotaUntil         time.Duration // according to that total, the customer is beyond its quota until then
+	counterDistrustedUntil time.Duration // the counter is not trusted until then, because it may have lost the total
 
 	// Use that was not added to the shared counter yet.
 	pendingUse       float64 // units
@@ -140,7 +141,7 @@
 func (t *quotaTable) sweepIdle(now time.Duration) {
 	for range min(customersPerSweep, len(t.list)) {
 		t.sweepPosition++
-		if t.sweepPosition >= len(t.list) { // a running count modulo len would not advance while the list grows
+		if t.sweepPosition >= len(t.list) { // a count modulo len could stay at one index while the list grows
 			t.sweepPosition = 0
 		}
 		customer := t.list[t.sweepPosition]
@@ -171,8 +172,8 @@
 }
 
 // newCustomer creates the record of a customer that is new to this instance. Its quota bucket holds the split of the
-// burst, and possibly more if that is less than a request (see above). Its ceiling bucket holds only the split of the
-// slack: this instance may have restarted, and the ceiling may have been used up a moment ago.
+// burst, and possibly more if that is less than a request (see the start of this file). Its ceiling bucket holds only
+// the split of the slack: this instance may have restarted, and the ceiling may have been used up a moment ago.
 func (g *Gateway) newCustomer(event RequestArrived) *customerRecord {
 	customer := &customerRecord{
 		id:            event.Customer,
@@ -265,7 +266,7 @@
 	return !customer.usesCounter && customer.instances > 1
 }
 
-// splitHolds reports whether a full split holds a request.
+// splitHolds reports whether a full bucket of this instance's split holds a request.
 func (customer *customerRecord) splitHolds(units float64) bool {
 	return customer.quota.burst >= customer.instances*units
 }
@@ -320,7 +321,7 @@
 }
 
 // spendTokens deducts a request's units from the split of the quota. Use beyond the quota empties the bucket, but
-// neither makes the tokens negative nor reduces negative tokens further. An admission at random does.
+// neither makes the tokens negative nor reduces negative tokens further. An admission at random may make them negative.
 func (g *Gateway) spendTokens(customer *customerRecord, units float64) {
 	atRandom := customer.admitsAtRandom() && !customer.splitHolds(units) && customer.splitAllows(units)
 	if !atRandom {
@@ -332,8 +333,8 @@
 }
 
 // spendUncountedUnits deducts an admitted request's units from the split if the counter does not hold them. If the
-// customer uses the counter, they are added later, except for attempts in flight. The ceiling's bucket may become
-// negative, so that later requests compensate for an excess.
+// customer uses the counter, the units are added to it later, except for attempts in flight. The ceiling's bucket may
+// become negative, so that later requests compensate for an excess.
 func (g *Gateway) spendUncountedUnits(customer *customerRecord, units float64) {
 	g.spendTokens(customer, units)
 	customer.ceilingTokens -= units
--- a/decision/quota_split_test.go
+++ b/decision/quota_split_test.go
@@ -14,7 +14,7 @@
 type splitCase struct {
 	instances int
 	rate      float64 // of the quota over the fleet, in units per second
-	asked     float64 // request rate, as a multiple of the quota's rate
+	demand    float64 // request rate, as a multiple of the quota's rate
 	uneven    bool    // instances with lower numbers get more requests
 	moves     bool    // after half of the time, the requests move to the other half of the instances
 	restarts  bool    // after every tenth of the time, a tenth of the instances restarts
@@ -24,8 +24,8 @@
 	splitBurst = 8.0 // units, over the fleet
 	splitTime  = 60 * time.Second
 
-	// splitIdleTime is the longest time before a customer's first request at an instance for which it accumulates
-	// tokens there.
+	// splitIdleTime is the longest time since an instance's start for which a customer that is new to the instance has
+	// accumulated tokens.
 	splitIdleTime = 60 * time.Second
 
 	// maxDeviations is the number of standard deviations that a random sum may be off; about one in 16,000 is off by
@@ -195,7 +195,7 @@
 func (f *splitFleet) run(start time.Duration) {
 	c, rng, end := f.splitCase, f.rng, start+splitTime
 	nextRestart, restarted := start+splitTime/10, 0
-	for at := start; at < end; at += time.Duration(rng.ExpFloat64() / (c.asked * c.rate) * float64(time.Second)) {
+	for at := start; at < end; at += time.Duration(rng.ExpFloat64() / (c.demand * c.rate) * float64(time.Second)) {
 		for ; c.restarts && at >= nextRestart; nextRestart += splitTime / 10 {
 			for range max(1, c.instances/10) {
 				f.restart(restarted%c.instances, at)
@@ -221,19 +221,19 @@
 	return min(c.instances-1, int(x*float64(c.instances)))
 }
 
-// With a customer without a counter and hundreds of instances, the split of each instance was less than one request,
-// and none was admitted. The fleet must admit what the splits accumulate up to the last request at each instance, and
-// never more than the quota plus a split of the burst for each restart, except for random variation.
+// Without a counter and with hundreds of instances, the split of each instance is less than one request, so a plain
+// token bucket would admit none. The fleet must admit what the splits accumulate up to the last request at each
+// instance, and never more than the quota plus a split of the burst for each restart, except for random variation.
 func TestSplitQuotaOverFleets(t *testing.T) {
 	const rate = 4
 	for _, n := range []int{1, 3, 30, 300, 900} {
 		for _, c := range []splitCase{
-			{instances: n, rate: rate, asked: 0.5},
-			{instances: n, rate: rate, asked: 1},
-			{instances: n, rate: rate, asked: 4},
-			{instances: n, rate: rate, asked: 4, uneven: true},
-			{instances: n, rate: rate, asked: 4, moves: true},
-			{instances: n, rate: rate, asked: 4, restarts: true},
+			{instances: n, rate: rate, demand: 0.5},
+			{instances: n, rate: rate, demand: 1},
+			{instances: n, rate: rate, demand: 4},
+			{instances: n, rate: rate, demand: 4, uneven: true},
+			{instances: n, rate: rate, demand: 4, moves: true},
+			{instances: n, rate: rate, demand: 4, restarts: true},
 		} {
 			t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
 				const seeds = 16
@@ -268,16 +268,16 @@
 }
 
 // In the long run, a customer that sends requests at random times gets the same share of its quota with any number of
-// instances. Let m = 1/asked be the mean number of tokens that the quota adds to an instance between two requests.
+// instances. Let m = 1/demand be the mean number of tokens that the quota adds to an instance between two requests.
 // After the tokens have reached the random share u of a request, e more are added before the next request, where e is
 // exponentially distributed with mean m. The excess of u+e over 1 overflows. The mean of the overflow is
 // m²(1-exp(-1/m)), the mean of its square 2m³(1-exp(-1/m)). So an admission costs 1 + m²(1-exp(-1/m)) tokens on
 // average. At the end an instance may have tokens that no admission has used: at most 1+m on average.
 func TestSplitQuotaInTheLongRun(t *testing.T) {
 	for _, n := range []int{10, 30, 300} {
-		for _, asked := range []float64{0.5, 1, 4} {
+		for _, demand := range []float64{0.5, 1, 4} {
 			// At this rate no instance forgets the customer between two requests.
-			c := splitCase{instances: n, rate: 2 * float64(n), asked: asked}
+			c := splitCase{instances: n, rate: 2 * float64(n), demand: demand}
 			t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
 				var sums splitSums
 				fleet := startSplitFleet(t, c, 1, time.Hour, &sums)
@@ -285,10 +285,10 @@
 				fleet.stop()
 				sums.checkAdmitted(t, c)
 
-				m := 1 / asked
-				late := 1 - math.Exp(-1/m)
-				cost := 1 + m*m*late
-				variance := 2*m*m*m*late - m*m*m*m*late*late
+				m := 1 / demand
+				belowOne := 1 - math.Exp(-1/m) // probability that e is below 1
+				cost := 1 + m*m*belowOne
+				variance := 2*m*m*m*belowOne - m*m*m*m*belowOne*belowOne
 				added := c.rate * splitTime.Seconds()
 				least := (added-float64(n)*(1+m))/cost - maxDeviations*math.Sqrt(variance*added/(cost*cost*cost))
 				t.Logf("admitted %.3f of the tokens that the quota added; long-run share %.3f, minimum for this time %.3f",
@@ -302,8 +302,8 @@
 }
 
 // A customer that no instance has seen for a long time sends requests to all of them at once. A split with tokens for a
-// share of one request admits one with that probability. Over the fleet, that is the burst plus the tokens that the
-// quota adds in splitIdleTime.
+// share of one request admits one with a probability equal to that share. Over the fleet, that is the burst plus the
+// tokens that the quota adds in splitIdleTime.
 func TestSplitQuotaAfterIdleTime(t *testing.T) {
 	c := splitCase{instances: 300, rate: 4}
 	var sums splitSums
@@ -323,19 +323,19 @@
 	const (
 		horizon  = 10 * time.Minute
 		interval = 2 * time.Second // between two requests of a client
-		rest     = splitIdleTime + interval
+		pause    = splitIdleTime + interval
 	)
 	for _, n := range []int{30, 300, 900} {
 		c := splitCase{instances: n, rate: 4}
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			var sums splitSums
 			fleet := startSplitFleet(t, c, 1, time.Hour, &sums)
-			restsUntil := make([]time.Duration, n)
+			pausedUntil := make([]time.Duration, n)
 			for at := time.Hour; at < time.Hour+horizon; at += interval {
 				for i := range fleet.instances {
-					if at >= restsUntil[i] && fleet.instances[i].requestAt(at, n) {
+					if at >= pausedUntil[i] && fleet.instances[i].requestAt(at, n) {
 						sums.admitted++
-						restsUntil[i] = at + rest
+						pausedUntil[i] = at + pause
 					}
 				}
 			}
--- a/decision/response.go
+++ b/decision/response.go
@@ -8,7 +8,7 @@
 // Retry-After hint.
 
 // maxRetryAfterShare is the longest Retry-After hint as a share of the latency objective, so that several tries fit
-// into the client's time. A protocol with whole seconds rounds the hint up to 1 s, which may be longer.
+// into the client's time. In a protocol with whole seconds, the hint is rounded up to 1 s, which may be longer.
 const maxRetryAfterShare = 0.1
 
 // handleRequest handles a new request. It decides on the request at once, or holds it until the shared counter has
@@ -81,8 +81,9 @@
 	}
 }
 
-// handleDeadline answers a request whose client still waits at the deadline, whatever the state of its attempts. It is
-// called again later to close attempts without an AttemptEnded, and finally to delete the request.
+// handleDeadline answers a request whose client still waits at the deadline, whatever the state of its attempts, unless
+// an answer is being streamed. It is called again later to close attempts without an AttemptEnded, and finally to
+// delete the request.
 func (g *Gateway) handleDeadline(id RequestID) {
 	request := g.requests[id]
 	if request == nil || g.now < request.deadline {
@@ -101,8 +102,9 @@
 	}
 }
 
-// finishWithLocalResponse ends a request whose client still waits with a local response: a rejection if a retry by the
-// client is safe, otherwise a failure. A request ends only here and in finishWithoutLocalResponse.
+// finishWithLocalResponse sends a local response to a client that still waits, and ends the request. The response is a
+// rejection if a retry by the client is safe, otherwise a failure. A request ends only here and in
+// finishWithoutLocalResponse.
 func (g *Gateway) finishWithLocalResponse(request *requestRecord) {
 	request.ended = true
 	g.cancelAttempts(request)
--- a/decision/restore.go
+++ b/decision/restore.go
@@ -4,8 +4,8 @@
 
 // This file restores a gateway from a State, table by table. snapshot.go implements the other direction.
 
-// restorer converts indexes to pointers while it restores a gateway from a state. It restores a table after those that
-// it refers to.
+// restorer converts indexes to pointers while it restores a gateway from a state. Each table is restored after the
+// tables that it refers to.
 type restorer struct {
 	gateway   *Gateway
 	state     *State
@@ -239,15 +239,15 @@
 		}
 		counter.pendingUseQueue = append(counter.pendingUseQueue, r.customers[position])
 	}
-	for i, k := range s.CounterCalls {
-		if !within(k.Customer, len(r.customers)) || !within(k.Request, len(r.requests)+1) {
+	for i, state := range s.CounterCalls {
+		if !within(state.Customer, len(r.customers)) || !within(state.Request, len(r.requests)+1) {
 			return mismatch("CounterCalls", i)
 		}
-		call := counterCall{customer: r.customers[k.Customer], unitWeight: k.UnitWeight, pendingUnits: k.PendingUnits, sentAt: k.SentAt}
-		if k.Request > 0 {
-			call.request = r.requests[k.Request-1]
+		call := counterCall{customer: r.customers[state.Customer], unitWeight: state.UnitWeight, pendingUnits: state.PendingUnits, sentAt: state.SentAt}
+		if state.Request > 0 {
+			call.request = r.requests[state.Request-1]
 		}
-		counter.push(k.Name, call)
+		counter.push(state.Name, call)
 	}
 	return nil
 }
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -11,7 +11,7 @@
 // This file defines the configuration of a gateway. Struct tags keep the field names that recorded traces use; neither
 // the tags nor the order of the fields may change.
 
-// BackendID identifies a backend. It survives a restart of the backend's process.
+// BackendID identifies a backend. It stays the same when the backend's process restarts.
 type BackendID uint32
 
 // RequestID identifies one request of a client. It is never reused during the lifetime of a gateway.
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -8,10 +8,10 @@
 // This file limits the attempts at a warming backend. A backend that has started recently has a part of its capacity,
 // and fails when all instances together send it several times as much (Settings.OverloadFactor, within OverloadTime).
 // Two mechanisms limit its load: it is drawn for an attempt only in proportion to its capacity share (balancer.go), and
-// after the draw, a token bucket must hold an attempt. The bucket fills at this instance's part of slowStartLoadShare
-// of the load at which the backend fails. That load follows from the service rate of a warm backend, which is estimated
-// from successful answers. Without the bucket, a fleet that is replaced at once would fail: if there are hardly any
-// other backends to draw, drawing a warming backend less often limits nothing.
+// after the draw, a token bucket must hold enough for the attempt. The bucket fills at this instance's part of
+// slowStartLoadShare of the load at which the backend fails. That load follows from the service rate of a warm backend,
+// which is estimated from successful answers. Without the bucket, a fleet that is replaced at once would fail: if there
+// are hardly any other backends to draw, drawing a warming backend less often limits nothing.
 //
 // Rates are in attempts per second of this instance, times in seconds.
 
@@ -25,7 +25,7 @@
 	// slowStartBurstShare is the bucket size, as a share of what the rate allows in OverloadTime.
 	slowStartBurstShare = 0.3
 	// workingBackendFactor times the share of successful answers gives the degree to which a backend counts as working:
-	// from one successful answer in twelve it counts fully. A backend that is only overloaded still gives many
+	// from one successful answer in twelve on, it counts fully. A backend that is only overloaded still gives many
 	// successful answers, one that hangs gives none.
 	workingBackendFactor = 12.0
 )
@@ -182,11 +182,12 @@
 	backend.slowStartTokens = min(maxTokens, backend.slowStartTokens+refill)
 }
 
-// drawSlowStart decides at random if the bucket is too small to hold a whole attempt. The probability is the number of
-// attempts that the rate allows in the time since the backend was last considered. So the mean rate of attempts is the
-// allowed one, however rarely this instance considers the backend. The time is limited to the mean time between two
-// choices that draw the backend; the first time, it is estimated from the rate of checks instead. Otherwise many
-// instances would send the attempts that they accumulated during an idle time all at once.
+// drawSlowStart sets the bucket to one attempt or to none at random. It is used if the bucket is too small to hold a
+// whole attempt. The probability of one is the number of attempts that the rate allows in the time since the backend
+// was last considered. So the mean rate of attempts is the allowed one, however rarely this instance considers the
+// backend. The time is limited to the mean time between two choices that draw the backend. Otherwise many instances
+// would send the attempts that they accumulated during an idle time all at once. If the backend has not been considered
+// since its process started, the time is estimated from the rate of checks instead.
 func (g *Gateway) drawSlowStart(backend *backendRecord, rate float64) {
 	elapsed := (g.now - backend.slowStartRefilledAt).Seconds()
 	between := g.totalCapacityShare() / g.capacityShare(backend) // mean number of choices between two that draw the backend
--- a/decision/slowstart_fleet_test.go
+++ b/decision/slowstart_fleet_test.go
@@ -17,8 +17,8 @@
 	removed                         int // warm backends that are removed when the others have restarted
 	overloadFactor, slowStartShare  float64
 	overloadTime, slowStartTime     time.Duration
-	warmsByWork                     bool // backends warm up with the work they do instead of with time
-	load, burst                     float64
+	warmsByWork                     bool          // backends warm up with the work they do instead of with time
+	load, burst                     float64       // traffic as a share of full capacity; factor on it after the restart
 	meanWork                        time.Duration // mean time of a request on a warm core
 	maxInFlight                     int           // number of requests that a backend accepts at a time
 	seed                            uint64
@@ -50,7 +50,7 @@
 	sentAt       []time.Duration // attempts in the window, with their work as a multiple of the mean
 	work         []float64
 	workInWindow float64
-	workSent     float64
+	workSent     float64 // since the backend's restart
 }
 
 const (
@@ -254,22 +254,22 @@
 		worst, least := 0.0, math.Inf(1)
 		for seed := range uint64(8) {
 			rng := rand.New(rand.NewPCG(seed, uint64(count)))
-			d := warmUpScenario{instances: count, backends: 12 + rng.IntN(20), overloadFactor: []float64{2, 3, 4, 5}[rng.IntN(4)], slowStartShare: 0.2 + 0.3*rng.Float64(),
+			scenario := warmUpScenario{instances: count, backends: 12 + rng.IntN(20), overloadFactor: []float64{2, 3, 4, 5}[rng.IntN(4)], slowStartShare: 0.2 + 0.3*rng.Float64(),
 				overloadTime: time.Duration(1000+rng.IntN(2000)) * time.Millisecond, slowStartTime: time.Duration(4+rng.IntN(10)) * time.Second,
 				warmsByWork: seed%2 == 1, load: 0.4 + 0.3*rng.Float64(), burst: 1.1 + 0.4*rng.Float64(), seed: seed,
 				meanWork: time.Duration(30+rng.IntN(100)) * time.Millisecond, maxInFlight: 6 + rng.IntN(16)}
-			d.restarting = max(1, d.backends*(2+rng.IntN(6))/8)
+			scenario.restarting = max(1, scenario.backends*(2+rng.IntN(6))/8)
 			if seed%4 == 3 { // hardly any warm backend is left
-				d.restarting, d.removed = d.backends/2, d.backends-d.backends/2-rng.IntN(3)
-				d.overloadFactor, d.burst, d.meanWork, d.maxInFlight = 2+rng.Float64(), 1.5, 30*time.Millisecond, 8
+				scenario.restarting, scenario.removed = scenario.backends/2, scenario.backends-scenario.backends/2-rng.IntN(3)
+				scenario.overloadFactor, scenario.burst, scenario.meanWork, scenario.maxInFlight = 2+rng.Float64(), 1.5, 30*time.Millisecond, 8
 			}
 			if seed == 2 { // few backends restart, and little load makes them fail
-				d.restarting, d.removed, d.overloadFactor, d.slowStartShare, d.load, d.burst = d.backends/8, 0, 1.5, 0.2, 0.7, 1.4
-				d.meanWork, d.slowStartTime, d.overloadTime = 40*time.Millisecond, 10*time.Second, 2*time.Second
+				scenario.restarting, scenario.removed, scenario.overloadFactor, scenario.slowStartShare, scenario.load, scenario.burst = scenario.backends/8, 0, 1.5, 0.2, 0.7, 1.4
+				scenario.meanWork, scenario.slowStartTime, scenario.overloadTime = 40*time.Millisecond, 10*time.Second, 2*time.Second
 			}
-			w, u := d.run(t)
+			w, u := scenario.run(t)
 			if w >= 1 {
-				t.Errorf("%+v: a warming backend got %.2f of the load at which it fails", d, w)
+				t.Errorf("%+v: a warming backend got %.2f of the load at which it fails", scenario, w)
 			}
 			worst, least = max(worst, w), min(least, u)
 		}
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -9,8 +9,8 @@
 	"sandyard/decision"
 )
 
-// A warming backend answers faster than all others, so its queue is always the shortest. It must still get no more than
-// its capacity share.
+// A warming backend answers faster than all others, so its queue is always the shortest. It must still be chosen no
+// more often than it is drawn by its capacity share.
 func TestWarmingBackendGetsItsShare(t *testing.T) {
 	set := basicSettings()
 	set.SlowStartTime = time.Hour // longer than the test
@@ -24,7 +24,7 @@
 		return 300 * time.Millisecond, decision.OK
 	})
 	all := got[1] + got[2] + got[3] + got[4]
-	if share := float64(got[4]) / float64(all); share > 3*0.2/3.2*1.1 { // drawn once in three choices by its capacity share
+	if share := float64(got[4]) / float64(all); share > 3*0.2/3.2*1.1 { // three candidates per choice
 		t.Errorf("the warming backend got a share of %.2f of %d attempts", share, all)
 	}
 }
@@ -37,19 +37,19 @@
 	set.SlowStartTime = time.Hour // longer than the test
 	for _, c := range []struct {
 		name        string
-		known       bool
-		warm        int
-		least, most int
+		known       bool // the service rate is known when the backends are replaced
+		warm        int  // number of warm backends beside the warming one
+		least, most int  // of 1000 requests
 	}{{"replaced", true, 0, 150, 400}, {"one is left", true, 1, 990, 1000}, {"unknown", false, 0, 5, 100}} {
 		endpoints := upEndpoints(1, 2, 3)
 		endpoints[0].Started = time.Hour
 		driver := startDriver(t, set, time.Hour, endpoints[2])
-		good := func(decision.BackendID) (time.Duration, decision.Outcome) { return time.Millisecond, decision.OK }
+		answersIn1ms := func(decision.BackendID) (time.Duration, decision.Outcome) { return time.Millisecond, decision.OK }
 		if c.known {
-			sendRequests(driver, 0, 1000, 5*time.Millisecond, good)
+			sendRequests(driver, 0, 1000, 5*time.Millisecond, answersIn1ms)
 		}
 		driver.handle(decision.EndpointsChanged{Full: true, Endpoints: endpoints[:1+c.warm]})
-		got := sendRequests(driver, 0, 1000, 5*time.Millisecond, good)
+		got := sendRequests(driver, 0, 1000, 5*time.Millisecond, answersIn1ms)
 		if all := got[1] + got[2]; all < c.least || all > c.most {
 			t.Errorf("%s: %d of 1000 requests were sent", c.name, all)
 		}
@@ -126,7 +126,7 @@
 		}
 	}
 	const minute = time.Minute
-	run(time.Hour, time.Hour+minute, 100*time.Millisecond) // it serves ten requests per second
+	run(time.Hour, time.Hour+minute, 100*time.Millisecond) // the warm backend serves ten requests per second
 	endpoints := upEndpoints(1)
 	endpoints[0].Started = time.Hour + minute
 	for _, driver := range instances {
--- a/decision/snapshot.go
+++ b/decision/snapshot.go
@@ -73,7 +73,7 @@
 func (g *Gateway) Snapshot() (State, error) {
 	random, err := g.randomSource.MarshalBinary()
 	s := State{Random: random, Now: g.now, InFlight: g.load.inFlight}
-	if !g.settings.Counter { // with a counter, no customer whose plan has a burst depends on it
+	if !g.settings.Counter { // with a counter, no customer whose plan has a burst depends on StartedAt
 		s.StartedAt = g.startedAt
 	}
 	g.load.snapshot(&s)
--- a/decision/state.go
+++ b/decision/state.go
@@ -40,7 +40,7 @@
 	SweepPosition           int               `json:"Swept"`
 	WatchPending            bool              `json:"Subscribe"`
 	Customers               []CustomerState   // in sweep order, then those that are only referenced by other records
-	ListedCustomers         int               `json:"Roll"`    // number of customers that are swept
+	ListedCustomers         int               `json:"Roll"`    // number of customers in the customer table
 	PendingUseQueue         []int             `json:"Due"`     // indexes into Customers
 	Backends                []BackendState    `json:"Servers"` // by ID, then those that are only referenced by other records
 	KnownBackends           int               `json:"Known"`   // number of backends in the endpoint table
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -6,7 +6,7 @@
 	"sandyard/decision"
 )
 
-// The words of the wire for values, and their meanings.
+// The protocol's words for the states of an endpoint and for outcomes.
 var (
 	endpointStates = map[string]decision.EndpointState{
 		"up":       decision.Up,
@@ -28,8 +28,8 @@
 // markRetry is the bit of a request's marks that is set if the client has tried before.
 const markRetry = 2
 
-// eventDecoders maps the name of a message to the function that reads the fields after its instance, in the order of
-// the wire. Fields that package decision does not use are read and discarded.
+// eventDecoders maps the name of a message to the function that reads the fields that follow the name and the instance,
+// in the order of the wire. Fields that package decision does not use are read and discarded.
 var eventDecoders = map[string]func(*Reader, *fields) decision.Event{
 	"accept":           decodeArrival,
 	"left":             decodeDisconnect,
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// take returns the next part, or "" for an absent value.
+// take returns the next part, or "" for an absent value, which the wire represents as "-".
 func (f *fields) take(field string) string {
 	f.last++
 	if f.last >= len(f.parts) {
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -36,7 +36,7 @@
 		{"times to the microsecond", []string{"rules.cold-ms=0.0006", "rules.fall-ms=2000.0", "rules.drain-grace-ms=1e3", "rules.ask-every-ms=-5"}, func(s *decision.Settings) {
 			s.SlowStartTime, s.OverloadTime, s.DrainGrace, s.PollInterval = time.Microsecond, 2*time.Second, time.Second, -5*time.Millisecond
 		}},
-		{"figures", []string{"feedback.names=svc_ms,,served_ps,odd", "feedback.via=pull"}, func(s *decision.Settings) {
+		{"load fields", []string{"feedback.names=svc_ms,,served_ps,odd", "feedback.via=pull"}, func(s *decision.Settings) {
 			s.LoadFields, s.LoadByProbe = []decision.LoadField{decision.FieldLatency, decision.FieldServed, decision.FieldOther}, true
 		}},
 		{"classes and plans with defaults", []string{"services.count=1", "plans.count=1"}, func(s *decision.Settings) {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -28,7 +28,7 @@
 	Settings decision.Settings // for kind Start
 }
 
-// Batch holds the messages of one time.
+// Batch holds the messages of one point in time.
 type Batch struct {
 	Now      time.Duration // on the simulator's clock
 	Messages []Message     // in the order of the wire
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -56,8 +56,8 @@
 		if b[0].Now != 8412250*time.Microsecond || len(b[0].Messages) != 1 {
 			t.Fatalf("%s: %+v", c.line, b)
 		}
-		if it := b[0].Messages[0]; it.Instance != "door-3" || !reflect.DeepEqual(it.Event, c.want) {
-			t.Errorf("%s:\ngot  %+v\nwant %+v", c.line, it.Event, c.want)
+		if message := b[0].Messages[0]; message.Instance != "door-3" || !reflect.DeepEqual(message.Event, c.want) {
+			t.Errorf("%s:\ngot  %+v\nwant %+v", c.line, message.Event, c.want)
 		}
 	}
 }
@@ -83,9 +83,9 @@
 		"services.0.dedup-scope=cell\tservices.0.aim-ms=600\tservices.0.value=2\tplans.count=1\tplans.0.refill=1.5\t"+
 		"plans.0.store-size=5\tplans.0.never-over-rate=4\tfeedback.names=busy_reqs,odd,cpu_share\tfeedback.via=pull\t"+
 		"limits.may-duplicate=true\tspecifics.shared-counter=true\nstop\tdoor-0\nend\n")
-	it := b[0].Messages[0]
-	s := it.Settings
-	if it.Kind != Start || it.Seed != 51 || b[0].Messages[1].Kind != Stop {
+	message := b[0].Messages[0]
+	s := message.Settings
+	if message.Kind != Start || message.Seed != 51 || b[0].Messages[1].Kind != Stop {
 		t.Fatalf("%+v", b)
 	}
 	if s.Self != 1 || s.Instances != 2 || !s.Hedging || !s.Counter || !s.LoadByProbe || s.LoadInAnswers {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,6 +1,5 @@
 // Package quota describes the state of a customer's quota as one proxy instance sees it, from the state of package
-// decision. It makes no decisions: a dry run passes a request to package decision on a copy of its state. It
-// does no I/O.
+// decision. It makes no decisions: a dry run restores a copy of the gateway and passes a request to it. It does no I/O.
 package quota
 
 import (
