--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -102,9 +102,9 @@
 	{"two Hosts", "GET / HTTP/1.1\r\nHost: h\r\nHost: h\r\n\r\n", 400},
 	{"Host with a user", "GET / HTTP/1.1\r\nHost: a@h\r\n\r\n", 400},
 	{"absolute form", "GET http://h/x HTTP/1.1\r\nHost: h\r\n\r\n", accepted},
-	{"absolute form against Host", "GET http://i/x HTTP/1.1\r\nHost: h\r\n\r\n", 400},
+	{"absolute form with a host other than Host", "GET http://i/x HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 	{"authority form", "CONNECT h:80 HTTP/1.1\r\nHost: h:80\r\n\r\n", 501},
-	{"asterisk", "OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", accepted},
+	{"asterisk with OPTIONS", "OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", accepted},
 	{"asterisk with GET", "GET * HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 	{"fragment", "GET /#x HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 	{"two spaces", "GET  / HTTP/1.1\r\nHost: h\r\n\r\n", 400},
@@ -127,30 +127,30 @@
 	{"length list", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3, 3\r\n\r\nabc", 400},
 	{"empty length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length:\r\n\r\n", 400},
 	{"two lengths", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", 400},
-	{"vast length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 99999999999999999999\r\n\r\n", 400},
-	{"coding and length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
-	{"coding in 1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+	{"length beyond 64 bits", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 99999999999999999999\r\n\r\n", 400},
+	{"Transfer-Encoding and Content-Length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+	{"Transfer-Encoding in 1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
 	{"gzip", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 501},
 	{"chunked twice", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
-	{"chunked in disguise", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: \x0bchunked\r\n\r\n0\r\n\r\n", 400},
-	{"xchunked", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n", 501},
+	{"chunked after a control byte", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: \x0bchunked\r\n\r\n0\r\n\r\n", 400},
+	{"unknown transfer coding", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n", 501},
 	{"chunked", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\nT: 1\r\n\r\n", accepted},
 	{"chunk size signed", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n+3\r\nabc\r\n0\r\n\r\n", 400},
 	{"chunk size 0x", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0x3\r\nabc\r\n0\r\n\r\n", 400},
 	{"chunk size with space", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3 \r\nabc\r\n0\r\n\r\n", 400},
-	{"chunk size vast", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n10000000000000003\r\nabc\r\n0\r\n\r\n", 400},
+	{"chunk size that is too large", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n10000000000000003\r\nabc\r\n0\r\n\r\n", 400},
 	{"chunk size empty", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n\r\nabc\r\n0\r\n\r\n", 400},
 	{"chunk ended by LF", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\n0\r\n\r\n", 400},
 	{"chunk size ended by LF", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\nabc\r\n0\r\n\r\n", 400},
 	{"extension with a bare CR", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;a\rb\r\nabc\r\n0\r\n\r\n", 400},
 	{"chunk longer than its size", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n", 400},
 	{"trailer that frames", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nContent-Length: 3\r\n\r\n", 400},
-	{"endless extension", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;" + longText + "\r\nabc\r\n0\r\n\r\n", 400},
+	{"chunk extension that is too long", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;" + longText + "\r\nabc\r\n0\r\n\r\n", 400},
 	{"more framing than body", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1;"+longText[:200]+"\r\na\r\n", 200), 400},
 	{"long target", "GET /" + longText + " HTTP/1.1\r\nHost: h\r\n\r\n", 414},
 	{"large head", "GET / HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("X: "+longText[:4000]+"\r\n", 10) + "\r\n", 431},
 	{"many fields", "GET / HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("X: y\r\n", 200) + "\r\n", 431},
-	{"expectation", "POST / HTTP/1.1\r\nHost: h\r\nExpect: miracles\r\nContent-Length: 1\r\n\r\na", 417},
+	{"unknown expectation", "POST / HTTP/1.1\r\nHost: h\r\nExpect: miracles\r\nContent-Length: 1\r\n\r\na", 417},
 }
 
 // Request smuggling: an attacker sends a request that the gateway and a backend parse differently, and hides a second request
@@ -185,10 +185,10 @@
 		{"until close", "GET", "HTTP/1.1 200 OK\r\n\r\nhi", "eof 3 <nil>"},
 		{"cut off", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi", "within a message"},
 		{"cut off chunked", "GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", "within a message"},
-		{"upgrade unasked", "GET", "HTTP/1.1 101 Switching Protocols\r\n\r\n", "error 400"},
+		{"101 without an upgrade request", "GET", "HTTP/1.1 101 Switching Protocols\r\n\r\n", "error 400"},
 		{"differing lengths", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi", "error 400"},
-		{"status", "GET", "HTTP/1.1 20 OK\r\n\r\n", "error 400"},
-		{"bytes for no request", "GET", "\r\nHTTP/1.1 200 OK\r\n\r\n", "error 400"},
+		{"status of two digits", "GET", "HTTP/1.1 20 OK\r\n\r\n", "error 400"},
+		{"empty line before a response", "GET", "\r\nHTTP/1.1 200 OK\r\n\r\n", "error 400"},
 	} {
 		r := NewResponses(Limits{})
 		r.Expect(c.method)
@@ -304,7 +304,8 @@
 	}
 }
 
-// FuzzResponse does the same for responses. It ignores interim responses, at which net/http's reader stops.
+// FuzzResponse compares the reader with net/http for responses: net/http must accept every response that the reader accepts,
+// with the same status and body. It ignores interim responses, at which net/http's reader stops.
 func FuzzResponse(f *testing.F) {
 	for _, s := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
 		"HTTP/1.0 404 No\r\n\r\nbye", "HTTP/1.1 204 x\r\n\r\n"} {
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -17,8 +17,8 @@
 // backends.
 const MaxEndpointListBytes = 4 << 20
 
-// maxStartMillis is the upper bound for the start time of a backend (Unix milliseconds). A later time does not fit into
-// nanoseconds.
+// maxStartMillis is the upper bound for the start time of a backend (Unix milliseconds). A later time does not fit
+// into an int64 of nanoseconds.
 const maxStartMillis = math.MaxInt64 / 1e6
 
 // ErrTooManyEndpoints is returned for a list with more than config.MaxEndpoints entries.
@@ -66,7 +66,7 @@
 	Cell        int     `json:"block"`
 	State       string  `json:"health"`
 	Weight      float64 `json:"share"`
-	StartMillis float64 `json:"born_ms"` // Unix milliseconds; 0: long ago
+	StartMillis float64 `json:"born_ms"` // start of the process (Unix milliseconds); 0: it started long ago
 }
 
 // ParseEndpointList parses a discovery message. An entry that can't be parsed is added to Malformed and does not affect the
@@ -108,7 +108,7 @@
 }
 
 func (e *listEntry) endpoint() (config.Endpoint, error) {
-	out := config.Endpoint{Name: e.Host, Address: e.Address, Zone: wireName.Replace(e.Zone), Cell: e.Cell, Weight: e.Weight}
+	out := config.Endpoint{Name: e.Host, Address: e.Address, Zone: nameReplacer.Replace(e.Zone), Cell: e.Cell, Weight: e.Weight}
 	state, ok := endpointStates[e.State]
 	if !ok {
 		return out, &diagnostic.FieldError{Field: "health", Value: e.State, Want: "active, leaving or left"}
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -14,7 +14,7 @@
 	maxBody               = 64 << 10               // bytes in the body of a request or response, as defined by the protocol
 	maxHead               = 16 << 10               // bytes in a head: the protocol's fields take less than one KiB
 	maxFields             = 64                     // fields in a head: the protocol has seven
-	eventQueue            = 2048                   // messages for the event loop: half full, accepting pauses; full, requests get 503
+	eventQueue            = 2048                   // messages in the event loop's queue; accepting pauses at half of it, and requests get 503 beyond it
 	defaultDescriptors    = 4096                   // file descriptors, if the configuration has no limit
 	clientShare           = 0.5                    // share of the descriptors for client connections
 	backendShare          = 0.3                    // share of the descriptors for backend connections; the rest is for other uses
@@ -24,14 +24,14 @@
 	writeTimeout          = 3 * time.Second        // to write 64 KiB; a client that reads needs less
 	clientIdleTimeout     = 30 * time.Second       // for a client connection without a request
 	streamIdleTimeout     = 30 * time.Second       // for a streamed response without new bytes; only a streaming class has such responses here
-	maxShutdownDeadline   = 3 * time.Second        // the platform's earliest SIGKILL counts a longer class deadline as this
+	maxShutdownDeadline   = 3 * time.Second        // longest class deadline for which the platform delays its earliest SIGKILL
 	killDelay             = 700 * time.Millisecond // from SIGTERM to the earliest SIGKILL, in addition to the longest class deadline
 	shutdownMargin        = 50 * time.Millisecond  // before the earliest SIGKILL, to write the last answers
 	responseMargin        = 12 * time.Millisecond  // before a client's deadline, for the response to reach the client
 	reuseDelay            = 20 * time.Millisecond  // between requests on a backend connection, to detect extra bytes after a response
 	defaultCounterTimeout = 50 * time.Millisecond  // of a call to the counter, if the settings have no timeout
 	counterMaxPending     = 1024                   // calls to the counter in flight
-	stopDelay             = 600 * time.Millisecond // after SIGTERM, while the platform still opens new connections
+	stopDelay             = 600 * time.Millisecond // from SIGTERM until accepting ends; the platform still opens new connections in this time
 )
 
 // newConfig returns the configuration of the instance in the runtime's form.
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -118,11 +118,11 @@
 	if len(id) != requestIDDigits || !isHex(id) {
 		return &badID
 	}
-	operation := n.operations[wireName.Replace(fields[fieldClass])] // settings have names in that form
+	operation := n.operations[nameReplacer.Replace(fields[fieldClass])] // settings have names in that form
 	if operation == nil {
 		return &badClass
 	}
-	plan, ok := n.plans[wireName.Replace(fields[fieldPlan])]
+	plan, ok := n.plans[nameReplacer.Replace(fields[fieldPlan])]
 	if !ok {
 		return &badPlan
 	}
@@ -194,19 +194,20 @@
 	return found, err == nil && number < maxCustomer
 }
 
-// term is a set of the terms in X-Call-Terms, each of which a request must have exactly once.
-type term uint8
+// termSet is a set of the terms in X-Call-Terms, each of which a request must have exactly once.
+type termSet uint8
 
 const (
-	termUnits term = 1 << iota
+	termUnits termSet = 1 << iota
 	termSpread
 	termFirst
 	allTerms = termUnits | termSpread | termFirst
 )
 
-// parseTerms parses terms such as "units=2,spread=3,first=1" into info. Unknown terms are ignored.
+// parseTerms parses terms such as "units=2,spread=3,first=1" into info. Unknown terms are ignored. It reports false if
+// a term is missing, repeated or out of bounds.
 func (n *Node) parseTerms(list string, info *protocol.RequestInfo) bool {
-	var seen term
+	var seen termSet
 	for list != "" {
 		var item string
 		item, list, _ = strings.Cut(list, ",")
@@ -221,7 +222,7 @@
 }
 
 // parseTerm parses one term. It returns 0 for an unknown term; ok is false for a value out of bounds.
-func (n *Node) parseTerm(name, value string, info *protocol.RequestInfo) (t term, ok bool) {
+func (n *Node) parseTerm(name, value string, info *protocol.RequestInfo) (t termSet, ok bool) {
 	switch name {
 	case "units":
 		units, err := strconv.ParseFloat(value, 64)
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -58,14 +58,14 @@
 		var item string
 		item, report, _ = strings.Cut(report, ",")
 		name, value, _ := strings.Cut(strings.Trim(item, " "), "=")
-		figure, err := strconv.ParseFloat(value, 64)
-		if err != nil || math.IsInf(figure, 0) || figure < 0 {
+		number, err := strconv.ParseFloat(value, 64)
+		if err != nil || math.IsInf(number, 0) || number < 0 {
 			continue
 		}
 		meaning := loadFields[name]
 		for i := range load {
 			if n.loadReportNames[i] == name || meaning != decision.FieldOther && fields[i] == meaning {
-				load[i] = figure
+				load[i] = number
 			}
 		}
 	}
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -84,14 +84,14 @@
 	return scalarText(v), true
 }
 
-// wireName converts a name to its form in settings: the simulator's wire has no spaces and commas in values.
-var wireName = strings.NewReplacer(" ", "_", ",", "_")
+// nameReplacer converts a name to its form in settings: the simulator's protocol does not allow spaces and commas in values.
+var nameReplacer = strings.NewReplacer(" ", "_", ",", "_")
 
 // scalarText returns the text of a scalar, or "-" for any other value.
 func scalarText(v any) string {
 	switch v := v.(type) {
 	case string:
-		return wireName.Replace(v)
+		return nameReplacer.Replace(v)
 	case bool:
 		return strconv.FormatBool(v)
 	case json.Number:
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -100,4 +100,4 @@
 }
 
 // ErrMalformedReply is returned for a reply of the counter that can't be parsed.
-var ErrMalformedReply = errors.New("the counter's reply can't be read")
+var ErrMalformedReply = errors.New("the counter's reply can't be parsed")
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -24,9 +24,9 @@
 // Errors of a Reader. Both are final: the start of the next value is not known, so the connection cannot be used again.
 var (
 	// ErrSyntax is the error of bytes that are not a valid RESP value.
-	ErrSyntax = errors.New("resp: not a value of the protocol")
-	// ErrSize is the error of a line, bulk string or array beyond its bound.
-	ErrSize = errors.New("resp: a value beyond its bound")
+	ErrSyntax = errors.New("resp: not a valid RESP value")
+	// ErrSize is the error of a line, bulk string or array that exceeds its limit.
+	ErrSize = errors.New("resp: a value that exceeds a limit")
 )
 
 // partialArray is an array of which some items have not been received.
--- a/internal/sitesettings/decode.go
+++ b/internal/sitesettings/decode.go
@@ -16,7 +16,7 @@
 const (
 	defaultConnectTimeout = 250 * time.Millisecond // same as the default of limits.connect-timeout in gateway.yaml
 	defaultIdleTimeout    = 15 * time.Second       // same as the default of limits.box-idle-timeout in gateway.yaml
-	maxConnectionMillis   = 1e9                    // milliseconds; a connect or idle timeout from here on is treated as a mistake
+	maxConnectionMillis   = 1e9                    // milliseconds; a connect or idle timeout that is not shorter is invalid
 )
 
 // The operators' names for values, and their meanings.
@@ -47,8 +47,8 @@
 type Lookup func(path string) string
 
 // Decode decodes the settings of a lookup. Unknown settings are ignored. The error is a *diagnostic.FieldError that names
-// the first setting with an invalid value, in the order below. An invalid connect or idle timeout is replaced by its
-// default, and unknown names for load reports are not errors.
+// the first setting with an invalid value, in the order in which Decode reads them. An invalid connect or idle timeout is
+// replaced by its default, and unknown names for load reports are not errors.
 func Decode(lookup Lookup) (*Settings, error) {
 	d := &decoder{lookup: lookup}
 	s := &Settings{
@@ -104,32 +104,32 @@
 	return LoadReports{InResponses: via == "piggyback", ByProbe: via == "pull", Names: strings.Split(d.lookup("feedback.names"), ",")}
 }
 
-func (d *decoder) class(at string) Class {
+func (d *decoder) class(prefix string) Class {
 	return Class{
-		Name:             d.lookup(at + "name"),
-		Idempotency:      oneOf(d, at+"semantics", idempotencies, decision.NotIdempotent),
-		KeyScope:         oneOf(d, at+"dedup-scope", keyScopes, decision.KeyScopeAll),
-		KeyTTL:           d.millis(at + "key-ttl-ms"),
-		LatencyObjective: d.millis(at + "aim-ms"),
-		Deadline:         d.millis(at + "deadline-ms"),
-		PriorityWeight:   d.number(at+"value", 1),
-		LateShare:        d.number(at+"late-share", 0),
-		Stream:           d.boolean(at + "stream"),
+		Name:             d.lookup(prefix + "name"),
+		Idempotency:      oneOf(d, prefix+"semantics", idempotencies, decision.NotIdempotent),
+		KeyScope:         oneOf(d, prefix+"dedup-scope", keyScopes, decision.KeyScopeAll),
+		KeyTTL:           d.millis(prefix + "key-ttl-ms"),
+		LatencyObjective: d.millis(prefix + "aim-ms"),
+		Deadline:         d.millis(prefix + "deadline-ms"),
+		PriorityWeight:   d.number(prefix+"value", 1),
+		LateShare:        d.number(prefix+"late-share", 0),
+		Stream:           d.boolean(prefix + "stream"),
 	}
 }
 
-func (d *decoder) plan(at string) Plan {
+func (d *decoder) plan(prefix string) Plan {
 	return Plan{
-		Name:           d.lookup(at + "name"),
-		Rate:           d.number(at+"refill", 0),
-		Burst:          d.number(at+"store-size", 0),
-		MaxInFlight:    d.integer(at+"parallel", 0),
-		WeightFactor:   d.number(at+"worth-factor", 1),
-		OverQuotaValue: d.number(at+"over-worth", 0),
-		OverQuotaCost:  d.number(at+"over-cost", 0),
-		CeilingRate:    d.number(at+"never-over-rate", 0),
-		CeilingBurst:   d.number(at+"ceiling-burst", 0),
-		CeilingSlack:   d.number(at+"hard-slack", 0),
+		Name:           d.lookup(prefix + "name"),
+		Rate:           d.number(prefix+"refill", 0),
+		Burst:          d.number(prefix+"store-size", 0),
+		MaxInFlight:    d.integer(prefix+"parallel", 0),
+		WeightFactor:   d.number(prefix+"worth-factor", 1),
+		OverQuotaValue: d.number(prefix+"over-worth", 0),
+		OverQuotaCost:  d.number(prefix+"over-cost", 0),
+		CeilingRate:    d.number(prefix+"never-over-rate", 0),
+		CeilingBurst:   d.number(prefix+"ceiling-burst", 0),
+		CeilingSlack:   d.number(prefix+"hard-slack", 0),
 	}
 }
 
--- a/proxy/attempts_test.go
+++ b/proxy/attempts_test.go
@@ -158,7 +158,7 @@
 	_, ex := r.request("GET", "/look", "ka", "")
 	dial := r.want(DialBackend)
 	r.now += 100 * time.Millisecond
-	reported := recordedTimeout{r.shared.Protocol.(*configuredProtocol), new(time.Duration)}
+	reported := timeoutRecorder{r.shared.Protocol.(*configuredProtocol), new(time.Duration)}
 	r.shared.Protocol = reported
 	r.instance.BackendConnected(r.now, dial.Conn)
 	r.want(WriteAttempt)
@@ -167,13 +167,13 @@
 	}
 }
 
-// recordedTimeout is a protocol that records the timeout of the last attempt.
-type recordedTimeout struct {
+// timeoutRecorder is a protocol that records the timeout of the last attempt.
+type timeoutRecorder struct {
 	*configuredProtocol
 	remaining *time.Duration
 }
 
-func (d recordedTimeout) RenderAttempt(rendered []byte, attemptFieldsAt int, timeLeft time.Duration) []byte {
-	*d.remaining = timeLeft
+func (recorder timeoutRecorder) RenderAttempt(rendered []byte, attemptFieldsAt int, timeLeft time.Duration) []byte {
+	*recorder.remaining = timeLeft
 	return rendered
 }
--- a/proxy/backendconn.go
+++ b/proxy/backendconn.go
@@ -28,10 +28,10 @@
 
 // The states of a backend connection.
 const (
-	connDialing connState = iota // counted, not yet connected
+	connDialing connState = iota // being established; included in connCount
 	connIdle                     // in its backend's idleConns
 	connBusy                     // carries an attempt, or its attempt has just ended
-	connClosed                   // no longer counted; reports about it are ignored
+	connClosed                   // not included in connCount; reports about it are ignored
 )
 
 // BackendConnected reports that a connection is established. The attempt that waits for it starts, unless it has become
--- a/proxy/backendconn_test.go
+++ b/proxy/backendconn_test.go
@@ -23,8 +23,8 @@
 	_, ex = r.request("GET", "/feed", "ka", "")
 	effect := r.want(WriteAttempt)
 	r.reply(effect.Conn, ex, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
-	if g := string(r.want(StreamResponse).Bytes); !strings.HasSuffix(g, "3\r\nabc\r\n") {
-		t.Errorf("%q", g)
+	if sent := string(r.want(StreamResponse).Bytes); !strings.HasSuffix(sent, "3\r\nabc\r\n") {
+		t.Errorf("%q", sent)
 	}
 	r.instance.BackendDisconnected(r.now, effect.Conn, false)
 	if r.want(AbortClient).Exchange != ex {
@@ -34,18 +34,18 @@
 	r.requireQuiescent()
 }
 
-// Clients that read large responses slowly made their backend look slow, and the next requests were rejected. The time that
-// a client takes to read a streamed response must not be part of the attempt's latency.
+// Clients read large responses slowly. The time that a client takes to read a streamed response must not be part of the
+// attempt's latency: the backend would look slow, and the next requests would be rejected.
 func TestSlowClientIsNotCountedAsSlowBackend(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	for range 30 {
 		_, ex := r.request("GET", "/look", "ka", "")
 		conn, _ := r.connect()
-		b := r.reply(conn, ex, "HTTP/1.1 200 OK\r\nContent-Length: 3000\r\n\r\n"+strings.Repeat("x", 2000))
+		reader := r.reply(conn, ex, "HTTP/1.1 200 OK\r\nContent-Length: 3000\r\n\r\n"+strings.Repeat("x", 2000))
 		r.want(StreamResponse)
 		r.advance(5 * time.Second)
-		a := b.Feed([]byte(strings.Repeat("x", 1000)))
-		r.instance.ResponseReceived(r.now, conn, &a)
+		response := reader.Feed([]byte(strings.Repeat("x", 1000)))
+		r.instance.ResponseReceived(r.now, conn, &response)
 		r.instance.ReplaceEndpoints(r.now, EndpointsUpdate{Endpoints: nil}) // so that each request has its own connection
 		r.instance.ReplaceEndpoints(r.now, EndpointsUpdate{Endpoints: endpointList(1, 0)})
 		r.effects = nil
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -22,8 +22,8 @@
 	now       time.Duration
 }
 
-// newBenchmarkRuntime returns a runtime with the example's configuration, without the counter and with a plan that rejects
-// no request.
+// newBenchmarkRuntime returns a runtime with the configuration of examples/kilns, without the counter and with a plan that
+// rejects no request.
 func newBenchmarkRuntime(b *testing.B) *benchmarkRuntime {
 	b.Helper()
 	cfg, err := config.Load("../examples/kilns/gateway.yaml")
--- a/proxy/clientconn.go
+++ b/proxy/clientconn.go
@@ -44,7 +44,7 @@
 	head           *http1.Head
 	body           []byte // its capacity is reserved in Shared.ReservedBytes
 	trailers       []http1.Field
-	bytesToSkip    int64          // in phaseSkipBody: how many more bytes of the body are read
+	bytesToSkip    int64          // in phaseSkipBody: how many more bytes of the body are read and discarded
 	localResponse  *localResponse // response without a decision; nil: none
 	answerDeadline time.Duration  // in phaseAwaitResponse: when the connection answers in place of the instance; 0: never
 	hadRequest     bool           // Feed or Resume has returned a request for the instance; local responses don't count
@@ -120,8 +120,9 @@
 	return deadline
 }
 
-// DeadlinePassed closes the connection if its deadline has passed. A client that was sending a request gets 408. A client
-// that awaits a response gets 504, and its connection stays open.
+// DeadlinePassed has no effect before the deadline. After it, a client that awaits a response gets 504, and its connection
+// can be used for further requests unless the response closes it. Any other connection is closed; a client that was sending
+// a request gets 408.
 func (c *ClientConn) DeadlinePassed(now time.Duration) {
 	if deadline := c.Deadline(); deadline == 0 || now < deadline {
 		return
--- a/proxy/clientconn_test.go
+++ b/proxy/clientconn_test.go
@@ -77,19 +77,19 @@
 	big := strings.Repeat("x", 2000)
 	for _, c := range []struct{ name, in, want string }{
 		{"no key", "GET /look HTTP/1.1\r\nHost: h\r\n\r\n", "401"},
-		{"bearer", "GET /nowhere HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer ka\r\n\r\n", "404"},
-		{"no path", string(requestText("GET", "/nowhere", "ka", "")), "404"},
-		{"no method", string(requestText("DELETE", "/look", "ka", "")), "405"},
-		{"dots", string(requestText("GET", "/x/../look", "ka", "")), "400"},
-		{"keyed without a key", string(requestText("POST", "/book", "ka", "Content-Length: 0\r\n")), "400"},
-		{"patience", string(requestText("GET", "/look", "ka", "X-Patience: soon\r\n")), "400"},
+		{"bearer token, unknown path", "GET /nowhere HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer ka\r\n\r\n", "404"},
+		{"unknown path", string(requestText("GET", "/nowhere", "ka", "")), "404"},
+		{"method not allowed", string(requestText("DELETE", "/look", "ka", "")), "405"},
+		{"dot segments", string(requestText("GET", "/x/../look", "ka", "")), "400"},
+		{"no idempotency key", string(requestText("POST", "/book", "ka", "Content-Length: 0\r\n")), "400"},
+		{"invalid timeout", string(requestText("GET", "/look", "ka", "X-Patience: soon\r\n")), "400"},
 		{"body too large", string(requestText("POST", "/look", "ka", "Content-Length: 2000\r\n")) + big, "413"},
 		{"chunked body too large", string(requestText("POST", "/look", "ka", "Transfer-Encoding: chunked\r\n")) + "7d0\r\n" + big + "\r\n0\r\n\r\n", "413"},
 		{"malformed", "GET / HTTP/1.1\nHost: h\n\n", "400"},
-		{"version", "GET / HTTP/3.0\r\nHost: h\r\n\r\n", "505"},
-		{"refused with a body, then another", string(requestText("POST", "/nowhere", "ka", "Content-Length: 3\r\n")) + "abc" + string(requestText("GET", "/nowhere", "ka", "")), "404 404"},
-		{"body longer than said", string(requestText("POST", "/nowhere", "ka", "Content-Length: 3\r\n")) + "abcdefg\r\n\r\n", "404 400"},
-		{"refused while waiting for 100", string(requestText("POST", "/nowhere", "ka", "Content-Length: 3\r\nExpect: 100-continue\r\n")), "404"},
+		{"unsupported version", "GET / HTTP/3.0\r\nHost: h\r\n\r\n", "505"},
+		{"rejected with a body, then another request", string(requestText("POST", "/nowhere", "ka", "Content-Length: 3\r\n")) + "abc" + string(requestText("GET", "/nowhere", "ka", "")), "404 404"},
+		{"body longer than its Content-Length", string(requestText("POST", "/nowhere", "ka", "Content-Length: 3\r\n")) + "abcdefg\r\n\r\n", "404 400"},
+		{"rejected while the client waits for 100", string(requestText("POST", "/nowhere", "ka", "Content-Length: 3\r\nExpect: 100-continue\r\n")), "404"},
 	} {
 		r := newHarness(t, 1, 1, "")
 		for _, bytewise := range []bool{false, true} {
@@ -175,23 +175,23 @@
 // released.
 func TestBodyMemoryIsBounded(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
-	var cs []*ClientConn
-	over := 0
+	var conns []*ClientConn
+	rejected := 0
 	for range 40 {
 		c := r.newClientConn()
 		c.Feed(r.now, append(requestText("POST", "/look", "ka", "Content-Length: 1000\r\n"), strings.Repeat("x", 900)...))
 		if s := statuses(c.Outgoing); len(s) == 1 && s[0] == "503" {
-			over++
+			rejected++
 		}
 		if r.shared.ReservedBytes.Load() > 16<<10 {
 			t.Fatalf("%d bytes are reserved", r.shared.ReservedBytes.Load())
 		}
-		cs = append(cs, c)
+		conns = append(conns, c)
 	}
-	if over == 0 {
+	if rejected == 0 {
 		t.Error("no request was rejected")
 	}
-	for _, c := range cs {
+	for _, c := range conns {
 		c.Disconnected()
 	}
 	if n := r.shared.ReservedBytes.Load(); n != 0 {
--- a/proxy/clientrequest.go
+++ b/proxy/clientrequest.go
@@ -33,12 +33,12 @@
 		case http1.More:
 			return nil
 		case http1.HeadEnd:
-			c.headRead(now, part.Head)
+			c.handleHead(now, part.Head)
 		case http1.Data:
-			c.bodyRead(now, part.Data)
+			c.handleBody(now, part.Data)
 		case http1.End:
 			c.trailers = part.Trailers
-			if ex := c.requestRead(now); ex != nil {
+			if ex := c.handleRequestEnd(now); ex != nil {
 				c.readAheadSince = c.receivedAt
 				c.storeReadAhead(b)
 				return ex
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// headRead handles a complete head. It identifies the request, which gets a local response if that fails. The body is then
+// handleHead handles a complete head. It identifies the request, which gets a local response if that fails. The body is then
 // skipped, or the connection closed if the body is large or the client waits for 100 (Continue) before it sends the body.
-func (c *ClientConn) headRead(now time.Duration, h *http1.Head) {
+func (c *ClientConn) handleHead(now time.Duration, h *http1.Head) {
 	c.phase, c.phaseSince, c.head = phaseBody, now, h
 	c.exchange = &Exchange{Owner: c.owner, Method: h.Method, MinorVersion: h.Minor, CloseAfterResponse: h.Close}
 	if response := c.identifyRequest(h); response != nil {
@@ -70,8 +70,8 @@
 	}
 }
 
-// bodyRead buffers or skips a part of a body.
-func (c *ClientConn) bodyRead(now time.Duration, b []byte) {
+// handleBody buffers or skips a part of a body.
+func (c *ClientConn) handleBody(now time.Duration, b []byte) {
 	if c.phase == phaseSkipBody {
 		c.bytesToSkip -= int64(len(b))
 		if c.bytesToSkip < 0 {
@@ -112,9 +112,9 @@
 	return true
 }
 
-// requestRead handles the end of a request. It returns the exchange for the instance, or nil if the request got a local
+// handleRequestEnd handles the end of a request. It returns the exchange for the instance, or nil if the request got a local
 // response.
-func (c *ClientConn) requestRead(now time.Duration) *Exchange {
+func (c *ClientConn) handleRequestEnd(now time.Duration) *Exchange {
 	if c.localResponse != nil {
 		c.sendLocalResponse(now)
 		return nil
--- a/proxy/clientresponse.go
+++ b/proxy/clientresponse.go
@@ -7,8 +7,9 @@
 	"sandyard/internal/http1"
 )
 
-// localRetryAfter is the Retry-After of local 503 responses that are sent without a decision. Their causes (exhausted
-// memory, a full queue, a start) usually pass within about that time; a shorter time would bring the load back at once.
+// localRetryAfter is the Retry-After of local 503 responses that are sent without a decision. Their causes (such as
+// exhausted memory, a full queue or an instance that is starting) usually pass within about that time; a shorter time would
+// bring the load back at once.
 const localRetryAfter = time.Second
 
 // Respond appends the complete response of an exchange, as given by the effect Respond. The exchange then ends, and the
@@ -42,7 +43,8 @@
 }
 
 // setAnswerDeadline sets when the connection answers the current exchange if the instance has not: half of
-// limits.answer-margin after the instance's own deadline. A request with too little time left is left to the instance.
+// limits.answer-margin after the instance's own deadline. If that is too soon, only the instance answers the
+// request.
 func (c *ClientConn) setAnswerDeadline(now time.Duration) {
 	margin := time.Duration(c.shared.Config.Limits.ResponseMargin) / 2
 	c.answerDeadline = c.exchange.Arrived + c.exchange.Timeout - margin - c.shared.timerDelayMargin(c.exchange.Timeout)
--- a/proxy/configured.go
+++ b/proxy/configured.go
@@ -108,7 +108,7 @@
 }
 
 // RenderRequest implements protocol.Protocol. It removes hop-by-hop fields and the customer's key, and adds the client's
-// address and the instance's name. Attempts add nothing.
+// address and the instance's name. The returned offset is 0, because attempts add no header fields.
 func (p *configuredProtocol) RenderRequest(b []byte, h *http1.Head, body []byte, trailers []http1.Field, clientAddr string) ([]byte, int) {
 	b = append(b, h.Method...)
 	b = append(b, ' ')
@@ -162,7 +162,9 @@
 
 // RenderAttempt implements protocol.Protocol. Every attempt sends the request as rendered. Backends are not informed of how
 // long the instance waits.
-func (p *configuredProtocol) RenderAttempt(wire []byte, _ int, _ time.Duration) []byte { return wire }
+func (p *configuredProtocol) RenderAttempt(rendered []byte, _ int, _ time.Duration) []byte {
+	return rendered
+}
 
 // RenderProbe implements protocol.Protocol with a GET of probes.path.
 func (p *configuredProtocol) RenderProbe(addr string) []byte {
--- a/proxy/effects.go
+++ b/proxy/effects.go
@@ -49,8 +49,8 @@
 // Effect is an operation that the runtime must execute. Effects are executed in order, and none may block the instance's
 // owner.
 //
-// All kinds share one struct because a value of an interface type would need an allocation for each effect, twice per
-// request. Each kind uses these fields; the others are zero:
+// All kinds share one struct because a value of an interface type would need an allocation for each effect, and every
+// request that is sent to a backend causes at least two effects. Each kind uses these fields; the others are zero:
 //
 //	DialBackend     Conn, Addr
 //	WriteAttempt    Conn, Exchange, Bytes
--- a/proxy/endpoints.go
+++ b/proxy/endpoints.go
@@ -29,8 +29,8 @@
 // EndpointsUpdate is a message from the source of the endpoint list.
 type EndpointsUpdate struct {
 	Endpoints []config.Endpoint
-	// Origin is the calendar time of the instance's time zero. It converts the start times of processes, which are calendar
-	// times.
+	// Origin is the wall-clock time at time 0 of the instance. It converts the start times of processes, which are
+	// wall-clock times.
 	Origin time.Time
 }
 
--- a/proxy/endpoints_test.go
+++ b/proxy/endpoints_test.go
@@ -39,8 +39,8 @@
 // backend that it removes.
 func TestEndpointUpdates(t *testing.T) {
 	r := newHarness(t, 2, 1, "")
-	gone := config.EndpointState(decision.Removed)
-	r.instance.UpdateEndpoints(r.now, EndpointsUpdate{Endpoints: []config.Endpoint{{Name: "box-0", State: gone}, {Name: "never", State: gone}, {Name: "box-2", Address: "10.0.0.9:80"}}})
+	removed := config.EndpointState(decision.Removed)
+	r.instance.UpdateEndpoints(r.now, EndpointsUpdate{Endpoints: []config.Endpoint{{Name: "box-0", State: removed}, {Name: "never", State: removed}, {Name: "box-2", Address: "10.0.0.9:80"}}})
 	r.collect()
 	seen := map[string]bool{}
 	for range 60 {
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -109,7 +109,7 @@
 	MinorVersion         int           // minor HTTP version of the client: 1 for HTTP/1.1
 	CloseAfterResponse   bool          // the client's connection is closed after the answer
 	RenderedRequest      []byte        // the request as sent to backends, without the fields that each attempt adds
-	Arrived              time.Duration // when its last byte was received
+	Arrived              time.Duration // when its last byte was received; if it was read ahead, when the first byte of the read-ahead was
 	Status               int           // of the final answer; 0 while there is none
 
 	state            State
--- a/proxy/inspect.go
+++ b/proxy/inspect.go
@@ -132,8 +132,8 @@
 	return identification.localResponse.Status, identification.localResponse.Kind
 }
 
-// Identify returns how an instance with a configuration classifies a request with this head, using the code that handles
-// requests.
+// Identify returns how an instance with the configuration cfg classifies a request with the head h, using the code that
+// handles requests.
 func Identify(cfg *config.Config, h *http1.Head) Identification {
 	var identification Identification
 	identification.localResponse = identifyCustomer(cfg, h, &identification.RequestInfo)
@@ -143,7 +143,8 @@
 	return identification
 }
 
-// IdentifyFor is Identify for a customer whose key the caller does not have. A nil customer is unknown.
+// IdentifyFor is like Identify, for a customer whose key the caller does not have. A nil customer is unknown. Unlike
+// Identify, it does not check the length of the body.
 func IdentifyFor(cfg *config.Config, h *http1.Head, customer *config.Customer) Identification {
 	var identification Identification
 	identification.Customer = customer
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -7,8 +7,8 @@
 	"sandyard/decision"
 )
 
-// idleSweepInterval is how often idle backend connections are checked against limits.box-idle-timeout. A second is short
-// compared with that timeout, which is tens of seconds, and the check is cheap.
+// idleSweepInterval is the interval at which idle backend connections are checked against limits.box-idle-timeout. A second
+// is short compared with the default of that timeout, 15 s, and the check is cheap.
 const idleSweepInterval = time.Second
 
 // assignConn assigns an attempt a connection to its backend: an idle one, on which the attempt starts at once, or a new one,
@@ -59,8 +59,8 @@
 	return maxIdle
 }
 
-// takeIdle removes the most recently used idle connection from the pool and returns it, or nil if it has been idle for
-// longer than maxIdle.
+// takeIdle removes the most recently used idle connection from the pool and returns it. It returns nil if there is none, or
+// if that connection has been idle for longer than maxIdle.
 //
 // Connections used within limits.line-rest are skipped. If a backend sends extra bytes after its response, they arrive
 // within that time and the connection is closed. If the next request had already been written, they would be taken for its
--- a/proxy/pool_test.go
+++ b/proxy/pool_test.go
@@ -7,14 +7,14 @@
 	"sandyard/internal/strictyaml"
 )
 
-// maxChoices is a number of requests that is more than enough for each of two backends to be chosen.
-const maxChoices = 102
+// maxRequestsUntilChosen is the number of requests within which each of two backends is expected to be chosen.
+const maxRequestsUntilChosen = 102
 
 // writeOn sends requests until one is written on a given idle connection, which happens when its backend is chosen, and
 // returns its exchange. Requests on other connections are answered, and those connections are closed.
 func (r *harness) writeOn(conn *BackendConn, path, extraFields string) *Exchange {
 	r.Helper()
-	for range maxChoices {
+	for range maxRequestsUntilChosen {
 		_, ex := r.request("POST", path, "ka", extraFields+"Content-Length: 0\r\n")
 		r.collect()
 		if effect := r.effects[len(r.effects)-1]; effect.Kind == WriteAttempt && effect.Conn == conn {
@@ -101,7 +101,7 @@
 	}
 }
 
-// A backend sends a second copy of a response just after the first, and the next request on the connection got it as its
+// A backend sends a second copy of a response just after the first. The next request on the connection would get it as its
 // response. A connection must not be reused within limits.line-rest, so that such bytes are detected.
 func TestConnectionIsNotReusedWithinReuseDelay(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
--- a/proxy/responsereader.go
+++ b/proxy/responsereader.go
@@ -83,7 +83,7 @@
 			return r.unfinished(out)
 		case http1.HeadEnd:
 			if part.Head.Status < 200 {
-				continue // an interim response concerns this hop only, or announces what another attempt may not deliver
+				continue // not forwarded: it concerns this connection only, or announces fields that another attempt's response may lack
 			}
 			r.head = part.Head
 			if r.exceedsLimit(part.Head.Length) {
--- a/proxy/roundtrip_test.go
+++ b/proxy/roundtrip_test.go
@@ -12,8 +12,8 @@
 func TestRoundTripEstimate(t *testing.T) {
 	var estimate roundTripEstimate
 	for _, step := range []struct{ at, took, want time.Duration }{
-		{0, 20, 20}, {1, 900, 20}, {2, 15, 15}, {roundTripMemory - 1, 200, 15}, {roundTripMemory, 200, 15}, {2*roundTripMemory - 1, 300, 15}, {2 * roundTripMemory, 300, 200},
-		{3 * roundTripMemory, 300, 300}, {9 * roundTripMemory, 0, 1},
+		{0, 20, 20}, {1, 900, 20}, {2, 15, 15}, {roundTripWindow - 1, 200, 15}, {roundTripWindow, 200, 15}, {2*roundTripWindow - 1, 300, 15}, {2 * roundTripWindow, 300, 200},
+		{3 * roundTripWindow, 300, 300}, {9 * roundTripWindow, 0, 1},
 	} {
 		if estimate.add(step.took, step.at); estimate.shortest() != step.want {
 			t.Errorf("at %v: %v, want %v", step.at, estimate.shortest(), step.want)
--- a/proxy/shared.go
+++ b/proxy/shared.go
@@ -12,9 +12,9 @@
 // earlier events, such as the start of a backend's process, also have a time above zero.
 const Start = 24 * time.Hour
 
-// maxTimerDelayMarginDivisor limits the margin for late timers to a fraction of the client's timeout. The rest is left for
-// the backends.
-const maxTimerDelayMarginDivisor = 4
+// timerDelayMarginDivisor limits the margin for late timers to a quarter of the client's timeout. The rest is left for the
+// backends.
+const timerDelayMarginDivisor = 4
 
 // Shared holds what all parts of one instance use. It is safe for concurrent use; Config and Protocol must not change
 // while the instance runs.
@@ -34,7 +34,7 @@
 
 // timerDelayMargin returns how much earlier a new exchange is answered because timers may fire late.
 func (s *Shared) timerDelayMargin(timeout time.Duration) time.Duration {
-	return min(time.Duration(s.expectedTimerDelay.Load()), timeout/maxTimerDelayMarginDivisor)
+	return min(time.Duration(s.expectedTimerDelay.Load()), timeout/timerDelayMarginDivisor)
 }
 
 // MarkStarting records that the instance has no usable endpoint list yet. Until MarkStarted, requests are answered 503.
--- a/proxy/shutdown_test.go
+++ b/proxy/shutdown_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// Requests without an answer at the end of a shutdown were cut off with the process. Each must get exactly one final
-// answer: 503 if it was not sent to a backend, which makes a retry safe, or 502 if it was sent and may have run. A streamed
-// response is aborted. Nothing more may be sent.
+// A request without an answer at the end of a shutdown would be cut off when the process ends. Each must get exactly one
+// final answer: 503 if it was not sent to a backend, which makes a retry safe, or 502 if it was sent and may have run. A
+// streamed response is aborted. Nothing more may be sent.
 func TestFailUnanswered(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	r.request("GET", "/look", "ka", "")
--- a/proxy/stats.go
+++ b/proxy/stats.go
@@ -15,7 +15,7 @@
 	CounterCalls       uint64 // calls requested by the decision gateway
 	CounterTimeouts    uint64 // counter calls without a reply within the counter timeout
 	CounterMalformed   uint64 // counter connections closed because of malformed or unexpected replies
-	IgnoredEvents      uint64 // actions of the decision gateway that the state table dropped
+	IgnoredEvents      uint64 // actions of the decision gateway that were dropped: the exchange had ended, or the state table does not accept them
 }
 
 // Counts returns the statistics in a fixed order, for digests that compare two runs.
