--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -51,7 +51,7 @@
 }
 
 // collectChunkLine reads a line of chunk framing of at most limit bytes. It returns the line without its end, or nil while the
-// line is not complete. A bare CR or LF is refused, because another parser might take it for the end of the line.
+// line is not complete. A bare CR or LF is rejected, because another parser might interpret it as the end of the line.
 func (r *Reader) collectChunkLine(b []byte, limit int) (used int, line []byte, err *Error) {
 	for i, c := range b {
 		length := len(r.buf)
--- a/internal/http1/fields.go
+++ b/internal/http1/fields.go
@@ -95,7 +95,7 @@
 	return fields, nil
 }
 
-// parseFieldLine parses one field line without its end. It refuses syntax that a lenient parser accepts but another might
+// parseFieldLine parses one field line without its end. It rejects syntax that a lenient parser accepts but another might
 // interpret differently: folded lines (RFC 9112 section 5.2) and white space before the colon (section 5.1).
 func parseFieldLine(line string) (Field, *Error) {
 	if line[0] == ' ' || line[0] == '\t' {
@@ -105,7 +105,7 @@
 	if !ok {
 		return Field{}, badRequest("a field without a colon")
 	}
-	if !isToken(name) { // also refuses a space before the colon
+	if !isToken(name) { // also rejects a space before the colon
 		return Field{}, badRequest("a field name that is no token")
 	}
 	value = strings.Trim(value, whitespace)
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -6,7 +6,7 @@
 )
 
 // resolveFraming determines from the fields the length of the body and whether the connection persists (RFC 9112 sections 6
-// and 9.3). Ambiguous fields are refused.
+// and 9.3). Ambiguous fields are rejected.
 func (h *Head) resolveFraming(request bool) *Error {
 	h.Close = h.Minor == 0
 	h.Length = 0
@@ -34,7 +34,7 @@
 	return h.setTransferCoding(codings)
 }
 
-// setContentLength parses a Content-Length field (RFC 9110 section 8.6). A second field is refused even if its value is the
+// setContentLength parses a Content-Length field (RFC 9110 section 8.6). A second field is rejected even if its value is the
 // same, and so is a list.
 func (h *Head) setContentLength(value string) *Error {
 	if h.hasContentLength {
@@ -80,7 +80,7 @@
 }
 
 // setTransferCoding handles the transfer codings of a message. Only chunked is supported (RFC 9112 sections 6.1 and 6.3). A
-// message that also has Content-Length, or is HTTP/1.0, is refused, because another parser might frame it differently.
+// message that also has Content-Length, or is HTTP/1.0, is rejected, because another parser might frame it differently.
 func (h *Head) setTransferCoding(codings string) *Error {
 	switch {
 	case h.hasContentLength:
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -89,7 +89,7 @@
 // longText is longer than a request line or a line of chunk framing may be.
 var longText = strings.Repeat("x", 9000)
 
-// requestCases are requests with the status of their refusal, or accepted.
+// requestCases are requests with the status of their rejection, or accepted.
 var requestCases = []struct {
 	name, text string
 	status     int
@@ -154,7 +154,7 @@
 }
 
 // Request smuggling: an attacker sends a request that the gateway and a backend parse differently, and hides a second request
-// in it. A request that two parsers could interpret differently must be refused with the right status, no matter how its bytes
+// in it. A request that two parsers could interpret differently must be rejected with the right status, no matter how its bytes
 // are split.
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	for _, c := range requestCases {
@@ -173,8 +173,8 @@
 	}
 }
 
-// The length of a response body follows from the status, the fields and the request's method. A reader that gets it wrong takes
-// bytes of one response for the next one. want is a text that the listing of the parts must contain.
+// The length of a response body follows from the status, the fields and the request's method. A reader that gets it wrong parses
+// bytes of one response as the next one. want is a text that the listing of the parts must contain.
 func TestResponseBodyLength(t *testing.T) {
 	for _, c := range []struct{ name, method, text, want string }{
 		{"length", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", "end"},
@@ -230,7 +230,7 @@
 	})
 }
 
-// readMessage reads one message and returns the bytes after it as rest. ok is false if the reader refuses the message, if it is
+// readMessage reads one message and returns the bytes after it as rest. ok is false if the reader rejects the message, if it is
 // truncated, or if it is an interim response.
 func readMessage(r *Reader, text []byte) (head *Head, body, rest []byte, ok bool) {
 	rest = text
@@ -257,7 +257,7 @@
 	}
 }
 
-// isURLError reports whether net/http refuses a request because of its target or method. This package checks only their bytes
+// isURLError reports whether net/http rejects a request because of its target or method. This package checks only their bytes
 // and leaves the rest to package routes.
 func isURLError(err error) bool {
 	text := err.Error()
@@ -265,7 +265,7 @@
 }
 
 // FuzzRequest compares the reader with net/http: net/http must accept every request that the reader accepts, with the same end
-// of the message. The reader may refuse more than net/http does.
+// of the message. The reader may reject more than net/http does.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{"GET / HTTP/1.1\r\nHost: h\r\n\r\n", "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET",
 		"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;e\r\nabc\r\n0\r\nT: v\r\n\r\n",
--- a/internal/http1/lines.go
+++ b/internal/http1/lines.go
@@ -38,7 +38,7 @@
 }
 
 // endLine checks the last line in r.buf, which is complete. empty reports that it is the empty line, which ends a head or
-// trailers. A line that does not end with CRLF, or contains another CR, is refused, because another parser might split it
+// trailers. A line that does not end with CRLF, or contains another CR, is rejected, because another parser might split it
 // differently (RFC 9112 section 2.2).
 func (r *Reader) endLine() (empty bool, err *Error) {
 	line, ok := bytes.CutSuffix(r.buf[r.lineStart:], []byte(crlf))
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -83,7 +83,7 @@
 	return n, part, nil
 }
 
-// EOF tells the reader that the stream has ended. It returns End for a body that ends with the connection (RFC 9112 section
+// EOF reports that the stream has ended. It returns End for a body that ends with the connection (RFC 9112 section
 // 6.3, item 8), More between messages, and ErrTruncated within a message or after an error of Feed.
 func (r *Reader) EOF() (Part, error) {
 	switch {
--- a/internal/http1/target.go
+++ b/internal/http1/target.go
@@ -37,7 +37,7 @@
 // route it differently.
 func hostMismatchError() *Error { return badRequest("a target that names another host than Host") }
 
-// hostField returns the value of the Host field, and whether there is one. More than one Host is refused, and in HTTP/1.1 also
+// hostField returns the value of the Host field, and whether there is one. More than one Host is rejected, and in HTTP/1.1 also
 // none (RFC 9112 section 3.2).
 func (h *Head) hostField() (host string, present bool, err *Error) {
 	count := 0
--- a/proxy/backendconn_test.go
+++ b/proxy/backendconn_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// A backend sends extra bytes after its response. They belong to no request and would be taken for the response to the next
+// A backend sends extra bytes after its response. They belong to no request and would be parsed as the response to the next
 // one, so the connection must be closed.
 func TestBytesAfterResponseCloseConnection(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
--- a/proxy/clientconn_test.go
+++ b/proxy/clientconn_test.go
@@ -9,8 +9,7 @@
 	"sandyard/internal/strictyaml"
 )
 
-// A connection that sends nothing, or an incomplete request, must be closed after limits.first-timeout, whatever phase it is
-// in.
+// A connection that sends nothing, or an incomplete request, must be closed after limits.first-timeout, in any phase.
 func TestFirstRequestTimeout(t *testing.T) {
 	r := newHarness(t, 1, 1, "")
 	r.shared.Config.Limits.FirstTimeout = strictyaml.Duration(2 * time.Second)
--- a/proxy/effects.go
+++ b/proxy/effects.go
@@ -73,7 +73,7 @@
 	CloseAfterResponse bool
 }
 
-// Effects returns and removes the pending effects. The instance's owner calls it after each method that takes a time, and
+// Effects returns and removes the pending effects. The instance's owner calls it after each method with a parameter now, and
 // executes the effects in order before it reports any of their results. The caller owns the slice.
 func (inst *Instance) Effects() []Effect {
 	if counter := &inst.counter; len(counter.outgoing) > 0 {
--- a/proxy/endpoints.go
+++ b/proxy/endpoints.go
@@ -47,7 +47,7 @@
 	inst.applyEndpoints(now, update, decision.EndpointsChanged{})
 }
 
-// EndpointPollFailed reports that the endpoint list could not be read. The last list stays in force.
+// EndpointPollFailed reports that the endpoint list could not be read. The last list remains in use.
 func (inst *Instance) EndpointPollFailed(now time.Duration) {
 	inst.advanceTo(now)
 	inst.handleAndDrain(decision.EndpointsChanged{Failed: true})
--- a/proxy/instance.go
+++ b/proxy/instance.go
@@ -25,9 +25,9 @@
 
 // Instance is the decision loop of one proxy instance. It has one owner at a time and does no I/O: no method blocks.
 //
-// Methods that take a time report to it what happened, and may add effects. The owner fetches the effects with Effects and
-// executes them in order before it reports any of their results. The instance's time never goes back: a time earlier than
-// the last one is replaced by the last one.
+// Methods with a parameter now report an event to the instance and may add effects. The owner fetches the effects with
+// Effects and executes them in order before it reports any of their results. The instance's time never goes back: a time
+// earlier than the last one is replaced by the last one.
 type Instance struct {
 	// Stats may be read by the owner at any time.
 	Stats Stats
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -63,7 +63,7 @@
 // if that connection has been idle for longer than maxIdle.
 //
 // Connections used within limits.line-rest are skipped. If a backend sends extra bytes after its response, they arrive
-// within that time and the connection is closed. If the next request had already been written, they would be taken for its
+// within that time and the connection is closed. If the next request had already been written, they would be parsed as its
 // response, because HTTP/1.1 does not identify the request to which a response belongs.
 func (inst *Instance) takeIdle(backend *backendEntry, maxIdle time.Duration) *BackendConn {
 	reuseDelay := time.Duration(inst.shared.Config.Limits.ReuseDelay)
--- a/proxy/shared.go
+++ b/proxy/shared.go
@@ -16,8 +16,8 @@
 // backends.
 const timerDelayMarginDivisor = 4
 
-// Shared holds what all parts of one instance use. It is safe for concurrent use; Config and Protocol must not change
-// while the instance runs.
+// Shared contains the configuration and the state that all parts of one instance use. It is safe for concurrent use; Config
+// and Protocol must not change while the instance runs.
 type Shared struct {
 	Config                *config.Config
 	Protocol              protocol.Protocol
