--- a/proxy/effects.go
+++ b/proxy/effects.go
@@ -49,8 +49,8 @@
 // Effect is an operation that the runtime must execute. Effects are executed in order, and none may block the instance's
 // owner.
 //
-// All kinds share one struct because a value of an interface type would need an allocation for each effect, twice per
-// request. Each kind uses these fields; the others are zero:
+// All kinds share one struct because a value of an interface type would need an allocation for each effect, and every
+// request that is sent to a backend causes at least two effects. Each kind uses these fields; the others are zero:
 //
 //	DialBackend     Conn, Addr
 //	WriteAttempt    Conn, Exchange, Bytes
@@ -73,7 +73,7 @@
 	CloseAfterResponse bool
 }
 
-// Effects returns and removes the pending effects. The instance's owner calls it after each method that takes a time, and
+// Effects returns and removes the pending effects. The instance's owner calls it after each method with a parameter now, and
 // executes the effects in order before it reports any of their results. The caller owns the slice.
 func (inst *Instance) Effects() []Effect {
 	if counter := &inst.counter; len(counter.outgoing) > 0 {
--- a/proxy/endpoints.go
+++ b/proxy/endpoints.go
@@ -29,8 +29,8 @@
 // EndpointsUpdate is a message from the source of the endpoint list.
 type EndpointsUpdate struct {
 	Endpoints []config.Endpoint
-	// Origin is the calendar time of the instance's time zero. It converts the start times of processes, which are calendar
-	// times.
+	// Origin is the wall-clock time at time 0 of the instance. It converts the start times of processes, which are
+	// wall-clock times.
 	Origin time.Time
 }
 
@@ -47,7 +47,7 @@
 	inst.applyEndpoints(now, update, decision.EndpointsChanged{})
 }
 
-// EndpointPollFailed reports that the endpoint list could not be read. The last list stays in force.
+// EndpointPollFailed reports that the endpoint list could not be read. The last list remains in use.
 func (inst *Instance) EndpointPollFailed(now time.Duration) {
 	inst.advanceTo(now)
 	inst.handleAndDrain(decision.EndpointsChanged{Failed: true})
