--- a/internal/exposure/exposure.go
+++ b/internal/exposure/exposure.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// maxRecordBytes bounds a line of a log. A record names each endpoint of a message.
+// maxRecordBytes bounds a line of a log (bytes). A record names each endpoint of a message.
 const maxRecordBytes = 1 << 20
 
 // Messages of an instance's log records; docs/on-call.md lists them.
@@ -34,9 +34,10 @@
 type Run struct {
 	Name      string `json:"play"`
 	Processes int    `json:"processes"`
-	// ShutdownAttempts counts the attempts that began after the process was signalled to stop. AfterNotice counts those of
-	// them that began after a notice that arrived since the signal, and AfterGrace those that began later than the drain
-	// grace after it. With an outdated endpoint list, each attempt in AfterGrace could have broken the rule.
+	// ShutdownAttempts counts the attempts that began after the process was signalled to stop. AfterNotice counts those of them
+	// that began after a notice that arrived since the signal, and AfterGrace those that began later than the drain grace after
+	// it. With an outdated endpoint list, each attempt in AfterGrace could have reached a backend that had been draining for
+	// longer than the grace.
 	ShutdownAttempts int `json:"shutdown_attempts"`
 	AfterNotice      int `json:"after_notice"`
 	AfterGrace       int `json:"after_grace"`
@@ -53,8 +54,8 @@
 	// ClosestAttempt is the shortest time between a notice that an instance read and a logged attempt of that instance,
 	// before or after the notice, at an endpoint that the notice names; -1: no attempt at such an endpoint was logged.
 	ClosestAttempt time.Duration `json:"closest_attempt_ns"`
-	// LatestAttempt is the longest time after such a notice at which an attempt at an endpoint that it names began, before
-	// the endpoint's address could be in use again; -1: none began after a notice.
+	// LatestAttempt is the longest time from such a notice to the beginning of an attempt at an endpoint that it names. Attempts
+	// don't count once another process may have the address. -1: none began after a notice.
 	LatestAttempt time.Duration `json:"latest_attempt_ns"`
 	// MaxAge is the maximum age of the list at any attempt, logged or not, of the processes that shut down in order.
 	MaxAge time.Duration `json:"ever_greatest_age_ns"`
@@ -214,8 +215,8 @@
 	}
 }
 
-// attemptsAt returns the shortest time between a notice and an attempt of its instance at an address, and the longest time
-// after the notice at which such an attempt began.
+// attemptsAt returns the shortest time between a notice and an attempt at an address by the instance that read the notice,
+// and the longest time after the notice at which such an attempt began.
 func (r *reader) attemptsAt(address string, notice notice, reuse time.Duration) (closest, latest time.Duration) {
 	closest, latest = none, none
 	for _, attempt := range r.attempts {
--- a/internal/exposure/exposure_test.go
+++ b/internal/exposure/exposure_test.go
@@ -26,7 +26,7 @@
 time=2026-12-03T15:00:05.000Z level=INFO msg=listening addr=127.0.0.1:1 name=following
 time=2026-12-03T15:00:09.000Z level=INFO msg="attempt by an old endpoint list" request=d addr=127.0.0.1:60 seq=4 confirmed_ms_ago=2500 read_seq=4 late_ms=0 request_age_ms=9
 `
-	frozenLog = `time=2026-12-03T15:00:00.000Z level=INFO msg=listening addr=127.0.0.1:2 name=frozen
+	outdatedLog = `time=2026-12-03T15:00:00.000Z level=INFO msg=listening addr=127.0.0.1:2 name=frozen
 time=2026-12-03T15:00:02.100Z level=INFO msg="shutting down" signalled=true
 time=2026-12-03T15:00:03.600Z level=INFO msg="attempt during shutdown" request=e addr=127.0.0.1:40 seq=3 confirmed_ms_ago=2600 request_age_ms=9
 `
@@ -43,10 +43,10 @@
 	return folder
 }
 
-// A run without violations was taken for evidence although none of its attempts had raced with a change of the endpoint list.
-// The race is counted, also for an instance that no longer logs notices.
+// TestExposureCountsAttemptsAfterNotice guards against runs without violations that show nothing, because none of their
+// attempts raced with a change of the endpoint list. The race is counted, also for an instance that no longer logs notices.
 func TestExposureCountsAttemptsAfterNotice(t *testing.T) {
-	folder := writeLogs(t, map[string]string{"n0.log": followingLog, "n1.log": frozenLog})
+	folder := writeLogs(t, map[string]string{"n0.log": followingLog, "n1.log": outdatedLog})
 	got, err := exposure.ReadFolder(folder, time.Second, 2*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +75,8 @@
 	}
 }
 
-// A run that did not reach the race must not look like one that did.
+// TestExposureOfRunWithoutRace checks that the figures of a run that did not reach the race differ from those of a run that
+// did.
 func TestExposureOfRunWithoutRace(t *testing.T) {
 	quiet := strings.Split(followingLog, "\n")[0]
 	got, err := exposure.ReadFolder(writeLogs(t, map[string]string{"n0.log": quiet}), time.Second, time.Second)
--- a/internal/exposure/logrecord.go
+++ b/internal/exposure/logrecord.go
@@ -10,7 +10,7 @@
 type logRecord struct {
 	at      time.Time
 	message string
-	fields  map[string]string // the other keys
+	fields  map[string]string // by key; time and msg are among them
 }
 
 // parseRecord parses a line from its first "time=" on. It returns false if the line is no record.
--- a/internal/lateness/lateness.go
+++ b/internal/lateness/lateness.go
@@ -45,7 +45,7 @@
 	})
 }
 
-// Max returns the longest delay between two times.
+// Max returns the longest delay that was recorded between two times.
 func Max(delays []Delay, from, until time.Duration) (longest time.Duration) {
 	for _, delay := range delays {
 		if delay.At >= from.Milliseconds() && delay.At <= until.Milliseconds() {
@@ -55,7 +55,7 @@
 	return longest
 }
 
-// Sum returns the sum of the delays between two times.
+// Sum returns the sum of the delays that were recorded between two times.
 func Sum(delays []Delay, from, until time.Duration) (sum time.Duration) {
 	for _, delay := range delays {
 		if delay.At >= from.Milliseconds() && delay.At <= until.Milliseconds() {
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestFreeAddressStaysFree: an outgoing connection took the port that had been found free, and the process that should listen
-// on it could not start.
+// TestFreeAddressStaysFree guards against an outgoing connection that takes the port of the free address, so that the process
+// that should listen on it can't start.
 func TestFreeAddressStaysFree(t *testing.T) {
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// minAcceptBackoff is the first delay after accept failed for lack of descriptors or memory: typically a response
-	// completes within this time and frees some. Each further failure doubles the delay, up to maxAcceptBackoff.
+	// minAcceptBackoff is the first delay after accept failed for lack of descriptors or memory: typically a response completes
+	// within this time and its resources become free. Each further failure doubles the delay, up to maxAcceptBackoff.
 	minAcceptBackoff = 5 * time.Millisecond
 	// maxAcceptBackoff bounds that delay, so that a client in the backlog is still answered within a typical client timeout.
 	maxAcceptBackoff = time.Second
-	// backlogTime is how long the instance accepts connections after the listener's deadline. accept fails once the
+	// backlogAcceptTime is how long the instance accepts connections after the listener's deadline. accept fails once the
 	// deadline has passed, even if the backlog holds connections, and closing the listener would reset those.
-	backlogTime = 50 * time.Millisecond
+	backlogAcceptTime = 50 * time.Millisecond
 )
 
-// accept accepts connections until the listener is closed or its deadline and backlogTime have passed. It pauses while the
-// event loop's queue is half full, so that clients wait in the backlog before any is rejected. Only Serve calls it.
+// accept accepts connections until the listener is closed or its deadline and backlogAcceptTime have passed. It pauses while
+// the event loop's queue is half full, so that clients wait in the backlog before any is rejected. Only Serve calls it.
 //
-// A shutdown does not interrupt its waits, because connectionsCtx is cancelled in step 4, after accept has returned. Each
-// wait is bounded: the backoff by maxAcceptBackoff, waitForClientSlot by clientSlotTimeout, and waitForQueueSpace by the time
-// until the event loop takes its queue.
+// A shutdown does not interrupt its waits, because connectionsCtx is cancelled in step 4 of the shutdown (shutdown.go), after
+// accept has returned. Each wait is bounded: the backoff by maxAcceptBackoff, waitForClientSlot by clientSlotTimeout, and
+// waitForQueueSpace by the time until the event loop takes its queue.
 func (s *Server) accept() error {
 	backoff, deadlinePassed := minAcceptBackoff, false
 	for {
@@ -45,7 +45,7 @@
 			backoff = min(2*backoff, maxAcceptBackoff)
 		case isTimeout(err) && !deadlinePassed:
 			deadlinePassed = true
-			s.listener.SetDeadline(time.Now().Add(backlogTime))
+			s.listener.SetDeadline(time.Now().Add(backlogAcceptTime))
 		case isTimeout(err):
 			return nil
 		default:
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -29,8 +29,8 @@
 //	GET /v1/would?name=S&units=N         what the instance would decide now, by a copy of its state
 //	GET /v1/match?method=M&target=T&...  how a request is parsed and matched before the decision (see proxy.Inspection)
 //
-// Its cost to requests is bounded: a customer is inspected between two events, and a copy of the state is taken at most once
-// in minSnapshotInterval, for all tools together, and used outside the event loop.
+// Inspections delay requests only briefly: the event loop inspects a customer between two messages. It copies the state at
+// most once in minSnapshotInterval, for all tools together, and the copy is used outside the event loop.
 const (
 	// maxAdminConns bounds the connections of tools. Each costs a descriptor.
 	maxAdminConns = 8
@@ -74,7 +74,7 @@
 	return adminResponse{status, adminError{fmt.Sprintf(format, args...)}}
 }
 
-// stoppingResponse returns the response if the event loop has ended.
+// stoppingResponse returns the response to a request that arrives after the event loop has ended.
 func stoppingResponse() adminResponse { return adminFailure(503, "the front door is ending") }
 
 // Identity is the response to /v1/identity.
@@ -90,7 +90,7 @@
 type CounterEntry struct {
 	Known       bool    `json:"known"` // the customer was seen recently, and other instances share its quota
 	Name        string  `json:"name"`
-	Weight      float64 `json:"weight"` // what a unit used now counts
+	Weight      float64 `json:"weight"` // what the counter adds for a unit that is used now
 	CounterAddr string  `json:"keeper"` // host:port; empty: no counter
 }
 
@@ -226,8 +226,9 @@
 	return adminResponse{200, entry}
 }
 
-// inspectDecision handles /v1/would: it returns what a copy of the instance's state decides on a request for a number of units,
-// 1 by default. It waits for other calls to finish, and until minSnapshotInterval after the previous copy.
+// inspectDecision handles /v1/would: it returns what a copy of the instance's state decides on a request for a number of
+// units, 1 by default. It waits for concurrent calls of inspectDecision, and until minSnapshotInterval after the previous
+// copy.
 func (a *adminServer) inspectDecision(customer *config.Customer, unitsText string) adminResponse {
 	units, err := parseUnits(unitsText)
 	if err != nil {
@@ -251,11 +252,11 @@
 	if err != nil {
 		return adminFailure(500, "%v", err)
 	}
-	would, err := quota.DryRun(a.server.cfg.Settings, state, customer.Plan, customer.Name, customer.Spread, customer.First, units, at)
+	outcome, err := quota.DryRun(a.server.cfg.Settings, state, customer.Plan, customer.Name, customer.Spread, customer.First, units, at)
 	if err != nil {
 		return adminFailure(500, "%v", err)
 	}
-	return adminResponse{200, would}
+	return adminResponse{200, outcome}
 }
 
 func parseUnits(text string) (float64, error) {
--- a/internal/server/backendconn.go
+++ b/internal/server/backendconn.go
@@ -77,7 +77,7 @@
 		bc.closed = true
 		bc.mu.Unlock()
 		if !closedBefore {
-			bc.postLostRequestIncomplete()
+			bc.postDisconnected()
 		}
 		return false
 	}
@@ -99,7 +99,7 @@
 	if exchange == nil { // the end of an idle connection, or bytes without a request: it cannot be used any more
 		bc.closed = true
 		bc.mu.Unlock()
-		bc.postLostRequestIncomplete()
+		bc.postDisconnected()
 		return false
 	}
 	response := bc.parseLocked(b, err)
@@ -151,7 +151,7 @@
 		if bc.socket.closeAndFlushed() {
 			bc.postResponse(response)
 		} else { // not all of the request was handed to the kernel; see write
-			bc.postLostRequestIncomplete()
+			bc.postDisconnected()
 		}
 		return false
 	}
@@ -177,17 +177,17 @@
 	bc.server.post(&bc.received)
 }
 
-func (bc *backendConn) postLostRequestIncomplete() {
-	bc.server.post(backendLostRequestIncomplete{bc.conn})
+func (bc *backendConn) postDisconnected() {
+	bc.server.post(backendDisconnected{bc.conn})
 }
 
 // write sends a request. Only the event loop calls it; it never blocks. If the connection has unread bytes, which would be
 // taken for the response, or fails before all of the request was handed to the kernel, it is closed and reported by
-// backendLostRequestIncomplete. The attempt then counts as not run, even if a part of the request was sent. This assumes that
-// backends act only on complete requests.
+// backendDisconnected. The attempt then counts as not run, even if a part of the request was sent. This assumes that backends
+// act only on complete requests.
 func (bc *backendConn) write(exchange *proxy.Exchange, request []byte) {
 	bc.mu.Lock()
-	if bc.closed { // backendLostRequestIncomplete is queued for the event loop
+	if bc.closed { // backendDisconnected is queued for the event loop
 		bc.mu.Unlock()
 		return
 	}
@@ -200,7 +200,7 @@
 	bc.closed = incomplete
 	bc.mu.Unlock()
 	if incomplete {
-		bc.postLostRequestIncomplete()
+		bc.postDisconnected()
 		bc.socket.close()
 	}
 }
--- a/internal/server/backendconn_test.go
+++ b/internal/server/backendconn_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("messages to the event loop: %+v", s.queue)
 		return
 	}
-	if _, ok := s.queue[0].(backendLostRequestIncomplete); !ok {
+	if _, ok := s.queue[0].(backendDisconnected); !ok {
 		t.Errorf("message to the event loop: %+v", s.queue[0])
 	}
 }
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// lingeringCloseTimeout is how long the server reads from a client that still sends after its last response: some round
-	// trips.
+	// lingeringCloseTimeout is how long the server reads from a client that still sends after the last response to it: some
+	// round trips.
 	lingeringCloseTimeout = time.Second
 	// maxLingeringCloseBytes (256 KiB) bounds what is read in that time: what a client may have in flight on a typical network.
 	maxLingeringCloseBytes = 256 << 10
@@ -56,7 +56,7 @@
 	cc.readable.L = &cc.mu
 	host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
 	cc.client = proxy.NewClientConn(s.shared, cc, host, s.now())
-	socket.onFlushed = cc.flushed
+	socket.onFlushed = cc.resumeAfterFlush
 	return cc, nil
 }
 
@@ -160,8 +160,9 @@
 	}
 }
 
-// setReadDeadline sets the socket's read deadline if none is set or the one that is set is too late. One that is too early is
-// left: when it passes, handleRead sets the next. A busy connection thus does not set a deadline for each request. mu is held.
+// setReadDeadline sets the socket's read deadline if none is set or the one that is set is too late. One that is too early
+// stays: when it passes, handleRead sets the next. A busy connection thus does not set a deadline for each request. The
+// caller holds mu.
 func (cc *clientConn) setReadDeadline() {
 	deadline := cc.client.Deadline()
 	if deadline != 0 && !cc.closeRequested && (cc.readDeadline == 0 || cc.readDeadline > deadline) {
@@ -171,7 +172,7 @@
 }
 
 // advance posts a request that the state machine has read completely, writes the state machine's output, and continues with
-// pipelined requests, until nothing is left to do or the client is slow to accept the output. mu is held.
+// pipelined requests, until nothing is left to do or the client is slow to accept the output. The caller holds mu.
 func (cc *clientConn) advance(now time.Duration, request *proxy.Exchange) {
 	for {
 		if request != nil {
@@ -181,8 +182,8 @@
 			cc.client.RejectOverload(now, request)
 		}
 		cc.writeOutput()
-		cc.logOwnResponses()                // after the write: a blocked log must not delay the response
-		if cc.socket.unwrittenBytes() > 0 { // flushed continues later
+		cc.logLocalResponses()              // after the write: a blocked log must not delay the response
+		if cc.socket.unwrittenBytes() > 0 { // resumeAfterFlush continues
 			break
 		}
 		if cc.beginCloseIfFinished() {
@@ -200,8 +201,8 @@
 	cc.readable.Signal()
 }
 
-// logOwnResponses logs the local responses that the connection sent without involving the instance. mu is held.
-func (cc *clientConn) logOwnResponses() {
+// logLocalResponses logs the local responses, which the connection sent without involving the instance. The caller holds mu.
+func (cc *clientConn) logLocalResponses() {
 	if cc.server.debug {
 		for _, status := range cc.client.LocalStatuses {
 			cc.server.log.Debug("answer", "status", status, "client", cc.socket.conn.RemoteAddr().String())
@@ -210,7 +211,7 @@
 	cc.client.LocalStatuses = cc.client.LocalStatuses[:0]
 }
 
-// writeOutput writes the state machine's output to the client. mu is held.
+// writeOutput writes the state machine's output to the client. The caller holds mu.
 func (cc *clientConn) writeOutput() {
 	if len(cc.client.Outgoing) == 0 {
 		return
@@ -223,7 +224,7 @@
 }
 
 // beginCloseIfFinished reports whether the connection is finished. If so, it ends the read in progress or the wait in
-// prepareRead, so that the reader closes the connection. mu is held, and no bytes are unwritten.
+// prepareRead, so that the reader closes the connection. The caller holds mu, and no bytes are unwritten.
 func (cc *clientConn) beginCloseIfFinished() bool {
 	closing, linger := cc.client.Closing()
 	if !closing || len(cc.client.Outgoing) > 0 {
@@ -237,8 +238,9 @@
 	return true
 }
 
-// flushed continues after a slow client has accepted the buffered bytes. The socket's flush goroutine calls it.
-func (cc *clientConn) flushed() {
+// resumeAfterFlush continues with pipelined requests after a slow client has accepted the buffered bytes, or wakes the reader
+// if the connection has failed. The socket's flush goroutine calls it.
+func (cc *clientConn) resumeAfterFlush() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	if cc.socket.closedOrFailed() {
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -8,13 +8,14 @@
 //	client connections              limits.connections            waitForClientSlot
 //	clients being rejected          maxRejectedConnections        rejectClient
 //	connections to backends         limits.lines                  proxy/pool.go, which closes idle ones to make room
-//	counter, watch of discovery     one each; two during a move   the event loop, endpointWatch
+//	counter, watch of discovery     one each; two while their     the event loop, endpointWatch
+//	                                address changes
 //	admin socket                    maxAdminConns                 connServer.admit
 //	listeners, log, trace file,     one each
-//	watch of the endpoint file
+//	read of the endpoint file
 //
 // At limits.connections an idle client connection is evicted in favour of a new one. If the process runs out of descriptors
-// nevertheless, accept waits (accept.go), and a dial fails as an attempt that was never sent.
+// nevertheless, accept waits (accept.go), and an attempt whose dial fails counts as never sent.
 const (
 	// maxRejectedConnections is how many connections beyond limits.connections can receive an error response at a time;
 	// further ones are closed unread. Each uses a descriptor and a goroutine for up to lingeringCloseTimeout.
@@ -25,8 +26,8 @@
 	// minIdleTime is how long a connection must have been idle after a response before it may be evicted, so that a client
 	// that sends its next request sooner does not find its connection closed.
 	minIdleTime = 2 * time.Second
-	// firstRequestTime is how long a new connection must have been open before it may be evicted without having sent a byte: some
-	// round trips, and no more, since silent connections cost an attacker nothing.
+	// firstRequestTime is how long a connection without a request that was handed to the instance must have been idle before it
+	// may be evicted: some round trips, and no more, since silent connections cost an attacker nothing.
 	firstRequestTime = 150 * time.Millisecond
 	// clientSlotTimeout is how long a new connection waits for an eviction, including its time in the backlog. Other new
 	// connections wait in the backlog in that time.
--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -19,8 +19,8 @@
 	"sandyard/proxy"
 )
 
-// Timeouts of the watch. docs/design/platform.md lists the sums of them that must stay below the platform's bounds;
-// TestEndpointUpdateDeadlines checks the sums.
+// Timeouts of the watch. docs/design/platform.md lists which sums of them must stay below the platform's bounds;
+// TestEndpointUpdateDeadlines checks these sums.
 const (
 	// watchSilenceTimeout ends a watch on which nothing arrives: 1.5 times discovery's heartbeat interval of 2 s. A heartbeat
 	// is an empty line, which shows that the watch is alive.
@@ -36,7 +36,7 @@
 	firstEndpointsTimeout = watchSilenceTimeout + minWatchBackoff + watchDialTimeout + firstAnswerTime
 	// firstAnswerTime is the time for discovery's first answer to a watch to arrive and to be handled.
 	firstAnswerTime = 500 * time.Millisecond
-	// firstEndpointsPoll is the interval, after firstEndpointsTimeout, between checks whether discovery's answer is unread.
+	// firstEndpointsPoll is the interval of the checks, after firstEndpointsTimeout, for an unhandled answer of discovery.
 	firstEndpointsPoll = 20 * time.Millisecond
 )
 
@@ -65,9 +65,9 @@
 	readVersion atomic.Uint64 // of the last message that was read; it may still be queued for the event loop
 	input       watchInput
 
-	mu             sync.Mutex // guards address and addressChanged
-	address        string     // host:port
-	addressChanged chan struct{}
+	mu             sync.Mutex    // guards address and addressChanged
+	address        string        // host:port
+	addressChanged chan struct{} // closed and replaced when address changes
 
 	// Used by the goroutine of the watch only.
 	version   uint64                     // of the endpoint list that was last queued for the event loop
@@ -203,12 +203,12 @@
 	ctx          context.Context // of the watch: after its end, data that has arrived is read, without waiting for more
 	input        *watchInput
 	socket       *socket
-	finalReads   int // reads after ctx has ended
+	finalReads   int // number of reads since ctx ended
 	responses    *http1.Reader
-	unparsed     []byte // bytes of the connection
-	unread       []byte // bytes of the body
-	messageBytes int    // bytes of the message that is being read, and of the data read after it
-	onHeartbeat  func() // called for each blank part between messages
+	unparsed     []byte // bytes read from the connection
+	unread       []byte // bytes of the body that Read has not returned
+	messageBytes int    // bytes that Read has returned since the last complete message
+	onHeartbeat  func() // called for whitespace between messages: a heartbeat
 }
 
 func newWatchBody(ctx context.Context, input *watchInput, socket *socket, onHeartbeat func()) *watchBody {
@@ -217,7 +217,7 @@
 	return body
 }
 
-// Read waits for a part of the body until watchSilenceTimeout. The end of the body is an error.
+// Read waits for a part of the body for at most watchSilenceTimeout. It returns an error at the end of the body.
 func (b *watchBody) Read(p []byte) (int, error) {
 	for len(b.unread) == 0 {
 		if err := b.readPart(); err != nil {
@@ -264,8 +264,8 @@
 	return nil
 }
 
-// readSocket waits for bytes until watchSilenceTimeout. Once the context has ended it does not wait, and only returns bytes that
-// have arrived.
+// readSocket waits for bytes for at most watchSilenceTimeout. Once the context has ended it does not wait, and only returns
+// bytes that have arrived.
 func (b *watchBody) readSocket() ([]byte, error) {
 	b.socket.conn.SetReadDeadline(time.Now().Add(watchSilenceTimeout))
 	if b.ctx.Err() != nil {
@@ -277,8 +277,8 @@
 	return b.input.read(b.socket)
 }
 
-// handleMessage queues a message of discovery for the event loop. It logs entries that can't be parsed; their current endpoints
-// stay. It returns an error if the message as a whole can't be parsed.
+// handleMessage queues a message of discovery for the event loop. It logs entries that can't be parsed; the current endpoints
+// of their hosts stay in force. It returns an error if the message as a whole can't be parsed.
 func (w *endpointWatch) handleMessage(socket *socket, text []byte) error {
 	update, err := platform.ParseEndpointList(text)
 	if err != nil {
@@ -339,8 +339,7 @@
 	return departedEndpoints(before, w.endpoints)
 }
 
-// confirmation returns the message by which the event loop learns that discovery has just confirmed the current version of the
-// list.
+// confirmation returns the message to the event loop that discovery has just confirmed the current version of the list.
 func (w *endpointWatch) confirmation(socket *socket, departed []string) endpointsConfirmed {
 	readAt := w.server.now()
 	return endpointsConfirmed{
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -34,7 +34,7 @@
 		{"a watch ends", silent, []time.Duration{minWatchBackoff, watchDialTimeout}},
 		{"refused for long, until discovery can be reached", silent, []time.Duration{maxWatchBackoff, watchDialTimeout}},
 		{"a connection that is never established, until discovery can be reached", silent, []time.Duration{watchDialTimeout, maxWatchBackoff, watchDialTimeout}},
-		{"a watch opened while discovery is down that never says anything", silent, []time.Duration{watchSilenceTimeout, maxWatchBackoff, watchDialTimeout}},
+		{"a watch opened while discovery is down that stays silent", silent, []time.Duration{watchSilenceTimeout, maxWatchBackoff, watchDialTimeout}},
 		{"SIGHUP", moved, []time.Duration{watchDialTimeout}},
 		{"SIGHUP, and the first connection is never established", moved, []time.Duration{watchDialTimeout, minWatchBackoff, watchDialTimeout}},
 		{"a new process, discovery down", ready, []time.Duration{firstEndpointsTimeout}},
@@ -51,8 +51,8 @@
 	if silentFirst := watchSilenceTimeout + minWatchBackoff + watchDialTimeout + margin; firstEndpointsTimeout < silentFirst {
 		t.Errorf("a new process uses its configured list after %v; the answer to its second watch may arrive after %v", firstEndpointsTimeout, silentFirst)
 	}
-	if least := 2 * time.Second; watchSilenceTimeout < least+margin {
-		t.Errorf("silence timeout %v, but a watch has a heartbeat every %v", watchSilenceTimeout, least)
+	if heartbeat := 2 * time.Second; watchSilenceTimeout < heartbeat+margin {
+		t.Errorf("silence timeout %v, but a watch has a heartbeat every %v", watchSilenceTimeout, heartbeat)
 	}
 }
 
--- a/internal/server/drain_departed_test.go
+++ b/internal/server/drain_departed_test.go
@@ -49,11 +49,11 @@
 }
 
 // lateAttempt is a way in which an attempt begins long after a notice was handled. prepare is called before the instance is
-// started. begin is called when the instance is ready, and returns the function that triggers the attempt.
+// started. start is called when the instance is ready, and returns the function that triggers the attempt.
 type lateAttempt struct {
 	name    string
 	prepare func(rig *drainRig)
-	begin   func(rig *drainRig) (attempt func())
+	start   func(rig *drainRig) (attempt func())
 }
 
 func lateAttempts() []lateAttempt {
@@ -63,10 +63,10 @@
 		{"a first attempt", func(*drainRig) {}, func(rig *drainRig) func() {
 			return func() { rig.requireAnswer(200, rig.send(3)) }
 		}},
-		{"a retry of what another backend turned away", func(rig *drainRig) { rig.other = startRejectingBackend(rig.T) }, func(rig *drainRig) func() {
+		{"a retry of a request that another backend rejected", func(rig *drainRig) { rig.other = startRejectingBackend(rig.T) }, func(rig *drainRig) func() {
 			return func() { rig.requireAnswer(503, rig.send(3)) }
 		}},
-		{"a retry of what the departed backend turned away", func(rig *drainRig) {
+		{"a retry of a request that the departed backend rejected", func(rig *drainRig) {
 			got, reject = rig.holdDraining()
 		}, func(rig *drainRig) func() {
 			status := rig.send(3)
@@ -155,7 +155,7 @@
 					rig := newDrainRig(t)
 					late.prepare(rig)
 					rig.startReady()
-					attempt := late.begin(rig)
+					attempt := late.start(rig)
 					if shutdown {
 						rig.shutDown()
 					}
--- a/internal/server/drain_dial_test.go
+++ b/internal/server/drain_dial_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// slowListener is a listener whose backlog is full until open is called. A dial stays unanswered and is established a second or
-// more after it began, when the kernel retransmits its SYN.
+// slowListener is a listener whose backlog is full until open is called. A dial stays unanswered until then. It is
+// established a second or more after it began, when the kernel retransmits its SYN.
 type slowListener struct {
 	addr string
 	open func()
--- a/internal/server/drain_guard_test.go
+++ b/internal/server/drain_guard_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// lateNotices returns further ways in which an instance is late. Each covers a guard that no other test covers.
+// lateNotices returns ways in which an instance is late, in addition to lateInstances. Each covers a guard that no other test
+// covers.
 func lateNotices() []lateInstance {
 	return []lateInstance{
 		{"the notice comes while a message is handled, with the end of a dial behind it in the batch", func(rig *drainRig) <-chan int {
--- a/internal/server/drain_list_test.go
+++ b/internal/server/drain_list_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// repeated are messages in which discovery names a departed backend again.
-var repeated = map[string]string{
+// repeatedNotices are messages in which discovery names a departed backend again.
+var repeatedNotices = map[string]string{
 	"drains still":       `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"%[1]s","health":"leaving","share":2}]}%.0[2]s`,
 	"is removed now":     `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"%[1]s","health":"left","share":1}]}%.0[2]s`,
 	"is in a whole list": `{"seq":9,"whole":true,"hosts":[{"host":"a","dial":"%[1]s","health":"leaving","share":1},{"host":"b","dial":"%[2]s","health":"active","share":1}]}`,
@@ -50,7 +50,7 @@
 // TestRepeatedNoticeDoesNotRestartGrace checks that a further message about a draining backend does not restart the drain grace
 // for an attempt that waits for its connection.
 func TestRepeatedNoticeDoesNotRestartGrace(t *testing.T) {
-	for name, repetition := range repeated {
+	for name, repetition := range repeatedNotices {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rig := startDrainRig(t)
@@ -70,9 +70,9 @@
 	}
 }
 
-// returnsAs are changes by which backend a becomes another process. %[1]s is the address of the old process, %[2]s that of the
-// new one.
-var returnsAs = map[string]string{
+// replacementNotices are changes by which backend a becomes another process. %[1]s is the address of the old process, %[2]s
+// that of the new one.
+var replacementNotices = map[string]string{
 	"at another address":                        `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"%[2]s","health":"active","share":1}]}%.0[1]s`,
 	"at another address, in a whole list":       `{"seq":9,"whole":true,"hosts":[{"host":"a","dial":"%[2]s","health":"active","share":1}]}%.0[1]s`,
 	"at another address, with its start's time": `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"%[2]s","health":"active","share":1,"born_ms":1700000000000}]}%.0[1]s`,
@@ -82,7 +82,7 @@
 // old one drains. An attempt that was decided on for the old process must not reach it late, and connections to the old process
 // must not be used.
 func TestBackendReturnsAsAnotherProcessWhileItDrains(t *testing.T) {
-	for name, returns := range returnsAs {
+	for name, replacement := range replacementNotices {
 		for departure, notice := range departures {
 			for _, shutdown := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s %s, shutdown=%v", departure, name, shutdown), func(t *testing.T) {
@@ -97,7 +97,7 @@
 					release()
 					rig.write(fmt.Sprintf(notice, rig.draining.addr, rig.other))
 					rig.waitForLog("seq=8")
-					writeChunk(rig.watch, fmt.Sprintf(returns, rig.draining.addr, successor))
+					writeChunk(rig.watch, fmt.Sprintf(replacement, rig.draining.addr, successor))
 					rig.waitForLog("seq=9")
 					rig.waitForLoop()
 					rig.waitPastGrace()
@@ -114,7 +114,7 @@
 // failingWatch is a way in which the watch fails just before SIGTERM.
 type failingWatch struct {
 	name string
-	// fail makes the watch fail. What it misses counts as known after bound.
+	// fail makes the watch fail. A notice that the watch misses counts as known to the instance once bound has passed.
 	fail  func(rig *drainRig, discovery *failingDiscovery)
 	bound time.Duration
 }
@@ -123,7 +123,7 @@
 // the notice.
 type failingDiscovery struct {
 	addr    string
-	watches chan net.Conn // the first one
+	watches chan net.Conn // receives the first one
 }
 
 func (rig *drainRig) startFailingDiscovery() *failingDiscovery {
--- a/internal/server/drain_start_test.go
+++ b/internal/server/drain_start_test.go
@@ -13,7 +13,7 @@
 // discovery agent has the list from the start of the process and answers at once.
 type lateFirstList struct {
 	name string
-	// hold is called before the instance runs. release lets the list through.
+	// hold blocks the delivery of the list until release is called. It is called before the instance runs.
 	hold func(rig *drainRig) (release func())
 }
 
--- a/internal/server/emulated.go
+++ b/internal/server/emulated.go
@@ -10,7 +10,7 @@
 )
 
 // emulatorWriteTimeout is how long the peer of an emulated server may take to accept 64 KiB. It is longer than any timeout of
-// a gateway, so that the gateway gives up first.
+// a gateway, so that the gateway times out first.
 const emulatorWriteTimeout = 10 * time.Second
 
 // emulatorConn is a connection that an emulated server has accepted. Either backend or counter is set, depending on the kind
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// resetConns resets all connections. Their readers remove them from conns. mu is held.
+// resetConns resets all connections. Their readers remove them from conns. The caller holds mu.
 func (s *emulatedServer) resetConns() {
 	for ec := range s.conns {
 		ec.socket.reset()
--- a/internal/server/emulatedbackend.go
+++ b/internal/server/emulatedbackend.go
@@ -65,7 +65,7 @@
 	b.backend.Advance(now, func(job *emulator.Job) {
 		conn := job.Conn()
 		conn.Done(now, job)
-		for ec := range b.conns { // few
+		for ec := range b.conns { // a backend has few connections
 			if ec.backend == conn {
 				b.write(ec)
 			}
@@ -74,7 +74,8 @@
 	b.scheduleAdvance()
 }
 
-// scheduleAdvance sets the timer. If the backend has collapsed, it closes the listener and resets all connections. mu is held.
+// scheduleAdvance sets the timer. If the backend has collapsed, it closes the listener and resets all connections. The caller
+// holds mu.
 func (b *EmulatedBackend) scheduleAdvance() {
 	if b.backend.HasCollapsed() && b.listener != nil {
 		listener := b.listener
@@ -87,7 +88,7 @@
 	}
 }
 
-// write writes the output of a connection's state machine to its client. mu is held.
+// write writes the output of a connection's state machine to its client. The caller holds mu.
 func (b *EmulatedBackend) write(ec *emulatorConn) {
 	if len(ec.backend.Out) > 0 {
 		ec.socket.write(ec.backend.Out)
--- a/internal/server/emulatedcounter.go
+++ b/internal/server/emulatedcounter.go
@@ -11,8 +11,8 @@
 	"sandyard/fault"
 )
 
-// goldenRatioConjugate is the step between the positions of successive clients: its multiples, taken modulo 1, spread evenly
-// over 0 to 1 for any number of clients.
+// goldenRatioConjugate is the step between the client positions of successive connections: its multiples, taken modulo 1,
+// spread evenly over 0 to 1 for any number of connections.
 var goldenRatioConjugate = (math.Sqrt(5) - 1) / 2
 
 // EmulatedCounter runs package emulator's shared counter on a TCP socket.
@@ -40,15 +40,16 @@
 	return c, nil
 }
 
-// initConn assigns a client position to each connection, since a socket does not tell which instance it comes from. mu is
-// held.
+// initConn assigns a client position, which decides the connection's side of a split, to each connection: a socket does not
+// tell which instance it comes from. The caller holds mu.
 func (c *EmulatedCounter) initConn(ec *emulatorConn) {
 	ec.counter = c.counter.NewConn()
 	_, ec.counter.ClientPosition = math.Modf(c.accepted * goldenRatioConjugate)
 	c.accepted++
 }
 
-// handleCalls waits until a stall ends, then replies to calls at once or after the delay of the delay fault. mu is held.
+// handleCalls waits until a stall ends, then replies to calls at once or after the delay of the delay fault. The caller holds
+// mu.
 func (c *EmulatedCounter) handleCalls(ec *emulatorConn, in []byte) {
 	for c.counter.Stalled() && !c.closed {
 		c.stallEnded.Wait()
--- a/internal/server/endpointrecord.go
+++ b/internal/server/endpointrecord.go
@@ -41,7 +41,7 @@
 }
 
 // logAttempt logs the endpoint list that an attempt uses if the list could be outdated, that is during a shutdown or if it is
-// old. decidedAt is the time of the instance at which it decided on the attempt.
+// old. decidedAt is when the instance decided on the attempt, on the instance's clock.
 func (s *Server) logAttempt(effect proxy.Effect, decidedAt, now time.Duration) {
 	if s.discovery == nil {
 		return
--- a/internal/server/endpointrecord_test.go
+++ b/internal/server/endpointrecord_test.go
@@ -50,8 +50,9 @@
 	}
 }
 
-// TestAttemptByOldEndpointListIsLogged checks that attempts count as using an old list once the list is older than the heartbeat
-// interval allows. Before, only attempts during a shutdown were logged with their list, and a silent watch went unnoticed.
+// TestAttemptByOldEndpointListIsLogged checks that attempts count as using an old list once the list is older than the
+// heartbeat interval allows. If only attempts during a shutdown were logged with their list, a silent watch would go
+// unnoticed.
 func TestAttemptByOldEndpointListIsLogged(t *testing.T) {
 	status := endpointListStatus{confirmedAt: time.Minute}
 	if status.recordAttempt(time.Minute + oldListAge - 1) {
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// takeQueue returns the queued messages and reuses the array of the previous batch for the next ones. If it returns none, the
-// loop counts as idle and the next message wakes it.
+// takeQueue returns the queued messages and reuses the array of the previous batch for the next messages. If it returns none,
+// the loop counts as idle and the next message wakes it.
 func (s *Server) takeQueue(last []message) []message {
 	s.queueMu.Lock()
 	defer s.queueMu.Unlock()
@@ -171,7 +171,7 @@
 
 // carryOutEffects carries out the effects that the instance has emitted, in order. Nothing here waits for a peer: a write
 // hands to the kernel what fits, and everything that has to wait runs in another goroutine. Log records are written
-// synchronously, at the debug level one for each response. decidedAt is the time of the instance at which it emitted the effects.
+// synchronously, at the debug level one for each response. decidedAt is when the instance emitted the effects, on its clock.
 func (s *Server) carryOutEffects(decidedAt time.Duration) {
 	for _, effect := range s.instance.Effects() {
 		switch effect.Kind {
@@ -219,8 +219,9 @@
 // free processor.
 const minLoggedLoopDelay = 20 * time.Millisecond
 
-// recordLoopDelay records how late the event loop fired a timer. The maximum distinguishes a late instance from late clients.
-// The recent maximum makes the instance answer requests earlier.
+// recordLoopDelay records how late the event loop fired a timer. The maximum, which is logged at the end, distinguishes a
+// late instance from late clients. The recent maximum is how much earlier the instance answers new requests, at most (see
+// proxy.Shared).
 func (s *Server) recordLoopDelay(now, late time.Duration) {
 	s.maxLoopDelay = max(s.maxLoopDelay, late)
 	s.recentLoopDelay.record(now, late)
--- a/internal/server/faultcontrol.go
+++ b/internal/server/faultcontrol.go
@@ -20,7 +20,7 @@
 	faultCommandTimeout = 2 * time.Second
 )
 
-// ErrFaultCommand is the error, for errors.Is, that SendFaultCommand returns if the emulator rejects a command.
+// ErrFaultCommand matches, by errors.Is, the error that SendFaultCommand returns if the emulator rejects a command.
 var ErrFaultCommand = errors.New("the fault command is rejected")
 
 // rejectedFaultCommand is an emulator's reply other than "ok". errors.Is matches it with ErrFaultCommand.
@@ -47,7 +47,7 @@
 	return listener.Addr(), connections.close, nil
 }
 
-// serveFaultCommands executes the commands of a connection, one by one, until it ends.
+// serveFaultCommands executes the commands of a connection, one by one, until the connection ends.
 func serveFaultCommands(conn net.Conn, target FaultTarget) {
 	commands := bufio.NewScanner(conn)
 	commands.Buffer(make([]byte, maxFaultCommand), maxFaultCommand)
@@ -80,7 +80,7 @@
 }
 
 // SendFaultCommand sends a command to the fault control at an address (host:port) and waits at most faultCommandTimeout for
-// the reply. If the emulator rejects the command, the error is ErrFaultCommand.
+// the reply. If the emulator rejects the command, errors.Is matches the error with ErrFaultCommand.
 func SendFaultCommand(addr, command string) error {
 	conn, err := net.DialTimeout("tcp", addr, faultCommandTimeout)
 	if err != nil {
--- a/internal/server/filewatch.go
+++ b/internal/server/filewatch.go
@@ -90,19 +90,19 @@
 func (s *Server) readEndpointsFile(report reportPolicy) {
 	s.goroutines.Go(func() {
 		path := s.cfg.EndpointsPath()
-		count, isNew, err := s.loadEndpointsFile(path, report)
+		count, queued, err := s.loadEndpointsFile(path, report)
 		switch { // logged without endpointsFileMu: a slow log must not delay the next read
 		case err != nil:
 			s.log.Error("list of boxes: the last one stays in force", "error", err)
-		case isNew:
+		case queued:
 			s.log.Info("list of boxes", "file", path, "boxes", count)
 		}
 	})
 }
 
-// loadEndpointsFile reads the endpoint file and queues the list for the event loop, in the order of the reads, unless the policy
-// excludes it. It returns the number of endpoints.
-func (s *Server) loadEndpointsFile(path string, report reportPolicy) (count int, isNew bool, err error) {
+// loadEndpointsFile reads the endpoint file and queues the list for the event loop, in the order of the reads, unless the
+// policy excludes it. It returns the number of endpoints, and whether the list was queued.
+func (s *Server) loadEndpointsFile(path string, report reportPolicy) (count int, queued bool, err error) {
 	s.endpointsFileMu.Lock()
 	defer s.endpointsFileMu.Unlock()
 	text, err := os.ReadFile(path)
--- a/internal/server/lateness_test.go
+++ b/internal/server/lateness_test.go
@@ -25,8 +25,8 @@
 	return done
 }
 
-// holdUpFor queues a message that blocks the event loop for a time.
-func (r *gateway) holdUpFor(d time.Duration) {
+// blockLoopFor queues a message that blocks the event loop for a time.
+func (r *gateway) blockLoopFor(d time.Duration) {
 	r.server.post(inspection(func(*proxy.Instance, time.Duration) { time.Sleep(d) }))
 }
 
@@ -38,7 +38,7 @@
 	answered := r.sendWithTimeout("300")
 	<-got
 	release := r.hold()
-	r.holdUpFor(400 * time.Millisecond)
+	r.blockLoopFor(400 * time.Millisecond)
 	r.server.post(inspection(func(instance *proxy.Instance, _ time.Duration) {
 		if instance.Unanswered() > 0 {
 			t.Error("the answer waits for the end of the batch")
@@ -52,44 +52,44 @@
 // at the deadline of a request.
 func TestLateInstanceAnswersEarlier(t *testing.T) {
 	const (
-		lateness = 300 * time.Millisecond
-		patience = 2 * time.Second
+		delay         = 300 * time.Millisecond
+		clientTimeout = 2 * time.Second
 	)
 	backend, got := startSilentBackend(t)
 	r := startGateway(t, "", "", backend)
 	release := r.hold()
-	time.Sleep(lateness)
+	time.Sleep(delay)
 	release()
 	r.waitForLoop()
 	sentAt := time.Now()
-	answered := r.sendWithTimeout(strconv.FormatInt(patience.Milliseconds(), 10))
+	answered := r.sendWithTimeout(strconv.FormatInt(clientTimeout.Milliseconds(), 10))
 	<-got
-	time.Sleep(time.Until(sentAt.Add(patience - lateness/2)))
+	time.Sleep(time.Until(sentAt.Add(clientTimeout - delay/2)))
 	r.server.post(inspection(func(instance *proxy.Instance, _ time.Duration) {
 		if instance.Unanswered() > 0 {
 			t.Error("the instance has not answered earlier")
 		}
-		time.Sleep(lateness) // until the client has timed out
+		time.Sleep(delay) // until the client has timed out
 	}))
 	<-answered
-	if took := time.Since(sentAt); took > patience {
-		t.Errorf("answered after %v, but the client timed out after %v", took, patience)
+	if took := time.Since(sentAt); took > clientTimeout {
+		t.Errorf("answered after %v, but the client timed out after %v", took, clientTimeout)
 	}
 }
 
 // TestConnectionAnswersWhileEventLoopIsBlocked guards against answers after the client's timeout: an event loop that had not
 // been late before was blocked at the deadline of a request, although the goroutine of the client's connection could run.
 func TestConnectionAnswersWhileEventLoopIsBlocked(t *testing.T) {
-	const patience = time.Second
+	const clientTimeout = time.Second
 	backend, got := startSilentBackend(t)
 	r := startGateway(t, "", "", backend)
-	answered := r.sendWithTimeout(strconv.FormatInt(patience.Milliseconds(), 10))
+	answered := r.sendWithTimeout(strconv.FormatInt(clientTimeout.Milliseconds(), 10))
 	<-got
 	release := r.hold()
 	defer release()
 	select {
 	case <-answered:
-	case <-time.After(patience):
+	case <-time.After(clientTimeout):
 		t.Error("not answered within the client's timeout")
 	}
 }
--- a/internal/server/message.go
+++ b/internal/server/message.go
@@ -21,7 +21,7 @@
 	s.instance.RequestArrived(now, m.exchange)
 }
 
-// failUnanswered is step 3 of the shutdown: the instance answers all requests that have no answer yet.
+// failUnanswered is step 3 of the shutdown: the instance fails or rejects all requests that have no answer yet.
 type failUnanswered struct{}
 
 func (failUnanswered) apply(s *Server, now time.Duration) {
@@ -42,12 +42,12 @@
 	s.instance.BackendConnected(now, m.conn)
 }
 
-// backendLostRequestIncomplete reports that a dial of a backend failed, or that a connection ended before all of its request,
-// if it had one, was handed to the kernel. The request counts as not run, assuming that backends act only on complete
-// requests. A loss after the last byte is a malformed responseReceived.
-type backendLostRequestIncomplete struct{ conn *proxy.BackendConn }
+// backendDisconnected reports that a dial of a backend failed, or that a connection ended before all of its request, if it
+// had one, was handed to the kernel. The request counts as not run, assuming that backends act only on complete requests. A
+// loss after the last byte is a malformed responseReceived.
+type backendDisconnected struct{ conn *proxy.BackendConn }
 
-func (m backendLostRequestIncomplete) apply(s *Server, now time.Duration) {
+func (m backendDisconnected) apply(s *Server, now time.Duration) {
 	const requestIncomplete = true
 	s.instance.BackendDisconnected(now, m.conn, requestIncomplete)
 }
@@ -133,7 +133,7 @@
 	s.shared.MarkStarted()
 }
 
-// firstListTimedOut reports that firstEndpointsTimeout has passed and nothing of discovery is unhandled: the configured
+// firstListTimedOut reports that firstEndpointsTimeout has passed and no data of discovery is unhandled: the configured
 // endpoint list may be used. Until then, or until endpointsConfirmed, requests are rejected.
 type firstListTimedOut struct{}
 
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// sampled reports whether a step belongs to the recorded share. Requests are sampled by a hash of their number. A sample has
-// no steps that do not belong to a single request.
+// sampled reports whether a step belongs to the recorded share. Requests are sampled by a hash of their number. Steps that do
+// not belong to a single request are not part of a sample.
 func (r *recorder) sampled(step proxy.DecisionStep) bool {
 	if r.cfg.Mode != "sampled" || r.cfg.Share >= 1 {
 		return true
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,7 +1,7 @@
 // Package server runs a gateway instance on TCP sockets. It moves bytes between the sockets and the state machines of package
 // proxy, provides the clock and the timers, and owns the goroutines. It makes no decisions about requests.
 //
-// Each goroutine except the last three has one owner, which waits for it to end:
+// Each goroutine down to the trace recorder has one owner, which waits for it to end. No owner waits for the others.
 //
 //	goroutine                     started by             ends with
 //	event loop                    Serve                  step 4 of the shutdown (see shutdown.go)
@@ -18,7 +18,7 @@
 //	trace recorder                startWriting           step 8
 //	socket, flushing              a write                all bytes written, or the socket's closing or failure
 //	canceller of a watch          endpoint watch         the end of its watch, or a change of discovery's address
-//	end of the wait for a list    endpoint watch         discovery's silence, or the end of the watch
+//	timeout of the first list     endpoint watch         an idle watch (timeOutFirstList), or step 4
 //	reload at SIGHUP              command "node"         the end of Serve, or of a reload in progress at that time
 //
 // Only the event loop uses proxy.Instance; all other goroutines send it messages (message.go). The state machine of a
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -9,8 +9,8 @@
 //
 //	step  begins                          what stops
 //	1     with the end of Serve's         with limits.stop-delay, responses close their connections from now on, and
-//	      context (SIGTERM)               connections are accepted during the delay and backlogTime after it; without it, the
-//	                                      listener closes at once
+//	      context (SIGTERM)               connections are accepted during the delay and backlogAcceptTime after it;
+//	                                      without it, the listener closes at once
 //	2     when accepting has ended        new requests: they are rejected. The listener and idle client connections close.
 //	                                      Requests in flight are answered, each by its deadline
 //	3     limits.shutdown-timeout after   requests without an answer: they fail, or are rejected where nothing of them was
@@ -30,14 +30,14 @@
 //	                 counter are read again
 
 const (
-	// drainPoll is how often client connections are checked during a shutdown: short compared with a response, so that the
-	// check does not prolong the shutdown.
+	// drainPoll is the interval at which client connections are checked during a shutdown: short compared with a response time,
+	// so that it does not prolong the shutdown.
 	drainPoll = 10 * time.Millisecond
 	// finalResponseTime is the time for writing the answers of step 3.
 	finalResponseTime = 20 * time.Millisecond
 )
 
-// stopAccepting is step 1. signalled is true if the instance was asked to stop, and false if its accept loop has failed.
+// stopAccepting is step 1. signalled is true if Serve's context has ended, and false if the accept loop has failed.
 func (s *Server) stopAccepting(signalled bool) {
 	timeout := time.Duration(s.cfg.Limits.ShutdownTimeout)
 	s.shutdownDeadline = time.Now().Add(timeout)
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -142,8 +142,9 @@
 	}
 }
 
-// TestTimeInBacklogCounts checks that the time of a request in the backlog counts towards its client's timeout. It was once counted
-// from when the request was read: the backend got a deadline beyond the time left, and the answer came after the timeout.
+// TestTimeInBacklogCounts checks that the time of a request in the backlog counts towards its client's timeout. If that began
+// when the request is read, the backend would get a deadline beyond the time left, and the answer would come after the
+// timeout.
 func TestTimeInBacklogCounts(t *testing.T) {
 	const timeout, inBacklog = 1000, 300 // milliseconds; the timeout is under the objective, which bounds a first attempt
 	deadlines := make(chan string, 1)
--- a/internal/server/shutdown_watch_test.go
+++ b/internal/server/shutdown_watch_test.go
@@ -260,8 +260,8 @@
 }
 
 // TestShutdownEndsBeforeEarliestKill checks the bound of a shutdown against the earliest time at which the platform kills a
-// process. That is 0.7 s plus the longest deadline after SIGTERM, where a longer deadline counts as 3 s. The shutdown must end
-// before that, but not before the deadlines of requests that were read during limits.stop-delay.
+// process: 0.7 s plus the longest deadline of a request, but at most 3 s for the deadline, after SIGTERM. The shutdown must
+// end before that, but not before the deadlines of requests that were read during limits.stop-delay.
 func TestShutdownEndsBeforeEarliestKill(t *testing.T) {
 	for _, c := range []struct{ deadline, kill time.Duration }{
 		{480 * time.Millisecond, 1180 * time.Millisecond},
@@ -276,7 +276,7 @@
 		}
 		limits := n.Config.Limits
 		bound := time.Duration(limits.ShutdownTimeout) + finalResponseTime
-		if earliest := time.Duration(limits.StopDelay) + backlogTime + min(c.deadline, 3*time.Second) - time.Duration(limits.ResponseMargin); bound >= c.kill || bound < earliest {
+		if earliest := time.Duration(limits.StopDelay) + backlogAcceptTime + min(c.deadline, 3*time.Second) - time.Duration(limits.ResponseMargin); bound >= c.kill || bound < earliest {
 			t.Errorf("deadline %v: the shutdown ends after %v; want less than %v, when it is killed, and at least %v, the end of requests", c.deadline, bound, c.kill, earliest)
 		}
 	}
--- a/internal/server/socket.go
+++ b/internal/server/socket.go
@@ -39,8 +39,8 @@
 	failed        bool // closed, or a write has failed: nothing more is written
 	incomplete    bool // the socket failed before all bytes passed to write were handed to the kernel
 	tryWriteFunc  func(fd uintptr) bool
-	writeSource   []byte // of the write in progress; its result follows
-	writeCount    int
+	writeSource   []byte // bytes of the write in progress
+	writeCount    int    // number of them that the kernel has accepted
 	writeError    error
 
 	// Used only by the reader.
@@ -126,16 +126,16 @@
 // consumeUnexpectedByte reports whether a byte, the end of the stream or an error can be read although no input is
 // expected. It consumes the byte: the connection cannot be used after that. It does not wait.
 func (s *socket) consumeUnexpectedByte() bool {
-	nothing := false
+	noInput := false
 	err := s.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, err := syscall.Read(int(fd), b[:])
-		nothing = err == syscall.EAGAIN || err == syscall.EINTR
+		noInput = err == syscall.EAGAIN || err == syscall.EINTR
 	})
-	return err != nil || !nothing
+	return err != nil || !noInput
 }
 
-// clearReadDeadline removes the read deadline, unless the socket has failed and the deadline is there to wake the reader.
+// clearReadDeadline removes the read deadline, unless the socket has failed and the deadline was set to wake the reader.
 func (s *socket) clearReadDeadline() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +186,7 @@
 	if s.writeCount < len(b) {
 		s.unwritten = append(s.unwritten, b[s.writeCount:]...)
 		s.flushing = true
-		go s.flush() // ends at close, or when a chunk takes longer than writeTimeout
+		go s.flush() // ends when all is written, at close, or when a chunk takes longer than writeTimeout
 	}
 	return false
 }
--- a/internal/server/watchinput.go
+++ b/internal/server/watchinput.go
@@ -42,9 +42,9 @@
 }
 
 // markCaughtUp records that the goroutine begins to wait for discovery: for a connection, for bytes, or for the end of its
-// backoff. All data that had arrived by a time is queued for the event loop.
-func (in *watchInput) markCaughtUp(by time.Duration) {
-	in.caughtUpAt.Store(int64(by))
+// backoff. All data that had arrived by arrivedBy is queued for the event loop.
+func (in *watchInput) markCaughtUp(arrivedBy time.Duration) {
+	in.caughtUpAt.Store(int64(arrivedBy))
 	in.catchUps.Add(1)
 	in.behind.Store(false)
 }
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return socket.read() // an end or an error
+	return socket.read() // the end of the stream or an error
 }
 
 // isIdle reports whether the watch waits for discovery and nothing is unread on its socket.
--- a/internal/server/watchinput_test.go
+++ b/internal/server/watchinput_test.go
@@ -114,7 +114,7 @@
 		input.read(socket)
 		requireFound(t, input)
 	})
-	t.Run("while the event loop looks", func(t *testing.T) {
+	t.Run("while the event loop checks", func(t *testing.T) {
 		input, socket, _ := startUnreadWatch(t, now)
 		conn := &hookedConn{RawConn: socket.raw}
 		conn.before = func() {
@@ -125,8 +125,8 @@
 	})
 }
 
-// TestNoticeBeforeHeartbeatIsNotNew guards against an unread notice that looked new to the first check after a stall because a
-// heartbeat had arrived after it.
+// TestNoticeBeforeHeartbeatIsNotNew guards against an unread notice that counted as new at the first check after a stall
+// because a heartbeat had arrived after it.
 func TestNoticeBeforeHeartbeatIsNotNew(t *testing.T) {
 	const stall = 100 * time.Millisecond
 	started := time.Now()
--- a/internal/tcpinfo/tcpinfo.go
+++ b/internal/tcpinfo/tcpinfo.go
@@ -1,4 +1,4 @@
-// Package tcpinfo reads TCP_INFO of connections: times that a process which runs late can't take from its own clock.
+// Package tcpinfo reads TCP_INFO of connections: the kernel's times of events that a delayed process notices late.
 package tcpinfo
 
 import (
@@ -9,8 +9,8 @@
 )
 
 // InputAge returns the time since the last bytes of the peer arrived or, if none have, since the connection was established.
-// Both can be long before this process notices them, above all while the connection waits in the listener's backlog. It
-// returns 0 where the kernel does not report it.
+// This process can notice either event long after it happened, above all if the connection waited in the listener's backlog.
+// It returns 0 where the kernel does not report it.
 func InputAge(raw syscall.RawConn) time.Duration {
 	age := time.Duration(0)
 	raw.Control(func(fd uintptr) { // an error leaves the age at 0
