--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -14,14 +14,14 @@
 	"sandyard/internal/simulation"
 )
 
-// asProgram is the first argument that makes sandyard-drill run as one of the programs it drills, so that a drill needs one
-// file only.
-const asProgram = "--as="
+// programPrefix is the prefix of a first argument that names a program to run as. With it a single executable can start the
+// other programs of a drill or benchmark as its children.
+const programPrefix = "--as="
 
 // Drill runs the sandyard-drill program.
 func Drill(args []string, out, errs io.Writer) int {
-	if len(args) > 0 && strings.HasPrefix(args[0], asProgram) {
-		switch strings.TrimPrefix(args[0], asProgram) {
+	if len(args) > 0 && strings.HasPrefix(args[0], programPrefix) {
+		switch strings.TrimPrefix(args[0], programPrefix) {
 		case "sandyard":
 			return Gateway(args[1:], out, errs)
 		case "sandyard-emulator":
@@ -39,7 +39,7 @@
 		&Console{out, errs})
 }
 
-// drillArgs is "sandyard-drill".
+// drillArgs is the command "sandyard-drill play", which is the default command of sandyard-drill.
 type drillArgs struct {
 	Seed      uint64  `default:"1" help:"Seed of the traffic."`
 	Seconds   float64 `default:"45" help:"Seconds of traffic."`
@@ -53,7 +53,7 @@
 }
 
 func (a drillArgs) Run(c *Console) error {
-	opt := drill.Options{Seed: a.Seed, Seconds: a.Seconds, Instances: a.Instances, Backends: a.Backends, Rate: a.Rate, LogDir: a.Keep, Command: self}
+	opt := drill.Options{Seed: a.Seed, Seconds: a.Seconds, Instances: a.Instances, Backends: a.Backends, Rate: a.Rate, LogDir: a.Keep, Command: childCommand}
 	if a.Instances < 2 || a.Backends < 1 || !(a.Seconds > 0) || !(a.Rate > 0) {
 		return fmt.Errorf("at least 2 doors, 1 box, and more than 0 seconds and requests are needed")
 	}
@@ -91,25 +91,27 @@
 	return nil
 }
 
-func self(program string) (string, []string) {
+// childCommand returns the executable and the first arguments that run a program as a child from this executable.
+func childCommand(program string) (string, []string) {
 	exe, err := os.Executable()
 	if err != nil {
 		exe = os.Args[0]
 	}
-	return exe, []string{asProgram + program}
+	return exe, []string{programPrefix + program}
 }
 
+// printReport prints the rules' cases and violations, the results by plan and the unexpected exits.
 func printReport(out io.Writer, r drill.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "seed %d: %d tries in %.0f s, %d troubles; %.3f of the worth asked for was served\n\n", r.Seed, r.Requests, r.Seconds,
 		r.Faults, r.ValueShare)
 	fmt.Fprintln(w, "rule\tcases\tviolations\tnearest\tof")
 	for _, rule := range r.Rules {
-		seen := fmt.Sprint(rule.Cases)
+		cases := fmt.Sprint(rule.Cases)
 		if rule.Cases == 0 {
-			seen = "not exercised"
+			cases = "not exercised"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.2f\t%s\n", rule.Name, seen, rule.Count, rule.Nearest, rule.Limit)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.2f\t%s\n", rule.Name, cases, rule.Count, rule.Nearest, rule.Limit)
 	}
 	fmt.Fprintln(w, "\nplan\ttries\tserved\tof them late\trefused\tfailed\tlost\tcut\tno door\tworth served")
 	for _, p := range r.Plans {
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -14,10 +14,11 @@
 	"sandyard/internal/soak"
 )
 
-// errNotPlayed is a run that could not be played, or whose machine was too late for what it shows.
-var errNotPlayed = errors.New("not played")
+// errInconclusive is the error of a soak some of whose runs could not be carried out, or not be judged because of delays of
+// the machine.
+var errInconclusive = errors.New("not played")
 
-// soakArgs is "sandyard-drill soak".
+// soakArgs is the command "sandyard-drill soak".
 type soakArgs struct {
 	Seeds    string `default:"1-20" help:"Seeds, as FROM-TO."`
 	Workers  int    `default:"1" help:"Runs side by side."`
@@ -26,37 +27,37 @@
 	output
 }
 
-// soakTotals are what came of the seeds so far.
+// soakTotals counts the results of the runs so far.
 type soakTotals struct {
-	played, broken, notPlayed int
-	metCrossing               int
+	runs, violating, inconclusive int
+	reachedRace                   int
 }
 
 // add counts a run.
 func (t *soakTotals) add(report soak.Report) {
-	t.played++
+	t.runs++
 	if report.Exposure.ReachedRace {
-		t.metCrossing++
+		t.reachedRace++
 	}
 	if len(report.Violations) > 0 {
-		t.broken++
+		t.violating++
 	} else if len(report.Unjudged) > 0 {
-		t.notPlayed++
+		t.inconclusive++
 	}
 }
 
-// err is the command's outcome.
+// err returns the command's error: violations take precedence over inconclusive runs.
 func (t *soakTotals) err() error {
 	switch {
-	case t.broken > 0:
-		return fmt.Errorf("%d seeds broke a rule", t.broken)
-	case t.notPlayed > 0:
-		return fmt.Errorf("%w: %d seeds", errNotPlayed, t.notPlayed)
+	case t.violating > 0:
+		return fmt.Errorf("%d seeds broke a rule", t.violating)
+	case t.inconclusive > 0:
+		return fmt.Errorf("%w: %d seeds", errInconclusive, t.inconclusive)
 	}
 	return nil
 }
 
-// Run plays the seeds, and prints a line for each as it ends.
+// Run runs the seeds and prints a line for each when its run ends.
 func (a soakArgs) Run(c *Console) error {
 	first, last, err := parseSeeds(a.Seeds)
 	if err != nil {
@@ -73,11 +74,11 @@
 	runs.SetLimit(max(1, a.Workers))
 	for seed := first; seed <= last && ctx.Err() == nil; seed++ {
 		runs.Go(func() error {
-			report, err := soak.Run(ctx, seed, soak.Options{Command: self, LogDir: a.Keep, Scenario: soak.Scenario(a.Scenario)})
+			report, err := soak.Run(ctx, seed, soak.Options{Command: childCommand, LogDir: a.Keep, Scenario: soak.Scenario(a.Scenario)})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				totals.notPlayed++
+				totals.inconclusive++
 				_, err = fmt.Fprintln(c.Errs, err)
 				return err
 			}
@@ -90,12 +91,12 @@
 	}
 	if !a.json() {
 		fmt.Fprintf(c.Out, "%d seeds played, %d broke a rule, %d could not be played or judged; %d of the played met the crossing\n",
-			totals.played, totals.broken, totals.notPlayed, totals.metCrossing)
+			totals.runs, totals.violating, totals.inconclusive, totals.reachedRace)
 	}
 	return totals.err()
 }
 
-// print writes a run's line.
+// print prints the line of a run.
 func (a soakArgs) print(c *Console, report soak.Report) error {
 	if a.json() {
 		return json.NewEncoder(c.Out).Encode(report)
