--- a/config/customers.go
+++ b/config/customers.go
@@ -19,7 +19,7 @@
 	Name          string
 	Plan          decision.PlanID
 	PlanName      string
-	Spread, First int // its requests arrive at Spread instances, from number First on
+	Spread, First int // its requests arrive at Spread instances, beginning with number First; see CustomerInstances
 }
 
 // CustomerByKey returns the customer of a key, or nil if there is none. It compares digests of keys, so that its running
@@ -30,7 +30,8 @@
 func (c *Config) CustomerByName(name string) *Customer { return c.byName[name] }
 
 // ForInstance returns a copy of the configuration for instance number n of a fleet of another size, total. Customers whose
-// requests arrive at all instances are spread over all instances of that fleet, too.
+// requests arrive at all instances are spread over all instances of that fleet, too. For other customers, a Spread beyond the
+// size of that fleet is reduced to it, and First is taken modulo that size.
 func (c *Config) ForInstance(n, total int) *Config {
 	d := *c
 	d.Instance.Number, d.Instance.Total = n, total
@@ -79,7 +80,7 @@
 	}
 }
 
-// validateCustomer validates one customer except its keys, and returns it as requests refer to it.
+// validateCustomer validates the settings of one customer except its keys, and returns the Customer that they describe.
 func (c *Config) validateCustomer(d *strictyaml.Document, at string, s *CustomerConfig) *Customer {
 	plan := slices.IndexFunc(c.Plans, func(p Plan) bool { return p.Name == s.Plan })
 	if plan < 0 {
--- a/config/derive.go
+++ b/config/derive.go
@@ -11,7 +11,7 @@
 	"sandyard/routes"
 )
 
-// The names of values in gateway.yaml, and the values.
+// The values of package decision, by their names in gateway.yaml.
 var (
 	loadFields = map[string]decision.LoadField{
 		"in-flight":   decision.FieldInFlight,
@@ -157,8 +157,8 @@
 	repeat routes.Repeat
 }
 
-// deriveClasses assigns each operation its decision.Class. It reports operations that name an unknown class or may cost
-// more units than a request may.
+// deriveClasses assigns each operation its decision.Class. It reports operations that name an unknown class, and those that
+// may cost more units than UnitSettings.Max.
 func (c *Config) deriveClasses(d *strictyaml.Document, indexes map[string]int) {
 	ids := map[classVariant]decision.ClassID{}
 	for _, op := range c.Routes.Operations {
--- a/config/endpoints.go
+++ b/config/endpoints.go
@@ -10,8 +10,8 @@
 	"sandyard/internal/strictyaml"
 )
 
-// MaxEndpoints bounds the length of an endpoint list. A fleet has some thousands of endpoints; a file that is not an
-// endpoint list must not exhaust the memory.
+// MaxEndpoints is the maximum length of an endpoint list. A fleet has some thousands of endpoints. The limit keeps a file that
+// is not an endpoint list from exhausting the memory; ParseEndpoints applies it after it has decoded the list.
 const MaxEndpoints = 100_000
 
 // Errors of values in an endpoint list. Each is the cause of a diagnostic.Problem.
--- a/config/load.go
+++ b/config/load.go
@@ -16,18 +16,18 @@
 	"sandyard/routes"
 )
 
-const digestBytes = 8 // of a SHA-256 kept in Config.Digest: enough to distinguish versions of a configuration
+const digestBytes = 8 // bytes of the SHA-256 that Config.Digest contains; they suffice to distinguish versions of a configuration
 
 // Config is a valid configuration.
 type Config struct {
 	File
-	Path             string // of gateway.yaml
+	Path             string // path of gateway.yaml
 	Settings         decision.Settings
 	Routes           *routes.Table
 	ClassByOperation []decision.ClassID // by routes.Operation.Index
 	ClassNames       []string           // by decision.ClassID
 	LoadReportNames  []string           // names of the values in load reports, in the order of Settings.LoadFields
-	Digest           string             // of gateway.yaml and the OpenAPI description, in hexadecimal digits
+	Digest           string             // digest of gateway.yaml and the OpenAPI description, in hexadecimal digits
 	Endpoints        []Endpoint         // content of the endpoint list when it was read
 	byKey            map[[sha256.Size]byte]*Customer
 	byName           map[string]*Customer
--- a/config/settings.go
+++ b/config/settings.go
@@ -57,8 +57,8 @@
 type Class struct {
 	// Name is the name by which operations refer to the class.
 	Name string `yaml:"name"`
-	// Idempotency says whether a request may be repeated: "safe" requests always, "keyed" requests with the same
-	// idempotency key, "unsafe" requests never once they may have run. Required.
+	// Idempotency says when a request may be repeated: a "safe" request always, a "keyed" request with the same idempotency
+	// key, an "unsafe" request only if it is certain that it has not run. Required.
 	Idempotency string `yaml:"repeat"`
 	// KeyScope is the group of backends that recognize the repeated key of a keyed request: "all" backends (the default),
 	// those of the same "zone", or those of the same "cell".
@@ -86,8 +86,8 @@
 	MaxInFlight    int             `yaml:"open"`       // quota on attempts in flight at once; 0, the default: no such quota
 	WeightFactor   float64         `yaml:"price"`      // factor on the PriorityWeight of the class; 1 by default
 	OverQuotaValue float64         `yaml:"over-worth"` // value of a response beyond the quota, as a share of its value within the quota; 0 by default
-	// OverQuotaCost is the cost of a response beyond the quota, as the same share; 0 by default. Requests beyond the quota are
-	// rejected unless OverQuotaValue is above it.
+	// OverQuotaCost is the cost of a response beyond the quota, as a share of its value within the quota; 0 by default. Requests
+	// beyond the quota are rejected unless OverQuotaValue is above OverQuotaCost.
 	OverQuotaCost float64 `yaml:"over-cost"`
 	Ceiling       Ceiling `yaml:"ceiling"`
 }
@@ -164,7 +164,7 @@
 // ProbeSettings control the probes that request load reports from backends.
 type ProbeSettings struct {
 	Allowed bool    `yaml:"allowed"` // allows probes; false by default. LoadSettings.Via "probes" requires it
-	Cost    float64 `yaml:"price"`   // cost of one probe, in requests; 0 by default. No probes are sent if it is too high
+	Cost    float64 `yaml:"price"`   // cost of one probe, in requests; 0 by default. No probes are sent from a cost of 0.05 (decision.maxProbeCost) on
 	Path    string  `yaml:"path"`    // path of the probe request; /load by default
 }
 
@@ -178,7 +178,7 @@
 // RetryAfterSettings say whether rejections carry Retry-After.
 type RetryAfterSettings struct {
 	Enabled bool                `yaml:"tell"` // adds Retry-After to responses that reject a request; false by default
-	Max     strictyaml.Duration `yaml:"most"` // longest wait that a response states; 2s by default
+	Max     strictyaml.Duration `yaml:"most"` // longest wait that a response states; 2s by default. 0: no response carries Retry-After
 }
 
 // CounterSettings locate the counter that all instances share and bound the calls of it.
@@ -191,7 +191,7 @@
 
 // UnitSettings describe the units that requests cost.
 type UnitSettings struct {
-	Max         float64 `yaml:"most"`         // maximum units of one request; 1 by default, and below 1 means 1
+	Max         float64 `yaml:"most"`         // maximum units of one request; 1 by default. A value below 1 counts as 1
 	SettleLater bool    `yaml:"settle-later"` // a request's units are an estimate, and the response states the actual units; false by default
 }
 
@@ -201,7 +201,7 @@
 	Connections     int `yaml:"connections"`   // open client connections; 10000 by default
 	BackendConns    int `yaml:"lines"`         // open connections to all backends; 8192 by default
 	ConnsPerBackend int `yaml:"lines-per-box"` // open connections to one backend; 256 by default
-	Queue           int `yaml:"queue"`         // messages queued for the event loop at which new requests are rejected; 8192 by default. At half of it accepting pauses
+	Queue           int `yaml:"queue"`         // length of the event loop's queue (messages) at which new requests are rejected; 8192 by default. From half of it on no connections are accepted
 
 	Memory       strictyaml.Size `yaml:"memory"`      // memory for the requests that are held, over all connections; 256MiB by default
 	Body         strictyaml.Size `yaml:"body"`        // size of a request body, at most Memory; 1MiB by default. 0: requests with a body are rejected
--- a/config/validate.go
+++ b/config/validate.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	minTraceFile   = 64 << 10 // minimum size of a trace file (bytes); with less, a file would hold only a few frames
-	minTraceBuffer = 64       // minimum buffer (steps); with less, steps would be dropped whenever the disk is slow for a moment
+	minTraceFileBytes   = 64 << 10 // minimum size of a trace file; with less, a file would hold only a few frames
+	minTraceBufferSteps = 64       // minimum buffer; with less, steps would be dropped whenever the disk is slow for a moment
 )
 
 // validate validates the sections of gateway.yaml that do not depend on other files. Classes are validated together with
 // the operations that name them (derive.go), and customers when they are indexed (customers.go).
 func (c *Config) validate(d *strictyaml.Document) {
-	c.validateTop(d)
+	c.validateListenAndFiles(d)
 	c.validateInstance(d)
 	c.validateCounter(d)
 	c.validateAttempts(d)
@@ -46,7 +46,7 @@
 // isShare reports whether x is above 0 and at most 1. It is false for NaN.
 func isShare(x float64) bool { return x > 0 && x <= 1 }
 
-func (c *Config) validateTop(d *strictyaml.Document) {
+func (c *Config) validateListenAndFiles(d *strictyaml.Document) {
 	reportBadAddress(d, "listen", c.Listen)
 	if c.OpenAPI == "" {
 		d.Reportf("openapi", "missing: the description that routes and costs come from")
@@ -145,10 +145,10 @@
 	if !isShare(t.Share) {
 		d.Reportf("trace.share", "%g: expected a share above 0, up to 1", t.Share)
 	}
-	if t.FileSize < minTraceFile || t.MaxTotalSize < t.FileSize {
+	if t.FileSize < minTraceFileBytes || t.MaxTotalSize < t.FileSize {
 		d.Reportf("trace.file-size", "expected 64KiB or more, and no more than trace.most")
 	}
-	reportBelow(d, "trace.buffer", float64(t.Buffer), minTraceBuffer)
+	reportBelow(d, "trace.buffer", float64(t.Buffer), minTraceBufferSteps)
 }
 
 func (c *Config) validateLimits(d *strictyaml.Document) {
--- a/coreid/coreid.go
+++ b/coreid/coreid.go
@@ -1,6 +1,6 @@
-// Package coreid identifies the core that a program was built with: a digest of everything that can change a decision.
-// Programs with the same identity make the same decisions from the same input. A tool with another identity than its input
-// gives no verdict.
+// Package coreid identifies the core of a program, the code that makes the decisions, by a digest of everything that can
+// change a decision. Programs with the same identity make the same decisions from the same input. A tool does not judge an
+// input that comes from a program with a different identity.
 package coreid
 
 import (
@@ -16,8 +16,8 @@
 	"sandyard/trace"
 )
 
-// digestBytes is the number of bytes of the digest that are kept: short enough to compare by eye, and sufficient because there
-// are few builds.
+// digestBytes is the number of bytes of the digest that an identity contains. It is short enough to compare by eye, and
+// sufficient because there are few builds.
 const digestBytes = 8
 
 // other is a part of the digest that only tests set, to build programs with two cores from the same source:
@@ -36,7 +36,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:digestBytes])
 })
 
-// Mismatch is the error of a tool that gives no verdict because its core differs from that of its input.
+// Mismatch is the error of a tool that does not judge its input, because another core produced the input.
 type Mismatch struct {
 	Own    string // this program's identity
 	Other  string // identity of the input's core
--- a/coreid/coreid_test.go
+++ b/coreid/coreid_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestCheckRefusesAnotherCore checks that Check accepts this build's identity, and returns a Mismatch with both identities for
-// any other. The verdict of a tool of another build would mislead the engineer on call.
+// any other. A tool with a different core could report false results, which would mislead the engineer on call.
 func TestCheckRefusesAnotherCore(t *testing.T) {
 	if err := Check(Core(), "the trace"); err != nil || len(Core()) != 2*digestBytes {
 		t.Errorf("%q: %v", Core(), err)
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-const failingTests = `package red
+const sampleTests = `package red
 
 import (
 	"flag"
@@ -20,13 +20,13 @@
 func TestFailsToo(t *testing.T)  { t.Fatal("another") }
 func TestPasses(t *testing.T)    {}
 func TestPanics(t *testing.T)    { panic("at once") }
-func TestPanicsBeside(t *testing.T) { go panic("beside"); select {} }
+func TestPanicsInGoroutine(t *testing.T) { go panic("in a goroutine"); select {} }
 func TestHangs(t *testing.T)     { select {} }
 var seed = flag.Int("seed", 0, "")
 func TestOneSeed(t *testing.T)   { if *seed == 3 { t.Fatal("a fault of this seed") } }
 `
 
-const failingTwin = "\nimport \"testing\"\n\nfunc TestTwice(t *testing.T) { t.Fatal() }\n"
+const duplicateTest = "\nimport \"testing\"\n\nfunc TestTwice(t *testing.T) { t.Fatal() }\n"
 
 func entry(lines ...string) string { return strings.Join(lines, "\n") + "\n" }
 
@@ -36,16 +36,16 @@
 
 var benchEntry = entry("bench: drain on roll", "command: REAL SITE --seed 4", "seen: BROKEN: drain", "issue: 32")
 
-// TestKnownRed: .ci/known-red must make CI skip exactly the tests that KNOWN-RED.txt names, must print them and the bench entries,
-// and must reject entries that are incomplete, malformed or no longer true.
+// TestKnownRed checks that .ci/known-red makes CI skip exactly the tests that KNOWN-RED.txt names, prints them and the bench
+// entries, and rejects entries that are incomplete, malformed or no longer true.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../.ci/known-red")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	for name, text := range map[string]string{"go.mod": "module red\n\ngo 1.24\n", "red_test.go": failingTests,
-		"other/o_test.go": "package other\n" + failingTwin, "more/m_test.go": "package more\n" + failingTwin} {
+	for name, text := range map[string]string{"go.mod": "module red\n\ngo 1.24\n", "red_test.go": sampleTests,
+		"other/o_test.go": "package other\n" + duplicateTest, "more/m_test.go": "package more\n" + duplicateTest} {
 		os.MkdirAll(filepath.Dir(filepath.Join(dir, name)), 0o700)
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -63,20 +63,20 @@
 		{"a bench", benchEntry, "known red, not run here: bench drain on roll: REAL SITE --seed 4: BROKEN: drain (32)", "", true},
 		{"what was learned since", benchEntry + "since: 0 of 9\nsince: 1 of 9\n", "--seed 4: BROKEN: drain; since: 0 of 9; since: 1 of 9 (32)", "", true},
 		{"a test, and what was learned since", testEntry("TestFails") + "since: 0 of 9\n", "known red: . TestFails: it is so; since: 0 of 9 (32)", "-skip ^(TestFails)$", true},
-		{"fails by its seed", entry("test: . TestOneSeed", "command: go test . -run '^TestOneSeed$' -seed 3", "seen: x", "issue: 1"), "known red: . TestOneSeed", "-skip ^(TestOneSeed)$", true},
-		{"panics in another goroutine", testEntry("TestPanicsBeside"), "known red: . TestPanicsBeside", "-skip ^(TestPanicsBeside)$", true},
+		{"fails with its seed", entry("test: . TestOneSeed", "command: go test . -run '^TestOneSeed$' -seed 3", "seen: x", "issue: 1"), "known red: . TestOneSeed", "-skip ^(TestOneSeed)$", true},
+		{"panics in another goroutine", testEntry("TestPanicsInGoroutine"), "known red: . TestPanicsInGoroutine", "-skip ^(TestPanicsInGoroutine)$", true},
 		{"hangs", entry("test: . TestHangs", "command: go test . -run ^TestHangs$ -timeout 1s", "seen: x", "issue: 1"), "known red: . TestHangs", "-skip ^(TestHangs)$", true},
 
 		{"no such test", testEntry("TestFail"), "entry 1: . has no TestFail", "", false},
 		{"passes", testEntry("TestFails") + "\n" + testEntry("TestPasses"), "entry 2: TestPasses passes by now", "-skip ^(TestFails)$", false},
-		{"passes, and a good one follows", testEntry("TestPasses") + "\n" + testEntry("TestFails") + "\n" + benchEntry, "entry 1: TestPasses passes by now", "-skip ^(TestFails)$", false},
-		{"passes by its seed", entry("test: . TestOneSeed", "command: go test . -run TestOneSeed -seed 4", "seen: x", "issue: 1"), "entry 1: TestOneSeed passes by now", "", false},
-		{"another fails", entry("test: . TestPasses", "command: go test . -run 'TestFails$|TestPasses'", "seen: x", "issue: 1"), "but not by TestPasses", "", false},
+		{"passes, followed by a valid entry", testEntry("TestPasses") + "\n" + testEntry("TestFails") + "\n" + benchEntry, "entry 1: TestPasses passes by now", "-skip ^(TestFails)$", false},
+		{"passes with its seed", entry("test: . TestOneSeed", "command: go test . -run TestOneSeed -seed 4", "seen: x", "issue: 1"), "entry 1: TestOneSeed passes by now", "", false},
+		{"another test fails", entry("test: . TestPasses", "command: go test . -run 'TestFails$|TestPasses'", "seen: x", "issue: 1"), "but not by TestPasses", "", false},
 		{"a command that can't run", entry("test: . TestFails", "command: go test . -run TestFails -nosuch", "seen: x", "issue: 1"), "but not by TestFails", "", false},
 		{"a command of another kind", entry("test: . TestFails", "command: false TestFails", "seen: x", "issue: 1"), "entry 1: expected a command", "", false},
 		{"a command for another test", entry("test: . TestFails", "command: go test . -run TestFailsToo", "seen: x", "issue: 1"), "entry 1: expected a command", "", false},
 		{"no package", entry("test: TestFails", "command: go test . -run TestFails", "seen: x", "issue: 1"), "entry 1: expected 'test: PACKAGE NAME'", "", false},
-		{"twice", entry("test: ./more TestTwice", "command: go test ./more -run TestTwice", "seen: x", "issue: 1"), "several packages", "", false},
+		{"a test in two packages", entry("test: ./more TestTwice", "command: go test ./more -run TestTwice", "seen: x", "issue: 1"), "several packages", "", false},
 		{"neither test nor bench", entry("command: go test .", "seen: x", "issue: 1"), "entry 1: no test and no bench", "", false},
 		{"both", entry("test: . TestFails", "bench: b", "command: go test . -run TestFails", "seen: x", "issue: 1"), "entry 1: both a test and a bench", "", false},
 		{"a test without a command", entry("test: . TestFails", "seen: x", "issue: 1"), "entry 1: no command", "", false},
@@ -90,7 +90,7 @@
 		{"an unknown key", benchEntry + "owner: me\n", "line 5: unknown key owner", "", false},
 		{"a key twice", benchEntry + "issue: 33\n", "line 5: issue stands twice", "", false},
 		{"a line without a key", benchEntry + "and so on\n", "line 5: expected 'key: value'", "", false},
-		{"the form before", ". TestFails: it is so (32)\n", "line 1: expected 'key: value'", "", false},
+		{"the earlier format", ". TestFails: it is so (32)\n", "line 1: expected 'key: value'", "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			list, skip := filepath.Join(t.TempDir(), "KNOWN-RED.txt"), filepath.Join(t.TempDir(), "skip")
--- a/internal/diagnostic/diagnostic.go
+++ b/internal/diagnostic/diagnostic.go
@@ -33,8 +33,8 @@
 // Unwrap returns the cause.
 func (p Problem) Unwrap() error { return p.Cause }
 
-// Problems is a list of problems. It is an error unless it is empty. errors.Is and errors.As examine each Problem and its
-// cause.
+// Problems is a list of problems that implements error; Err returns nil instead of an empty list. errors.Is and errors.As
+// examine each Problem and its cause.
 type Problems []Problem
 
 // Error returns all messages, one per line.
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -14,7 +14,7 @@
 	DecodeText(string) error
 }
 
-// decode decodes a node into a value; field is the dotted name of the value.
+// decode decodes a node into a value and records the node's position as that of field, the dotted name of the value.
 func (d *Document) decode(n ast.Node, v reflect.Value, field string) {
 	d.setPosition(n, field)
 	switch m := n.(type) {
--- a/internal/strictyaml/strictyaml.go
+++ b/internal/strictyaml/strictyaml.go
@@ -1,4 +1,4 @@
-// Package strictyaml decodes YAML into structs. Unknown keys, wrong types and values without units are problems. Decoding
+// Package strictyaml decodes YAML into structs. Unknown keys, wrong types and missing units are problems. Decoding
 // continues after a problem, so that all problems are reported at once, each with file, line and field.
 package strictyaml
 
@@ -20,14 +20,14 @@
 type Document struct {
 	Problems  diagnostic.Problems
 	file      string
-	positions map[string]position // of each field, by its dotted name
+	positions map[string]position // positions of the fields in the file, by dotted name
 }
 
 // position is the position of a field in the file; both numbers begin at 1.
 type position struct{ line, column int }
 
-// Read decodes a document into target, a pointer to a struct whose fields have their keys in yaml tags. Errors are added to
-// the problems of the returned document; a field that can't be decoded keeps its value.
+// Read decodes a document into target, a pointer to a struct. The yaml tag of a struct field is its key in the document. Read
+// adds errors to the problems of the returned document. A field that can't be decoded keeps the value that it has in target.
 func Read(file string, text []byte, target any) *Document {
 	d := &Document{file: file, positions: map[string]position{}}
 	f, err := parser.ParseBytes(text, 0)
@@ -46,7 +46,7 @@
 // Has reports whether the document contains a field, given its dotted name.
 func (d *Document) Has(field string) bool { _, ok := d.positions[field]; return ok }
 
-// Readable reports whether the document is valid YAML. If it is not, no field was decoded.
+// Readable reports whether the file is valid YAML with exactly one document that is not empty. If it is not, no field was decoded.
 func (d *Document) Readable() bool { return len(d.positions) > 0 }
 
 // Reportf adds a problem at the position of a field, or of the innermost enclosing field that the document contains.
--- a/internal/strictyaml/suggest.go
+++ b/internal/strictyaml/suggest.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// tooManyEdits is the edit distance from which a known key differs too much from a mistyped one to be suggested.
+// tooManyEdits is the edit distance to a mistyped key at which a known key is no longer suggested: it differs too much.
 const tooManyEdits = 3
 
-// suggestion returns a text that suggests the known key nearest to a mistyped one, or "" if none is near enough.
+// suggestion returns a text that suggests the known key with the smallest edit distance to a mistyped key, or "" if every
+// distance is tooManyEdits or more.
 func suggestion(key string, known map[string]int) string {
 	best, least := "", tooManyEdits
 	for k := range known {
@@ -29,12 +30,12 @@
 		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			change := diagonal
+			substitution := diagonal
 			if a[i] != b[j] {
-				change++
+				substitution++
 			}
 			diagonal = row[j+1]
-			row[j+1] = min(change, diagonal+1, row[j]+1)
+			row[j+1] = min(substitution, diagonal+1, row[j]+1)
 		}
 	}
 	return row[len(b)]
--- a/routes/compile.go
+++ b/routes/compile.go
@@ -43,7 +43,7 @@
 func nodeLocation(n *yaml.Node, field string) location { return location{n.Line, n.Column, field} }
 
 // Compile compiles an OpenAPI description into a table. If it fails, the error is a diagnostic.Problems with every problem,
-// and the table is nil. References to other files and hosts are not followed.
+// and the table is nil. Compile does not follow references to other files and hosts.
 func Compile(file string, text []byte) (*Table, error) {
 	c := &compiler{file: file, table: &Table{}, ids: map[string]int{}}
 	var root yaml.Node
@@ -230,7 +230,7 @@
 	return n
 }
 
-// compileOperation adds an operation to the table. It inherits the extensions of its path that it does not set itself.
+// compileOperation adds an operation to the table. The operation inherits each extension of its path that it does not set.
 func (c *compiler) compileOperation(method, template string, o *v3.Operation, inherited extensionMap, path location) *Operation {
 	at := location{path.line, 1, path.field + "." + strings.ToLower(method)}
 	if low := o.GoLow(); low != nil && low.KeyNode != nil {
--- a/routes/extensions.go
+++ b/routes/extensions.go
@@ -21,7 +21,7 @@
 	extPrefix = "x-sandyard-"
 )
 
-// The names of values in extension fields, and the values.
+// The values of package decision, by their names in extension fields.
 var (
 	idempotencies = map[string]decision.Idempotency{
 		"safe":   decision.Idempotent,
@@ -58,9 +58,9 @@
 	}
 }
 
-// mappingKeys returns the scalar values of a mapping by key. It reports keys other than the known ones, and values that are
+// scalarValues returns the scalar values of a mapping by key. It reports keys other than the known ones, and values that are
 // not scalars.
-func (c *compiler) mappingKeys(n *yaml.Node, at string, known ...string) map[string]*yaml.Node {
+func (c *compiler) scalarValues(n *yaml.Node, at string, known ...string) map[string]*yaml.Node {
 	out := map[string]*yaml.Node{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k, v := n.Content[i], n.Content[i+1]
@@ -98,21 +98,21 @@
 		return Units{}
 	}
 	u := Units{Default: 1}
-	keys := c.mappingKeys(value, at, "in", "name", "default", "most")
-	if n := keys["in"]; n == nil || n.Value != "query" && n.Value != "header" {
+	values := c.scalarValues(value, at, "in", "name", "default", "most")
+	if n := values["in"]; n == nil || n.Value != "query" && n.Value != "header" {
 		c.report(nodeLocation(value, at+".in"), "expected query or header")
 	} else {
 		u.In = n.Value
 	}
-	if n := keys["name"]; n == nil || n.Value == "" {
+	if n := values["name"]; n == nil || n.Value == "" {
 		c.report(nodeLocation(value, at+".name"), "expected the parameter that carries the units")
 	} else {
 		u.Name = n.Value
 	}
-	if n := keys["default"]; n != nil {
+	if n := values["default"]; n != nil {
 		u.Default = c.parseNumber(n, at+".default")
 	}
-	if n := keys["most"]; n == nil {
+	if n := values["most"]; n == nil {
 		c.report(nodeLocation(value, at+".most"), "expected the maximum units of a request")
 	} else if u.Max = c.parseNumber(n, at+".most"); u.Default > u.Max {
 		c.report(nodeLocation(n, at+".most"), "less than the default, %g", u.Default)
@@ -125,13 +125,13 @@
 	r := Repeat{Given: true, Idempotency: decision.NotIdempotent}
 	kind := value
 	if value.Kind == yaml.MappingNode {
-		keys := c.mappingKeys(value, at, "kind", "ttl", "scope")
-		if kind = keys["kind"]; kind == nil {
+		values := c.scalarValues(value, at, "kind", "ttl", "scope")
+		if kind = values["kind"]; kind == nil {
 			c.report(nodeLocation(value, at+".kind"), "expected safe, keyed or unsafe")
 			return r
 		}
-		r.KeyTTL = c.parseTTL(keys["ttl"], at+".ttl")
-		r.KeyScope = c.parseScope(keys["scope"], at+".scope")
+		r.KeyTTL = c.parseTTL(values["ttl"], at+".ttl")
+		r.KeyScope = c.parseScope(values["scope"], at+".scope")
 	}
 	idempotency, ok := idempotencies[kind.Value]
 	if !ok || kind.Kind != yaml.ScalarNode {
@@ -145,7 +145,7 @@
 	return r
 }
 
-// parseTTL parses a duration above 0. It returns 0 if there is no value.
+// parseTTL parses a duration above 0 and reports an invalid one. It returns 0 if there is no value.
 func (c *compiler) parseTTL(n *yaml.Node, at string) time.Duration {
 	if n == nil {
 		return 0
@@ -157,7 +157,7 @@
 	return ttl
 }
 
-// parseScope parses the scope of an idempotency key. It returns KeyScopeAll if there is no value.
+// parseScope parses the scope of an idempotency key and reports an invalid one. It returns KeyScopeAll if there is no value.
 func (c *compiler) parseScope(n *yaml.Node, at string) decision.KeyScope {
 	if n == nil {
 		return decision.KeyScopeAll
--- a/routes/path.go
+++ b/routes/path.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// isUnambiguous reports whether every server interprets a path in the same way. A backend that decodes %61dmin, or resolves
-// dot segments, would see another path than the one that was matched and charged.
+// isUnambiguous reports whether every server interprets a path in the same way. A backend that decodes %61dmin, resolves dot
+// segments, or treats a backslash as a slash would see another path than the one that was matched and charged.
 func isUnambiguous(path string) bool {
 	for i := 0; i < len(path); i++ {
 		switch path[i] {
 		case '%':
-			if i+2 >= len(path) || !isRequiredEscape(path[i+1], path[i+2]) {
+			if i+2 >= len(path) || !isUnambiguousEscape(path[i+1], path[i+2]) {
 				return false
 			}
 			i += 2
@@ -23,18 +23,18 @@
 	return true
 }
 
-// isRequiredEscape reports whether two hexadecimal digits escape a character that can't be written unescaped, and that is
-// safe. Servers differ in how they interpret an escaped unreserved character, and an escaped separator, percent sign or
-// control character.
-func isRequiredEscape(high, low byte) bool {
+// isUnambiguousEscape reports whether two characters are the hexadecimal digits of an escape that every server interprets in
+// the same way. Servers differ in how they interpret an escaped unreserved character, and an escaped separator, percent sign
+// or control character.
+func isUnambiguousEscape(high, low byte) bool {
 	hi, lo := hexDigit(high), hexDigit(low)
 	if hi < 0 || lo < 0 {
 		return false
 	}
 	c := byte(hi<<4 | lo)
 	isUnreserved := c|0x20 >= 'a' && c|0x20 <= 'z' || c >= '0' && c <= '9' || strings.IndexByte("-._~", c) >= 0
-	isDangerous := c == '/' || c == '\\' || c < 0x20 || c == 0x7f || c == '%'
-	return !isUnreserved && !isDangerous
+	isAmbiguous := c == '/' || c == '\\' || c < 0x20 || c == 0x7f || c == '%'
+	return !isUnreserved && !isAmbiguous
 }
 
 // isDotSegment reports whether the rest of a path begins with a segment "." or "..".
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -11,7 +11,8 @@
 	"sandyard/internal/diagnostic"
 )
 
-const head = "openapi: 3.0.3\ninfo: {title: t, version: '1'}\npaths:\n"
+// descriptionStart is the part of a description that precedes its paths.
+const descriptionStart = "openapi: 3.0.3\ninfo: {title: t, version: '1'}\npaths:\n"
 
 func get(path string) string {
 	return "  " + path + ":\n    get:\n      x-sandyard-class: c\n      responses: {}\n"
@@ -21,7 +22,7 @@
 // two parsers could interpret differently is rejected. Otherwise a client could get another operation than the one that it is
 // charged for, and so exceed its quota. A match must not allocate, since every request needs one.
 func TestMatchAndCost(t *testing.T) {
-	table, err := Compile("api.yaml", []byte(head+get("/a")+get("/a/{x}")+get("/a/new")+get("/a/{x}/b")+get("/{y}/c/d")+
+	table, err := Compile("api.yaml", []byte(descriptionStart+get("/a")+get("/a/{x}")+get("/a/new")+get("/a/{x}/b")+get("/{y}/c/d")+
 		"  /units:\n    x-sandyard-class: c\n    post:\n      x-sandyard-units: {in: query, name: n, default: 2, most: 8}\n"+
 		"      x-sandyard-repeat: {kind: keyed, ttl: 6s, scope: zone}\n      responses: {}\n"))
 	if err != nil {
@@ -66,14 +67,14 @@
 		text  string
 		wants []string
 	}{
-		{head + get("/a") + get("/b") + get("/a"), []string{"api.yaml:12", "first in line 4"}},
-		{head + get("/a/{x}") + get("/a/{y}"), []string{"api.yaml:8", "/a/{x} in line 4"}},
-		{head + "  /a:\n    get: {responses: {}}\n  /b:\n    get: {x-sandyard-clas: c, responses: {}}\n",
+		{descriptionStart + get("/a") + get("/b") + get("/a"), []string{"api.yaml:12", "first in line 4"}},
+		{descriptionStart + get("/a/{x}") + get("/a/{y}"), []string{"api.yaml:8", "/a/{x} in line 4"}},
+		{descriptionStart + "  /a:\n    get: {responses: {}}\n  /b:\n    get: {x-sandyard-clas: c, responses: {}}\n",
 			[]string{"api.yaml:5", "no x-sandyard-class", "x-sandyard-clas: unknown extension"}},
-		{head + get("/a{x}") + get("/{x}/{x}") + get("b") + get("/a/../b"), []string{"whole segment", "occurs twice", "begins with /", "dot segments"}},
-		{head + "  /a:\n    x-sandyard-class: c\n    get:\n      x-sandyard-units: {in: body, nam: x, most: -1}\n      responses: {}\n",
+		{descriptionStart + get("/a{x}") + get("/{x}/{x}") + get("b") + get("/a/../b"), []string{"whole segment", "occurs twice", "begins with /", "dot segments"}},
+		{descriptionStart + "  /a:\n    x-sandyard-class: c\n    get:\n      x-sandyard-units: {in: body, nam: x, most: -1}\n      responses: {}\n",
 			[]string{"api.yaml:7", "in: expected query or header", "nam: unknown key", "0 or more", "name: expected"}},
-		{head + "  /a:\n    x-sandyard-class: c\n    get:\n      x-sandyard-repeat: keyed\n      responses: {}\n    post:\n      x-sandyard-repeat: often\n      responses: {}\n",
+		{descriptionStart + "  /a:\n    x-sandyard-class: c\n    get:\n      x-sandyard-repeat: keyed\n      responses: {}\n    post:\n      x-sandyard-repeat: often\n      responses: {}\n",
 			[]string{"how long boxes remember", `"often"`}},
 		{"openapi: [", []string{"api.yaml:1"}}, {"", []string{"api.yaml:1"}}, {"swagger: '2.0'\ninfo: {}\npaths: {}\n", []string{"api.yaml:1"}},
 		{"openapi: 3.0.0\ninfo: {title: t, version: '1'}\npaths: {}\n", []string{"no paths"}},
@@ -97,7 +98,7 @@
 func TestMatchAgreesWithTryingEveryTemplate(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "b", "{x}"})
 	rapid.Check(t, func(t *rapid.T) {
-		seen, text := map[string]bool{}, head
+		seen, text := map[string]bool{}, descriptionStart
 		var templates [][]string
 		for range rapid.IntRange(1, 12).Draw(t, "templates") {
 			segs := rapid.SliceOfN(segment, 1, 4).Draw(t, "segments")
--- a/routes/table.go
+++ b/routes/table.go
@@ -16,7 +16,8 @@
 	"sandyard/decision"
 )
 
-// Repeat is the idempotency that an operation declares. With the zero value that of the class applies.
+// Repeat is the idempotency that an operation declares. The zero value means that the idempotency of its class
+// applies.
 type Repeat struct {
 	Given       bool // the operation declares its idempotency
 	Idempotency decision.Idempotency
@@ -61,7 +62,7 @@
 	PathNotFound                 // 404
 	MethodNotAllowed             // 405: the path has other methods
 	BadPath                      // 400: a path that two parsers could interpret differently
-	BadParams                    // 400: the parameter with the units is not a number within its bounds
+	BadParams                    // 400: the parameter with the units is ambiguous, or not a number within its bounds
 )
 
 // Match returns the operation of a request, which is nil unless the result is Found. HEAD matches GET if the path has no
@@ -80,7 +81,8 @@
 	return nil, result
 }
 
-// match finds the operation for the rest of a path below a node. If there is none, it may set result to MethodNotAllowed.
+// match returns the operation for the rest of a path below n, or nil if there is none. If a template matches the path but has
+// other methods only, match sets result to MethodNotAllowed.
 func (n *node) match(method, rest string, result *MatchResult) *Operation {
 	segment, tail, more := strings.Cut(rest, "/")
 	if next := n.literal[segment]; next != nil {
--- a/routes/units.go
+++ b/routes/units.go
@@ -61,7 +61,7 @@
 	return value, found, true
 }
 
-// decodesTo reports whether key contains escapes and decodes to name, or can't be decoded.
+// decodesTo reports whether key contains escapes and either decodes to name or can't be decoded.
 func decodesTo(key, name string) bool {
 	if strings.IndexByte(key, '%') < 0 && strings.IndexByte(key, '+') < 0 {
 		return false
--- a/trace/history.go
+++ b/trace/history.go
@@ -14,7 +14,7 @@
 	Outcome decision.Outcome   `json:"outcome"`
 }
 
-// CounterCall is a call of the counter whose reply a request waits for.
+// CounterCall is a call of the counter.
 type CounterCall struct {
 	Name      string           `json:"name"`
 	Amount    float64          `json:"amount"`
@@ -36,7 +36,7 @@
 	TimeLeft    time.Duration         `json:"left_ns"`
 	Retry       bool                  `json:"retry"`
 	Attempts    []Attempt             `json:"attempts"`
-	CounterCall *CounterCall          `json:"call"`
+	CounterCall *CounterCall          `json:"call"` // first call that adds units in the step of the request's arrival; nil: none
 	Outcome     Outcome               `json:"outcome"`
 	Ended       time.Duration         `json:"ended_ns"`
 	Reason      decision.RejectReason `json:"why"`
@@ -47,7 +47,7 @@
 
 // The outcomes of a request. Tools print these values.
 const (
-	Open               Outcome = "open" // the trace ends before the request
+	Open               Outcome = "open" // the trace ends before the request does
 	Served             Outcome = "served"
 	Rejected           Outcome = "refused"
 	Failed             Outcome = "failed"
--- a/trace/reader.go
+++ b/trace/reader.go
@@ -9,8 +9,8 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Errors of reading. They are returned wrapped, with the offset in the file. ErrTruncated does not mean corruption: a process
-// that was killed leaves such a file.
+// Errors of reading. The reader wraps them: ErrTruncated and ErrCorrupt with an offset in the file, ErrFormat with the start of
+// the file. ErrTruncated does not mean corruption: a process that was killed leaves such a file.
 var (
 	ErrFormat    = errors.New("trace: not a trace of this version")
 	ErrTruncated = errors.New("trace: the file ends within a frame")
@@ -19,10 +19,10 @@
 
 // Reader reads a file. It must not be used by several goroutines at once.
 type Reader struct {
-	Header Header
-	file   []byte
-	offset int // of the next frame, in bytes
-	zip    *zstd.Decoder
+	Header       Header
+	file         []byte
+	offset       int // offset of the next frame (bytes)
+	decompressor *zstd.Decoder
 }
 
 // NewReader reads the header of a file. The error is ErrFormat, ErrTruncated or ErrCorrupt, wrapped, or that of the decoder.
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Reader{file: file, offset: len(Format), zip: z}
+	r := &Reader{file: file, offset: len(Format), decompressor: z}
 	b, err := r.frame()
 	if err == nil {
 		err = codec.dec.Unmarshal(b, &r.Header)
@@ -48,7 +48,7 @@
 }
 
 // Close releases the decompressor. The reader must not be used after it.
-func (r *Reader) Close() { r.zip.Close() }
+func (r *Reader) Close() { r.decompressor.Close() }
 
 // Next returns the records of the next frame, or nil at the end of the file. After an error it must not be called again.
 func (r *Reader) Next() ([]Record, error) {
@@ -83,7 +83,7 @@
 	if crc32.Checksum(p, castagnoli) != sum {
 		return nil, fmt.Errorf("%w: at byte %d: checksum mismatch", ErrCorrupt, r.offset)
 	}
-	b, err := r.zip.DecodeAll(p, nil)
+	b, err := r.decompressor.DecodeAll(p, nil)
 	if err != nil {
 		return nil, fmt.Errorf("%w: at byte %d: %v", ErrCorrupt, r.offset, err)
 	}
@@ -93,7 +93,8 @@
 
 // Each calls begin, unless it is nil, with the header of a file, and f with every record. If the file is truncated, because
 // the process was killed, Each reads it up to the last complete frame and returns the end of that frame as cut (bytes); 0
-// means that the file is complete. Errors of begin and f are returned unchanged.
+// means that the file is complete. If the frame of the header is incomplete, Each returns
+// ErrTruncated. It returns the errors of begin and f unchanged.
 func Each(file []byte, begin func(Header) error, f func(Header, Record) error) (cut int, err error) {
 	r, err := NewReader(file)
 	if err != nil {
--- a/trace/recorded_test.go
+++ b/trace/recorded_test.go
@@ -60,21 +60,21 @@
 		t.Errorf("%d states, %d steps, %d dropped, %d requests; recorded were 3, 9303, 0 and 2603", states, s.Steps, s.Dropped, len(s.All))
 	}
 	outcomes, attempts, calls := map[Outcome]int{}, map[int]int{}, 0
-	var some strings.Builder
-	all := sha256.New()
-	for i, st := range s.All {
-		b, err := json.Marshal(st)
+	var sample strings.Builder
+	digest := sha256.New()
+	for i, request := range s.All {
+		b, err := json.Marshal(request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		history := fmt.Sprintf("%s\n%s\n", b, s.Explain(head, st))
-		all.Write([]byte(history))
+		history := fmt.Sprintf("%s\n%s\n", b, s.Explain(head, request))
+		digest.Write([]byte(history))
 		if i%40 == 0 {
-			some.WriteString(history)
+			sample.WriteString(history)
 		}
-		outcomes[st.Outcome]++
-		attempts[len(st.Attempts)]++
-		if st.CounterCall != nil {
+		outcomes[request.Outcome]++
+		attempts[len(request.Attempts)]++
+		if request.CounterCall != nil {
 			calls++
 		}
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := fmt.Sprintf("%s\nsha256 of all: %x\n%s", counts, all.Sum(nil), &some)
+	got := fmt.Sprintf("%s\nsha256 of all: %x\n%s", counts, digest.Sum(nil), &sample)
 	if *recordGolden {
 		if err := os.WriteFile(recordedHistories, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
@@ -148,7 +148,7 @@
 				t.Fatal(err)
 			}
 			if records[i].Snapshot != nil {
-				logStateChange(t, records[i].Snapshot, replay)
+				replaceState(t, records[i].Snapshot, replay)
 			}
 		}
 		frame, err := w.Frame(records)
@@ -162,16 +162,16 @@
 	}
 }
 
-// logStateChange replaces a recorded state with the replay's, and logs the fields that differ.
-func logStateChange(t *testing.T, recorded *decision.State, replay *Replay) {
+// replaceState replaces a recorded state with the replay's, and logs the fields that differ.
+func replaceState(t *testing.T, recorded *decision.State, replay *Replay) {
 	own, err := replay.Gateway().Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	was, is := reflect.ValueOf(*recorded), reflect.ValueOf(own)
-	for i := range was.NumField() {
-		if a, b := was.Field(i).Interface(), is.Field(i).Interface(); !reflect.DeepEqual(a, b) {
-			t.Logf("%s: recorded %+v, now %+v", was.Type().Field(i).Name, a, b)
+	before, after := reflect.ValueOf(*recorded), reflect.ValueOf(own)
+	for i := range before.NumField() {
+		if a, b := before.Field(i).Interface(), after.Field(i).Interface(); !reflect.DeepEqual(a, b) {
+			t.Logf("%s: recorded %+v, now %+v", before.Type().Field(i).Name, a, b)
 		}
 	}
 	*recorded = own
@@ -218,11 +218,11 @@
 		if err := json.Unmarshal(b, &got); err != nil {
 			t.Fatal(err)
 		}
-		all, left := got.Steps+got.Skipped, states
+		totalSteps, wantStates := got.Steps+got.Skipped, states
 		if from > 0 {
-			all, left = all+1, states-from+1 // the first step is not replayed
+			totalSteps, wantStates = totalSteps+1, states-from+1 // the first step is not replayed
 		}
-		if all != steps || got.States != left || got.Steps < 500 || from == 0 && got.Skipped != 0 {
+		if totalSteps != steps || got.States != wantStates || got.Steps < 500 || from == 0 && got.Skipped != 0 {
 			t.Errorf("from state %d: %s", from, b)
 		}
 		if got.Differ != 0 || got.Dropped != 0 || got.Uncertain != 0 || got.First != "" {
@@ -250,11 +250,11 @@
 			t.Fatal(err)
 		}
 		if frames > 0 {
-			var items []Record
-			if err := codec.dec.Unmarshal(b, &items); err != nil {
+			var records []Record
+			if err := codec.dec.Unmarshal(b, &records); err != nil {
 				t.Fatal(err)
 			}
-			if again, err = codec.enc.Marshal(items); err != nil {
+			if again, err = codec.enc.Marshal(records); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -27,7 +27,7 @@
 	Dropped           uint64        `json:"dropped"`     // number of steps that are missing from the trace
 	Uncertain         uint64        `json:"uncertain"`   // number of differing steps after missing ones, which may be the cause
 	Skipped           uint64        `json:"skipped"`     // number of steps before the first state, if the trace does not begin with part 0
-	States            uint64        `json:"states"`      // number of recorded states that were compared with, or restored
+	States            uint64        `json:"states"`      // number of recorded states that were compared or restored
 
 	gateway  *decision.Gateway
 	afterGap bool // steps are missing after the last state
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -53,11 +53,11 @@
 	}
 	defer r.Close()
 	for {
-		is, err := r.Next()
-		if err != nil || is == nil {
+		records, err := r.Next()
+		if err != nil || records == nil {
 			return got, err
 		}
-		got = append(got, is...)
+		got = append(got, records...)
 	}
 }
 
@@ -65,19 +65,19 @@
 func TestEveryEventAndActionSurvivesEncoding(t *testing.T) {
 	got, err := readAll(sampleFile(t))
 	if err != nil || len(got) != len(sampleRecords()) {
-		t.Fatalf("%d items, %v", len(got), err)
+		t.Fatalf("%d records, %v", len(got), err)
 	}
 	for i, want := range sampleRecords() {
 		if g := got[i].Event.Unwrap(); !reflect.DeepEqual(g, want.Event.Unwrap()) {
-			t.Errorf("item %d: %+v, want %+v", i, g, want.Event.Unwrap())
+			t.Errorf("record %d: %+v, want %+v", i, g, want.Event.Unwrap())
 		}
 		if len(got[i].Actions) != len(want.Actions) {
-			t.Errorf("item %d: %d actions", i, len(got[i].Actions))
+			t.Errorf("record %d: %d actions", i, len(got[i].Actions))
 			continue
 		}
 		for k := range want.Actions {
 			if g := got[i].Actions[k].Unwrap(); g == nil || !reflect.DeepEqual(g, want.Actions[k].Unwrap()) {
-				t.Errorf("item %d, action %d: %+v", i, k, g)
+				t.Errorf("record %d, action %d: %+v", i, k, g)
 			}
 		}
 	}
@@ -99,12 +99,12 @@
 		case err != nil && !errors.Is(err, ErrTruncated):
 			t.Fatalf("%d bytes: %v", n, err)
 		case len(got) < last:
-			t.Fatalf("%d bytes: %d items, with fewer bytes %d", n, len(got), last)
+			t.Fatalf("%d bytes: %d records, with fewer bytes %d", n, len(got), last)
 		}
 		last = len(got)
 	}
 	if last != len(sampleRecords()) {
-		t.Errorf("%d items at the end", last)
+		t.Errorf("%d records at the end", last)
 	}
 }
 
--- a/trace/writer.go
+++ b/trace/writer.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxArrayItems = 1 << 20 // maximum items of an array in a frame: ten times config.MaxEndpoints
+	maxArrayItems = 1 << 20 // maximum items of an array in a frame: about ten times config.MaxEndpoints
 	maxMapPairs   = 1 << 16 // maximum pairs of a map in a frame; records have far fewer fields
 )
 
@@ -33,12 +33,12 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Writer encodes a file. It must not be used by several goroutines at once.
-type Writer struct{ zip *zstd.Encoder }
+type Writer struct{ compressor *zstd.Encoder }
 
 // NewWriter returns a Writer. The error is that of the compressor.
 func NewWriter() (*Writer, error) {
 	z, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
-	return &Writer{zip: z}, err
+	return &Writer{compressor: z}, err
 }
 
 // Begin returns the start of a file: Format and the frame of the header.
@@ -59,10 +59,10 @@
 	return w.frame(nil, b), nil
 }
 
-// frame appends a frame with a payload to to, and returns the result.
-func (w *Writer) frame(to, payload []byte) []byte {
-	compressed := w.zip.EncodeAll(payload, nil)
-	to = binary.BigEndian.AppendUint32(to, uint32(len(compressed)))
-	to = binary.BigEndian.AppendUint32(to, crc32.Checksum(compressed, castagnoli))
-	return append(to, compressed...)
+// frame appends a frame with a payload to dst and returns the extended slice.
+func (w *Writer) frame(dst, payload []byte) []byte {
+	compressed := w.compressor.EncodeAll(payload, nil)
+	dst = binary.BigEndian.AppendUint32(dst, uint32(len(compressed)))
+	dst = binary.BigEndian.AppendUint32(dst, crc32.Checksum(compressed, castagnoli))
+	return append(dst, compressed...)
 }
