--- a/config/settings.go
+++ b/config/settings.go
@@ -57,8 +57,8 @@
 type Class struct {
 	// Name is the name by which operations refer to the class.
 	Name string `yaml:"name"`
-	// Idempotency says when a request may be repeated: a "safe" request always, a "keyed" request with the same idempotency
-	// key, an "unsafe" request only if it is certain that it has not run. Required.
+	// Idempotency says when a request may be repeated: a "safe" request always, a "keyed" request only with the same
+	// idempotency key, an "unsafe" request only if it is certain that it has not run. Required.
 	Idempotency string `yaml:"repeat"`
 	// KeyScope is the group of backends that recognize the repeated key of a keyed request: "all" backends (the default),
 	// those of the same "zone", or those of the same "cell".
@@ -203,7 +203,7 @@
 	ConnsPerBackend int `yaml:"lines-per-box"` // open connections to one backend; 256 by default
 	Queue           int `yaml:"queue"`         // length of the event loop's queue (messages) at which new requests are rejected; 8192 by default. From half of it on no connections are accepted
 
-	Memory       strictyaml.Size `yaml:"memory"`      // memory for the requests that are held, over all connections; 256MiB by default
+	Memory       strictyaml.Size `yaml:"memory"`      // memory for buffered request bytes, over all client connections; 256MiB by default
 	Body         strictyaml.Size `yaml:"body"`        // size of a request body, at most Memory; 1MiB by default. 0: requests with a body are rejected
 	Head         strictyaml.Size `yaml:"head"`        // size of the head of a message; 32KiB by default
 	Fields       int             `yaml:"fields"`      // number of fields in a head; 128 by default
--- a/trace/explain.go
+++ b/trace/explain.go
@@ -43,7 +43,7 @@
 	return b.String()
 }
 
-// explainArrival writes when a request arrived, of which customer, and what it asked for.
+// explainArrival writes when a request arrived, its customer and plan, its operation and its units.
 func explainArrival(b *strings.Builder, header Header, h *RequestHistory) {
 	plan := "of no known plan"
 	if h.Plan >= 0 && int(h.Plan) < len(header.Plans) {
--- a/trace/format.go
+++ b/trace/format.go
@@ -35,7 +35,7 @@
 	Plans      []string          `cbor:"9,keyasint"`
 	Operations []string          `cbor:"10,keyasint"` // operation IDs
 	Part       int               `cbor:"11,keyasint"` // number of the file in its series, from 0; only part 0 begins at StartedAt
-	Share      float64           `cbor:"12,keyasint"` // share of the requests that is recorded; 1: all of them, and all other steps
+	Share      float64           `cbor:"12,keyasint"` // share of the requests that is recorded; 1: all requests, and all steps without a request
 }
 
 // Record is one step of package decision: an event and its actions. It can instead be a state, the name of a backend or a
--- a/trace/recorded_test.go
+++ b/trace/recorded_test.go
@@ -232,8 +232,9 @@
 	}
 }
 
-// TestRecordedTraceIsEncodedUnchanged checks that the recorded trace is encoded to the same bytes after it is decoded. So the names
-// and numbers in the format have not changed, including those of package decision's settings, events, actions and states.
+// TestRecordedTraceIsEncodedUnchanged checks that the recorded trace is encoded to the same bytes after it is decoded. This
+// shows that the names and numbers in the format have not changed, including those of package decision's settings, events,
+// actions and states.
 func TestRecordedTraceIsEncodedUnchanged(t *testing.T) {
 	r := openRecorded(t)
 	head, err := codec.enc.Marshal(r.Header)
