--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -76,11 +76,11 @@
 paths: {/look: {get: {x-sandyard-class: c, responses: {"200": {description: fine}}}}}
 `
 
-// targets are processes that are killed at the end of the measurement.
-type targets []*target
+// children are the processes that are killed at the end of the measurement.
+type children []*target
 
 // stop kills the processes and waits for them.
-func (ps *targets) stop() {
+func (ps *children) stop() {
 	for _, p := range *ps {
 		p.cmd.Process.Kill()
 		p.cmd.Wait()
@@ -117,7 +117,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var processes targets
+	var processes children
 	defer processes.stop()
 	backend, err := o.start("box")
 	if err != nil {
--- a/internal/bench/tools.go
+++ b/internal/bench/tools.go
@@ -20,8 +20,8 @@
 // ToolOptions configures a measurement of the costs of trace recording and of admin socket queries.
 type ToolOptions struct {
 	Options
-	Rate    float64 // of the open loop (requests per second)
-	Lookups int     // queries per second, all for one customer; one in wouldEvery queries what the gateway would decide
+	Rate      float64 // of the open loop (requests per second)
+	QueryRate int     // queries per second, all for one customer; one in queriesPerWouldQuery asks what the gateway would decide
 	// Query sends a query to a gateway's admin socket and returns an error if it fails.
 	Query func(socket, path string) error
 }
@@ -48,7 +48,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var processes targets
+	var processes children
 	defer processes.stop()
 	backend, err := o.start("box")
 	if err != nil {
@@ -131,13 +131,13 @@
 	return nil
 }
 
-// wouldEvery is the number of queries for each /v1/would query, which asks what the gateway would decide. For such a query the
-// gateway copies its state, at most four times a second.
-const wouldEvery = 25
+// queriesPerWouldQuery is the number of queries of which one is for /v1/would, which asks what the gateway would decide. For such a
+// query the gateway copies its state, at most four times a second.
+const queriesPerWouldQuery = 25
 
 // queryAdmin queries an admin socket until stop is closed or a query fails, and counts the queries.
 func (o ToolOptions) queryAdmin(socket string, stop chan struct{}, queries *atomic.Int64) error {
-	tick := time.NewTicker(time.Second / time.Duration(max(1, o.Lookups)))
+	tick := time.NewTicker(time.Second / time.Duration(max(1, o.QueryRate)))
 	defer tick.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -146,7 +146,7 @@
 		case <-tick.C:
 		}
 		path := "/v1/studio?name=s"
-		if n%wouldEvery == wouldEvery-1 {
+		if n%queriesPerWouldQuery == queriesPerWouldQuery-1 {
 			path = "/v1/would?name=s&units=1"
 		}
 		if err := o.Query(socket, path); err != nil {
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -49,19 +49,19 @@
 
 // benchTools is the command "sandyard-bench tools".
 type benchTools struct {
-	Conns   []int   `default:"64" help:"Numbers of connections."`
-	Seconds float64 `default:"3" help:"Seconds of each load."`
-	Rounds  int     `default:"5" help:"Rounds, played in turn; medians are told."`
-	Rate    float64 `default:"8000" help:"Requests a second of the open loop."`
-	Lookups int     `name:"looks" default:"100" help:"Looks a second at a studio."`
+	Conns     []int   `default:"64" help:"Numbers of connections."`
+	Seconds   float64 `default:"3" help:"Seconds of each load."`
+	Rounds    int     `default:"5" help:"Rounds, played in turn; medians are told."`
+	Rate      float64 `default:"8000" help:"Requests a second of the open loop."`
+	QueryRate int     `name:"looks" default:"100" help:"Looks a second at a studio."`
 }
 
 func (b benchTools) Run(c *Console) error {
-	if b.Rounds < 1 || !(b.Seconds > 0) || !(b.Rate > 0) || b.Lookups < 1 {
+	if b.Rounds < 1 || !(b.Seconds > 0) || !(b.Rate > 0) || b.QueryRate < 1 {
 		return fmt.Errorf("at least one round and one look, and more than 0 seconds and requests are needed")
 	}
 	return bench.Tools(bench.ToolOptions{Options: bench.Options{Conns: b.Conns, Seconds: b.Seconds, Rounds: b.Rounds, Out: c.Out, Command: childCommand},
-		Rate: b.Rate, Lookups: b.Lookups, Query: func(socket, path string) error {
+		Rate: b.Rate, QueryRate: b.QueryRate, Query: func(socket, path string) error {
 			var v any
 			return queryAdmin(socket, path, &v)
 		}})
--- a/internal/cli/emulator.go
+++ b/internal/cli/emulator.go
@@ -153,12 +153,12 @@
 func (s emulateCounterCommand) Run(c *Console) error {
 	lines := newLineWriter(c.Out)
 	defer lines.close()
-	k, err := server.StartCounter(s.Listen)
+	counter, err := server.StartCounter(s.Listen)
 	if err != nil {
 		return err
 	}
-	defer k.Close()
-	return serveUntilSignal(lines, k.Addr(), s.Control, k)
+	defer counter.Close()
+	return serveUntilSignal(lines, counter.Addr(), s.Control, counter)
 }
 
 // setFaultCommand is the command "sandyard-emulator set".
--- a/internal/cli/hunt.go
+++ b/internal/cli/hunt.go
@@ -28,11 +28,11 @@
 
 // huntResult is the output of a hunt as JSON.
 type huntResult struct {
-	Runs     int                    `json:"runs"`
-	Seconds  float64                `json:"seconds"`
-	Nearness float64                `json:"nearness"` // of the script that comes nearest to breaking the rule, as a share of the limit
-	Find     *simulation.FailedSeed `json:"find,omitempty"`
-	Script   string                 `json:"script"`
+	Runs       int                    `json:"runs"`
+	Seconds    float64                `json:"seconds"`
+	Nearness   float64                `json:"nearness"` // of the script that comes nearest to breaking the rule, as a share of the limit
+	FailedSeed *simulation.FailedSeed `json:"find,omitempty"`
+	Script     string                 `json:"script"`
 }
 
 // rule returns the index of the rule whose name is the flag's value, or of the only one whose name contains it.
@@ -104,7 +104,7 @@
 	result := huntResult{Runs: runs, Seconds: took.Seconds(), Nearness: o.Nearness(rule), Script: best.Text()}
 	if len(o.Findings) > 0 {
 		f := o.Findings[0]
-		result.Find = &simulation.FailedSeed{Seed: best.Seed, Rule: f.Rule, At: f.At, What: f.What}
+		result.FailedSeed = &simulation.FailedSeed{Seed: best.Seed, Rule: f.Rule, At: f.At, What: f.What}
 	}
 	return result
 }
@@ -141,5 +141,5 @@
 	return os.WriteFile(file, []byte(text), 0o644)
 }
 
-// keptNearness is the least share of its nearness that a script may retain when it is shrunk.
+// keptNearness is the share of its nearness that a script must at least keep when it is shrunk.
 const keptNearness = 0.9
--- a/internal/cli/mutantscripts.go
+++ b/internal/cli/mutantscripts.go
@@ -13,7 +13,7 @@
 	"sandyard/internal/simulation"
 )
 
-// minDeviations is the least significant difference between runs with a guard and without it, in standard errors.
+// minDeviations is the smallest difference between runs with and without a guard that counts as significant (standard errors).
 const minDeviations = 3.0
 
 // runCostScripts checks that each cost script shows the effect of its guard: without the guard significantly less value is
--- a/internal/cli/mutantsearch.go
+++ b/internal/cli/mutantsearch.go
@@ -101,8 +101,8 @@
 			if err != nil {
 				return err
 			}
-			if runs, took = runs+uint64(h.Runs), took+h.Seconds; h.Find != nil {
-				s.Found = append(s.Found, *h.Find)
+			if runs, took = runs+uint64(h.Runs), took+h.Seconds; h.FailedSeed != nil {
+				s.Found = append(s.Found, *h.FailedSeed)
 				s.Evolved++
 			}
 		}
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -213,16 +213,16 @@
 			}
 		}
 	}
-	lists := startPeer(t, func(c net.Conn, in *bufio.Reader) {
+	newDiscovery := startPeer(t, func(c net.Conn, in *bufio.Reader) {
 		http.ReadRequest(in)
 		body := fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"b","dial":"%s","health":"active","share":1}]}`, other)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body)
 		discardInput(c, in)
 	})
 	counter := startPeer(t, serveCounter)
-	p.configure(text(lists, counter, backend)(p.listen))
+	p.configure(text(newDiscovery, counter, backend)(p.listen))
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.waitForLog("msg=reload", lists)
+	p.waitForLog("msg=reload", newDiscovery)
 	p.waitForLog("list of boxes", "seq=9")
 }
 
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -17,7 +17,7 @@
 const (
 	Success = 0
 	Failure = 1 // the command failed, or its result is negative, such as a violated rule
-	Usage   = 2 // the command line is invalid, or an input file is, with errors that name the places in it
+	Usage   = 2 // the command line or an input file is invalid; the errors name the places in the file
 	// Inconclusive: a run could not be carried out or could not be judged.
 	Inconclusive = 2
 	// CoreMismatch: the core identity of the tool differs from that of the trace or the running gateway.
--- a/internal/cli/quota_test.go
+++ b/internal/cli/quota_test.go
@@ -15,12 +15,12 @@
 // TestQuotaTotalReadsCounter: the counter's name for a customer and its weight come from the gateway, the total comes from the
 // counter. If one of them has no entry, the command must report that and print no total.
 func TestQuotaTotalReadsCounter(t *testing.T) {
-	k, err := server.StartCounter("127.0.0.1:0")
+	counter, err := server.StartCounter("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Close()
-	if _, err := callCounter(k.Addr(), []string{"INCRBYFLOAT", "b.1", "12"}, []string{"PEXPIRE", "b.1", "60000", "NX"}, []string{"PING"}); err != nil {
+	defer counter.Close()
+	if _, err := callCounter(counter.Addr(), []string{"INCRBYFLOAT", "b.1", "12"}, []string{"PEXPIRE", "b.1", "60000", "NX"}, []string{"PING"}); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "a.sock")
@@ -51,7 +51,7 @@
 		{`{"known":true,"name":"b.1","weight":0,"keeper":%q}`, "which is no total", Failure},
 		{`{"known":false,"keeper":%q}`, "has not seen \"b\"", Failure},
 	} {
-		answers <- fmt.Sprintf(c.answer, k.Addr())
+		answers <- fmt.Sprintf(c.answer, counter.Addr())
 		var out, errs bytes.Buffer
 		status := Quota([]string{"total", "--socket", path, "--studio", "b"}, &out, &errs)
 		if status != c.status || !strings.Contains(out.String()+errs.String(), c.want) {
--- a/internal/cli/routesdiff.go
+++ b/internal/cli/routesdiff.go
@@ -43,16 +43,16 @@
 }
 
 func (d routesDiff) Run(c *Console) error {
-	old, err := compileRoutes(d.Old)
+	oldTable, err := compileRoutes(d.Old)
 	if err != nil {
 		return err
 	}
-	now, err := compileRoutes(d.New)
+	newTable, err := compileRoutes(d.New)
 	if err != nil {
 		return err
 	}
-	diff := diffTables(old, now)
-	out := comparison{Operations: [2]int{len(old.Operations), len(now.Operations)}, Differences: diff.found}
+	diff := diffTables(oldTable, newTable)
+	out := comparison{Operations: [2]int{len(oldTable.Operations), len(newTable.Operations)}, Differences: diff.found}
 	if len(d.Trace) > 0 {
 		if out.Customers, out.Changed, err = d.compareUnits(c, diff.cost); err != nil {
 			return err
@@ -85,25 +85,25 @@
 func operationKey(op *routes.Operation) string { return op.Method + " " + op.Template }
 
 // diffTables compares two descriptions and returns their differences, sorted by kind and operation.
-func diffTables(old, now *routes.Table) *tableDiff {
+func diffTables(oldTable, newTable *routes.Table) *tableDiff {
 	t := &tableDiff{found: []difference{}, cost: map[string][2]float64{}}
 	before, after := map[string]*routes.Operation{}, map[string]bool{}
-	for _, op := range old.Operations {
+	for _, op := range oldTable.Operations {
 		before[operationKey(op)] = op
 	}
-	for _, op := range now.Operations {
+	for _, op := range newTable.Operations {
 		key := operationKey(op)
 		after[key] = true
-		if was, ok := before[key]; ok {
-			t.compare(key, was, op)
+		if oldOperation, ok := before[key]; ok {
+			t.compare(key, oldOperation, op)
 		} else {
 			t.add("new", key, "line %d: class %s, %s", op.Line, op.Class, unitsText(op.Units))
 		}
 	}
-	for _, op := range old.Operations {
+	for _, op := range oldTable.Operations {
 		if key := operationKey(op); !after[key] {
 			t.add("gone", key, "line %d", op.Line)
-			if hit, v := now.Match(op.Method, strings.NewReplacer("{", "", "}", "").Replace(op.Template)); v == routes.Found {
+			if hit, v := newTable.Match(op.Method, strings.NewReplacer("{", "", "}", "").Replace(op.Template)); v == routes.Found {
 				t.add("shadowed", key, "its requests become %s (line %d)", operationKey(hit), hit.Line)
 			}
 		}
@@ -115,21 +115,21 @@
 }
 
 // compare adds the differences between the old and the new description of an operation.
-func (t *tableDiff) compare(key string, was, op *routes.Operation) {
-	if was.Class != op.Class {
-		t.add("class", key, "%s (line %d) to %s (line %d)", was.Class, was.Line, op.Class, op.Line)
-	}
-	if was.Units != op.Units {
-		t.add("cost", key, "%s (line %d) to %s (line %d)", unitsText(was.Units), was.Line, unitsText(op.Units), op.Line)
-		if was.Units.In == "" && op.Units.In == "" {
-			t.cost[was.ID] = [2]float64{was.Units.Fixed, op.Units.Fixed}
+func (t *tableDiff) compare(key string, oldOperation, newOperation *routes.Operation) {
+	if oldOperation.Class != newOperation.Class {
+		t.add("class", key, "%s (line %d) to %s (line %d)", oldOperation.Class, oldOperation.Line, newOperation.Class, newOperation.Line)
+	}
+	if oldOperation.Units != newOperation.Units {
+		t.add("cost", key, "%s (line %d) to %s (line %d)", unitsText(oldOperation.Units), oldOperation.Line, unitsText(newOperation.Units), newOperation.Line)
+		if oldOperation.Units.In == "" && newOperation.Units.In == "" {
+			t.cost[oldOperation.ID] = [2]float64{oldOperation.Units.Fixed, newOperation.Units.Fixed}
 		}
 	}
-	if was.Repeat != op.Repeat {
-		t.add("repeat", key, "line %d to line %d", was.Line, op.Line)
+	if oldOperation.Repeat != newOperation.Repeat {
+		t.add("repeat", key, "line %d to line %d", oldOperation.Line, newOperation.Line)
 	}
-	if was.ID != op.ID {
-		t.add("id", key, "%s to %s", was.ID, op.ID)
+	if oldOperation.ID != newOperation.ID {
+		t.add("id", key, "%s to %s", oldOperation.ID, newOperation.ID)
 	}
 }
 
@@ -160,22 +160,22 @@
 		if a == nil {
 			return nil
 		}
-		s := byCustomer[a.Customer]
-		if s == nil {
-			s = &customerUnits{Customer: a.Customer}
-			byCustomer[a.Customer] = s
+		customer := byCustomer[a.Customer]
+		if customer == nil {
+			customer = &customerUnits{Customer: a.Customer}
+			byCustomer[a.Customer] = customer
 		}
-		s.Before += a.Units
+		customer.Before += a.Units
 		if units, ok := cost[nameAt(h.Operations, record.Operation-1)]; ok {
-			s.After += units[1]
+			customer.After += units[1]
 		} else {
-			s.After += a.Units
+			customer.After += a.Units
 		}
 		return nil
 	})
-	for _, s := range byCustomer {
-		if s.Before != s.After {
-			changed = append(changed, *s)
+	for _, customer := range byCustomer {
+		if customer.Before != customer.After {
+			changed = append(changed, *customer)
 		}
 	}
 	slices.SortFunc(changed, func(a, b customerUnits) int {
--- a/internal/cli/simrun.go
+++ b/internal/cli/simrun.go
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// runGCPercent is the GOGC value of sweeps and hunts. Runs are short, and all memory
-// that they leave is garbage.
+// runGCPercent is the GOGC value of sweeps and hunts. Runs are short, and all memory that they
+// leave is garbage.
 const runGCPercent = 400
 
 // progressSeeds is the number of seeds between two progress lines.
@@ -85,7 +85,7 @@
 	return first, last, nil
 }
 
-// reportTo makes a sweep print its finds and its progress.
+// reportTo makes a sweep print its failed seeds and its progress.
 func (r simRun) reportTo(c *Console, w *simulation.Sweep) {
 	started, total, violating := time.Now(), w.Last-w.First+1, 0
 	if !r.json() {
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -14,8 +14,8 @@
 	"sandyard/internal/soak"
 )
 
-// errInconclusive is the error of a soak some of whose runs could not be carried out, or not be judged because of delays of
-// the machine.
+// errInconclusive is the error of a soak in which runs could not be carried out, or could not be judged because the machine
+// delayed them.
 var errInconclusive = errors.New("not played")
 
 // soakArgs is the command "sandyard-drill soak".
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// eachRecordInFile does the same for one file. It returns the byte at which the file is truncated, or 0 if it is complete.
+// eachRecordInFile calls begin with the header and f with every record of one file. It returns the byte at which the file is truncated, or 0 if it is complete.
 func eachRecordInFile(name string, begin func(trace.Header) error, f func(trace.Header, trace.Record) error) (truncatedAt int, err error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/cli/tracereplay.go
+++ b/internal/cli/tracereplay.go
@@ -62,5 +62,5 @@
 	return nil
 }
 
-// errReplayDiffers is returned if steps or states differ that no gap in the trace may explain.
+// errReplayDiffers is returned if steps or states differ and steps that are missing from the trace can't explain it.
 var errReplayDiffers = errors.New("the core's decisions differ from those in the trace")
--- a/internal/cli/traceshow.go
+++ b/internal/cli/traceshow.go
@@ -105,7 +105,7 @@
 	return false
 }
 
-// requestReport is the history of a request with the names of what the history identifies by numbers.
+// requestReport is the history of a request, with names for the class, plan, operation and backends that it has by number.
 type requestReport struct {
 	*trace.RequestHistory
 	ClassName string   `json:"class_name"`
--- a/internal/codecheck/main_test.go
+++ b/internal/codecheck/main_test.go
@@ -44,7 +44,7 @@
 		"a/a_test.go":     "package a\n\nfunc use(s state) { for box := range 3 { _ = box } }\n",
 		"a/testdata/x.go": "not Go",
 	})
-	list := func(lines ...string) string {
+	exceptionsFile := func(lines ...string) string {
 		path := filepath.Join(t.TempDir(), "exceptions.txt")
 		if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")), 0o644); err != nil {
 			t.Fatal(err)
@@ -57,11 +57,11 @@
 		err              error
 	}{
 		{"no exceptions", "", []string{`a/a.go:4: keeperTotal has the withdrawn word "keeper"`, `a/a_test.go:3: box has`, "withdrawn words: 3 box=2 keeper=1"}, errRefused},
-		{"one file", list("# here", "", "a/a.go keeper: a name of a format"), []string{"a/a_test.go:3: box has"}, errRefused},
-		{"both", list("a/a.go keeper: a name of a format", "a/* box: a carton"), []string{"withdrawn words: 3"}, nil},
-		{"unused", list("a/a.go keeper: a name", "a/* box: a carton", "b/* door: none"), []string{"nothing needs this exception any more: b/* door: none"}, errRefused},
-		{"no reason", list("a/a.go keeper:"), nil, errException},
-		{"no word", list("a/a.go: a name"), nil, errException},
+		{"one file", exceptionsFile("# here", "", "a/a.go keeper: a name of a format"), []string{"a/a_test.go:3: box has"}, errRefused},
+		{"both", exceptionsFile("a/a.go keeper: a name of a format", "a/* box: a carton"), []string{"withdrawn words: 3"}, nil},
+		{"unused", exceptionsFile("a/a.go keeper: a name", "a/* box: a carton", "b/* door: none"), []string{"nothing needs this exception any more: b/* door: none"}, errRefused},
+		{"no reason", exceptionsFile("a/a.go keeper:"), nil, errException},
+		{"no word", exceptionsFile("a/a.go: a name"), nil, errException},
 	} {
 		var out strings.Builder
 		if err := run(folder, c.exceptions, &out); !errors.Is(err, c.err) {
--- a/internal/codecheck/pages.go
+++ b/internal/codecheck/pages.go
@@ -22,7 +22,7 @@
 	fileName = regexp.MustCompile("`([A-Za-z0-9_./-]+\\.go)`")
 )
 
-// missingName is the name in a page of a test or Go file that does not exist.
+// missingName is the name of a test or Go file that a page contains but the code does not.
 type missingName struct {
 	page string
 	line int
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -47,7 +47,7 @@
 		s.checker.BackendStarted(b.name, s.now)
 	}
 	b.model = emulator.NewBackend(c, s.now)
-	b.model.OnEvent = b.recordFact
+	b.model.OnEvent = b.recordEvent
 	b.conns = nil
 	b.host.alive, b.host.paused = true, false
 	b.host.accept = b.acceptConn
@@ -84,10 +84,10 @@
 	}
 }
 
-func (b *simBackend) recordFact(f emulator.Event) {
+func (b *simBackend) recordEvent(f emulator.Event) {
 	s := b.sim
 	s.logEvent(string(f.Kind) + " " + f.ID + " " + f.Backend)
-	s.digest(backendFact, nil, string(f.Kind), f.ID, f.Backend)
+	s.digest(backendEvent, nil, string(f.Kind), f.ID, f.Backend)
 	switch f.Kind {
 	case emulator.RequestReceived:
 		s.checker.RequestReceived(invariant.Receipt{ID: f.ID, Backend: f.Backend, At: s.now, Instance: s.sendingInstance, SentAt: s.sentAt})
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// statusStart and statusEnd are the bounds of the status code in a response.
+// statusStart and statusEnd are the offsets of the status code in a response (bytes).
 const statusStart, statusEnd = len("HTTP/1.1 "), len("HTTP/1.1 200")
 
 // unexpected handles bytes for a client without a pending request. They are a violation, except for a misbehaving client.
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -39,12 +39,12 @@
 }
 
 func newClock(seed uint64) *clock {
-	return &clock{tieBreaks: stream(seed, "ties"), responseTieBreaks: stream(seed, "answer ties"), digestState: fnv.New64a()}
+	return &clock{tieBreaks: randomSource(seed, "ties"), responseTieBreaks: randomSource(seed, "answer ties"), digestState: fnv.New64a()}
 }
 
-// stream returns the random source for one purpose. Separate sources keep the draws for one purpose independent of those
-// for others.
-func stream(seed uint64, purpose string) *rand.Rand {
+// randomSource returns the random source for one purpose. Separate sources keep the draws for one purpose independent of
+// those for others.
+func randomSource(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
@@ -82,7 +82,7 @@
 	}
 }
 
-// step runs the next event. It returns false if there is none up to the time until.
+// step runs the next event. It returns false if no event is due by the time until.
 func (c *clock) step(until time.Duration) bool {
 	h := c.heap
 	if len(h) == 0 || h[0].at > until {
--- a/internal/simulation/counter.go
+++ b/internal/simulation/counter.go
@@ -13,7 +13,7 @@
 	host              *host
 	model             *emulator.Counter
 	invalidReplies    bool
-	earlierIncrements uint64 // that its earlier processes counted
+	earlierIncrements uint64 // increments that the counter's earlier processes executed
 	conns             []*simCounterConn
 }
 
--- a/internal/simulation/dial.go
+++ b/internal/simulation/dial.go
@@ -9,7 +9,7 @@
 }
 
 // dial begins to establish a connection. done is called with the client's side of it, or with nil if it was refused. If the
-// target does not reply, done is not called.
+// target does not reply, done is not called; the caller must then abandon the dial by setting ended.
 func (n *network) dial(from *host, addr string, handler connHandler, done func(*netConn, bool)) *dialing {
 	p := &dialing{from: from, to: n.byAddr[addr], handler: handler, connected: done}
 	if from.descriptors == 0 {
--- a/internal/simulation/digest.go
+++ b/internal/simulation/digest.go
@@ -10,9 +10,9 @@
 const (
 	requestSent   eventKind = iota + 1 // the request's id
 	requestEnded                       // the request's id and ending
-	backendFact                        // the kind of fact, the request's id and the backend's name
-	faultBegun                         // verb, target and value
-	faultOver                          // verb and target
+	backendEvent                       // the kind of event, the request's id and the backend's name
+	faultStarted                       // verb, target and value
+	faultEnded                         // verb and target
 	ruleBroken                         // the rule's number
 	instanceStats                      // an instance's counts at the end
 )
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -19,7 +19,7 @@
 // beginFault begins a fault of the script, and schedules its end.
 func (s *Sim) beginFault(e fault.Event) {
 	s.logEvent(fmt.Sprintf("trouble %s %s %g", e.Verb, e.Target, e.Value))
-	s.digest(faultBegun, []uint64{math.Float64bits(e.Value)}, string(e.Verb), e.Target)
+	s.digest(faultStarted, []uint64{math.Float64bits(e.Value)}, string(e.Verb), e.Target)
 	s.cover("trouble " + string(e.Verb))
 	switch e.Verb {
 	case fault.Surge, fault.ClientsAbort, fault.SlowClients, fault.InvalidRequests, fault.MoveTraffic:
@@ -41,14 +41,14 @@
 	}
 }
 
-// atEnd runs do at the end of a fault. It does not run do if the fault has no duration.
+// atEnd schedules do for the end of a fault. A fault without a duration has no end, and do does not run.
 func (s *Sim) atEnd(e fault.Event, do func()) {
 	if e.Duration <= 0 {
 		return
 	}
 	s.scheduleAfter(e.Duration, func() {
 		s.logEvent(fmt.Sprintf("over %s %s", e.Verb, e.Target))
-		s.digest(faultOver, nil, string(e.Verb), e.Target)
+		s.digest(faultEnded, nil, string(e.Verb), e.Target)
 		do()
 	})
 }
@@ -120,7 +120,7 @@
 	}
 }
 
-// targets returns the processes with a name; * stands for all backends and instances.
+// targets returns the processes that a target names. fault.TargetAll (*) names all backends and instances.
 func (s *Sim) targets(name string) (hs []*host) {
 	for _, inst := range s.instances {
 		if name == fault.TargetAll || name == fault.TargetInstances || name == inst.host.name {
@@ -185,7 +185,8 @@
 		inst.kill()
 		s.atEnd(e, func() {
 			s.checker.InstanceUp(inst.number, s.now)
-			// A client of the old process may not have seen the end of its connection yet.
+			// Exempts requests that clients send within the round-trip allowance: the reset of a connection to the old
+			// process may not have reached the client yet.
 			s.checker.InstancePaused(inst.number, s.now+s.roundTripAllowance(), false)
 			inst.start(s.instanceSeed(inst))
 		})
--- a/internal/simulation/generate.go
+++ b/internal/simulation/generate.go
@@ -12,7 +12,7 @@
 // Profile sets the limits of what a generator draws.
 type Profile struct {
 	MaxInstances, MaxBackends int
-	Seconds                   float64 // longest traffic (seconds)
+	Seconds                   float64 // longest duration of the traffic (seconds)
 	Rate                      float64 // highest rate (requests/s)
 	MaxFaults                 int
 	ScenarioShare             float64 // share of scripts that are drawn from a scenario
@@ -27,7 +27,7 @@
 // Generate draws a script from a seed. Each seed enables only a subset of the fault kinds (swarm testing: Groce et al.,
 // ISSTA 2012), since a kind that is always present can hide what others would show.
 func Generate(seed uint64, p Profile) *Script {
-	rng := stream(seed, "generate")
+	rng := randomSource(seed, "generate")
 	s := defaults()
 	s.Seed, s.WrittenSeed, s.Config = seed, int(seed), p.Config
 	pick := func(xs ...float64) float64 { return xs[rng.IntN(len(xs))] }
@@ -47,13 +47,13 @@
 	s.Drift = pick(0, 0, 0.0002, 0.002)
 	s.Clients = Clients{Retries: rng.IntN(4), PipelineShare: pick(0, 0.03, 0.2), NewConnShare: pick(0.02, 0.2, 0.8), MaxBody: int(pick(0, 40, 40, 2000))}
 	n := rng.IntN(p.MaxFaults + 1)
-	if scenarioRNG := stream(seed, "shape"); p.Config == "" && scenarioRNG.Float64() < p.ScenarioShare {
+	if scenarioRNG := randomSource(seed, "shape"); p.Config == "" && scenarioRNG.Float64() < p.ScenarioShare {
 		s.Scenario = drawScenario(&s, scenarioRNG)
 		if n = 0; scenarioRNG.IntN(2) == 0 {
 			n = scenarioRNG.IntN(p.MaxFaults/2 + 1)
 		}
 	}
-	if idleRNG := stream(seed, "idle"); idleRNG.IntN(4) == 0 { // many servers close idle connections sooner than a gateway does
+	if idleRNG := randomSource(seed, "idle"); idleRNG.IntN(4) == 0 { // many servers close idle connections sooner than a gateway does
 		s.Backends.IdleTimeout = strictyaml.Duration(time.Duration([]int{1200, 2000, 4000}[idleRNG.IntN(3)]) * time.Millisecond)
 	}
 	var enabled []faultKind
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -14,7 +14,7 @@
 )
 
 // Hunt uses an evolutionary algorithm to search for scripts that come near to breaking a rule. It keeps those that come
-// nearest, mutates them and crosses them. With several workers, hunts from the same seed differ in the order of their
+// nearest, mutates them and combines their faults. With several workers, hunts from the same seed differ in the order of their
 // scripts, but each script can be replayed from its text.
 type Hunt struct {
 	Rule       int // index into RuleNames
@@ -72,11 +72,11 @@
 // nextScript returns the script of run n. It generates scripts until the population is half full, and with probability
 // newScriptShare after that. Otherwise it evolves one from the population.
 func (h *Hunt) nextScript(n int) *Script {
-	rng := stream(h.Seed+uint64(n), "breed")
+	rng := randomSource(h.Seed+uint64(n), "breed")
 	if len(h.population) < populationSize/2 || rng.Float64() < newScriptShare {
 		return Generate(h.Seed+uint64(n), h.Profile)
 	}
-	parent := func() *Script { // the better of two random ones, so that the nearest have the most offspring
+	parent := func() *Script { // the better of two random ones, so that better scripts are chosen more often
 		return h.population[min(rng.IntN(len(h.population)), rng.IntN(len(h.population)))].script
 	}
 	c := *parent()
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -8,10 +8,10 @@
 	"sandyard/proxy"
 )
 
-// Parameters of the environment of the state machines, as in internal/server.
+// Parameters of the event loop and the client connections. In a deployment, package server implements both.
 const (
 	maxUnsentBytes = 64 << 10              // unsent bytes for a client, above which a streamed response pauses
-	lingerTime     = time.Second           // for which a client connection is read after its end
+	lingerTime     = time.Second           // for which input from a client is read and discarded after the last response
 	maxLoopDelay   = 30 * time.Microsecond // longest time that a message waits for the event loop
 )
 
--- a/internal/simulation/instancebackend.go
+++ b/internal/simulation/instancebackend.go
@@ -156,12 +156,12 @@
 	}
 }
 
-func (b *instanceBackendConn) handleResponse(a proxy.Response) {
+func (b *instanceBackendConn) handleResponse(response proxy.Response) {
 	ex := b.exchange
 	notify := func() {
-		b.instance.post(func() { b.instance.core.ResponseReceived(b.instance.now(), b.backendConn, &a) })
+		b.instance.post(func() { b.instance.core.ResponseReceived(b.instance.now(), b.backendConn, &response) })
 	}
-	switch a.Kind {
+	switch response.Kind {
 	case proxy.Complete:
 		b.exchange = nil
 		notify()
@@ -171,12 +171,12 @@
 		notify()
 	case proxy.Continued:
 		b.armStreamIdleTimer()
-		ex.Owner.(*instanceClientConn).relay(ex, a.Bytes, false, false)
+		ex.Owner.(*instanceClientConn).relay(ex, response.Bytes, false, false)
 	case proxy.Ended:
 		b.exchange, b.streaming = nil, false
 		c := ex.Owner.(*instanceClientConn)
 		c.streamSource = nil
-		c.relay(ex, a.Bytes, true, false)
+		c.relay(ex, response.Bytes, true, false)
 		notify()
 	case proxy.Malformed:
 		b.instance.sim.cover("answer broken")
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Parameters of the network. Retries are sooner than TCP's, so that they occur in a run of seconds.
+// Parameters of the network. Its retransmissions come sooner than TCP's, so that they occur in a run of seconds.
 const (
 	windowBytes    = 64 << 10               // unread bytes, in flight or received, at which a sender waits
 	partitionRetry = 100 * time.Millisecond // until a segment is sent again over a blocked link
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -41,7 +41,7 @@
 	CounterCalls uint64  `json:"Calls"` // increments that the counter executed
 }
 
-// maxFindings is the number of findings that a run keeps.
+// maxFindings is the largest number of findings that an Outcome holds.
 const maxFindings = 20
 
 // report records a violation, and ends the run unless Options.ContinueAfterViolation is set.
--- a/internal/simulation/quiescence.go
+++ b/internal/simulation/quiescence.go
@@ -7,7 +7,7 @@
 
 // Parameters of the checks of RuleRecovery and RuleLeak.
 const (
-	recoveryTime        = 8 * time.Second  // after the last fault, when slow start and backoff have ended
+	recoveryTime        = 8 * time.Second  // time after the last fault in which slow start and backoff end
 	minRecoveredShare   = 0.75             // share of the requests sent after that time that must be served
 	minRecoveryRequests = 12               // with fewer requests a share says nothing
 	maxRecoveryLoad     = 0.5              // share of the backends' capacity above which load may rightly be shed
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -23,21 +23,21 @@
 	invariant.Request
 	conn        *clientConn
 	rng         *rand.Rand
-	attempt     int
+	retryNumber int // 0: the first request of the operation
 	customer    int
 	operation   int
 	body        string
 	work        time.Duration
 	ended       bool
 	status      int
-	afterFaults bool // counts for RuleRecovery
+	afterFaults bool // sent late enough after the last fault to count for RuleRecovery
 }
 
-// send sends a request. position is its place in a pipeline: responses arrive in order, so that later requests have more
-// time.
+// send sends a request. position is its place in a pipeline. Responses arrive in order, so a later request gets a longer
+// timeout.
 func (s *Sim) send(r *clientRequest, c *clientConn, instance, position int) {
 	r.conn, r.Instance, r.SentAt = c, instance, s.now
-	r.ID = fmt.Sprintf("%s.%d", r.Operation, r.attempt)
+	r.ID = fmt.Sprintf("%s.%d", r.Operation, r.retryNumber)
 	text := s.renderRequest(r)
 	r.Timeout *= time.Duration(position + 1)
 	s.requests = append(s.requests, &r.Request)
@@ -105,7 +105,7 @@
 	h := s.config.Headers
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: door\r\n%s: %s\r\nX-Request-Id: %s\r\nX-Work: %.3f\r\n", operation.Method, path, h.Key,
 		s.config.Customers[r.customer].Keys[0], r.ID, float64(r.work.Microseconds())/1000)
-	fmt.Fprintf(&b, "%s: %d\r\n%s: %d\r\n", h.Timeout, max(0, r.Timeout-s.roundTripAllowance()).Milliseconds(), h.Retry, r.attempt)
+	fmt.Fprintf(&b, "%s: %d\r\n%s: %d\r\n", h.Timeout, max(0, r.Timeout-s.roundTripAllowance()).Milliseconds(), h.Retry, r.retryNumber)
 	if operation.Units.In == "header" {
 		fmt.Fprintf(&b, "%s: %g\r\n", operation.Units.Name, r.Units)
 	}
@@ -170,7 +170,7 @@
 // not too old.
 func (s *Sim) shouldRetry(r *clientRequest, e invariant.Ending) bool {
 	harmless := e == invariant.Rejected || e == invariant.NotAccepted || r.Idempotency != invariant.NotIdempotent && e != invariant.Served
-	if !harmless || e == invariant.ClientLeft || r.attempt >= s.script.Clients.Retries || s.stopped {
+	if !harmless || e == invariant.ClientLeft || r.retryNumber >= s.script.Clients.Retries || s.stopped {
 		return false
 	}
 	return r.Idempotency != invariant.IdempotentByKey || s.now-r.SentAt <= s.keyTTL/2
@@ -179,10 +179,10 @@
 // retry repeats a request after an exponential backoff with jitter.
 func (s *Sim) retry(r *clientRequest) {
 	next := *r
-	next.attempt++
+	next.retryNumber++
 	next.ended, next.status = false, 0
 	next.Timeout = min(next.Timeout, s.classOf(r).Deadline)
-	backoff := time.Duration((0.5 + r.rng.Float64()) * float64(firstBackoff<<r.attempt))
+	backoff := time.Duration((0.5 + r.rng.Float64()) * float64(firstBackoff<<r.retryNumber))
 	s.scheduleAfter(backoff, func() {
 		instance := s.instanceFor(r.customer, r.rng)
 		s.send(&next, s.clientPools[instance].get(r.rng), instance, 0)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -11,7 +11,8 @@
 )
 
 // scenario draws a whole script instead of single faults. It brings a deployment to the point where a rule's guards act, and
-// keeps it there until control loops settle. Half of these scripts get single faults in addition.
+// keeps it there until control loops settle. In half of these scripts, up to half of Profile.MaxFaults single
+// faults are added.
 type scenario struct {
 	name string
 	draw func(b *scenarioBuilder)
@@ -38,7 +39,7 @@
 const (
 	maxRate               = 420.0  // highest rate without surges (requests/s)
 	maxRequests           = 5000.0 // requests in total, without surges
-	minRequestsToCollapse = 14.0   // fewest requests of mean work that make a backend in slow start collapse; with fewer, a collapse is chance
+	minRequestsToCollapse = 14.0   // fewest requests of mean work that make a backend in slow start collapse; with fewer, chance decides whether it collapses
 )
 
 // scenarioBuilder draws a script step by step.
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -7,9 +7,9 @@
 	"sandyard/invariant"
 )
 
-// Single faults at sixty requests a second never came near the load that makes a backend in slow start collapse, so that
-// thousands of clean runs did not exercise its guards. Scenarios are drawn to reach a rule's limit. For each scenario here,
-// some run must come near the limit of its rule, and no run may break a rule.
+// Single faults at sixty requests a second do not come near the load that makes a backend in slow start collapse, so that
+// thousands of runs without a violation do not exercise the guards against it. Scenarios load a deployment up to a rule's
+// limit. For each scenario here, some run must come near the limit of its rule, and no run may break a rule.
 func TestScenariosComeNearTheirRuleLimits(t *testing.T) {
 	for _, c := range []struct {
 		scenario string
@@ -38,8 +38,8 @@
 	}
 }
 
-// A violation that can't be reproduced can't be debugged. With one worker a hunt must be reproducible, must come at least as
-// near as its first scripts, and must end with a script that can be read back and replayed.
+// A violation that can't be reproduced can't be debugged. With one worker a hunt must be reproducible, and its final script
+// must come at least as near to the limit as its first scripts. ReadScript must accept the final script, and it must replay.
 func TestHuntIsReproducibleAndImproves(t *testing.T) {
 	p := DefaultProfile()
 	p.Seconds, p.Rate, p.ScenarioShare = 6, 30, 0
@@ -63,21 +63,22 @@
 		t.Errorf("two hunts from one seed differ:\n%s%s", a.Text(), b.Text())
 	}
 	if x.Nearness(invariant.Draining) < first {
-		t.Errorf("reached %.3f, the first scripts %.3f", x.Nearness(invariant.Draining), first)
+		t.Errorf("the hunt reached %.3f of the limit, its first scripts %.3f", x.Nearness(invariant.Draining), first)
 	}
 	back, err := ReadScript("x", []byte(a.Text()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if z, _ := Run(back, Options{}); z.Digest != x.Digest {
-		t.Error("the final script of a hunt gives another run when it is read back")
+		t.Error("the final script of a hunt has a different digest after it is read back")
 	}
 }
 
 // A violation by a mutated script that ReadScript rejects could not be replayed. After any mutations and crossovers a script
-// must be readable, and it must take enough requests to make a backend collapse.
+// must be readable, and it must still take at least minRequestsToCollapse requests to make a backend
+// collapse.
 func TestEvolvedScriptsStayWithinBounds(t *testing.T) {
-	rng := stream(1, "test")
+	rng := randomSource(1, "test")
 	for seed := uint64(1); seed < 60; seed++ {
 		s := Generate(seed, DefaultProfile())
 		o := Generate(seed+1000, DefaultProfile())
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -30,7 +30,7 @@
 	Version        int                 `yaml:"version"`
 	Seed           uint64              `yaml:"-"`
 	WrittenSeed    int                 `yaml:"seed"`
-	Seconds        float64             `yaml:"seconds"` // duration of the traffic
+	Seconds        float64             `yaml:"seconds"` // duration of the traffic (seconds)
 	Instances      int                 `yaml:"doors"`
 	Rate           float64             `yaml:"rate"` // requests/s of all clients together
 	Config         string              `yaml:"config"`
@@ -61,10 +61,10 @@
 
 // SlowStart describes the slow start of a script's backends. A value of 0 means as configured.
 type SlowStart struct {
-	Share          float64             `yaml:"share"`
+	Share          float64             `yaml:"share"` // speed at the start, as a share of the full speed
 	Duration       strictyaml.Duration `yaml:"time"`
 	OverloadFactor float64             `yaml:"factor"` // multiple of its capacity at which a backend in slow start collapses
-	OverloadTime   strictyaml.Duration `yaml:"over"`   // for which it must get that load to collapse
+	OverloadTime   strictyaml.Duration `yaml:"over"`   // period over which that load is measured
 }
 
 // Net describes a script's network.
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -1,5 +1,5 @@
-// Package simulation runs whole deployments in one process and in virtual time: proxy instances that consist of the same
-// state machines as in package server, emulated backends and counters, clients, and a network that transports bytes. One
+// Package simulation runs whole deployments in one process and in virtual time: proxy instances that run the same
+// state machines as package server does, emulated backends and counters, clients, and a network that transports bytes. One
 // event queue and one seed determine everything that happens: the same script gives the same events, byte for byte, on any
 // machine.
 //
@@ -55,8 +55,8 @@
 		err       error
 	}
 	keyTTL            time.Duration
-	sendingInstance   int           // instance whose connection a backend is reading
-	sentAt            time.Duration // when the request on that connection was sent
+	sendingInstance   int           // instance on whose connection a backend is receiving or executing a request
+	sentAt            time.Duration // when the instance began to send that request
 	replacements      int
 	traffic           *rand.Rand
 	surges            map[string]float64
@@ -68,7 +68,7 @@
 	requests          []*invariant.Request
 	outcomes          map[string]invariant.Outcome
 	operations        int
-	faultsEndAt       time.Duration // end of the last fault
+	faultsEndAt       time.Duration // end of the last fault, and of the slow start after a drain or replacement
 	stopped           bool
 	servedAfterFaults int // of sentAfterFaults
 	sentAfterFaults   int // requests that were sent recoveryTime or more after the last fault
@@ -100,10 +100,10 @@
 
 func newSim(script *Script, cfg *config.Config, opt Options) *Sim {
 	s := &Sim{clock: newClock(script.Seed), options: opt, script: script, reached: map[string]int{}, surges: map[string]float64{},
-		trafficMoves: map[string]int{}, outcomes: map[string]invariant.Outcome{}, traffic: stream(script.Seed, "traffic")}
+		trafficMoves: map[string]int{}, outcomes: map[string]invariant.Outcome{}, traffic: randomSource(script.Seed, "traffic")}
 	s.log = opt.Log
 	s.config = script.applyTo(cfg).ForInstance(0, script.Instances)
-	s.network = &network{clock: s.clock, rng: stream(script.Seed, "net"), latency: time.Duration(script.Net.Latency), jitter: script.Net.Jitter,
+	s.network = &network{clock: s.clock, rng: randomSource(script.Seed, "net"), latency: time.Duration(script.Net.Latency), jitter: script.Net.Jitter,
 		splitProbability: script.Net.SplitProbability, byAddr: map[string]*host{}, links: map[[2]*host]*link{}}
 	s.clientHost = s.addHost("clients", "")
 	s.clientHost.alive = true
@@ -123,7 +123,8 @@
 	ceilings := map[string]invariant.Ceiling{}
 	for _, p := range cfg.Plans {
 		if p.Ceiling.Rate > 0 {
-			// A starting instance grants its share of the slack at once, so that each restart costs that much more.
+			// The slack must cover restarts: a starting instance grants its share of the slack at once. The limit does not
+			// grow with the number of restarts.
 			x := s.script.PlanFactor
 			ceilings[p.Name] = invariant.Ceiling{Rate: x * float64(p.Ceiling.Rate), Burst: x * p.Ceiling.Burst, Slack: x * p.Ceiling.Slack}
 		}
@@ -209,7 +210,7 @@
 		s.addBackend(fmt.Sprintf("box-%d", i)).start(false)
 	}
 	s.endpointFile = s.endpointFileText()
-	drift := stream(sc.Seed, "drift")
+	drift := randomSource(sc.Seed, "drift")
 	for i := range sc.Instances {
 		inst := &simInstance{sim: s, number: i, config: s.config.ForInstance(i, sc.Instances), clockRate: 1 + sc.Drift*(2*drift.Float64()-1)}
 		inst.host = s.addHost(fmt.Sprintf("door-%d", i), fmt.Sprintf("door-%d", i))
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -12,7 +12,8 @@
 	"sandyard/config"
 )
 
-// Each script in testdata once broke a rule. None may break one again.
+// Each script in testdata once broke a rule. None may break one again. This does not cover the scripts in testdata/mutants,
+// which are run with a mutation.
 func TestRegressionScriptsBreakNoRule(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.yaml")
 	if len(files) == 0 {
--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -29,8 +29,8 @@
 	What string        `json:"what"`
 }
 
-// SweepResult is the result of a sweep. Slices by seed have an entry for each seed of the range, which
-// is zero if the seed was not run.
+// SweepResult is the result of a sweep. The slices by seed have an entry for each seed of the range. It is zero if the seed
+// was not run.
 type SweepResult struct {
 	Seeds        uint64              `json:"seeds"` // number of seeds that were run
 	FailedSeeds  []FailedSeed        `json:"finds"` // in the order of seeds, at most maxFailedSeeds
@@ -131,7 +131,7 @@
 	return &s
 }
 
-// add adds the run of a seed. i is its index in the slices by seed.
+// add adds the outcome of a seed's run. i is the seed's index in the slices by seed.
 func (r *SweepResult) add(seed, i uint64, s *Script, o Outcome) {
 	r.Seeds++
 	r.Events, r.Requests, r.Virtual = r.Events+o.Events, r.Requests+uint64(o.Requests), r.Virtual+o.Virtual
