--- a/internal/cli/outputs_test.go
+++ b/internal/cli/outputs_test.go
@@ -54,7 +54,7 @@
 		name string
 		run  func([]string, *bytes.Buffer, *bytes.Buffer) int
 	}
-	gw, tr, qu, ro, si := tool{"sandyard", gatewayTool}, tool{"sandyard-trace", traceTool}, tool{"sandyard-quota", quotaTool}, tool{"sandyard-routes", routesTool}, tool{"sandyard-sim", simTool}
+	gatewayProgram, traceProgram, quotaProgram, routesProgram, simProgram := tool{"sandyard", gatewayTool}, tool{"sandyard-trace", traceTool}, tool{"sandyard-quota", quotaTool}, tool{"sandyard-routes", routesTool}, tool{"sandyard-sim", simTool}
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 		got.WriteString(text)
 		return out
 	}
-	for _, p := range []tool{gw, tr, qu, ro, si, {"sandyard-bench", func(a []string, o, e *bytes.Buffer) int { return Bench(a, o, e) }},
+	for _, p := range []tool{gatewayProgram, traceProgram, quotaProgram, routesProgram, simProgram, {"sandyard-bench", func(a []string, o, e *bytes.Buffer) int { return Bench(a, o, e) }},
 		{"sandyard-drill", func(a []string, o, e *bytes.Buffer) int { return Drill(a, o, e) }},
 		{"sandyard-emulator", func(a []string, o, e *bytes.Buffer) int { return Emulator(a, o, e) }}} {
 		help := record(p, "", "--help")
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, c := range []string{"kilns", "kiln-fleet"} {
-		record(gw, "", "check", "--config", "../../examples/"+c+"/gateway.yaml")
+		record(gatewayProgram, "", "check", "--config", "../../examples/"+c+"/gateway.yaml")
 	}
 	for _, c := range []string{
 		exampleWithMistakes(t, "kilns", map[string][]string{
@@ -97,22 +97,22 @@
 			"gateway.yaml": {"first: 30, spread: 25", "first: 300, spread: 0", "zones: [back-shed]", "zones: [back-yard]", "slack: 5}", "slack: -1}"},
 			"openapi.yaml": {"operationId: ", "operationID: "}, "boxes.yaml": {"name: ", "nom: "}}),
 	} {
-		record(gw, filepath.Dir(filepath.Dir(c)), "check", "--config", c)
+		record(gatewayProgram, filepath.Dir(filepath.Dir(c)), "check", "--config", c)
 	}
-	record(si, "", "generate", "3")
-	record(si, "", "run", "--seeds", "1000-1003", "--workers", "2", "--quiet", "--output", "json")
+	record(simProgram, "", "generate", "3")
+	record(simProgram, "", "run", "--seeds", "1000-1003", "--workers", "2", "--quiet", "--output", "json")
 
 	const config, api, recorded = "../../examples/kilns/gateway.yaml", "../../examples/kilns/openapi.yaml", "../../trace/testdata/recorded-before-renaming.trace"
 	for _, what := range []string{"POST /v1/firings", "GET /v1/slots", "POST /v1/payments", "DELETE /v1/slots", "GET /nowhere", "GET /v1/bookings/%zz"} {
-		record(ro, "", append([]string{"match", "--config", config, "--studio", "hill-school", "--output", "json"}, strings.Fields(what)...)...)
+		record(routesProgram, "", append([]string{"match", "--config", config, "--studio", "hill-school", "--output", "json"}, strings.Fields(what)...)...)
 	}
 	next := filepath.Join(filepath.Dir(exampleWithMistakes(t, "kilns", map[string][]string{"openapi.yaml": {"/payments:", "/fees:", "operationId: book\n", "operationId: book\n      x-sandyard-units: 3\n"}})), "openapi.yaml")
 	for _, form := range []string{"table", "json"} {
-		record(ro, filepath.Dir(filepath.Dir(next)), "diff", "--output", form, "--trace", recorded, api, next)
-		record(tr, "", "show", "--output", form, "--studio", "clay-corner", "--class", "payment", "--from", "5s", "--to", "15s", recorded)
+		record(routesProgram, filepath.Dir(filepath.Dir(next)), "diff", "--output", form, "--trace", recorded, api, next)
+		record(traceProgram, "", "show", "--output", form, "--studio", "clay-corner", "--class", "payment", "--from", "5s", "--to", "15s", recorded)
 		for _, r := range []string{"1", "500", "1303", "2600"} {
-			record(tr, "", "follow", r, "--output", form, recorded)
-			record(tr, "", "explain", r, "--output", form, recorded)
+			record(traceProgram, "", "follow", r, "--output", form, recorded)
+			record(traceProgram, "", "explain", r, "--output", form, recorded)
 		}
 	}
 	if *recordOutputs {
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -61,12 +61,12 @@
 	b.host.accept = nil
 }
 
-func (b *simBackend) setFault(v fault.Verb, value float64, on bool) {
-	b.model.Set(b.sim.now, v, value, on)
-	if v == fault.ExtraResponse {
+func (b *simBackend) setFault(verb fault.Verb, value float64, on bool) {
+	b.model.Set(b.sim.now, verb, value, on)
+	if verb == fault.ExtraResponse {
 		b.extraResponses = on
 	}
-	if v == fault.Refuse && !b.model.HasCollapsed() {
+	if verb == fault.Refuse && !b.model.HasCollapsed() {
 		b.setRefusing(on)
 	}
 	if b.host.alive {
@@ -84,17 +84,17 @@
 	}
 }
 
-func (b *simBackend) recordEvent(f emulator.Event) {
+func (b *simBackend) recordEvent(e emulator.Event) {
 	s := b.sim
-	s.logEvent(string(f.Kind) + " " + f.ID + " " + f.Backend)
-	s.digest(backendEvent, nil, string(f.Kind), f.ID, f.Backend)
-	switch f.Kind {
+	s.logEvent(string(e.Kind) + " " + e.ID + " " + e.Backend)
+	s.digest(backendEvent, nil, string(e.Kind), e.ID, e.Backend)
+	switch e.Kind {
 	case emulator.RequestReceived:
-		s.checker.RequestReceived(invariant.Receipt{ID: f.ID, Backend: f.Backend, At: s.now, Instance: s.sendingInstance, SentAt: s.sentAt})
+		s.checker.RequestReceived(invariant.Receipt{ID: e.ID, Backend: e.Backend, At: s.now, Instance: s.sendingInstance, SentAt: s.sentAt})
 	case emulator.RequestExecuted:
-		s.checker.RequestExecuted(invariant.Execution{ID: f.ID, Key: f.Key, Backend: f.Backend, At: s.now})
+		s.checker.RequestExecuted(invariant.Execution{ID: e.ID, Key: e.Key, Backend: e.Backend, At: s.now})
 	case emulator.BackendCollapsed:
-		s.checker.BackendCollapsed(f.Backend, s.now)
+		s.checker.BackendCollapsed(e.Backend, s.now)
 		b.setRefusing(true)
 	}
 }
--- a/internal/simulation/counter.go
+++ b/internal/simulation/counter.go
@@ -36,12 +36,12 @@
 	c.model = emulator.NewCounter()
 }
 
-func (c *simCounter) setFault(v fault.Verb, value float64, on bool) {
-	switch v {
+func (c *simCounter) setFault(verb fault.Verb, value float64, on bool) {
+	switch verb {
 	case fault.InvalidReplies:
 		c.invalidReplies = on
 	case fault.Refuse:
-		c.model.Set(c.sim.now, v, value, on)
+		c.model.Set(c.sim.now, verb, value, on)
 		if on {
 			c.host.accept = nil
 			for len(c.conns) > 0 {
@@ -51,8 +51,8 @@
 			c.start()
 		}
 	default:
-		c.model.Set(c.sim.now, v, value, on)
-		if v == fault.Stall && !on {
+		c.model.Set(c.sim.now, verb, value, on)
+		if verb == fault.Stall && !on {
 			for _, cc := range append([]*simCounterConn(nil), c.conns...) {
 				if len(cc.conn.received) > 0 {
 					cc.readable(nil)
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -14,8 +14,8 @@
 )
 
 // Hunt uses an evolutionary algorithm to search for scripts that come near to breaking a rule. It keeps those that come
-// nearest, mutates them and combines their faults. With several workers, hunts from the same seed differ in the order of their
-// scripts, but each script can be replayed from its text.
+// nearest, mutates them and combines their faults. With several workers, hunts from the same seed differ in the order
+// of their scripts, but each script can be replayed from its text.
 type Hunt struct {
 	Rule       int // index into RuleNames
 	Profile    Profile
--- a/internal/simulation/replay_test.go
+++ b/internal/simulation/replay_test.go
@@ -132,13 +132,13 @@
 						t.Fatal(err)
 					}
 				}
-				x := p.original.Handle(s.Event, s.At)
+				originalActions := p.original.Handle(s.Event, s.At)
 				if p.restored == nil {
 					return
 				}
 				compared++
-				if y := p.restored.Handle(s.Event, s.At); !reflect.DeepEqual(x, y) {
-					t.Fatalf("seed %d, step %d, %T: %+v, restored %+v", seed, p.n, s.Event, x, y)
+				if restoredActions := p.restored.Handle(s.Event, s.At); !reflect.DeepEqual(originalActions, restoredActions) {
+					t.Fatalf("seed %d, step %d, %T: %+v, restored %+v", seed, p.n, s.Event, originalActions, restoredActions)
 				}
 			}
 		}})
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -10,8 +10,8 @@
 	"sandyard/internal/strictyaml"
 )
 
-// scenario draws a whole script instead of single faults. It brings a deployment to the point where a rule's guards act, and
-// keeps it there until control loops settle. In half of these scripts, up to half of Profile.MaxFaults single
+// scenario draws a whole script instead of single faults. It brings a deployment to the point where a rule's guards
+// act, and keeps it there until control loops settle. In half of these scripts, up to half of Profile.MaxFaults single
 // faults are added.
 type scenario struct {
 	name string
--- a/internal/simulation/scenarios_test.go
+++ b/internal/simulation/scenarios_test.go
@@ -74,9 +74,8 @@
 	}
 }
 
-// A violation by a mutated script that ReadScript rejects could not be replayed. After any mutations and crossovers a script
-// must be readable, and it must still take at least minRequestsToCollapse requests to make a backend
-// collapse.
+// A violation by a mutated script that ReadScript rejects could not be replayed. After any mutations and crossovers a
+// script must be readable, and it must still take at least minRequestsToCollapse requests to make a backend collapse.
 func TestEvolvedScriptsStayWithinBounds(t *testing.T) {
 	rng := randomSource(1, "test")
 	for seed := uint64(1); seed < 60; seed++ {
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -1,7 +1,7 @@
-// Package simulation runs whole deployments in one process and in virtual time: proxy instances that run the same
-// state machines as package server does, emulated backends and counters, clients, and a network that transports bytes. One
-// event queue and one seed determine everything that happens: the same script gives the same events, byte for byte, on any
-// machine.
+// Package simulation runs whole deployments in one process and in virtual time: proxy instances that run the same state
+// machines as package server does, emulated backends and counters, clients, and a network that transports bytes. One
+// event queue and one seed determine everything that happens: the same script gives the same events, byte for byte, on
+// any machine.
 //
 // A run starts no goroutine and reads no clock. A Sim must be used by one goroutine; Sweep and Hunt run many concurrently.
 package simulation
