--- a/config/settings.go
+++ b/config/settings.go
@@ -210,7 +210,7 @@
 	HoldResponse strictyaml.Size `yaml:"hold-answer"` // a response up to this size is buffered whole; a larger one is streamed and can't be retried. 64KiB by default
 	Response     strictyaml.Size `yaml:"answer"`      // a larger response counts as malformed; 0, the default: no limit
 
-	FirstTimeout strictyaml.Duration `yaml:"first-timeout"` // from the opening of a client connection until its first request is complete; 75s by default
+	FirstTimeout strictyaml.Duration `yaml:"first-timeout"` // from the opening of a client connection until its first request that gets no local response is complete; 75s by default
 	HeadTimeout  strictyaml.Duration `yaml:"head-timeout"`  // for the head of a request to arrive; 10s by default
 	BodyTimeout  strictyaml.Duration `yaml:"body-timeout"`  // for the body of a request to arrive; 30s by default
 	WriteTimeout strictyaml.Duration `yaml:"write-timeout"` // for a peer (client, backend or counter) to accept 64 KiB of output; 15s by default
@@ -227,7 +227,7 @@
 	ResponseMargin    strictyaml.Duration `yaml:"answer-margin"`  // subtracted from the time that a client waits, so that the response reaches it in time; 20ms by default, may be 0
 	StreamIdleTimeout strictyaml.Duration `yaml:"stream-silence"` // for a backend to send more of a streamed response; 30s by default
 
-	StopDelay       strictyaml.Duration `yaml:"stop-delay"`       // from the stop signal until the listener closes; 0 by default
+	StopDelay       strictyaml.Duration `yaml:"stop-delay"`       // how long new connections are accepted after the stop signal, at most ShutdownTimeout; the listener closes shortly afterwards. 0, the default: it closes at once
 	ShutdownTimeout strictyaml.Duration `yaml:"shutdown-timeout"` // from the stop signal until requests in flight are aborted; 30s by default
 }
 
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// admissionHash maps a customer to [0, 1). All instances compute the same hash.
-func admissionHash(customer string) float64 {
+// customerHash maps a customer to [0, 1). All instances compute the same hash.
+func customerHash(customer string) float64 {
 	sum := sha256.Sum256([]byte(customer))
 	return float64(binary.BigEndian.Uint64(sum[:])>>11) / (1 << 53)
 }
@@ -159,7 +159,7 @@
 
 // sheds reports whether a customer is outside the admitted fraction of a controller.
 func (c *piController) sheds(customer *customerRecord) bool {
-	return customer.admissionHash >= c.admitRatio
+	return customer.customerHash >= c.admitRatio
 }
 
 // admitOrShed sends the first attempt of a request or rejects the request. It rejects a request whose customer is
--- a/decision/countersync.go
+++ b/decision/countersync.go
@@ -72,10 +72,10 @@
 	calls            map[string][]counterCall // calls without a reply, by name, in the order of the calls
 	pendingUseQueue  []*customerRecord        // customers with use that was not added to the counter yet
 	insideShare      []movingAverage          // share of the requests decided by a total that were inside their quota, by plan
-	reportedUseShare movingAverage            // share of the use that was reported to the counter
+	reportedUseShare movingAverage            // share of the reports of use that were made to the counter and not dropped, each counted once whatever its units; totals are divided by it
 	maxPlanWeight    float64                  // highest WeightFactor of all plans
 	callProbability  float64                  // probability of a call of the highest priority, minCallProbability to 1
-	overloadedAt     time.Duration            // time of the last slow or failed call
+	lastBadCallAt    time.Duration            // time of the last slow or failed call
 }
 
 func newCounterSync(plans []Plan, now time.Duration) counterSync {
@@ -107,16 +107,17 @@
 	return calls[0], true
 }
 
-// recordCall adjusts the call probability to the result of a call.
+// recordCall adjusts the call probability to the result of a call. slow means a timeout, or another result after more
+// than half of the timeout.
 func (c *counterSync) recordCall(slow, ok bool, now time.Duration) {
 	switch {
 	case slow:
 		c.callProbability = max(minCallProbability, c.callProbability*slowCallFactor)
-		c.overloadedAt = now
+		c.lastBadCallAt = now
 	case !ok:
 		c.callProbability = max(minCallProbability, c.callProbability*rejectedCallFactor)
-		c.overloadedAt = now
-	case now-c.overloadedAt > counterRecoveryTime:
+		c.lastBadCallAt = now
+	case now-c.lastBadCallAt > counterRecoveryTime:
 		c.callProbability = min(1, c.callProbability*recoveryCallFactor)
 	default:
 		c.callProbability = min(1, c.callProbability*goodCallFactor)
@@ -134,10 +135,10 @@
 // at different times, so that not all totals are unknown at once.
 func (g *Gateway) counterNameOf(customer *customerRecord) (name string, unitWeight float64) {
 	period := min(maxCounterNamePeriod.Seconds(), maxCounterNameFades*customer.quota.fadeTime)
-	epoch, elapsedShare := math.Modf(g.now.Seconds()/period + customer.admissionHash)
+	epoch, elapsedShare := math.Modf(g.now.Seconds()/period + customer.customerHash)
 	name = customer.id
 	if len(name) > maxCustomerInName {
-		name = strconv.FormatUint(math.Float64bits(customer.admissionHash), 36)
+		name = strconv.FormatUint(math.Float64bits(customer.customerHash), 36)
 	}
 	return name + "." + strconv.FormatInt(int64(epoch), 36), math.Exp(elapsedShare * period / customer.quota.fadeTime)
 }
@@ -156,8 +157,8 @@
 	g.emit(AddToCounter{Name: name, Amount: (units + pending) * unitWeight, TTL: counterNameTTL})
 }
 
-// refundUnits subtracts the units of a request from the counter's total: the request was not admitted, or its attempt
-// is no longer in flight.
+// refundUnits subtracts the units of a request from the counter's total: the request was not admitted or, in a plan whose
+// quota is on attempts in flight, its attempt has ended.
 func (g *Gateway) refundUnits(request *requestRecord) {
 	request.addedToCounter = false
 	call := counterCall{customer: request.customer, unitWeight: request.counterWeight, pendingUnits: -request.units, sentAt: g.now}
@@ -299,8 +300,8 @@
 }
 
 // recordOverQuota records that a customer is beyond its quota until the total without the request has decayed so far
-// that half of the request's units fit, for at most maxOverQuotaWait. If attempts in flight are counted, it records
-// only the total.
+// that half of the request's units fit, for at most maxOverQuotaWait. If the plan's quota is on attempts in
+// flight, it records only the total.
 func (g *Gateway) recordOverQuota(request *requestRecord, total float64) {
 	customer := request.customer
 	customer.counterTotal = total
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -58,7 +58,7 @@
 // decay is so fast that a customer who spends at the plan's rate keeps the total at the burst. A single reply of the
 // counter then gives the recent use.
 type planQuota struct {
-	rate     float64 // units per second; 0: attempts in flight are counted
+	rate     float64 // units per second; 0: the quota is on attempts in flight
 	burst    float64 // units
 	maxTotal float64 // decayed total that the plan allows; 0: no quota
 	fadeTime float64 // seconds in which the total falls to 1/e
@@ -93,14 +93,14 @@
 
 // customerRecord is a gateway's record of a customer.
 type customerRecord struct {
-	id            string
-	admissionHash float64
-	instances     float64 // instances that receive the customer's requests, including this one
-	plan          int
-	quota         *planQuota
-	usesCounter   bool // the shared counter holds its use
-	lastUsedAt    time.Duration
-	inFlight      int // attempts
+	id           string
+	customerHash float64
+	instances    float64 // instances that receive the customer's requests, including this one
+	plan         int
+	quota        *planQuota
+	usesCounter  bool // the shared counter holds its use
+	lastUsedAt   time.Duration
+	inFlight     int // attempts
 
 	// The buckets of this instance's split at refilledAt.
 	refilledAt     time.Duration
@@ -176,11 +176,11 @@
 // the split of the slack: this instance may have restarted, and the ceiling may have been used up a moment ago.
 func (g *Gateway) newCustomer(event RequestArrived) *customerRecord {
 	customer := &customerRecord{
-		id:            event.Customer,
-		admissionHash: admissionHash(event.Customer),
-		instances:     float64(min(max(1, event.Spread), g.settings.Instances)),
-		plan:          g.settings.planIndex(event.Plan),
-		refilledAt:    g.now,
+		id:           event.Customer,
+		customerHash: customerHash(event.Customer),
+		instances:    float64(min(max(1, event.Spread), g.settings.Instances)),
+		plan:         g.settings.planIndex(event.Plan),
+		refilledAt:   g.now,
 	}
 	customer.quota = &g.quotas.plans[customer.plan]
 	customer.usesCounter = g.settings.Counter && customer.instances > 1 && customer.quota.maxTotal > 0
@@ -282,8 +282,8 @@
 }
 
 // insideProbability estimates the probability that a request is inside the quota if the counter is not called: this
-// instance's split of the quota over demandMemory, divided by the demand in that time. If attempts in flight are
-// limited, the split is the number of attempts that can end in that time. For a rarely seen customer the estimate is
+// instance's split of the quota over demandMemory, divided by the demand in that time. If the quota is
+// on attempts in flight, the split is the number of attempts that can end in that time. For a rarely seen customer the estimate is
 // the share of the plan's requests that were inside their quota according to the counter.
 func (g *Gateway) insideProbability(customer *customerRecord, class ClassID) float64 {
 	split := customer.quota.rate / customer.instances * demandMemory.Seconds()
--- a/decision/restore.go
+++ b/decision/restore.go
@@ -119,7 +119,7 @@
 func restoreCustomer(c CustomerState, quota *planQuota) *customerRecord {
 	return &customerRecord{
 		id:                     c.ID,
-		admissionHash:          admissionHash(c.ID),
+		customerHash:           customerHash(c.ID),
 		instances:              c.Instances,
 		plan:                   c.Plan,
 		quota:                  quota,
@@ -232,7 +232,7 @@
 	restoreAverages(counter.insideShare, s.InsideShare)
 	counter.reportedUseShare.restore(s.ReportedUseShare)
 	counter.callProbability = s.CounterCallProbability
-	counter.overloadedAt = s.CounterOverloadedAt
+	counter.lastBadCallAt = s.CounterLastBadCallAt
 	for i, position := range s.PendingUseQueue {
 		if !within(position, len(r.customers)) {
 			return mismatch("PendingUseQueue", i)
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -105,7 +105,7 @@
 	MaxAttempts      int           // attempts per request, including the first; a value below 1 means 1
 	Subscribe        bool          // endpoints are watched, and the watch has to be requested
 	PollInterval     time.Duration `json:"AskWithin"` // longest time between polls of the endpoint list; informative
-	DrainGrace       time.Duration // time that a draining backend has to finish its requests; informative
+	DrainGrace       time.Duration // time after which a draining or removed backend must get no new requests; informative
 	SlowStartShare   float64       `json:"ColdShare"` // share of its capacity that a backend has at least when it has just started; a value outside (0, 1] means 1: no backend warms up
 	SlowStartTime    time.Duration `json:"ColdTime"`  // from start to full capacity
 	OverloadFactor   float64       // multiple of its current capacity at which a warming backend fails; 0: no attempt is held back
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -6,14 +6,15 @@
 )
 
 // This file limits the attempts at a warming backend. A backend that has started recently has a part of its capacity,
-// and fails when all instances together send it several times as much (Settings.OverloadFactor, within OverloadTime).
-// Two mechanisms limit its load: it is drawn for an attempt only in proportion to its capacity share (balancer.go), and
-// after the draw, a token bucket must hold enough for the attempt. The bucket fills at this instance's part of
+// and fails when all instances together send it, within OverloadTime, OverloadFactor times the work that its current
+// capacity can do. Two mechanisms limit its load: it is drawn for an attempt only in proportion to its capacity share
+// (balancer.go), and after the draw, its token bucket must hold at least a threshold, which is drawn at random from 0 to
+// 1 for each attempt. An attempt costs 1, so the bucket may become negative. The bucket fills at this instance's part of
 // slowStartLoadShare of the load at which the backend fails. That load follows from the service rate of a warm backend,
 // which is estimated from successful answers. Without the bucket, a fleet that is replaced at once would fail: if there
 // are hardly any other backends to draw, drawing a warming backend less often limits nothing.
 //
-// Rates are in attempts per second of this instance, times in seconds.
+// Rates are per second and cover this instance only. Times of type float64 are in seconds.
 
 const (
 	// slowStartLoadShare is the maximum load that all instances together send to a warming backend, as a share of the
@@ -25,7 +26,7 @@
 	// slowStartBurstShare is the bucket size, as a share of what the rate allows in OverloadTime.
 	slowStartBurstShare = 0.3
 	// workingBackendFactor times the share of successful answers gives the degree to which a backend counts as working:
-	// from one successful answer in twelve on, it counts fully. A backend that is only overloaded still gives many
+	// from a share of 1/workingBackendFactor on, it counts fully. A backend that is only overloaded still gives many
 	// successful answers, one that hangs gives none.
 	workingBackendFactor = 12.0
 )
@@ -36,14 +37,14 @@
 type serviceRateEstimator struct {
 	throughput        movingAverage // successful answers per second
 	effectiveCapacity movingAverage // capacity that gave them, in warm working backends
-	value             float64       // ratio of the two; before heldBackUntil the last ratio, reduced by failures
+	value             float64       // ratio of the two; until heldBackUntil: the last ratio, reduced by failures
 	heldBackUntil     time.Duration // throughput does not measure capacity before this time, since attempts were held back
 
 	slowStartCheckRate movingAverage // slowStartChecks per second
 	choiceRate         movingAverage // choicesMade per second
 
 	// Counted in this control period.
-	slowStartChecks float64 // candidates that were checked with tryAdmitWarming
+	slowStartChecks float64 // candidates, warm or warming, that admitBestCandidate checked with tryAdmitWarming
 	choicesMade     float64 // calls of chooseBackend
 	successes       float64 // attempts at backends in state Up that ended with OK
 	attemptsEnded   float64 // attempts at backends in state Up that ended
@@ -127,10 +128,10 @@
 	g.serviceRate.endPeriod(capacity, elapsed, g.now)
 }
 
-// workingShare returns the degree, 0 to 1, to which a backend counts as working, by the outcomes of all classes. Only
-// the attempts have a prior: the prior of the failures is added and subtracted again. The two cancel except for
-// rounding, and the difference is limited to 0 or more. The arithmetic must not change because recorded decisions
-// depend on every digit.
+// workingShare returns the degree, 0 to 1, to which a backend counts as working, by the outcomes of all classes. The
+// arithmetic must not change because recorded decisions depend on every digit: the prior of the failures is added and
+// subtracted again, which cancels except for rounding, and the difference is limited to 0 or more. So only the attempts
+// have a prior.
 func (backend *backendRecord) workingShare() float64 {
 	failures := failurePrior
 	attempts := 2 * failurePrior
@@ -172,8 +173,8 @@
 	return limit * min(slowStartLoadShare, root*root/4/max(attempts, minDivisor))
 }
 
-// refillSlowStart refills the bucket at the rate. The bucket of a backend that has just started is empty, so that many
-// instances do not send attempts at once.
+// refillSlowStart refills the bucket at the rate. The bucket of a backend that has just started is empty and must first
+// reach its random threshold, so that many instances do not send attempts at once.
 func (g *Gateway) refillSlowStart(backend *backendRecord, rate, maxTokens float64) {
 	refill := 0.0
 	if backend.slowStartRefilledAt > 0 {
--- a/decision/snapshot.go
+++ b/decision/snapshot.go
@@ -148,7 +148,7 @@
 	s.InsideShare = averageStates(c.insideShare)
 	s.ReportedUseShare = c.reportedUseShare.state()
 	s.CounterCallProbability = c.callProbability
-	s.CounterOverloadedAt = c.overloadedAt
+	s.CounterLastBadCallAt = c.lastBadCallAt
 	for _, customer := range c.pendingUseQueue {
 		s.PendingUseQueue = append(s.PendingUseQueue, positions.customers.position(customer))
 	}
--- a/decision/state.go
+++ b/decision/state.go
@@ -33,7 +33,7 @@
 	HeldBackUntil           time.Duration     `json:"Short"`
 	ClassLatency            [][2]float64      `json:"Latency"` // mean and deviation, seconds, by class
 	CounterCallProbability  float64           `json:"Asking"`
-	CounterOverloadedAt     time.Duration     `json:"Crowded"`
+	CounterLastBadCallAt    time.Duration     `json:"Crowded"`
 	InFlight                int               `json:"Open"`
 	StartedAt               time.Duration     `json:"Born,omitempty"` // start of the gateway; 0 if the counter is used
 	ProbeTurn               int               `json:"Turn"`
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,7 +1,8 @@
 // Package platform is the adapter for the operators' platform. It defines the configuration that an instance starts with,
 // the format of requests, attempts and responses, the messages of discovery, and the line protocol of the counter. The
 // package makes no decisions, opens no connection and reads no clock. Its values are immutable and safe for concurrent
-// use, except a counter codec, which belongs to one connection. docs/design/platform.md describes the protocol's guards.
+// use, except a counter codec, which belongs to one connection. docs/design/platform.md describes the checks that
+// protect the protocol.
 package platform
 
 import (
@@ -19,8 +20,9 @@
 	"sandyard/routes"
 )
 
-// Errors of a configuration. Other errors are *diagnostic.FieldError (a field with an invalid value) or *EndpointError (an
-// invalid entry of the endpoint list).
+// Errors of a configuration. Others are *diagnostic.FieldError (a field with an invalid value), *EndpointError (an invalid
+// entry of the endpoint list), the errors of encoding/json, and io.EOF if there are no settings. All are wrapped: use
+// errors.Is and errors.As.
 var (
 	ErrNegativeLimit     = errors.New("expected no negative number")
 	ErrNoClassOrPlan     = errors.New("no class or no plan")
@@ -28,12 +30,12 @@
 	ErrSettingsNotObject = errors.New("expected an object")
 )
 
-// Node is the configuration of an instance, read at the start and again on SIGHUP. It implements the platform's protocol
+// Node is the configuration of an instance (the platform's node), read at the start and again on SIGHUP. It implements the platform's protocol
 // for that configuration.
 type Node struct {
 	Name            string       // of the instance, for logs
-	Listen          string       // host:port for clients
-	Discovery       string       // host:port of discovery
+	Listen          string       // IP:port for clients
+	Discovery       string       // IP:port of discovery
 	Seed            uint64       // seed of all random draws
 	Limits          Limits       // resource limits of the instance's processes
 	CachedEndpoints EndpointList // the last list that the instance had; may be old
@@ -58,13 +60,13 @@
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
 	Counter   string          `json:"counter"`
-	Seed      string          `json:"seed"`
+	Seed      string          `json:"seed"` // hexadecimal, up to 16 digits
 	Limits    Limits          `json:"limits"`
 	Endpoints json.RawMessage `json:"known"`
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// ParseConfig parses a configuration. The error names the first invalid field.
+// ParseConfig parses a configuration. If the error is about a field, it names the first invalid one.
 func ParseConfig(text []byte) (*Node, error) {
 	n, err := parseConfig(text)
 	if err != nil {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -9,7 +9,7 @@
 	"sandyard/decision"
 )
 
-const bufferBytes = 1 << 16 // buffer size of input and output: a batch may have several megabytes, most have a few KiB
+const bufferBytes = 1 << 16 // size of the input and output buffers: most batches have a few KiB and fit, larger ones (several MiB) take several reads or writes
 
 // Reader parses batches. It is not safe for concurrent use.
 type Reader struct {
@@ -24,7 +24,7 @@
 }
 
 // Next returns the next batch. It blocks until the batch has been read completely. The error is io.EOF if the input
-// ends between batches, and a *LineError if the input is malformed.
+// ends between batches, and a *LineError if the input is malformed. Other errors are those of the input.
 func (r *Reader) Next() (Batch, error) {
 	var b Batch
 	f, err := r.nextLine()
@@ -112,7 +112,7 @@
 	}
 	e.Started = f.millis("ready-at-ms")
 	e.Cell = f.int("block")
-	f.int("class-of-host")
+	f.int("class-of-host") // not used, but must be an integer
 	e.Backend = f.backend("backend")
 	e.Zone = f.int("failure-domain")
 	e.State = word(f, "health", endpointStates)
--- a/proxy/attempts_test.go
+++ b/proxy/attempts_test.go
@@ -25,7 +25,7 @@
 			r.instance.ClientLeft(r.now, client.Disconnected())
 		}, false},
 		{"the client left, and the instance was not notified yet", func(r *harness, client *ClientConn, ex *Exchange) { client.Disconnected() }, false},
-		{"its deadline has passed", func(r *harness, client *ClientConn, ex *Exchange) { r.now = r.instance.answerDeadline(ex) }, false},
+		{"its deadline has passed", func(r *harness, client *ClientConn, ex *Exchange) { r.now = r.instance.responseDeadline(ex) }, false},
 		{"a full endpoint list does not contain its backend", func(r *harness, client *ClientConn, ex *Exchange) {
 			r.instance.ReplaceEndpoints(r.now, EndpointsUpdate{Endpoints: nil})
 		}, false},
@@ -162,7 +162,7 @@
 	r.shared.Protocol = reported
 	r.instance.BackendConnected(r.now, dial.Conn)
 	r.want(WriteAttempt)
-	if want := ex.attempts[0].deadline - r.now; *reported.remaining != want || want <= 0 || r.now+want > r.instance.answerDeadline(ex) {
+	if want := ex.attempts[0].deadline - r.now; *reported.remaining != want || want <= 0 || r.now+want > r.instance.responseDeadline(ex) {
 		t.Errorf("the attempt carries %v, but %v is left", *reported.remaining, want)
 	}
 }
--- a/proxy/backendconn.go
+++ b/proxy/backendconn.go
@@ -151,7 +151,7 @@
 		inst.queueEvent(decision.StreamStarted{Request: ex.ID, Attempt: index, Backend: conn.backend.endpoint.Backend})
 		return
 	}
-	inst.timers.push(timer{at: inst.answerDeadline(ex), kind: streamTimer, request: ex.ID})
+	inst.timers.push(timer{at: inst.responseDeadline(ex), kind: streamTimer, request: ex.ID})
 	inst.endAttempt(ex, index, decision.AttemptEnded{Outcome: decision.OK, Answered: true, Load: response.Load, Units: response.Units})
 }
 
--- a/proxy/clientconn.go
+++ b/proxy/clientconn.go
@@ -39,15 +39,15 @@
 	phaseSince time.Duration // when the phase started
 
 	// The current request.
-	receivedAt     time.Duration // when the bytes that are being parsed were received
-	exchange       *Exchange     // from the end of its head until its response is complete
-	head           *http1.Head
-	body           []byte // its capacity is reserved in Shared.ReservedBytes
-	trailers       []http1.Field
-	bytesToSkip    int64          // in phaseSkipBody: how many more bytes of the body are read and discarded
-	localResponse  *localResponse // response without a decision; nil: none
-	answerDeadline time.Duration  // in phaseAwaitResponse: when the connection answers in place of the instance; 0: never
-	hadRequest     bool           // Feed or Resume has returned a request for the instance; local responses don't count
+	receivedAt       time.Duration // when the bytes that are being parsed were received
+	exchange         *Exchange     // from the end of its head until its response is complete
+	head             *http1.Head
+	body             []byte // its capacity is reserved in Shared.ReservedBytes
+	trailers         []http1.Field
+	bytesToSkip      int64          // in phaseSkipBody: how many more bytes of the body are read and discarded
+	localResponse    *localResponse // response without a decision; nil: none
+	responseDeadline time.Duration  // in phaseAwaitResponse: when the connection answers in place of the instance; 0: never
+	hadRequest       bool           // Feed or Resume has returned a request for the instance; local responses don't count
 
 	// Bytes received while a response was awaited.
 	readAhead           []byte        // reserved in Shared.ReservedBytes
@@ -85,14 +85,14 @@
 // regular close would look like the end of the response.
 func (c *ClientConn) MustReset() bool { return c.mustReset }
 
-// AwaitingResponse reports whether a request is complete and its response is not.
+// AwaitingResponse reports whether a request is complete and its response is not yet complete; the response may have begun.
 func (c *ClientConn) AwaitingResponse() bool { return c.phase == phaseAwaitResponse }
 
 // Idle reports whether nothing of a request was received since the last response.
 func (c *ClientConn) Idle() bool { return c.phase == phaseIdle && len(c.readAhead) == 0 }
 
 // IdleSince returns when the current phase started, whether Feed or Resume has returned a request before, and the result of
-// Idle.
+// Idle. The connection has been idle since that time only if idle is true.
 func (c *ClientConn) IdleSince() (since time.Duration, hadRequest, idle bool) {
 	return c.phaseSince, c.hadRequest, c.Idle()
 }
@@ -110,7 +110,7 @@
 	case phaseBody, phaseSkipBody:
 		deadline = c.phaseSince + time.Duration(limits.BodyTimeout)
 	case phaseAwaitResponse:
-		return c.answerDeadline
+		return c.responseDeadline
 	default:
 		return 0
 	}
@@ -144,7 +144,8 @@
 	return c.FeedReceived(now, now, b)
 }
 
-// FeedReceived is Feed for bytes that were received before now, at receivedAt. The client's timeout counts from receivedAt.
+// FeedReceived is Feed for bytes that were received before now, at receivedAt. The time
+// for which the client waits counts from receivedAt.
 func (c *ClientConn) FeedReceived(now, receivedAt time.Duration, b []byte) *Exchange {
 	if c.phase == phaseAwaitResponse {
 		if len(c.readAhead) == 0 {
--- a/proxy/clientresponse.go
+++ b/proxy/clientresponse.go
@@ -38,7 +38,7 @@
 	}
 	c.Outgoing = append(c.Outgoing, b...)
 	c.closeAfterResponse = c.closeAfterResponse || closeAfterResponse
-	c.answerDeadline = 0
+	c.responseDeadline = 0
 	return true
 }
 
@@ -47,9 +47,9 @@
 // request.
 func (c *ClientConn) setAnswerDeadline(now time.Duration) {
 	margin := time.Duration(c.shared.Config.Limits.ResponseMargin) / 2
-	c.answerDeadline = c.exchange.Arrived + c.exchange.Timeout - margin - c.shared.timerDelayMargin(c.exchange.Timeout)
-	if c.answerDeadline < now+margin {
-		c.answerDeadline = 0
+	c.responseDeadline = c.exchange.Arrived + c.exchange.Timeout - margin - c.shared.timerDelayMargin(c.exchange.Timeout)
+	if c.responseDeadline < now+margin {
+		c.responseDeadline = 0
 	}
 }
 
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -8,7 +8,7 @@
 )
 
 // idleSweepInterval is the interval at which idle backend connections are checked against limits.box-idle-timeout. A second
-// is short compared with the default of that timeout, 15 s, and the check is cheap.
+// is short compared with usual values of that timeout, such as 15 s, and the check is cheap.
 const idleSweepInterval = time.Second
 
 // assignConn assigns an attempt a connection to its backend: an idle one, on which the attempt starts at once, or a new one,
@@ -62,8 +62,8 @@
 // takeIdle removes the most recently used idle connection from the pool and returns it. It returns nil if there is none, or
 // if that connection has been idle for longer than maxIdle.
 //
-// Connections used within limits.line-rest are skipped. If a backend sends extra bytes after its response, they arrive
-// within that time and the connection is closed. If the next request had already been written, they would be parsed as its
+// Connections used within limits.line-rest are skipped. Extra bytes that a backend sends after its response and that arrive
+// within that time close the connection. If the next request had already been written, they would be parsed as its
 // response, because HTTP/1.1 does not identify the request to which a response belongs.
 func (inst *Instance) takeIdle(backend *backendEntry, maxIdle time.Duration) *BackendConn {
 	reuseDelay := time.Duration(inst.shared.Config.Limits.ReuseDelay)
@@ -80,9 +80,9 @@
 }
 
 // makeRoom reports whether limits.lines-per-box and limits.lines allow another connection to a backend. It closes idle
-// connections if necessary. For a non-idempotent request it closes the backend's oldest idle connection even below the
-// limits, if the backend has more than one: such requests may get a new connection each time, and idle ones would
-// accumulate.
+// connections if necessary. If maxIdle is below limits.box-idle-timeout, as it usually is for non-idempotent requests, it
+// closes the backend's oldest idle connection even below the limits, provided that the backend has more than one: such
+// requests may get a new connection each time, and idle ones would accumulate.
 func (inst *Instance) makeRoom(backend *backendEntry, maxIdle time.Duration) bool {
 	limits := &inst.shared.Config.Limits
 	full := backend.connCount >= limits.ConnsPerBackend
@@ -134,7 +134,8 @@
 	inst.removeIfUnused(conn.backend)
 }
 
-// closeUnpooled closes a connection that is neither closed nor in its backend's idleConns, which it does not search.
+// closeUnpooled closes a connection that is neither closed nor in its backend's idleConns. It skips the search of idleConns
+// that closeConn does.
 func (inst *Instance) closeUnpooled(conn *BackendConn) {
 	inst.markClosed(conn)
 	inst.emit(Effect{Kind: CloseBackend, Conn: conn})
--- a/proxy/requests.go
+++ b/proxy/requests.go
@@ -33,7 +33,7 @@
 		Class:    ex.Class,
 		Plan:     ex.Customer.Plan,
 		Customer: ex.Customer.Name,
-		TimeLeft: max(0, inst.answerDeadline(ex)-inst.now),
+		TimeLeft: max(0, inst.responseDeadline(ex)-inst.now),
 		Units:    ex.Units,
 		Spread:   ex.Customer.Spread,
 		First:    ex.Customer.First,
@@ -50,9 +50,9 @@
 	ex.reservedBytes = 0
 }
 
-// answerDeadline returns the time by which an exchange must be answered. limits.answer-margin is for the answer to reach the
+// responseDeadline returns the time by which an exchange must be answered. limits.answer-margin is for the answer to reach the
 // client, timerDelayMargin for timers that fire late.
-func (inst *Instance) answerDeadline(ex *Exchange) time.Duration {
+func (inst *Instance) responseDeadline(ex *Exchange) time.Duration {
 	return ex.Arrived + ex.Timeout - time.Duration(inst.shared.Config.Limits.ResponseMargin) - ex.timerDelayMargin
 }
 
@@ -115,7 +115,7 @@
 // fail executes the decision gateway's action. The answer is 504 if the answer deadline has passed, and 502 otherwise.
 func (inst *Instance) fail(action decision.Fail) {
 	response := &attemptFailed
-	if ex := inst.requests[action.Request]; ex != nil && inst.now >= inst.answerDeadline(ex) {
+	if ex := inst.requests[action.Request]; ex != nil && inst.now >= inst.responseDeadline(ex) {
 		response = &deadlineExceeded
 	}
 	inst.answerLocally(action.Request, eventFailed, response, 0)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -15,7 +15,7 @@
 // time of the inspection.
 type View struct {
 	Customer           string  `json:"studio"`
-	Known              bool    `json:"known"`         // the instance has seen the customer recently; otherwise only the plan's limits are set
+	Known              bool    `json:"known"`         // the instance has seen the customer recently; if false, the fields of its state are zero and CounterTotalAge is -1
 	Rate               float64 `json:"rate"`          // rate of the plan, units per second; 0: no such limit
 	Burst              float64 `json:"burst"`         // burst of the plan, units
 	CeilingRate        float64 `json:"ceiling_rate"`  // ceiling of the plan, units per second; 0: no ceiling
@@ -25,9 +25,9 @@
 	SplitCeilingTokens float64 `json:"split_ceiling"` // remaining units of this instance's split of the ceiling
 	CounterTotal       float64 `json:"total"`         // units, decayed use at all instances by the counter's last reply
 	CounterTotalAge    float64 `json:"heard_ago"`     // age of that reply; -1: there was none
-	RecentDemand       float64 `json:"asked_here"`    // units that were requested from this instance recently
+	RecentDemand       float64 `json:"asked_here"`    // units that were requested from this instance; decays exponentially (demandMemory in package decision)
 	PendingUse         float64 `json:"untold"`        // units admitted by this instance that were not added to the counter yet
-	InFlight           int     `json:"open"`          // attempts in flight
+	InFlight           int     `json:"open"`          // attempts of the customer in flight at this instance
 	OverQuotaFor       float64 `json:"beyond_for"`    // seconds until the counter may be called again, if the customer was beyond its quota
 }
 
@@ -77,13 +77,13 @@
 
 // Verdict is the result of a dry run.
 type Verdict struct {
-	Answer      string `json:"answer"`        // one of the constants above
-	Backend     uint32 `json:"box,omitempty"` // backend that would get the request if it is admitted
-	UsesCounter bool   `json:"asks"`          // the shared counter would be called
+	Answer       string `json:"answer"`        // one of the constants above
+	Backend      uint32 `json:"box,omitempty"` // backend that would get the request if it is admitted
+	CallsCounter bool   `json:"asks"`          // the shared counter would be called
 }
 
-// DryRun returns the decision that a gateway would make now on a request of a customer. It works on a copy of the
-// gateway's state and does not change state. spread and first are the fields of decision.RequestArrived. The error is
+// DryRun returns the decision that a gateway would make now on a request of a customer. The request is of class 0 and
+// has that class's whole deadline left. DryRun works on a copy of the gateway's state and does not change state. spread and first are the fields of decision.RequestArrived. The error is
 // that of decision.Restore.
 func DryRun(settings decision.Settings, state decision.State, plan decision.PlanID, name string, spread, first int, units float64, now time.Duration) (Verdict, error) {
 	gateway, err := decision.Restore(settings, state)
@@ -116,10 +116,10 @@
 		case decision.Fail:
 			verdict.Answer = answerFailed
 		case decision.AddToCounter:
-			verdict.UsesCounter = true
+			verdict.CallsCounter = true
 		}
 	}
-	if verdict.Answer == answerHeld && verdict.UsesCounter {
+	if verdict.Answer == answerHeld && verdict.CallsCounter {
 		verdict.Answer = answerCounter
 	}
 	return verdict
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -56,7 +56,7 @@
 		want     Verdict
 	}{
 		{"inside the quota", decision.Plan{Rate: 10, Burst: 20, WeightFactor: 1}, 1, []decision.Endpoint{up}, Verdict{Answer: "admitted", Backend: 7}},
-		{"not known here", decision.Plan{Rate: 10, Burst: 20, WeightFactor: 1}, 2, []decision.Endpoint{up}, Verdict{Answer: "asks the keeper first", UsesCounter: true}},
+		{"not known here", decision.Plan{Rate: 10, Burst: 20, WeightFactor: 1}, 2, []decision.Endpoint{up}, Verdict{Answer: "asks the keeper first", CallsCounter: true}},
 		{"beyond the quota", decision.Plan{Rate: 10, Burst: 0.5, WeightFactor: 1, OverQuotaCost: 1}, 1, []decision.Endpoint{up}, Verdict{Answer: "refused: quota"}},
 		{"no backend", decision.Plan{Rate: 10, Burst: 20, WeightFactor: 1}, 1, nil, Verdict{Answer: "refused: no room"}},
 	} {
--- a/routes/compile.go
+++ b/routes/compile.go
@@ -19,7 +19,7 @@
 	file     string
 	table    *Table
 	problems diagnostic.Problems
-	ids      map[string]int // lines of operations, by operation ID
+	lineOfID map[string]int // line of an operation, by operation ID
 }
 
 // location is a position in the description.
@@ -45,7 +45,7 @@
 // Compile compiles an OpenAPI description into a table. If it fails, the error is a diagnostic.Problems with every problem,
 // and the table is nil. Compile does not follow references to other files and hosts.
 func Compile(file string, text []byte) (*Table, error) {
-	c := &compiler{file: file, table: &Table{}, ids: map[string]int{}}
+	c := &compiler{file: file, table: &Table{}, lineOfID: map[string]int{}}
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
 		c.report(location{yamlLine(err), 1, ""}, "not YAML or JSON: %v", err)
@@ -241,10 +241,10 @@
 	if op.ID == "" {
 		op.ID = method + " " + template
 	}
-	if other, ok := c.ids[op.ID]; ok {
+	if other, ok := c.lineOfID[op.ID]; ok {
 		c.report(location{at.line, 1, at.field + ".operationId"}, "%q is already used in line %d", op.ID, other)
 	}
-	c.ids[op.ID] = at.line
+	c.lineOfID[op.ID] = at.line
 	own := extensions(o.Extensions)
 	c.reportUnknown(own, at.field)
 	c.applyExtensions(op, at, func(name string) (*yaml.Node, string) {
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -25,7 +25,7 @@
 	FirstDifference   string        `json:"first"`       // description of the first difference; "" if there is none
 	FirstDifferenceAt time.Duration `json:"first_at_ns"` // time of the first difference
 	Dropped           uint64        `json:"dropped"`     // number of steps that are missing from the trace
-	Uncertain         uint64        `json:"uncertain"`   // number of differing steps after missing ones, which may be the cause
+	Uncertain         uint64        `json:"uncertain"`   // number of steps that differ between missing steps and the next recorded state: the missing steps may be the cause
 	Skipped           uint64        `json:"skipped"`     // number of steps before the first state, if the trace does not begin with part 0
 	States            uint64        `json:"states"`      // number of recorded states that were compared or restored
 
@@ -62,7 +62,7 @@
 	}
 	event := record.Event.Unwrap()
 	switch {
-	case event == nil:
+	case event == nil: // a record of dropped records or of a backend's name
 		return nil
 	case r.gateway == nil && h.Part == 0:
 		return ErrNoFirstStep
