--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -29,8 +29,12 @@
 
 // soakTotals counts the results of the runs so far.
 type soakTotals struct {
+	// runs counts the runs that ended without an error, and violating those of them that broke a rule. inconclusive counts the
+	// other runs that could not be judged, and those that ended with an error, which runs does not count.
 	runs, violating, inconclusive int
-	reachedRace                   int
+	// reachedRace counts the runs in which an attempt began, during a shutdown, more than the drain grace after a departure
+	// (Exposure.ReachedRace).
+	reachedRace int
 }
 
 // add counts a run.
--- a/internal/exposure/exposure.go
+++ b/internal/exposure/exposure.go
@@ -1,5 +1,6 @@
 // Package exposure reads the logs that the instances of a run have left and reports how often the run reached the race
-// between a shutdown and a change of the endpoint list. A run that did not reach the race shows nothing about drains.
+// between a shutdown and a change of the endpoint list. An attempt reaches the race if it begins, during a shutdown, later than
+// the drain grace after a notice of the change (Run.AfterGrace). A run that did not reach the race shows nothing about drains.
 //
 // All instances of a run log by the same clock and use the same version numbers for the list. The arrival of a notice is
 // taken from the first instance that read it: an instance that no longer follows the list logs no notices, and is measured
@@ -36,15 +37,15 @@
 	Processes int    `json:"processes"`
 	// ShutdownAttempts counts the attempts that began after the process was signalled to stop. AfterNotice counts those of them
 	// that began after a notice that arrived since the signal, and AfterGrace those that began later than the drain grace after
-	// it. With an outdated endpoint list, each attempt in AfterGrace could have reached a backend that had been draining for
-	// longer than the grace.
+	// such a notice. If the instance's endpoint list was outdated, an attempt in AfterGrace can have reached a backend that had
+	// been draining for longer than the grace.
 	ShutdownAttempts int `json:"shutdown_attempts"`
 	AfterNotice      int `json:"after_notice"`
 	AfterGrace       int `json:"after_grace"`
 	// Unhandled counts attempts that began while a message of discovery had been read and waited for the event loop.
 	Unhandled int `json:"unhandled"`
-	// OldList counts attempts outside of shutdowns that used a list which discovery had not confirmed for longer than its
-	// heartbeat interval allows.
+	// OldList counts the logged attempts outside of shutdowns that used a list which discovery had not confirmed for longer than
+	// its heartbeat interval allows. A process logs one of them per second at most.
 	OldList int `json:"old_list"`
 	// MaxLoggedAge and AgeP99 are the maximum and the 99th percentile of the age of the list at logged attempts.
 	MaxLoggedAge time.Duration `json:"greatest_age_ns"`
@@ -53,11 +54,12 @@
 	MaxAttemptDelay time.Duration `json:"greatest_lateness_ns"`
 	// ClosestAttempt is the shortest time between a notice that an instance read and a logged attempt of that instance,
 	// before or after the notice, at an endpoint that the notice names; -1: no attempt at such an endpoint was logged.
+	// Attempts don't count, here and in LatestAttempt, once another process may have the address.
 	ClosestAttempt time.Duration `json:"closest_attempt_ns"`
-	// LatestAttempt is the longest time from such a notice to the beginning of an attempt at an endpoint that it names. Attempts
-	// don't count once another process may have the address. -1: none began after a notice.
+	// LatestAttempt is the longest time from such a notice to the beginning of an attempt at an endpoint that it names.
+	// -1: none began after a notice.
 	LatestAttempt time.Duration `json:"latest_attempt_ns"`
-	// MaxAge is the maximum age of the list at any attempt, logged or not, of the processes that shut down in order.
+	// MaxAge is the maximum age of the list at any attempt, logged or not, of the processes that logged "stopped".
 	MaxAge time.Duration `json:"ever_greatest_age_ns"`
 }
 
@@ -88,8 +90,8 @@
 	ages      []time.Duration
 }
 
-// ReadFolder reads the logs (*.log) of a run from a folder. grace is the drain grace of the deployment; reuse is how long
-// after a notice another process may have the endpoint's address.
+// ReadFolder reads the logs (*.log) of a run from a folder. grace is the drain grace of the deployment; reuse is the
+// time after a notice from which another process may have the endpoint's address.
 func ReadFolder(folder string, grace, reuse time.Duration) (Run, error) {
 	names, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil {
--- a/internal/server/clientconn.go
+++ b/internal/server/clientconn.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// lingeringCloseTimeout is how long the server reads from a client that still sends after the last response to it: some
-	// round trips.
+	// lingeringCloseTimeout is how long the server reads from a client that still sends after the last response to it:
+	// several round trips, also on a slow network.
 	lingeringCloseTimeout = time.Second
 	// maxLingeringCloseBytes (256 KiB) bounds what is read in that time: what a client may have in flight on a typical network.
 	maxLingeringCloseBytes = 256 << 10
@@ -26,11 +26,13 @@
 // expiredDeadline is a read deadline that has passed: it ends the read in progress and all later ones at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// clientConn is the TCP side of a client connection. Its own goroutine, the reader, reads. The event loop and, for a streamed
-// response, the reader of the backend connection write.
+// clientConn is the TCP side of a client connection. Its own goroutine, the reader, reads, and writes the responses that the
+// state machine of the connection creates, for example at a deadline. The event loop writes the other responses, together with
+// the reader of the backend connection if the response is streamed. After a slow client has accepted the buffered bytes, the
+// socket's flush goroutine continues (resumeAfterFlush).
 //
-// Only the reader closes the connection: closing a socket with unread bytes resets the connection, and the client may then
-// lose the last response. Other goroutines call requestClose.
+// Until the end of a shutdown (closeClients), only the reader closes the connection: closing a socket with unread bytes resets
+// the connection, and the client may then lose the last response. Other goroutines call requestClose.
 type clientConn struct {
 	server *Server
 	socket *socket
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -27,7 +27,7 @@
 	// that sends its next request sooner does not find its connection closed.
 	minIdleTime = 2 * time.Second
 	// firstRequestTime is how long a connection without a request that was handed to the instance must have been idle before it
-	// may be evicted: some round trips, and no more, since silent connections cost an attacker nothing.
+	// may be evicted: several round trips, and no more, since silent connections cost an attacker nothing.
 	firstRequestTime = 150 * time.Millisecond
 	// clientSlotTimeout is how long a new connection waits for an eviction, including its time in the backlog. Other new
 	// connections wait in the backlog in that time.
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -187,12 +187,12 @@
 }
 
 // startNodeUnready starts an instance on the platform and does not wait until discovery has confirmed its list.
-func startNodeUnready(t *testing.T, discovery string) *gateway {
+func startNodeUnready(t *testing.T, discovery string) *serverRig {
 	n, err := platform.ParseConfig(fmt.Appendf(nil, nodeConfig, discovery, "127.0.0.1:1", 64, startNamedBackend(t, "known")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &gateway{T: t, log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
+	r := &serverRig{T: t, log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
 	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, DiscoveryAddress: n.Discovery, EndpointsVersion: n.CachedEndpoints.Version})
 	return r
 }
--- a/internal/server/drain_dial_test.go
+++ b/internal/server/drain_dial_test.go
@@ -113,7 +113,7 @@
 	release := rig.hold()
 	client := rig.dial()
 	io.WriteString(client, nodeRequest(2))
-	waitQueued[requestArrived](rig.gateway)
+	waitQueued[requestArrived](rig.serverRig)
 	release()
 	rig.waitForLoop() // the dial has begun
 	client.Close()
--- a/internal/server/drain_guard_test.go
+++ b/internal/server/drain_guard_test.go
@@ -10,20 +10,20 @@
 	return []lateInstance{
 		{"the notice comes while a message is handled, with the end of a dial behind it in the batch", func(rig *drainRig) <-chan int {
 			status, releaseFirst := rig.dialWhileHeld()
-			connected := takeQueued[backendConnected](rig.gateway)
+			connected := takeQueued[backendConnected](rig.serverRig)
 			held, release := rig.queueHold()
 			rig.server.post(connected)
 			releaseFirst()
 			<-held
 			rig.notify()
-			waitQueued[endpointsConfirmed](rig.gateway)
+			waitQueued[endpointsConfirmed](rig.serverRig)
 			rig.waitPastGrace()
 			release()
 			return status
 		}},
 		{"the notice is read late, and a dial ends half a grace after it came", func(rig *drainRig) <-chan int {
 			status, releaseLoop := rig.dialWhileHeld()
-			connected := takeQueued[backendConnected](rig.gateway)
+			connected := takeQueued[backendConnected](rig.serverRig)
 			releaseLoop()
 			releaseWatch := rig.holdWatch()
 			rig.notify()
--- a/internal/server/drain_late_test.go
+++ b/internal/server/drain_late_test.go
@@ -23,16 +23,16 @@
 		{"the end of a dial lies in the queue ahead of the notice", func(rig *drainRig) <-chan int {
 			status, releaseConnected := rig.dialWhileHeld()
 			rig.notify()
-			waitQueued[endpointsUpdated](rig.gateway)
+			waitQueued[endpointsUpdated](rig.serverRig)
 			rig.waitPastGrace()
 			releaseConnected()
 			return status
 		}},
 		{"the end of a dial lies in one batch with the notice, far behind it", func(rig *drainRig) <-chan int {
 			status, releaseBatch := rig.dialWhileHeld()
-			connected := takeQueued[backendConnected](rig.gateway)
+			connected := takeQueued[backendConnected](rig.serverRig)
 			rig.notify()
-			waitQueued[endpointsConfirmed](rig.gateway)
+			waitQueued[endpointsConfirmed](rig.serverRig)
 			held, releaseConnected := rig.queueHold()
 			rig.server.post(connected)
 			releaseBatch()
@@ -43,9 +43,9 @@
 		}},
 		{"the notice is handled late, and half a grace later a dial ends", func(rig *drainRig) <-chan int {
 			status, releaseNotice := rig.dialWhileHeld()
-			connected := takeQueued[backendConnected](rig.gateway)
+			connected := takeQueued[backendConnected](rig.serverRig)
 			rig.notify()
-			waitQueued[endpointsConfirmed](rig.gateway)
+			waitQueued[endpointsConfirmed](rig.serverRig)
 			time.Sleep(time.Until(rig.noticedAt.Add(testDrainGrace * 17 / 20)))
 			releaseNotice()
 			rig.waitForLoop()
@@ -71,7 +71,7 @@
 	release := rig.hold()
 	status := rig.sendWhileHeld(2)
 	rig.notify()
-	waitQueued[endpointsConfirmed](rig.gateway)
+	waitQueued[endpointsConfirmed](rig.serverRig)
 	rig.waitPastGrace()
 	release()
 	return status
@@ -85,7 +85,7 @@
 	held, releaseConnected := rig.queueHold()
 	release()
 	<-held
-	conn := waitQueued[backendConnected](rig.gateway).conn.Owner.(*backendConn)
+	conn := waitQueued[backendConnected](rig.serverRig).conn.Owner.(*backendConn)
 	releaseConnected()
 	if s := <-status; s != 200 {
 		rig.Fatalf("the first request: %d", s)
--- a/internal/server/drain_order_test.go
+++ b/internal/server/drain_order_test.go
@@ -25,7 +25,8 @@
 	testDrainGrace = 400 * time.Millisecond
 	// socketSlack is what the platform adds to every time limit on sockets.
 	socketSlack = 50 * time.Millisecond
-	// allowedDelay is how long an instance may be delayed between reading its clock and writing. The drain grace covers it.
+	// allowedDelay is how long the event loop is blocked before it handles the end of a dial: as long as an instance may be
+	// delayed between reading its clock and writing. The drain grace covers such a delay.
 	allowedDelay = 150 * time.Millisecond
 	// orderTimeout bounds the waits of a test, also on a busy machine.
 	orderTimeout = 10 * time.Second
@@ -40,7 +41,7 @@
 
 // drainRig is an instance whose only backend, a, starts to drain in the test.
 type drainRig struct {
-	*gateway
+	*serverRig
 	draining  *timedBackend
 	other     string        // address of a backend that the notice adds
 	watches   chan net.Conn // connections of the watches, each after its first heartbeat
@@ -73,7 +74,7 @@
 // newDrainRig returns a drainRig whose instance is not started.
 func newDrainRig(t *testing.T) *drainRig {
 	rig := &drainRig{draining: startTimedBackend(t), other: startNamedBackend(t, "b"), watches: make(chan net.Conn, 16), quota: 1000}
-	rig.gateway = &gateway{T: t, log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
+	rig.serverRig = &serverRig{T: t, log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
 	return rig
 }
 
@@ -110,7 +111,8 @@
 	rig.noticedAt = time.Now()
 }
 
-// requireDrainKept fails the test if the first byte of a request arrived at the draining backend later than the rule allows.
+// requireDrainKept fails the test if the first byte of a request arrived at the draining backend later than testDrainGrace and
+// socketSlack after the notice.
 func (rig *drainRig) requireDrainKept() {
 	rig.Helper()
 	for _, request := range rig.draining.received() {
@@ -154,7 +156,7 @@
 }
 
 // queueHold queues a message that blocks the event loop until release is called. held is closed when it begins to block.
-func (r *gateway) queueHold() (held <-chan struct{}, release func()) {
+func (r *serverRig) queueHold() (held <-chan struct{}, release func()) {
 	holding, released := make(chan struct{}), make(chan struct{})
 	r.server.post(inspection(func(*proxy.Instance, time.Duration) {
 		close(holding)
@@ -166,7 +168,7 @@
 }
 
 // waitHeld waits until a goroutine is blocked by a hold.
-func (r *gateway) waitHeld(held <-chan struct{}) {
+func (r *serverRig) waitHeld(held <-chan struct{}) {
 	r.Helper()
 	select {
 	case <-held:
@@ -176,14 +178,14 @@
 }
 
 // hold blocks the event loop until release is called.
-func (r *gateway) hold() (release func()) {
+func (r *serverRig) hold() (release func()) {
 	held, release := r.queueHold()
 	<-held
 	return release
 }
 
 // takeQueued waits until a message of a type is queued, and removes it from the queue.
-func takeQueued[M message](r *gateway) M {
+func takeQueued[M message](r *serverRig) M {
 	r.Helper()
 	for limit := time.Now().Add(orderTimeout); time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		if m, ok := findQueued[M](r, true); ok {
@@ -196,7 +198,7 @@
 }
 
 // waitQueued waits until a message of a type is queued.
-func waitQueued[M message](r *gateway) M {
+func waitQueued[M message](r *serverRig) M {
 	r.Helper()
 	for limit := time.Now().Add(orderTimeout); time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		if m, ok := findQueued[M](r, false); ok {
@@ -209,7 +211,7 @@
 }
 
 // findQueued finds the first message of a type in the queues, and removes it if take is set.
-func findQueued[M message](r *gateway, take bool) (found M, ok bool) {
+func findQueued[M message](r *serverRig, take bool) (found M, ok bool) {
 	r.server.queueMu.Lock()
 	defer r.server.queueMu.Unlock()
 	for _, queue := range []*[]message{&r.server.queue, &r.server.endpointQueue} {
@@ -302,7 +304,7 @@
 func (rig *drainRig) sendWhileHeld(id int) <-chan int {
 	rig.Helper()
 	status := rig.send(id)
-	waitQueued[requestArrived](rig.gateway)
+	waitQueued[requestArrived](rig.serverRig)
 	return status
 }
 
@@ -314,33 +316,37 @@
 	held, release := rig.queueHold()
 	releaseRequest()
 	<-held
-	waitQueued[backendConnected](rig.gateway)
+	waitQueued[backendConnected](rig.serverRig)
 	return status, release
 }
 
-// TestDelayedAttemptIsWithinDrainGrace checks an attempt whose connection was established within the drain grace, and which was
-// delayed between the reading of the clock and its first byte for as long as an instance may be. The grace covers both.
+// TestDelayedAttemptIsWithinDrainGrace checks a request whose connection to backend a is established before the notice that a
+// drains. The instance handles the notice first. It handles the end of the dial allowedDelay later than connectedAfter, the time
+// after the notice at which the test queues it. The request must be served, and no request may reach a after the drain grace.
+//
+// The times lie on both sides of half the grace and shortly before its end. Half the grace is also the limit for notices that are
+// not handled (unhandledGraceDivisor of package proxy), which does not apply here.
 func TestDelayedAttemptIsWithinDrainGrace(t *testing.T) {
-	for _, dial := range []time.Duration{testDrainGrace/2 - socketSlack, testDrainGrace/2 + socketSlack, testDrainGrace - socketSlack} {
+	for _, connectedAfter := range []time.Duration{testDrainGrace/2 - socketSlack, testDrainGrace/2 + socketSlack, testDrainGrace - socketSlack} {
 		for _, shutdown := range []bool{false, true} {
-			t.Run(fmt.Sprintf("after %v, shutdown=%v", dial, shutdown), func(t *testing.T) {
+			t.Run(fmt.Sprintf("after %v, shutdown=%v", connectedAfter, shutdown), func(t *testing.T) {
 				t.Parallel()
 				rig := startDrainRig(t)
 				if shutdown {
 					rig.shutDown()
 				}
 				status, release := rig.dialWhileHeld()
-				connected := takeQueued[backendConnected](rig.gateway)
+				connected := takeQueued[backendConnected](rig.serverRig)
 				rig.notify()
-				waitQueued[endpointsConfirmed](rig.gateway)
+				waitQueued[endpointsConfirmed](rig.serverRig)
 				release()
 				rig.waitForLoop()
-				time.Sleep(time.Until(rig.noticedAt.Add(dial)))
+				time.Sleep(time.Until(rig.noticedAt.Add(connectedAfter)))
 				releaseBatch := rig.hold()
 				held, release := rig.queueHold()
 				rig.server.post(connected)
 				releaseBatch()
-				<-held // the clock has been read for both
+				<-held // the event loop is blocked; it handles connected after release, and reads the clock for it only then
 				time.Sleep(allowedDelay)
 				release()
 				if s := <-status; s != 200 {
--- a/internal/server/drain_unseen_test.go
+++ b/internal/server/drain_unseen_test.go
@@ -32,7 +32,7 @@
 		}},
 		{"a heartbeat comes behind the unread notice, and a dial ends after both are read", false, func(rig *drainRig) <-chan int {
 			status, releaseLoop := rig.dialWhileHeld()
-			connected := takeQueued[backendConnected](rig.gateway)
+			connected := takeQueued[backendConnected](rig.serverRig)
 			releaseLoop()
 			releaseWatch := rig.holdWatch()
 			rig.notify()
@@ -78,7 +78,7 @@
 			status := rig.send(2)
 			<-held
 			rig.notify()
-			waitQueued[endpointsConfirmed](rig.gateway)
+			waitQueued[endpointsConfirmed](rig.serverRig)
 			rig.waitPastGrace()
 			release()
 			return status
--- a/internal/server/endpointrecord_test.go
+++ b/internal/server/endpointrecord_test.go
@@ -97,7 +97,7 @@
 }
 
 // waitForLoop waits until the event loop has handled the queued messages. It returns at once if the loop has ended.
-func (r *gateway) waitForLoop() {
+func (r *serverRig) waitForLoop() {
 	r.Helper()
 	handled := make(chan struct{})
 	if r.server.post(inspection(func(*proxy.Instance, time.Duration) { close(handled) })) {
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// endpointsUnhandledFor returns how long a message of discovery has been waiting to be read or handled, or 0 if none is. Only
-// the event loop calls it.
+// endpointsUnhandledFor returns an upper bound of how long a message of discovery has been waiting to be read or handled, or 0
+// if none was found (see watchInput.unhandledFor). Only the event loop calls it.
 func (s *Server) endpointsUnhandledFor() time.Duration {
 	now := s.now()
 	unhandledFor := s.discovery.input.unhandledFor(now)
--- a/internal/server/lateness_test.go
+++ b/internal/server/lateness_test.go
@@ -14,7 +14,7 @@
 
 // sendWithTimeout sends a request that is not idempotent, with the timeout of its client in milliseconds. answered is closed when
 // the request is answered.
-func (r *gateway) sendWithTimeout(timeout string) (answered <-chan struct{}) {
+func (r *serverRig) sendWithTimeout(timeout string) (answered <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -26,7 +26,7 @@
 }
 
 // blockLoopFor queues a message that blocks the event loop for a time.
-func (r *gateway) blockLoopFor(d time.Duration) {
+func (r *serverRig) blockLoopFor(d time.Duration) {
 	r.server.post(inspection(func(*proxy.Instance, time.Duration) { time.Sleep(d) }))
 }
 
--- a/internal/server/rig_test.go
+++ b/internal/server/rig_test.go
@@ -55,7 +55,7 @@
 }
 
 // clientConnOf waits until the instance has accepted a client's connection, and returns the instance's clientConn.
-func (r *gateway) clientConnOf(c net.Conn) *clientConn {
+func (r *serverRig) clientConnOf(c net.Conn) *clientConn {
 	for ; ; runtime.Gosched() {
 		r.server.clientsMu.Lock()
 		for cc := range r.server.clients {
@@ -131,13 +131,13 @@
 const readyRequest = "GET /ready HTTP/1.1\r\nHost: o\r\nConnection: close\r\n\r\n"
 
 // startNode starts an instance with a platform configuration and waits until it is ready.
-func startNode(t *testing.T, discovery, counter string, sockets int, backend string) *gateway {
+func startNode(t *testing.T, discovery, counter string, sockets int, backend string) *serverRig {
 	t.Helper()
 	n, err := platform.ParseConfig(fmt.Appendf(nil, nodeConfig, discovery, counter, sockets, backend))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &gateway{T: t, log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
+	r := &serverRig{T: t, log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
 	r.serve(n.Config, Options{Seed: n.Seed, Protocol: n, DiscoveryAddress: n.Discovery, EndpointsVersion: n.CachedEndpoints.Version})
 	for r.status(readyRequest) != 200 {
 		runtime.Gosched()
@@ -166,7 +166,7 @@
 
 // requireServedBy fails unless a request is served by the backend of that name once the event loop has handled all messages
 // queued so far: a log record of the watch only says that a list was posted.
-func (r *gateway) requireServedBy(id int, backend string) {
+func (r *serverRig) requireServedBy(id int, backend string) {
 	r.Helper()
 	r.waitForLoop()
 	resp := r.exchange(nodeRequest(id), 1)[0]
@@ -194,8 +194,8 @@
   /feed: {get: {x-sandyard-class: feed, responses: {}}}
 `
 
-// gateway is an instance on TCP, run in the test process.
-type gateway struct {
+// serverRig is an instance on TCP, run in the test process.
+type serverRig struct {
 	*testing.T
 	dir       string
 	addr      string
@@ -278,7 +278,7 @@
 }
 
 // waitForLog waits until the log since the last replacement of a file contains a text.
-func (r *gateway) waitForLog(text string) {
+func (r *serverRig) waitForLog(text string) {
 	r.Helper()
 	limit := time.After(10 * time.Second)
 	for {
@@ -310,7 +310,7 @@
 
 // replaceFile replaces a file atomically. After that waitForLog ignores older log records, which cannot be about the new
 // file.
-func (r *gateway) replaceFile(name, text string) {
+func (r *serverRig) replaceFile(name, text string) {
 	r.Helper()
 	r.log.mu.Lock()
 	r.logOffset = r.log.text.Len()
@@ -325,7 +325,7 @@
 }
 
 // startGateway starts an instance with three classes, three customers and the given backends.
-func startGateway(t *testing.T, counter, limits string, backends ...string) *gateway {
+func startGateway(t *testing.T, counter, limits string, backends ...string) *serverRig {
 	t.Helper()
 	return startGatewayOf(t, gatewayText+counter+limits, backends...)
 }
@@ -350,9 +350,9 @@
 `
 
 // startGatewayOf starts an instance with the given text of a configuration.
-func startGatewayOf(t *testing.T, text string, backends ...string) *gateway {
+func startGatewayOf(t *testing.T, text string, backends ...string) *serverRig {
 	t.Helper()
-	r := &gateway{T: t, dir: t.TempDir(), log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
+	r := &serverRig{T: t, dir: t.TempDir(), log: &logBuffer{more: make(chan struct{}, 1)}, served: make(chan error, 1)}
 	for name, s := range map[string]string{"gateway.yaml": text, "api.yaml": api, "boxes.yaml": endpointsYAML(backends...)} {
 		if err := os.WriteFile(filepath.Join(r.dir, name), []byte(s), 0o600); err != nil {
 			t.Fatal(err)
@@ -367,7 +367,7 @@
 }
 
 // serve runs an instance until the end of the test.
-func (r *gateway) serve(cfg *config.Config, opt Options) {
+func (r *serverRig) serve(cfg *config.Config, opt Options) {
 	r.Helper()
 	opt.Log = slog.New(holdingHandler{slog.NewTextHandler(r.log, &slog.HandlerOptions{Level: slog.LevelDebug}), r.log})
 	var err error
@@ -430,7 +430,7 @@
 }
 
 // exchange sends a text on a new connection and reads n responses.
-func (r *gateway) exchange(text string, n int) []*http.Response {
+func (r *serverRig) exchange(text string, n int) []*http.Response {
 	r.Helper()
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
@@ -457,4 +457,4 @@
 }
 
 // status sends a request on a new connection and returns the status of the response.
-func (r *gateway) status(text string) int { r.Helper(); return r.exchange(text, 1)[0].StatusCode }
+func (r *serverRig) status(text string) int { r.Helper(); return r.exchange(text, 1)[0].StatusCode }
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -15,8 +15,8 @@
 //	                                      Requests in flight are answered, each by its deadline
 //	3     limits.shutdown-timeout after   requests without an answer: they fail, or are rejected where nothing of them was
 //	      step 1, if clients are left     sent; streamed responses are cut off
-//	4     when no client is left, or      the event loop, after which no attempt begins: with it counter calls, health checks
-//	      finalResponseTime after step 3  and timers. The endpoint watch, dials, and all connections to backends and counter
+//	4     when no client is left, or      the event loop, and with it attempts, counter calls, health checks and timers; then
+//	      finalResponseTime after step 3  the endpoint watch, dials, and all connections to backends and counter
 //	5     at once                         the client connections that are left
 //	6     at once                         nothing: waits for the goroutines of connections, then logs "stopped"
 //	7     at once                         the admin socket
@@ -25,7 +25,7 @@
 // What a signal means in each phase of a process:
 //
 //	signal           starting, ready                     shutting down
-//	SIGTERM, SIGINT  step 1                              nothing: the shutdown is bounded, and requests are still answered
+//	SIGTERM, SIGINT  step 1                              no effect: a shutdown ends by itself, and requests are still answered
 //	SIGHUP (node)    the addresses of discovery and      the same: later attempts use the new addresses
 //	                 counter are read again
 
@@ -37,7 +37,7 @@
 	finalResponseTime = 20 * time.Millisecond
 )
 
-// stopAccepting is step 1. signalled is true if Serve's context has ended, and false if the accept loop has failed.
+// stopAccepting carries out step 1. signalled is true if Serve's context has ended, and false if the accept loop has failed.
 func (s *Server) stopAccepting(signalled bool) {
 	timeout := time.Duration(s.cfg.Limits.ShutdownTimeout)
 	s.shutdownDeadline = time.Now().Add(timeout)
@@ -50,11 +50,11 @@
 	}
 	s.listener.Close()
 	s.queueMu.Lock()
-	s.queueSpace.Broadcast() // a waiter continues to wait, since its condition has not changed
+	s.queueSpace.Broadcast() // without effect: waitForQueueSpace checks nothing that a shutdown has changed, and waits again
 	s.queueMu.Unlock()
 }
 
-// shutDown is steps 2 to 6.
+// shutDown carries out steps 2 to 6.
 func (s *Server) shutDown(stopLoop chan<- struct{}, loopDone <-chan struct{}) {
 	s.drainClients()
 	close(stopLoop)
@@ -65,7 +65,7 @@
 	s.logStatistics()
 }
 
-// drainClients is steps 2 and 3.
+// drainClients carries out steps 2 and 3.
 func (s *Server) drainClients() {
 	s.shared.RejectNewRequests()
 	s.listener.Close()
@@ -78,7 +78,8 @@
 	}
 }
 
-// waitForClients closes idle client connections until none is left, or until a deadline. It reports whether none is left.
+// waitForClients requests the close of idle client connections every drainPoll, until no client connection is left or until a
+// deadline. It reports whether none is left.
 func (s *Server) waitForClients(deadline time.Time) bool {
 	for {
 		open := s.openClients()
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -14,7 +14,7 @@
 )
 
 // dialIntoBacklog locks queueMu and opens a connection that stays in the backlog until queueMu is unlocked.
-func (r *gateway) dialIntoBacklog() net.Conn {
+func (r *serverRig) dialIntoBacklog() net.Conn {
 	r.Helper()
 	r.server.queueMu.Lock() // the accept loop waits for it once it has accepted the first connection
 	r.clientConnOf(r.dial())
@@ -22,7 +22,7 @@
 }
 
 // dial opens a connection that is closed at the end of the test.
-func (r *gateway) dial() net.Conn {
+func (r *serverRig) dial() net.Conn {
 	r.Helper()
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
--- a/internal/server/shutdown_watch_test.go
+++ b/internal/server/shutdown_watch_test.go
@@ -45,14 +45,14 @@
 // stopped watching discovery at the signal to stop while it still forwarded requests. The list must be followed on the current
 // watch, on a new one and at a new address.
 func TestRetryDuringShutdownFollowsDiscovery(t *testing.T) {
-	for name, notify := range map[string]func(r *gateway, d *breakingDiscovery, change string){
-		"on the current watch": func(_ *gateway, d *breakingDiscovery, change string) { d.notify(change) },
-		"on a new watch": func(_ *gateway, d *breakingDiscovery, change string) {
+	for name, notify := range map[string]func(r *serverRig, d *breakingDiscovery, change string){
+		"on the current watch": func(_ *serverRig, d *breakingDiscovery, change string) { d.notify(change) },
+		"on a new watch": func(_ *serverRig, d *breakingDiscovery, change string) {
 			close(d.breakFirst)
 			<-d.firstEnded
 			d.notify(change)
 		},
-		"at the new address of a SIGHUP": func(r *gateway, _ *breakingDiscovery, change string) {
+		"at the new address of a SIGHUP": func(r *serverRig, _ *breakingDiscovery, change string) {
 			moved := startBreakingDiscovery(r.T)
 			r.server.SetAddresses(moved.addr, "")
 			moved.notify(change)
@@ -206,7 +206,7 @@
 }
 
 // requireEnd fails the test unless the instance ends within a time, without an error.
-func (r *gateway) requireEnd(within time.Duration) {
+func (r *serverRig) requireEnd(within time.Duration) {
 	r.Helper()
 	select {
 	case err := <-r.served:
--- a/internal/server/watchinput.go
+++ b/internal/server/watchinput.go
@@ -30,8 +30,8 @@
 	// Used by the event loop only, for its checks.
 	unhandledSince    time.Duration // time since which data may be unhandled; 0: the last check found none
 	unhandledCatchUps uint64        // value of catchUps when unhandledSince was set
-	checkedAt         time.Duration // when a check last found nothing
-	catchUpTimedOut   bool          // the watch did not catch up within maxCatchUpTime, and has not done so since
+	checkedAt         time.Duration // when a check last found nothing, or the start
+	catchUpTimedOut   bool          // the last wait lasted maxCatchUpTime: later calls do not wait until the watch has caught up
 }
 
 // start sets the clock. The goroutine counts as behind until it first waits.
@@ -82,9 +82,9 @@
 	return hasUnreadBytes(socket) || in.behind.Load()
 }
 
-// unhandledFor returns an upper bound of how long data of discovery has been waiting to be read or queued, or 0 if none is. It
-// counts from the last time at which nothing was waiting, since the kernel reports when the last unread bytes arrived, not the
-// first. Only the event loop calls it.
+// unhandledFor returns how long data of discovery has been waiting to be read or queued, or 0 if the last check, less than
+// checkInterval ago, found none. A result above 0 is an upper bound: it counts from the last time at which nothing was waiting,
+// since the kernel reports when the last unread bytes arrived, not the first. Only the event loop calls it.
 func (in *watchInput) unhandledFor(now time.Duration) time.Duration {
 	if in.unhandledSince == 0 && now < in.checkedAt+checkInterval {
 		return 0
