--- a/emulator/backend.go
+++ b/emulator/backend.go
@@ -22,9 +22,9 @@
 	RequestedWork time.Duration // work that the client requests; 0: drawn at random
 
 	conn   *BackendConn
-	seq    uint64  // number of the request on its connection
-	work   float64 // seconds on a core at full speed
-	endsAt time.Duration
+	seq    uint64        // number of the request on its connection
+	work   float64       // seconds on a core at full speed
+	endsAt time.Duration // when its work ends; in Backend.delayed: when its response is sent
 }
 
 // Conn returns the connection on which the request arrived.
@@ -44,8 +44,8 @@
 	keyExpiry    map[string]time.Duration
 	nextKeySweep time.Duration
 
-	faults    map[fault.Verb]float64
-	stalledAt time.Duration // when the current stall began; 0: not stalled
+	faults    map[fault.Verb]float64 // values of the active faults; package fault defines the unit of each verb
+	stalledAt time.Duration          // when the current stall began; 0: not stalled, so a stall must begin after time 0
 
 	collapsed  bool
 	recentWork []arrivedWork    // within the last OverloadTime
--- a/internal/drill/client.go
+++ b/internal/drill/client.go
@@ -15,7 +15,7 @@
 )
 
 // client is an HTTP client with a connection pool for one instance. It does not use net/http's client, which retries some requests
-// automatically and would hide faults that the auditor looks for. It is safe for concurrent use.
+// automatically and would hide violations of invariants. It is safe for concurrent use.
 type client struct {
 	address string
 	mu      sync.Mutex
@@ -32,7 +32,7 @@
 
 const (
 	maxIdleTime  = 5 * time.Second // an idle connection is not reused after this time: the instance may be about to close it
-	maxIdleConns = 128             // per instance; more than the requests in flight at the default rate
+	maxIdleConns = 128             // per instance, above the requests in flight at the default rate; idle connections beyond it are closed
 )
 
 // get returns an idle connection, or opens one.
@@ -70,8 +70,8 @@
 	return b
 }
 
-// readArrived reads bytes that arrived before a deadline that has passed, but that the client was scheduled too late to read. Bytes
-// that arrived later are ignored, as from a client that has timed out.
+// readArrived returns unread bytes after the deadline has passed, if the last of them arrived before it: the client was scheduled
+// too late to read them. If any bytes arrived after the deadline, all are ignored, as by a client that has timed out.
 func (cn *clientConn) readArrived(b []byte, deadline time.Time) (int, error) {
 	n := 0
 	cn.raw.Control(func(fd uintptr) { n, _ = syscall.Read(int(fd), b) }) // does not block and ignores the read deadline
@@ -107,7 +107,7 @@
 
 // callTimes are the times of a call as observed by the client. The zero time means that the event did not happen.
 type callTimes struct {
-	started, connected, written, firstByte time.Time
+	started, connected, written, firstByte time.Time // firstByte: when the client read the first byte of the response
 	answered                               time.Time // when the last bytes of the response reached the client's machine
 	localAddr                              string    // local address of the connection, which identifies it in the instance's log
 }
@@ -147,7 +147,7 @@
 			times.firstByte = time.Now()
 		}
 		if n > 0 {
-			times.answered = latest(times.connected, conn.lastArrival()) // the kernel's clock is coarse
+			times.answered = latest(times.connected, conn.lastArrival()) // the kernel's clock is coarse: the computed arrival may precede the connection
 		}
 		if err != nil {
 			conn.Close()
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -90,7 +90,7 @@
 	s.digest(backendEvent, nil, string(e.Kind), e.ID, e.Backend)
 	switch e.Kind {
 	case emulator.RequestReceived:
-		s.checker.RequestReceived(invariant.Receipt{ID: e.ID, Backend: e.Backend, At: s.now, Instance: s.sendingInstance, SentAt: s.sentAt})
+		s.checker.RequestReceived(invariant.Receipt{ID: e.ID, Backend: e.Backend, At: s.now, Instance: s.requestInstance, SentAt: s.sentAt})
 	case emulator.RequestExecuted:
 		s.checker.RequestExecuted(invariant.Execution{ID: e.ID, Key: e.Key, Backend: e.Backend, At: s.now})
 	case emulator.BackendCollapsed:
@@ -139,7 +139,7 @@
 	for _, j := range done {
 		for _, c := range b.conns {
 			if c.model == j.Conn() {
-				b.sim.sendingInstance, b.sim.sentAt = c.instance, c.conn.peer.messageStartedAt
+				b.sim.requestInstance, b.sim.sentAt = c.instance, c.conn.peer.messageStartedAt
 				c.model.Done(now, j)
 				c.flush()
 				break
--- a/internal/simulation/backendconn.go
+++ b/internal/simulation/backendconn.go
@@ -29,7 +29,7 @@
 	}
 	c.backend.host.run(func() {
 		if !c.done && !c.conn.closed && len(c.conn.received) == 0 && !c.model.Busy() {
-			c.backend.sim.cover("box closed idle line")
+			c.backend.sim.countReached("box closed idle line")
 			c.close(false)
 		}
 	})
@@ -40,7 +40,7 @@
 		return
 	}
 	c.lastUsed = c.backend.sim.now
-	c.backend.sim.sendingInstance, c.backend.sim.sentAt = c.instance, c.conn.peer.messageStartedAt
+	c.backend.sim.requestInstance, c.backend.sim.sentAt = c.instance, c.conn.peer.messageStartedAt
 	c.model.Feed(c.backend.sim.now, c.conn.read())
 	if !c.done {
 		c.flush()
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -86,18 +86,18 @@
 	out := c.awaiting
 	c.awaiting = nil
 	if e == invariant.ConnectionBroken && c.conn != nil && c.conn.tooManyConns { // the reset may arrive before the response that gives this reason
-		c.pool.sim.cover("excuse: no answer: turned away")
+		c.pool.sim.countReached("excuse: no answer: turned away")
 		e = invariant.NotAccepted
 	}
 	c.close(true)
 	for i, r := range out {
 		if i == 0 && c.responseStarted && e == invariant.ConnectionBroken { // the client sees a truncated response
-			c.pool.sim.cover("excuse: broken off: an answer that flowed")
+			c.pool.sim.countReached("excuse: broken off: an answer that flowed")
 			c.pool.sim.finish(r, invariant.Failed, 1)
 			continue
 		}
 		if i > 0 && e == invariant.ConnectionBroken { // an instance accepts one request at a time, so those behind it were not accepted
-			c.pool.sim.cover("excuse: no answer: behind one that was cut")
+			c.pool.sim.countReached("excuse: no answer: behind one that was cut")
 			e = invariant.ClientLeft
 		}
 		c.pool.sim.finish(r, e, 0)
@@ -152,7 +152,7 @@
 func (c *clientConn) unexpected(in []byte) {
 	s := c.pool.sim
 	if c.misbehaving && len(in) > statusEnd {
-		s.cover("status " + string(in[statusStart:statusEnd]))
+		s.countReached("status " + string(in[statusStart:statusEnd]))
 	}
 	if !c.misbehaving {
 		s.report(RuleOwnResponse, fmt.Sprintf("door %d sent %.40q to a client without a pending request", c.pool.instance, in))
@@ -192,7 +192,7 @@
 // finishResponse handles a complete response.
 func (c *clientConn) finishResponse(r *clientRequest) {
 	s, h := c.pool.sim, c.head
-	s.cover("status " + strconv.Itoa(h.Status))
+	s.countReached("status " + strconv.Itoa(h.Status))
 	if id, ok := h.Get("X-Answers"); ok && id != r.ID {
 		s.report(RuleOwnResponse, fmt.Sprintf("%s received the response to %s", r.ID, id))
 	}
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -20,7 +20,7 @@
 func (s *Sim) beginFault(e fault.Event) {
 	s.logEvent(fmt.Sprintf("trouble %s %s %g", e.Verb, e.Target, e.Value))
 	s.digest(faultStarted, []uint64{math.Float64bits(e.Value)}, string(e.Verb), e.Target)
-	s.cover("trouble " + string(e.Verb))
+	s.countReached("trouble " + string(e.Verb))
 	switch e.Verb {
 	case fault.Surge, fault.ClientsAbort, fault.SlowClients, fault.InvalidRequests, fault.MoveTraffic:
 		s.beginTrafficFault(e)
--- a/internal/simulation/instance.go
+++ b/internal/simulation/instance.go
@@ -114,7 +114,7 @@
 		more = false
 		for _, effect := range inst.core.Effects() {
 			more = true
-			inst.sim.cover(effectNames[effect.Kind])
+			inst.sim.countReached(effectNames[effect.Kind])
 			inst.apply(effect)
 		}
 	}
@@ -130,7 +130,7 @@
 	case proxy.CloseBackend:
 		e.Conn.Owner.(*instanceBackendConn).abandon()
 	case proxy.Respond:
-		inst.sim.cover(fmt.Sprintf("answer %d", e.Exchange.Status))
+		inst.sim.countReached(fmt.Sprintf("answer %d", e.Exchange.Status))
 		e.Exchange.Owner.(*instanceClientConn).respond(e.Exchange, e.Bytes, false, e.CloseAfterResponse)
 	case proxy.StreamResponse:
 		e.Exchange.Owner.(*instanceClientConn).respond(e.Exchange, e.Bytes, true, e.CloseAfterResponse)
@@ -178,7 +178,7 @@
 	endpoints, err := inst.sim.parseEndpoints()
 	inst.post(func() {
 		if err != nil {
-			inst.sim.cover("list broken")
+			inst.sim.countReached("list broken")
 			inst.core.EndpointPollFailed(inst.now())
 			return
 		}
--- a/internal/simulation/instancebackend.go
+++ b/internal/simulation/instancebackend.go
@@ -38,7 +38,7 @@
 				conn.close(true)
 			}
 		case !ok:
-			inst.sim.cover("dial refused")
+			inst.sim.countReached("dial refused")
 			b.fail(true)
 		default:
 			b.conn = conn
@@ -114,7 +114,7 @@
 	since := b.lastDataAt
 	b.instance.sim.scheduleAfter(time.Duration(b.instance.config.Limits.StreamIdleTimeout), b.instance.forThisIncarnation(func() {
 		if !b.done && b.streaming && b.lastDataAt == since && len(b.conn.received) == 0 {
-			b.instance.sim.cover("stream silent")
+			b.instance.sim.countReached("stream silent")
 			b.fail(false)
 		}
 	}))
@@ -149,7 +149,7 @@
 func (b *instanceBackendConn) closed(_ *netConn, reset bool) {
 	switch {
 	case reset:
-		b.instance.sim.cover("line reset")
+		b.instance.sim.countReached("line reset")
 		b.fail(false)
 	default:
 		b.readable(nil)
@@ -166,7 +166,7 @@
 		b.exchange = nil
 		notify()
 	case proxy.Started:
-		b.instance.sim.cover("answer flows")
+		b.instance.sim.countReached("answer flows")
 		b.awaitsStreaming = true
 		notify()
 	case proxy.Continued:
@@ -179,7 +179,7 @@
 		c.relay(ex, response.Bytes, true, false)
 		notify()
 	case proxy.Malformed:
-		b.instance.sim.cover("answer broken")
+		b.instance.sim.countReached("answer broken")
 		b.exchange, b.done = nil, true
 		b.remove()
 		notify()
--- a/internal/simulation/instanceclient.go
+++ b/internal/simulation/instanceclient.go
@@ -25,7 +25,7 @@
 func (inst *simInstance) accept(conn *netConn) {
 	if inst.shared.ClientConns.Add(1) > int64(inst.config.Limits.Connections) {
 		inst.shared.ClientConns.Add(-1)
-		inst.sim.cover("connection turned away")
+		inst.sim.countReached("connection turned away")
 		conn.peer.tooManyConns = true
 		conn.write(inst.shared.TooManyConnections())
 		conn.close(false)
@@ -87,7 +87,7 @@
 
 func (c *instanceClientConn) closed(_ *netConn, reset bool) {
 	if reset {
-		c.instance.sim.cover("client reset")
+		c.instance.sim.countReached("client reset")
 	}
 	c.disconnect()
 }
@@ -100,7 +100,7 @@
 	ex := c.machine.Disconnected()
 	c.close(true)
 	if ex != nil {
-		c.instance.sim.cover("client left")
+		c.instance.sim.countReached("client left")
 		c.instance.post(func() { c.instance.core.ClientLeft(c.instance.now(), ex) })
 	}
 }
@@ -161,7 +161,7 @@
 // flush writes the state machine's output to the client.
 func (c *instanceClientConn) flush() {
 	for _, status := range c.machine.LocalStatuses {
-		c.instance.sim.cover("own answer " + strconv.Itoa(status))
+		c.instance.sim.countReached("own answer " + strconv.Itoa(status))
 	}
 	c.machine.LocalStatuses = c.machine.LocalStatuses[:0]
 	pending := len(c.unsent) + len(c.machine.Outgoing)
@@ -195,7 +195,7 @@
 	since := c.blockedSince
 	c.instance.sim.scheduleAfter(time.Duration(c.instance.config.Limits.WriteTimeout), c.instance.forThisIncarnation(func() {
 		if !c.done && len(c.unsent) > 0 && c.blockedSince == since {
-			c.instance.sim.cover("client too slow")
+			c.instance.sim.countReached("client too slow")
 			c.disconnect()
 		}
 	}))
@@ -223,7 +223,7 @@
 	switch {
 	case aborted:
 		c.machine.AbortResponse(ex)
-		c.instance.sim.cover("answer cut off")
+		c.instance.sim.countReached("answer cut off")
 	case end:
 		c.machine.EndResponse(c.instance.now(), ex, b)
 	default:
--- a/internal/simulation/misbehave.go
+++ b/internal/simulation/misbehave.go
@@ -25,9 +25,9 @@
 	if slow {
 		text = s.withKey("POST /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 50\r\n\r\n" + strings.Repeat("y", 30))
 		gap = time.Duration(50+rng.IntN(500)) * time.Millisecond
-		s.cover("client drips")
+		s.countReached("client drips")
 	} else {
-		s.cover("client makes noise")
+		s.countReached("client makes noise")
 	}
 	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", pool.instance), c, func(conn *netConn, ok bool) {
 		switch {
@@ -74,7 +74,7 @@
 
 // requestWithoutReading simulates a client that sends several pipelined requests and reads no response.
 func (s *Sim) requestWithoutReading(pool *clientPool, c *clientConn) {
-	s.cover("client reads nothing")
+	s.countReached("client reads nothing")
 	text := strings.Repeat(s.withKey("GET /bookings HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n"), 8)
 	c.dialing = s.network.dial(s.clientHost, fmt.Sprintf("door-%d", pool.instance), nonReader{c}, func(conn *netConn, ok bool) {
 		if ok && !c.done {
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -53,7 +53,7 @@
 	if r.rng.Float64() < s.abortShare {
 		s.scheduleAfter(time.Duration(r.rng.Float64()*maxAbortShare*float64(timeout)), func() {
 			if !r.ended {
-				s.cover("client quits")
+				s.countReached("client quits")
 				s.finish(r, invariant.ClientLeft, 0)
 			}
 		})
@@ -69,12 +69,12 @@
 		c.fail(invariant.NotAccepted)
 	case c.responseStarted && c.awaiting[0] == r && s.classOf(r).Stream:
 		// A stream that has started is the response, however long it lasts.
-		s.cover("excuse: no end: a stream that has begun")
+		s.countReached("excuse: no end: a stream that has begun")
 		c.awaiting = c.awaiting[1:]
 		s.finish(r, invariant.Served, 1)
 		c.fail(invariant.ClientLeft)
 	case c.acceptedAt > r.SentAt+s.roundTripAllowance()/2: // the client had already waited for the connection
-		s.cover("excuse: no answer: accepted late")
+		s.countReached("excuse: no answer: accepted late")
 		s.finish(r, invariant.ClientLeft, 0)
 	default:
 		s.finish(r, invariant.ClientTimedOut, 0)
@@ -148,7 +148,7 @@
 	r.ended = true
 	s.logEvent(fmt.Sprintf("end %s %d", r.ID, e))
 	s.digest(requestEnded, []uint64{uint64(e)}, r.ID)
-	s.cover(endingNames[e])
+	s.countReached(endingNames[e])
 	outcome := invariant.Outcome{ID: r.ID, Ending: e, At: s.now, Responses: responses}
 	s.outcomes[r.ID] = outcome
 	s.checker.RequestEnded(outcome)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -10,9 +10,9 @@
 	"sandyard/internal/strictyaml"
 )
 
-// scenario draws a whole script instead of single faults. It brings a deployment to the point where a rule's guards
-// act, and keeps it there until control loops settle. In half of these scripts, up to half of Profile.MaxFaults single
-// faults are added.
+// scenario draws a whole script instead of single faults. It puts a deployment under conditions in which the gateway
+// must act to keep an invariant, and keeps it there until the gateway's control loops settle. In half of these
+// scripts, up to half of Profile.MaxFaults single faults are added.
 type scenario struct {
 	name string
 	draw func(b *scenarioBuilder)
@@ -35,7 +35,7 @@
 	return chosen.name
 }
 
-// Bounds of generated scripts, so that a sweep of thousands stays within minutes.
+// Bounds of generated scripts. The first two keep a sweep of thousands of scripts within minutes.
 const (
 	maxRate               = 420.0  // highest rate without surges (requests/s)
 	maxRequests           = 5000.0 // requests in total, without surges
@@ -56,7 +56,7 @@
 	return math.Round((low+(high-low)*b.rng.Float64())*100) / 100
 }
 
-// milliseconds draws a duration between low and high (milliseconds).
+// milliseconds draws a duration between low and high (milliseconds), truncated to whole milliseconds.
 func (b *scenarioBuilder) milliseconds(low, high float64) time.Duration {
 	return time.Duration(b.between(low, high)) * time.Millisecond
 }
@@ -64,7 +64,7 @@
 // chance returns true with probability p.
 func (b *scenarioBuilder) chance(p float64) bool { return b.rng.Float64() < p }
 
-// drawFleet draws 1 to 75 backends and 1 to 40 instances.
+// drawFleet draws 1 to 75 backends and 1 to 40 instances, and the cores, mean work and queue length of the backends.
 func (b *scenarioBuilder) drawFleet() {
 	b.Backends.Cores = int(b.oneOf(1, 1, 2))
 	b.Backends.Work = strictyaml.Duration(time.Duration(b.oneOf(40, 80, 120, 160)) * time.Millisecond)
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -28,7 +28,7 @@
 	Log                    func(at time.Duration, what string) // called with every event, in order; nil: no log
 	Until                  time.Duration                       // stops the run at this time; 0: at its end
 	ContinueAfterViolation bool                                // does not end the run at a violation
-	Config                 *config.Config                      // nil: the configuration of Deployment
+	Config                 *config.Config                      // nil: the result of Deployment()
 	// Record, if set, is called at each start of an instance. It returns the function that is called with the instance's
 	// decision steps.
 	Record func(number int, cfg *config.Config, seed uint64) func(proxy.DecisionStep)
@@ -55,26 +55,27 @@
 		err       error
 	}
 	keyTTL            time.Duration
-	sendingInstance   int           // instance on whose connection a backend is receiving or executing a request
-	sentAt            time.Duration // when the instance began to send that request
-	replacements      int
-	traffic           *rand.Rand
-	surges            map[string]float64
-	abortShare        float64
-	slowShare         float64
-	invalidShare      float64
-	clientPools       []*clientPool // by instance
-	trafficMoves      map[string]int
+	requestInstance   int                // instance on whose connection a backend is receiving or executing a request
+	sentAt            time.Duration      // when the instance began to send that request
+	replacements      int                // number of replacements of backends so far
+	trafficRNG        *rand.Rand         // draws the customers of operations and the times between operations
+	surges            map[string]float64 // factor of the traffic, by customer, plan or fault.TargetAll
+	abortShare        float64            // share of the requests whose clients disconnect early
+	slowShare         float64            // share of the operations whose clients send and read slowly
+	invalidShare      float64            // share of the operations whose clients send bytes that are not a valid request
+	clientPools       []*clientPool      // by instance
+	trafficMoves      map[string]int     // by customer: how often a fault moved its traffic to its next instance
 	requests          []*invariant.Request
 	outcomes          map[string]invariant.Outcome
-	operations        int
+	operations        int           // number of operations that have started
 	faultsEndAt       time.Duration // end of the last fault, and of the slow start after a drain or replacement
 	stopped           bool
 	servedAfterFaults int // of sentAfterFaults
 	sentAfterFaults   int // requests that were sent recoveryTime or more after the last fault
 }
 
-// Run runs a script to its end, or to the first violation. It returns an error if the configuration is invalid.
+// Run runs a script to its end, or to the first violation. It returns an error only if Options.Config is nil and
+// Deployment returns one.
 func Run(script *Script, opt Options) (Outcome, error) {
 	cfg := opt.Config
 	if cfg == nil {
@@ -100,7 +101,7 @@
 
 func newSim(script *Script, cfg *config.Config, opt Options) *Sim {
 	s := &Sim{clock: newClock(script.Seed), options: opt, script: script, reached: map[string]int{}, surges: map[string]float64{},
-		trafficMoves: map[string]int{}, outcomes: map[string]invariant.Outcome{}, traffic: randomSource(script.Seed, "traffic")}
+		trafficMoves: map[string]int{}, outcomes: map[string]invariant.Outcome{}, trafficRNG: randomSource(script.Seed, "traffic")}
 	s.log = opt.Log
 	s.config = script.applyTo(cfg).ForInstance(0, script.Instances)
 	s.network = &network{clock: s.clock, rng: randomSource(script.Seed, "net"), latency: time.Duration(script.Net.Latency), jitter: script.Net.Jitter,
@@ -123,8 +124,8 @@
 	ceilings := map[string]invariant.Ceiling{}
 	for _, p := range cfg.Plans {
 		if p.Ceiling.Rate > 0 {
-			// The slack must cover restarts: a starting instance grants its share of the slack at once. The limit does not
-			// grow with the number of restarts.
+			// Restarts get no extra allowance: a starting instance grants its share of the slack at once, and what it admits
+			// then counts against the configured slack.
 			x := s.script.PlanFactor
 			ceilings[p.Name] = invariant.Ceiling{Rate: x * float64(p.Ceiling.Rate), Burst: x * p.Ceiling.Burst, Slack: x * p.Ceiling.Slack}
 		}
@@ -132,7 +133,7 @@
 	set := s.config.Settings
 	return invariant.Limits{
 		DrainGrace:     set.DrainGrace,
-		Slack:          4 * s.network.latency,
+		Slack:          4 * s.network.latency, // a time, which allows for the network's delays and jitter; latency is the shortest delay in one direction
 		KeyTTL:         s.keyTTL,
 		SlowStartShare: set.SlowStartShare,
 		SlowStartTime:  set.SlowStartTime,
@@ -175,8 +176,8 @@
 	}
 }
 
-// cover counts an entry of Outcome.Reached.
-func (s *Sim) cover(what string) { s.reached[what]++ }
+// countReached counts that the run reached a situation, such as an ending or an error path. Outcome.Reached has the counts.
+func (s *Sim) countReached(what string) { s.reached[what]++ }
 
 func (s *Sim) addHost(name, addr string) *host {
 	h := &host{name: name, descriptors: -1}
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -22,7 +22,7 @@
 		s.closeIdleClients()
 		return
 	}
-	rng := s.traffic
+	rng := s.trafficRNG
 	weights, sum, baseSum := s.customerWeights()
 	rate := s.script.Rate
 	if f, ok := s.surges[fault.TargetAll]; ok {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -12,10 +12,10 @@
 // Bounds of the checks, from the rules of the platform.
 const (
 	socketSlack     = 50 * time.Millisecond  // added to time limits that are observed on sockets
-	disconnectBound = 100 * time.Millisecond // within which an attempt may still begin after its client disconnected
+	disconnectBound = 100 * time.Millisecond // time after the disconnect of a client in which its attempts may still begin
 	deadlineSlack   = 150 * time.Millisecond // added to the time that an attempt may state to its backend
 	readyBound      = 10 * time.Second
-	maxMemoryGrown  = 16 << 20 // growth of an idle instance since the start of the check (bytes)
+	maxMemoryGrowth = 16 << 20 // growth of an idle instance since the start of the check (bytes)
 	// disturbanceSpan is how long before and after a violation delays of the machine are taken into account.
 	disturbanceSpan = 500 * time.Millisecond
 )
@@ -26,7 +26,7 @@
 	Request string        `json:"request,omitempty"`
 	What    string        `json:"what"`
 	At      time.Duration `json:"at_ns"` // after the first SIGTERM
-	excess  time.Duration // by which a time limit was exceeded; 0: the rule has no time limit
+	excess  time.Duration // time by which a time limit was exceeded, for isUnjudged; 0: the rule has no time limit
 }
 
 // judge checks the record of the run and returns the violations.
@@ -48,7 +48,8 @@
 	return v
 }
 
-// checkAnswer checks that a request that was read gets exactly one final answer.
+// checkAnswer checks that a request that was read gets exactly one final answer. The first request of a connection counts as
+// read, unless idle connections fill the descriptors.
 func (r *run) checkAnswer(req *request) (violations []Violation) {
 	const rule = "one final answer"
 	add := func(excess time.Duration, format string, args ...any) {
@@ -59,10 +60,12 @@
 	case req.extraResponses:
 		add(0, "more than one answer")
 	case req.status != 0 || req.disconnectedAt > 0:
-	case req.openAtKill:
+	case req.openAtKill: // how late the answer would have been is unknown; isUnjudged excuses it if the machine caused a delay of socketSlack
 		violations = append(violations, r.violation(rule, req, r.record.killedAt, socketSlack,
 			"%s request unanswered at the kill, %v after it was written", req.class.name, r.record.killedAt-req.writtenAt))
 	case !req.connectionEnded:
+		// The client gave up at about the deadline, so that how late the answer would have been is unknown here, too: isUnjudged excuses
+		// it if the machine caused a delay of socketSlack beyond the client's own lateness. An excess of 0 would mean no time limit.
 		add(max(1, req.endedAt-deadline+socketSlack), "%s request without an answer %v after it was written, its time is %v", req.class.name, req.endedAt-req.writtenAt, req.timeout)
 	case len(req.attempts) > 0:
 		add(0, "%s request was forwarded, and its connection ended without an answer", req.class.name)
@@ -140,9 +143,9 @@
 // isWithdrawn reports whether an older list had named the backend as active again by a time.
 func (n *notice) isWithdrawn(at time.Duration) bool { return n.withdrawnAt > 0 && at >= n.withdrawnAt }
 
-// unsettledAttempts counts the attempts that would break the drain rule if a notice still counted after an older list withdrew
-// it. The mutex of the record must be held.
-func (r *run) unsettledAttempts() (count int) {
+// attemptsAfterWithdrawal counts the attempts that began later than the drain grace after a notice, and after an older list had named
+// their backend active again. They are not judged by that notice (OlderList). The mutex of the record must be held.
+func (r *run) attemptsAfterWithdrawal() (count int) {
 	for _, req := range r.record.order {
 		for _, attempt := range req.attempts {
 			if slices.ContainsFunc(r.record.notices, func(n notice) bool { return n.beyondGrace(attempt) > 0 && n.isWithdrawn(attempt.firstByteAt) }) {
@@ -168,14 +171,14 @@
 	} else if facts.exit != nil {
 		add("no crash", 0, "it ended with %v", facts.exit)
 	}
-	if record.killedAt > 0 {
+	if record.killedAt > 0 { // when the process would have ended is unknown; isUnjudged excuses it if the machine caused a delay of socketSlack
 		add("ends by itself", socketSlack, "it still ran at the kill, %v after SIGTERM; its threads: %s", record.killedAt-record.termAt, facts.threads)
 	}
 	if facts.idleExcess > 0 {
 		add("idle as at the start", 0, "%d descriptors more than at the start", facts.idleExcess)
 	}
-	if facts.memoryGrown > maxMemoryGrown {
-		add("idle as at the start", 0, "%d MiB more than at the start", facts.memoryGrown>>20)
+	if facts.memoryGrowth > maxMemoryGrowth {
+		add("idle as at the start", 0, "%d MiB more than at the start", facts.memoryGrowth>>20)
 	}
 	if len(record.unknown) > 0 {
 		add("requests pass unchanged", 0, "backends received identities that no client sent: %s", strings.Join(record.unknown, ", "))
@@ -207,6 +210,7 @@
 func (r *run) isUnjudged(v Violation) bool {
 	at := v.At + r.record.termAt
 	from, until := at-disturbanceSpan, at+disturbanceSpan
+	// The instance is the only process that processorWaits monitors, so its index is 0.
 	disturbance := max(lateness.Max(r.ownDelays.Delays, from, until), lateness.Max(r.processorWaits.Waits[0], from, until))
 	return v.excess > 0 && v.excess <= disturbance
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -14,11 +14,11 @@
 	withdrawn.withdrawnAt = 12 * second
 	again := notice{Change: drained.Change, notifiedAt: 12*second + 100*ms}
 	for _, c := range []struct {
-		name      string
-		notices   []notice
-		attemptAt time.Duration
-		broken    int
-		unsettled int
+		name            string
+		notices         []notice
+		attemptAt       time.Duration
+		broken          int
+		afterWithdrawal int
 	}{
 		{"within the grace", []notice{drained}, 11*second + grace, 0, 0},
 		{"past the grace", []notice{drained}, 11*second + grace + ms, 1, 0},
@@ -32,8 +32,8 @@
 		if broken := len(r.checkDrains()); broken != c.broken {
 			t.Errorf("%s: %d broken, want %d", c.name, broken, c.broken)
 		}
-		if unsettled := r.unsettledAttempts(); unsettled != c.unsettled {
-			t.Errorf("%s: %d unsettled, want %d", c.name, unsettled, c.unsettled)
+		if count := r.attemptsAfterWithdrawal(); count != c.afterWithdrawal {
+			t.Errorf("%s: %d attempts after the withdrawal, want %d", c.name, count, c.afterWithdrawal)
 		}
 	}
 }
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -58,7 +58,7 @@
 		})
 	}
 	r.addScenarioEvents(add)
-	for _, at := range r.plan.StalledClients {
+	for _, at := range r.plan.StalledClientConnectTimes {
 		add(at, r.startStalledClient)
 	}
 	add(r.plan.CounterSilentAt, func() { r.counter.silent.Store(true) })
@@ -202,7 +202,7 @@
 	}
 	r.record.update(func() {
 		r.record.instance.idleExcess = max(0, excess)
-		r.record.instance.memoryGrown = residentBytes(pid) - memory
+		r.record.instance.memoryGrowth = residentBytes(pid) - memory
 	})
 }
 
--- a/internal/soak/facts.go
+++ b/internal/soak/facts.go
@@ -61,11 +61,11 @@
 
 // instanceFacts are observations of the process of the instance.
 type instanceFacts struct {
-	exit        error  // exit error if the process ended by itself; nil: status 0
-	crash       string // first line of a panic or fatal error in its log
-	idleExcess  int    // descriptors that an idle instance did not release
-	memoryGrown int64  // growth of resident memory since the start of the check (bytes)
-	threads     string // states of its threads at the SIGKILL
+	exit         error  // exit error if the process ended by itself; nil: status 0
+	crash        string // first line of a panic or fatal error in its log
+	idleExcess   int    // descriptors that an idle instance did not release
+	memoryGrowth int64  // growth of resident memory since the start of the check (bytes)
+	threads      string // states of its threads at the SIGKILL
 }
 
 func newRecord() *record { return &record{origin: time.Now(), requests: map[string]*request{}} }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Parameters of a run. Times of a plan count from the first SIGTERM.
+// Parameters of a run. Points in time of a plan count from the first SIGTERM; they are negative before it.
 const (
 	backendCount               = 5
-	drainGrace                 = 200 * time.Millisecond         // after a departure notice, within which attempts at the backend may still begin
+	drainGrace                 = 200 * time.Millisecond         // time after a departure notice in which attempts at the backend may still begin
 	killDelay                  = 700 * time.Millisecond         // time that the platform adds to the longest deadline before the earliest SIGKILL
 	maxCountedDeadline         = 3 * time.Second                // upper limit of the deadline from which the platform derives the time of SIGKILL
-	idleConnTimeout            = 500 * time.Millisecond         // after which a backend closes an idle connection
+	idleConnTimeout            = 500 * time.Millisecond         // time after which a backend closes an idle connection
 	defaultSockets             = 640                            // descriptor limit of the instance
 	socketsWithIdleConnections = 64                             // descriptor limit in a run with idle connections
 	idleConnectionCount        = 3 * socketsWithIdleConnections // more idle connections than the descriptor limit
@@ -22,24 +22,24 @@
 
 // Plan is the schedule of one run. The same seed draws the same plan.
 type Plan struct {
-	Seed             uint64
-	LongestDeadline  time.Duration // of all classes
-	MayCancel        bool          // the instance is allowed to cancel attempts
-	Warmup           time.Duration // from readiness to the first SIGTERM
-	Signals          []Signal
-	NewConnections   time.Duration // after SIGTERM, during which clients still open new connections
-	Clients          int
-	DisconnectShare  float64         // share of the requests whose clients disconnect early
-	LongPauseClients int             // further clients, with longer pauses between requests
-	IdleConnections  int             // number of idle connections that fill the descriptors; 0: none
-	StalledClients   []time.Duration // connect times of clients that stop in the middle of a request and keep their connections
-	Changes          []Change
-	Watch            WatchFault
-	WatchFaultAt     time.Duration // when Watch happens, if there is one
-	Faults           []BackendFault
-	MovesAtReload    bool          // SIGHUP moves discovery and counter to their second addresses
-	CounterSilentAt  time.Duration // when the counter stops answering
-	ChecksIdle       bool          // check before SIGTERM that an idle instance has released descriptors and memory
+	Seed                      uint64
+	LongestDeadline           time.Duration // longest deadline of all classes
+	MayCancel                 bool          // the instance is allowed to cancel attempts
+	Warmup                    time.Duration // from readiness to the first SIGTERM
+	Signals                   []Signal
+	NewConnectionTime         time.Duration // time after SIGTERM during which clients still open new connections
+	Clients                   int
+	DisconnectShare           float64         // share of the requests whose clients disconnect early
+	LongPauseClients          int             // further clients, with longer pauses between requests
+	IdleConnections           int             // number of idle connections that fill the descriptors; 0: none
+	StalledClientConnectTimes []time.Duration // connect times of clients that stop in the middle of a request and keep their connections
+	Changes                   []Change
+	Watch                     WatchFault
+	WatchFaultAt              time.Duration // when Watch happens, if there is one
+	Faults                    []BackendFault
+	MovesAtReload             bool          // SIGHUP moves discovery and counter to their second addresses
+	CounterSilentAt           time.Duration // when the counter stops answering
+	ChecksIdle                bool          // check before SIGTERM that an idle instance has released descriptors and memory
 
 	// Set by scenarios only.
 	Framing     Framing
@@ -114,18 +114,18 @@
 func Draw(seed uint64) *Plan {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	p := &Plan{
-		Seed:             seed,
-		LongestDeadline:  []time.Duration{600, 1000, 1500, 3500}[rng.IntN(4)] * time.Millisecond,
-		MayCancel:        rng.IntN(4) > 0,
-		Warmup:           between(rng, 300*time.Millisecond, 1200*time.Millisecond),
-		NewConnections:   between(rng, 200*time.Millisecond, 400*time.Millisecond),
-		Clients:          6 + rng.IntN(10),
-		LongPauseClients: rng.IntN(16),
-		DisconnectShare:  0.1 * rng.Float64(),
-		CounterSilentAt:  between(rng, -200*time.Millisecond, 4*time.Second),
+		Seed:              seed,
+		LongestDeadline:   []time.Duration{600, 1000, 1500, 3500}[rng.IntN(4)] * time.Millisecond,
+		MayCancel:         rng.IntN(4) > 0,
+		Warmup:            between(rng, 300*time.Millisecond, 1200*time.Millisecond),
+		NewConnectionTime: between(rng, 200*time.Millisecond, 400*time.Millisecond),
+		Clients:           6 + rng.IntN(10),
+		LongPauseClients:  rng.IntN(16),
+		DisconnectShare:   0.1 * rng.Float64(),
+		CounterSilentAt:   between(rng, -200*time.Millisecond, 4*time.Second),
 	}
 	for range rng.IntN(3) {
-		p.StalledClients = append(p.StalledClients, between(rng, -500*time.Millisecond, p.NewConnections))
+		p.StalledClientConnectTimes = append(p.StalledClientConnectTimes, between(rng, -500*time.Millisecond, p.NewConnectionTime))
 	}
 	p.drawSignals(rng)
 	p.drawChanges(rng)
@@ -185,12 +185,12 @@
 	return from + time.Duration(rng.Float64()*float64(to-from))
 }
 
-// String describes the plan.
+// String describes the plan, except Seed, DisconnectShare, CounterSilentAt and ChecksIdle.
 func (p *Plan) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "longest deadline %v, cancel %v, warm-up %v, %d clients, %d resting, crowd %d, new connections for %v, kill at %v",
-		p.LongestDeadline, p.MayCancel, p.Warmup, p.Clients, p.LongPauseClients, p.IdleConnections, p.NewConnections, p.KillAt())
-	for _, at := range p.StalledClients {
+		p.LongestDeadline, p.MayCancel, p.Warmup, p.Clients, p.LongPauseClients, p.IdleConnections, p.NewConnectionTime, p.KillAt())
+	for _, at := range p.StalledClientConnectTimes {
 		fmt.Fprintf(&b, "; a client stalls at %v", at)
 	}
 	for _, signal := range p.Signals {
--- a/internal/soak/plan_digest_test.go
+++ b/internal/soak/plan_digest_test.go
@@ -23,7 +23,7 @@
 		for _, signal := range p.Signals {
 			fmt.Fprintf(digest, "signal %d %d ", signal.At, int(signal.Signal))
 		}
-		fmt.Fprintf(digest, "%d %d %v %d %d %d ", p.NewConnections, p.Clients, p.DisconnectShare, p.LongPauseClients, p.IdleConnections, p.StalledClients)
+		fmt.Fprintf(digest, "%d %d %v %d %d %d ", p.NewConnectionTime, p.Clients, p.DisconnectShare, p.LongPauseClients, p.IdleConnections, p.StalledClientConnectTimes)
 		for _, change := range p.Changes {
 			fmt.Fprintf(digest, "change %d %d %s ", change.At, change.Backend, change.Kind)
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -171,7 +171,7 @@
 func (r *run) newConnectionsAllowed() bool {
 	r.record.mu.Lock()
 	defer r.record.mu.Unlock()
-	return r.record.termAt == 0 || r.record.now() < r.record.termAt+r.plan.NewConnections
+	return r.record.termAt == 0 || r.record.now() < r.record.termAt+r.plan.NewConnectionTime
 }
 
 // execute sends traffic and executes the plan until the process has ended or is killed.
@@ -218,7 +218,7 @@
 	report.Exposure = r.exposure()
 	report.Violations, report.Unjudged = r.separateUnjudged(r.judge())
 	report.Unread = r.record.unread
-	report.Unsettled = r.unsettledAttempts()
+	report.Unsettled = r.attemptsAfterWithdrawal()
 	report.EndedAfter = (r.record.endedAt - r.record.termAt).Seconds()
 	report.OwnDelay = lateness.Max(r.ownDelays.Delays, 0, r.record.endedAt).Milliseconds()
 	report.ProcessorWait = lateness.Sum(r.processorWaits.Waits[0], 0, r.record.endedAt).Milliseconds()
@@ -233,7 +233,8 @@
 	return fmt.Sprintf("seed %d of %s", report.Seed, report.Scenario)
 }
 
-// Print writes a line for the run and a line for each violation, for unsettled attempts, and for the plan if a rule was broken.
+// Print writes a line for the run and a line for each violation, for the attempts that Unsettled counts, and for the plan if a rule
+// was broken.
 func (report Report) Print(out io.Writer) {
 	fmt.Fprintf(out, "%v: %d requests, %d served, %d attempts, %d of them after SIGTERM; %v; ended after %.2f s; soak %d ms late, instance waited %d ms for a processor; %d broken, %d not judged\n",
 		report.name(), report.Requests, report.Served, report.Attempts, report.AttemptsAfterSIGTERM, report.Exposure, report.EndedAfter, report.OwnDelay, report.ProcessorWait, len(report.Violations), len(report.Unjudged))
--- a/invariant/checker.go
+++ b/invariant/checker.go
@@ -19,12 +19,12 @@
 	lastChange  map[int]time.Duration // by instance: when it last went down or up
 	unavailable map[int]bool          // by instance: killed or paused
 
-	executions       map[string]Execution // of operations that are not idempotent
-	removedAt        map[instanceBackend]time.Duration
+	executions       map[string]Execution              // of operations that are not idempotent
+	removedAt        map[instanceBackend]time.Duration // when an instance was first notified that a backend is draining or removed
 	warming          map[string]*warmingBackend
 	unitsRequested   map[string]*bucket // by customer
 	unitsForwarded   map[string]*bucket // by customer
-	aboveCeilingSeen map[string]bool    // customers counted as a case of Ceilings
+	aboveCeilingSeen map[string]bool    // customers that Rule.Cases of Ceilings counts
 }
 
 // requestRecord is a request with its outcome and receipts.
@@ -34,7 +34,7 @@
 	outcome       Outcome
 	receipts      int
 	firstReceipt  Receipt
-	duplicateCase bool // counted as a case of NoDuplicate
+	duplicateCase bool // Rule.Cases of NoDuplicate counts this request
 }
 
 // answered reports whether the client has had its final response.
@@ -127,7 +127,8 @@
 	c.lastChange[instance], c.unavailable[instance] = at, true
 }
 
-// InstanceUp records that an instance runs again. Notifications of the old process do not count for the new one.
+// InstanceUp records that an instance runs again. Notices of draining or removed backends that the old process received do not
+// count for the new one.
 func (c *Checker) InstanceUp(instance int, at time.Duration) {
 	c.lastChange[instance], c.unavailable[instance] = at, false
 	for k := range c.removedAt {
--- a/invariant/slowstart.go
+++ b/invariant/slowstart.go
@@ -10,7 +10,7 @@
 	arrivals    []time.Duration
 	arrivedWork []float64 // seconds on a warm core, by arrival
 	windowWork  float64   // sum of arrivedWork
-	counted     bool      // as a case of the rule
+	counted     bool      // in Rule.Cases
 }
 
 // BackendStarted records that a backend started and is in slow start.
